--- a/crates/tidetrack-core/src/traffic/cascade.rs
+++ b/crates/tidetrack-core/src/traffic/cascade.rs
@@ -9,32 +9,32 @@
 use crate::units::Tokens;
 
 /// Tokens that one generated token counts as in a request's worth.
-const WORTH_OF_GENERATED: f64 = 10.0;
+const GENERATED_TOKEN_WEIGHT: f64 = 10.0;
 
 /// Part of a generated token's price that a token read costs.
-const PRICE_OF_READ: f64 = 0.25;
+const PROMPT_PRICE_RATIO: f64 = 0.25;
 
 /// Tokens that prices and worths are quoted for.
-const QUOTED_TOKENS: f64 = 1_000.0;
+const PRICE_UNIT_TOKENS: f64 = 1_000.0;
 
 /// What an answer on a model that was too small still earns, as part of its worth.
-const POOR_ANSWER: f64 = 0.05;
+const WRONG_RESPONSE_VALUE: f64 = 0.05;
 
 /// What a right answer that comes late still earns, as part of its worth.
-const LATE_ANSWER: f64 = 0.15;
+const LATE_RESPONSE_VALUE: f64 = 0.15;
 
 /// Confidence at which an answer is as often right as wrong. From calm days of three fleets, whose
 /// answers below a bound were all asked again: of answers with a confidence of 0 to 15, 15 to 30, 30 to
 /// 45, 45 to 60 and 60 to 75 about 5, 7, 24, 78 and 100 in 100 were right on the third fleet, and the
 /// others' earnings rose and stayed at the same bounds (`docs/decisions-under-load.md`).
-const EVEN_CONFIDENCE: f64 = 45.0;
+const EVEN_ODDS_CONFIDENCE: f64 = 45.0;
 
 /// Confidence beyond the even one that makes the odds of a right answer e times as high; from the same
 /// plays.
 const CONFIDENCE_SCALE: f64 = 6.0;
 
 /// Share of the longest answer that is generated in the mean, where nothing better is known.
-const USUAL_PART_GENERATED: f64 = 0.6;
+const DEFAULT_GENERATED_FRACTION: f64 = 0.6;
 
 /// What the choice is made from.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -42,16 +42,16 @@
     /// Worth of a right answer for each 1,000 tokens of size, as a multiple of the largest model's
     /// price: who runs that model at all holds its answers worth somewhat more than they cost. So the
     /// choice needs no unit and no figure of one fleet.
-    pub worth_in_prices: f64,
+    pub value_to_price_ratio: f64,
     /// What a second run costs others in idle times, as a multiple of its price.
-    pub others_delayed: f64,
+    pub delay_cost_ratio: f64,
     /// How that grows with the square of the time that the second run waits, in objectives' lengths.
-    pub scarcity: f64,
+    pub wait_cost_factor: f64,
 }
 
 impl Default for CascadeOptions {
     fn default() -> Self {
-        CascadeOptions { worth_in_prices: 1.2, others_delayed: 1.5, scarcity: 5.0 }
+        CascadeOptions { value_to_price_ratio: 1.2, delay_cost_ratio: 1.5, wait_cost_factor: 5.0 }
     }
 }
 
@@ -59,33 +59,35 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct GenerationSize {
     /// Tokens of the prompt.
-    pub prompt: Tokens,
+    pub prompt_tokens: Tokens,
     /// Most tokens that may be generated.
-    pub most_generated: Tokens,
+    pub max_generated_tokens: Tokens,
     /// The caller's estimate of the generated tokens.
-    pub hint: Option<Tokens>,
+    pub generated_tokens_hint: Option<Tokens>,
 }
 
 impl GenerationSize {
     /// Estimates the tokens that will be generated.
-    pub fn generated(&self) -> f64 {
-        let most = self.most_generated.0 as f64;
-        match self.hint {
-            Some(hint) => (hint.0 as f64).min(most),
-            None => most * USUAL_PART_GENERATED,
+    pub fn estimated_generated_tokens(&self) -> f64 {
+        let max_tokens = self.max_generated_tokens.0 as f64;
+        match self.generated_tokens_hint {
+            Some(generated_tokens_hint) => (generated_tokens_hint.0 as f64).min(max_tokens),
+            None => max_tokens * DEFAULT_GENERATED_FRACTION,
         }
     }
 
     /// Estimates the price of a run on a model.
-    pub fn price(&self, per_1k: f64) -> f64 {
-        let charged = self.generated() + self.prompt.0 as f64 * PRICE_OF_READ;
-        charged / QUOTED_TOKENS * per_1k
+    pub fn estimated_price(&self, per_1k: f64) -> f64 {
+        let charged_tokens =
+            self.estimated_generated_tokens() + self.prompt_tokens.0 as f64 * PROMPT_PRICE_RATIO;
+        charged_tokens / PRICE_UNIT_TOKENS * per_1k
     }
 
     /// Estimates what a right answer is worth where the largest model has this price.
-    pub fn worth(&self, largest_per_1k: f64, opts: &CascadeOptions) -> f64 {
-        let size = self.prompt.0 as f64 + WORTH_OF_GENERATED * self.generated();
-        size / QUOTED_TOKENS * largest_per_1k * opts.worth_in_prices
+    pub fn estimated_value(&self, largest_per_1k: f64, opts: &CascadeOptions) -> f64 {
+        let value_tokens = self.prompt_tokens.0 as f64
+            + GENERATED_TOKEN_WEIGHT * self.estimated_generated_tokens();
+        value_tokens / PRICE_UNIT_TOKENS * largest_per_1k * opts.value_to_price_ratio
     }
 }
 
@@ -96,32 +98,32 @@
 
 /// What is known when an answer may be dropped for a larger model's.
 #[derive(Clone, Copy, Debug)]
-pub struct Prospect {
+pub struct SecondOpinionEstimate {
     /// How sure the model is of the answer at hand, 0 to 100.
     pub confidence: u8,
     /// The chance that the larger model's answer comes in time.
-    pub in_time: f64,
+    pub in_time_probability: f64,
     /// How long others' work goes before the second run, as part of the objective.
     pub wait: f64,
 }
 
 /// Gets the model of a second run; `None` if `model` is the largest itself.
-pub fn second_model<'a>(route: &'a Route, model: &ModelId) -> Option<&'a ModelId> {
+pub fn second_opinion_model<'a>(route: &'a Route, model: &ModelId) -> Option<&'a ModelId> {
     route.models.last().filter(|m| *m != model)
 }
 
 /// What speaks for a second run and against it, both in the unit of the models' prices.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Weighed<'a> {
+pub struct SecondOpinionTradeoff<'a> {
     /// The model of the second run.
-    pub larger: &'a ModelId,
+    pub larger_model: &'a ModelId,
     /// What its answer is worth more than the one at hand.
     pub gain: f64,
     /// What it costs, others' delay included.
     pub cost: f64,
 }
 
-impl Weighed<'_> {
+impl SecondOpinionTradeoff<'_> {
     /// Tells whether the answer at hand is to be dropped.
     pub fn is_worth_it(&self) -> bool {
         self.gain > self.cost
@@ -132,27 +134,33 @@
 ///
 /// A confidence is a rough opinion, not a chance: nearly all answers well below the even one are wrong,
 /// nearly all well above it right. Read so, second runs go where they help.
-fn chance_right(confidence: u8) -> f64 {
-    let from_even = f64::from(confidence.min(100)) - EVEN_CONFIDENCE;
-    1.0 / (1.0 + (-from_even / CONFIDENCE_SCALE).exp())
+fn correct_probability(confidence: u8) -> f64 {
+    let distance_from_even = f64::from(confidence.min(100)) - EVEN_ODDS_CONFIDENCE;
+    1.0 / (1.0 + (-distance_from_even / CONFIDENCE_SCALE).exp())
 }
 
 /// Weighs an answer of `model` against a run on the largest model; `None` if that is `model` itself.
-pub fn weigh<'a>(
+pub fn weigh_second_opinion<'a>(
     route: &'a Route,
     service: &Service,
     model: &ModelId,
-    prospect: Prospect,
-    size: &GenerationSize,
+    estimate: SecondOpinionEstimate,
+    value_tokens: &GenerationSize,
     opts: &CascadeOptions,
-) -> Option<Weighed<'a>> {
-    let larger = second_model(route, model)?;
-    let chance_right = chance_right(prospect.confidence);
-    let at_hand = chance_right + (1.0 - chance_right) * POOR_ANSWER;
-    let second = prospect.in_time + (1.0 - prospect.in_time) * LATE_ANSWER;
-    let per_1k = service.price_of(larger);
-    let gain = (second - at_hand) * size.worth(per_1k, opts);
+) -> Option<SecondOpinionTradeoff<'a>> {
+    let larger_model = second_opinion_model(route, model)?;
+    let correct_probability = correct_probability(estimate.confidence);
+    let current_value = correct_probability + (1.0 - correct_probability) * WRONG_RESPONSE_VALUE;
+    let second_value =
+        estimate.in_time_probability + (1.0 - estimate.in_time_probability) * LATE_RESPONSE_VALUE;
+    let per_1k = service.price_of(larger_model);
+    let gain = (second_value - current_value) * value_tokens.estimated_value(per_1k, opts);
     // The second run also delays others' runs, the more the busier the engines are.
-    let scarcity = opts.others_delayed * (1.0 + opts.scarcity * prospect.wait * prospect.wait);
-    Some(Weighed { larger, gain, cost: size.price(per_1k) * scarcity })
+    let wait_cost_factor =
+        opts.delay_cost_ratio * (1.0 + opts.wait_cost_factor * estimate.wait * estimate.wait);
+    Some(SecondOpinionTradeoff {
+        larger_model,
+        gain,
+        cost: value_tokens.estimated_price(per_1k) * wait_cost_factor,
+    })
 }
--- a/crates/tidetrack-core/src/traffic/short.rs
+++ b/crates/tidetrack-core/src/traffic/compact_count.rs
@@ -4,14 +4,14 @@
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
 /// Parts that a count of one is told as.
-const PARTS: f32 = 64.0;
+const STEPS_PER_COUNT: f32 = 64.0;
 
 /// Writes a count.
 pub fn serialize<S: Serializer>(count: &f32, serializer: S) -> Result<S::Ok, S::Error> {
-    ((count * PARTS).round() as u32).serialize(serializer)
+    ((count * STEPS_PER_COUNT).round() as u32).serialize(serializer)
 }
 
 /// Reads a count.
 pub fn deserialize<'de, D: Deserializer<'de>>(deserializer: D) -> Result<f32, D::Error> {
-    Ok(u32::deserialize(deserializer)? as f32 / PARTS)
+    Ok(u32::deserialize(deserializer)? as f32 / STEPS_PER_COUNT)
 }
--- a/crates/tidetrack-core/src/traffic/control/mod.rs
+++ b/crates/tidetrack-core/src/traffic/control/mod.rs
@@ -11,6 +11,8 @@
 use crate::events::Event;
 use crate::ids::{EndpointId, EndpointKey, HostId, ServiceId};
 use crate::placement::EndpointLive;
+use crate::traffic::baseline::Baseline;
+use crate::traffic::canary::{Canary, ProgressWrite, RolloutOrder, DEFAULT_EXPOSURE_BOUND};
 use crate::traffic::catalog::Catalog;
 use crate::traffic::endpoint_limits::EndpointLimits;
 use crate::traffic::endpoints::{EndpointRecord, EndpointTable};
@@ -18,14 +20,12 @@
 use crate::traffic::feeds::{Catch, Feeds, Kind, Revisions, Source};
 use crate::traffic::freshness::Freshness;
 use crate::traffic::joining::{Starter, MEETING_ROUND, MEETING_TIME};
-use crate::traffic::judge::Observed;
+use crate::traffic::judge::ObservedResponse;
 use crate::traffic::outliers::Outliers;
 use crate::traffic::peers::{Barred, News, PeerBook, PeerMessage, Question, ROUND_EVERY};
-use crate::traffic::prefixes::Prefixes;
+use crate::traffic::prefix_index::PrefixIndex;
 use crate::traffic::sight::Sight;
 use crate::traffic::suspects::{Suspects, FIRST_TOLD};
-use crate::traffic::trial::{ProgressWrite, RolloutOrder, Trial, USUAL_BOUND};
-use crate::traffic::usual::Usual;
 use crate::traffic::view::FleetView;
 use crate::units::{Millis, Rate};
 
@@ -117,7 +117,7 @@
     /// The store answers this host again.
     StoreBack,
     /// An answer was seen.
-    Observed(Observed),
+    Observed(ObservedResponse),
     /// An endpoint named another limit than before on what it takes from all hosts, or none any more.
     LimitNamed(EndpointId, Option<Rate>),
     /// Another host told its state.
@@ -152,7 +152,7 @@
     has_endpoints: bool,
     /// Whether a request could be sent to one of them since the start.
     could_send: bool,
-    trials: BTreeMap<ServiceId, Trial>,
+    trials: BTreeMap<ServiceId, Canary>,
     /// Versions outside of their trials.
     versions: Versions,
     /// What a version under roll-out may get of a service's requests before its deadline.
@@ -160,9 +160,9 @@
     /// Services with a version that is held for want of news, as the log has it.
     untold: BTreeSet<ServiceId>,
     /// What is usual on the proven versions.
-    usual: HashMap<ServiceId, Usual>,
+    usual: HashMap<ServiceId, Baseline>,
     exposures: HashMap<ServiceId, Arc<Exposure>>,
-    prefixes: HashMap<ServiceId, Arc<Prefixes>>,
+    prefixes: HashMap<ServiceId, Arc<PrefixIndex>>,
     live: HashMap<EndpointId, Arc<EndpointLive>>,
     outliers: Outliers,
     /// Requests under which endpoints crashed; traffic adds to it and asks it.
@@ -211,7 +211,7 @@
             could_send: false,
             trials: BTreeMap::new(),
             versions: Versions::default(),
-            bound: USUAL_BOUND,
+            bound: DEFAULT_EXPOSURE_BOUND,
             untold: BTreeSet::new(),
             usual: HashMap::new(),
             exposures: HashMap::new(),
@@ -315,7 +315,7 @@
     /// Tells whether other hosts are to be told what this one knows: at once of a session that began here, and of an
     /// endpoint that crashed under a request or named a limit.
     fn is_round_due(&self, now: Millis) -> bool {
-        let has_session = self.exposures.values().any(|exposure| exposure.has_untold());
+        let has_session = self.exposures.values().any(|exposure| exposure.has_unreported());
         let has_untold = has_session || self.suspects.has_untold() || self.limits.has_untold();
         let every = if has_untold { SOONEST_ROUND } else { ROUND_EVERY };
         now >= self.last_round + every
@@ -459,11 +459,11 @@
         let from = msg.from.clone();
         for (service, sessions) in &msg.news.sessions {
             let exposure = self.exposures.entry(service.clone()).or_default();
-            exposure.hold_told(now, sessions);
+            exposure.hold_reported(now, sessions);
         }
         for (service, reads) in &msg.news.reads {
             if let Some(prefixes) = self.prefixes.get(service) {
-                prefixes.hear(now, reads);
+                prefixes.record_reports(now, reads);
             }
         }
         self.suspects.hear(now, &msg.news.suspects);
@@ -471,7 +471,7 @@
         for told in &msg.news.tallies {
             match self.trials.get_mut(&told.service) {
                 Some(trial) if trial.order.version == told.version => {
-                    if trial.learn_told_age(now, Millis(told.age_ms)) {
+                    if trial.update_start_from_peer(now, Millis(told.age_ms)) {
                         bearing = Bearing::Soon;
                     }
                 }
--- a/crates/tidetrack-core/src/traffic/control/rollouts.rs
+++ b/crates/tidetrack-core/src/traffic/control/rollouts.rs
@@ -4,10 +4,10 @@
 use crate::events::Event;
 use crate::ids::{ServiceId, VersionName};
 use crate::placement::draw;
+use crate::traffic::canary::{Canary, Phase, RolloutOrder};
 use crate::traffic::feeds::Kind;
-use crate::traffic::judge::Observed;
+use crate::traffic::judge::ObservedResponse;
 use crate::traffic::peers::Barred;
-use crate::traffic::trial::{Phase, RolloutOrder, Trial};
 use crate::traffic::turns::turn;
 use crate::units::Millis;
 
@@ -40,7 +40,7 @@
         match self.trials.get_mut(&service) {
             Some(trial) => trial.update(now, order),
             None => {
-                self.trials.insert(service.clone(), Trial::new(now, order, self.bound));
+                self.trials.insert(service.clone(), Canary::new(now, order, self.bound));
             }
         }
         let trial = &self.trials[&service];
@@ -81,22 +81,22 @@
     pub(super) fn observe(
         &mut self,
         now: Millis,
-        seen: &Observed,
+        seen: &ObservedResponse,
         actions: &mut Vec<Action>,
     ) -> bool {
         let usual = self.usual.entry(seen.service.clone()).or_default();
         let trial = self.trials.get_mut(&seen.service).filter(|t| t.phase() != Phase::Done);
-        match (trial, &seen.new_version) {
+        match (trial, &seen.canary_version) {
             // What is usual is known when an order comes, and follows a version that was completed.
             (None, _) => usual.learn(seen),
             (Some(trial), None) => {
-                trial.judge.see_proven(now, seen, usual);
+                trial.judge.record_stable(now, seen, usual);
                 usual.learn(seen);
             }
             (Some(trial), Some(version)) if *version == trial.order.version => {
-                match trial.has_moved(now, self.peers.len() + 1) {
-                    true => trial.judge.see_moved(now, seen, usual),
-                    false => trial.judge.see_new(now, seen, usual),
+                match trial.has_cut_over(now, self.peers.len() + 1) {
+                    true => trial.judge.record_after_cutover(now, seen, usual),
+                    false => trial.judge.record_canary(now, seen, usual),
                 }
                 return self.judge(now, &seen.service, actions);
             }
--- a/crates/tidetrack-core/src/traffic/control/rounds.rs
+++ b/crates/tidetrack-core/src/traffic/control/rounds.rs
@@ -6,12 +6,12 @@
 use crate::events::Event;
 use crate::ids::{EndpointId, EndpointKey, ServiceId, VersionName};
 use crate::placement::draw;
-use crate::traffic::basis::Basis;
+use crate::traffic::baseline::Baseline;
+use crate::traffic::canary::{Canary, Phase, ProgressWriter};
 use crate::traffic::endpoints::EndpointRecord;
 use crate::traffic::freshness::Freshness;
 use crate::traffic::peers::{Barred, News, ToldProof, ToldTally, ROUND_EVERY};
-use crate::traffic::trial::{Phase, Trial, Writer};
-use crate::traffic::usual::Usual;
+use crate::traffic::verdict_basis::VerdictBasis;
 use crate::units::Millis;
 
 use super::{Action, Beliefs, Duties};
@@ -43,7 +43,9 @@
         };
         let trials = &self.trials;
         self.peers.forget_tallies(|told| {
-            trials.get(&told.service).is_none_or(|t| t.order.version != told.version || t.is_over())
+            trials
+                .get(&told.service)
+                .is_none_or(|t| t.order.version != told.version || t.is_finished())
         });
         for host in self.peers.sweep(now) {
             actions.push(Action::Note(Event::PeerDead, format!("peer={host}")));
@@ -57,7 +59,8 @@
         let is_swept = self.look_at_versions(now, actions) || is_swept;
         self.told = self.news(now, fresh);
         let mut messages = self.peers.round(now, &self.told);
-        if self.trials.values().any(|t| !t.is_over() && t.has_moved(now, self.duties.hosts)) {
+        if self.trials.values().any(|t| !t.is_finished() && t.has_cut_over(now, self.duties.hosts))
+        {
             messages.extend(self.peers.messages_to_provers(now, &self.told));
         }
         actions.push(Action::Send(messages));
@@ -68,9 +71,9 @@
                 live.told_by_hosts(now, work);
             }
         }
-        for (service, trial) in self.trials.iter().filter(|(_, trial)| !trial.is_over()) {
+        for (service, trial) in self.trials.iter().filter(|(_, trial)| !trial.is_finished()) {
             let usual = self.usual.entry(service.clone()).or_default();
-            usual.hear(self.peers.usual(service, &trial.order.version));
+            usual.set_remote_reports(self.peers.usual(service, &trial.order.version));
         }
         let services: Vec<ServiceId> = self.trials.keys().cloned().collect();
         services.iter().map(|s| self.judge(now, s, actions)).fold(is_swept, |a, b| a | b)
@@ -162,16 +165,16 @@
         };
         let turn = self.peers.turn_time() + ROUND_EVERY;
         for (service, prefixes) in &self.prefixes {
-            let reads = prefixes.told(now, turn);
+            let reads = prefixes.reports(now, turn);
             if !reads.is_empty() {
                 news.reads.push((service.clone(), reads));
             }
         }
         let hosts = self.hosts();
         for (service, exposure) in &self.exposures {
-            let is_open = |trial: &Trial| !trial.is_over();
+            let is_open = |trial: &Canary| !trial.is_finished();
             if !self.trials.get(service).is_some_and(is_open) {
-                let told = exposure.told_of_late(now);
+                let told = exposure.recent_reports(now);
                 news.sessions.extend((!told.is_empty()).then(|| (service.clone(), told)));
             }
         }
@@ -182,12 +185,12 @@
                 Phase::Done => {}
                 Phase::Sample | Phase::Moved => {
                     if let Some(exposure) = self.exposures.get(&service) {
-                        let sample = trial.sample(hosts);
-                        news.sessions.push((service.clone(), exposure.told(now, sample)));
+                        let sample = trial.sample_share(hosts);
+                        news.sessions.push((service.clone(), exposure.reports(now, sample)));
                     }
                     let tally = trial.judge.tally(now).clone();
                     let age_ms = trial.age(now).0;
-                    let usual = self.usual.get(&service).map(Usual::told).unwrap_or_default();
+                    let usual = self.usual.get(&service).map(Baseline::report).unwrap_or_default();
                     news.tallies.push(ToldTally { service, version, age_ms, tally, usual });
                 }
             }
@@ -203,38 +206,38 @@
         actions: &mut Vec<Action>,
     ) -> bool {
         let hosts = self.hosts();
-        let Some(trial) = self.trials.get_mut(service).filter(|t| !t.is_over()) else {
+        let Some(trial) = self.trials.get_mut(service).filter(|t| !t.is_finished()) else {
             return false;
         };
         let version = trial.order.version.clone();
         let is_new = |r: &&EndpointRecord| r.service == *service && r.version == version;
         let endpoints = self.table.records().filter(is_new).count();
         if let Some(exposure) = self.exposures.get(service) {
-            trial.judge.sent(now, exposure.sent_first());
+            trial.judge.record_sent_total(now, exposure.canary_first_attempts());
         }
         let mut all = trial.judge.tally(now).clone();
-        let mut basis = Basis { endpoints, hosts, counted: 1 };
+        let mut basis = VerdictBasis { endpoints, hosts, counted_hosts: 1 };
         let mut since_move = basis;
-        let moved_at = trial.moved_at(hosts);
+        let moved_at = trial.cutover_at(hosts);
         for (tally, age) in self.peers.tallies(now, service, &version) {
             all.add(tally, age);
-            basis.counted += 1;
-            since_move.counted += usize::from(now >= moved_at + age);
+            basis.counted_hosts += 1;
+            since_move.counted_hosts += usize::from(now >= moved_at + age);
         }
         if trial.is_log_due(now) {
             let age_ms = trial.age(now).0;
-            let moved = trial.has_moved(now, hosts);
+            let moved = trial.has_cut_over(now, hosts);
             let text = format!(
                 "service={service} version={version} age_ms={age_ms} moved={moved} hosts={hosts} \
                  counted={} counted_since_move={} endpoints={endpoints} {all}",
-                basis.counted, since_move.counted
+                basis.counted_hosts, since_move.counted_hosts
             );
             actions.push(Action::Note(Event::RolloutEvidence, text));
         }
         let told = self.peers.is_barred(service, &version) && trial.bar(now);
         let bad = trial.judge(now, &all, basis, since_move);
         if let Some(exposure) = self.exposures.get(service) {
-            exposure.doubt(trial.is_doubted);
+            exposure.set_inconclusive(trial.is_inconclusive);
         }
         let why = match bad {
             Some(bad) => bad.to_string(),
@@ -244,7 +247,7 @@
         let text = format!(
             "service={service} version={version} why={why} hosts={hosts} counted={} \
              counted_since_move={} {all}",
-            basis.counted, since_move.counted
+            basis.counted_hosts, since_move.counted_hosts
         );
         actions.push(Action::Note(Event::VersionBarred, text));
         true
@@ -254,9 +257,9 @@
     /// one is barred by that.
     pub(super) fn judge_before_end(&mut self, now: Millis, actions: &mut Vec<Action>) -> bool {
         let hosts = self.hosts();
-        let is_ending = |(service, trial): &(&ServiceId, &Trial)| {
+        let is_ending = |(service, trial): &(&ServiceId, &Canary)| {
             let patience = self.patience(now, service, trial);
-            trial.is_ending(now, patience, hosts)
+            trial.is_completion_due(now, patience, hosts)
         };
         let ending: Vec<ServiceId> =
             self.trials.iter().filter(is_ending).map(|(service, _)| service.clone()).collect();
@@ -264,18 +267,18 @@
     }
 
     /// Gets how long this host leaves the next write about a roll-out to others.
-    fn patience(&self, now: Millis, service: &ServiceId, trial: &Trial) -> Millis {
+    fn patience(&self, now: Millis, service: &ServiceId, trial: &Canary) -> Millis {
         // A host alone has nobody to wait for.
         if self.peers.is_empty() {
             return Millis(0);
         }
         let job = format!("{service}/{}", trial.order.version);
-        let writer = Writer {
-            watches: self.is_watcher(),
-            collects: self.is_prover(),
-            draw: draw(&job, self.host.as_str()),
+        let writer = ProgressWriter {
+            watches_store: self.is_watcher(),
+            collects_tallies: self.is_prover(),
+            stagger_fraction: draw(&job, self.host.as_str()),
         };
-        trial.patience(now, writer, self.hosts())
+        trial.write_delay(now, writer, self.hosts())
     }
 
     pub(super) fn write_progress(&mut self, now: Millis, actions: &mut Vec<Action>) {
@@ -283,7 +286,7 @@
         let waits = |(service, trial)| self.patience(now, service, trial);
         let patience: Vec<Millis> = self.trials.iter().map(waits).collect();
         for (trial, patience) in self.trials.values_mut().zip(patience) {
-            let due = trial.due(now, patience, WRITE_AGAIN, hosts);
+            let due = trial.take_due_write(now, patience, WRITE_AGAIN, hosts);
             actions.extend(due.map(Action::Write));
         }
     }
--- a/crates/tidetrack-core/src/traffic/control/views.rs
+++ b/crates/tidetrack-core/src/traffic/control/views.rs
@@ -4,7 +4,7 @@
 
 use crate::ids::ServiceId;
 use crate::placement::{PoolEndpoint, PoolView};
-use crate::traffic::trial::{Phase, Trial};
+use crate::traffic::canary::{Canary, Phase};
 use crate::traffic::view::{FleetView, ServiceView};
 
 use super::Beliefs;
@@ -17,7 +17,7 @@
         for record in self.table.records() {
             let trial = self.trials.get(&record.service);
             let is_new = trial.is_some_and(|t| t.order.version == record.version);
-            let phase = trial.map(Trial::phase);
+            let phase = trial.map(Canary::phase);
             let kept = self.live.get(&record.id).cloned().unwrap_or_default();
             live.insert(record.id.clone(), kept.clone());
             let may_serve = match (is_new, phase) {
--- a/crates/tidetrack-core/src/traffic/fingerprint.rs
+++ b/crates/tidetrack-core/src/traffic/fingerprint.rs
@@ -28,7 +28,7 @@
 
 /// A request as far as it is the same each time.
 #[derive(Clone, Copy, Debug)]
-pub struct Repeated<'a> {
+pub struct RequestIdentity<'a> {
     /// The workspace, where the request carried a key.
     pub workspace: Option<&'a WorkspaceId>,
     /// The host name that was asked for.
@@ -43,7 +43,7 @@
 
 impl Fingerprint {
     /// Makes the fingerprint of a request.
-    pub fn of(req: &Repeated<'_>) -> Fingerprint {
+    pub fn of(req: &RequestIdentity<'_>) -> Fingerprint {
         let workspace = req.workspace.map_or("", WorkspaceId::as_str);
         let mut hash = Sha256::new();
         for part in [workspace, req.hostname, req.method, req.path] {
@@ -52,14 +52,14 @@
             hash.update(part.as_bytes());
         }
         hash.update(req.body);
-        let whole = hash.finalize();
+        let digest = hash.finalize();
         let mut hash = [0; HASH_LEN];
-        hash.copy_from_slice(&whole[..HASH_LEN]);
+        hash.copy_from_slice(&digest[..HASH_LEN]);
         Fingerprint { caller: xxh3_64(workspace.as_bytes()) as u32, hash }
     }
 
     /// Gets the beginning of the hash, the same number at every host.
-    pub fn hash_start(&self) -> u32 {
+    pub fn hash_prefix(&self) -> u32 {
         let [a, b, c, d, ..] = self.hash;
         u32::from_le_bytes([a, b, c, d])
     }
@@ -81,13 +81,13 @@
     type Err = Error;
 
     fn from_str(s: &str) -> Result<Self, Error> {
-        let bad = || bad_value("fingerprint", s, "caller-hash in hexadecimal");
-        let (caller, hex) = s.split_once('-').ok_or_else(bad)?;
-        let caller = u32::from_str_radix(caller, 16).map_err(|_| bad())?;
-        let number = u128::from_str_radix(hex, 16).map_err(|_| bad())?;
+        let invalid = || bad_value("fingerprint", s, "caller-hash in hexadecimal");
+        let (caller, hex) = s.split_once('-').ok_or_else(invalid)?;
+        let caller = u32::from_str_radix(caller, 16).map_err(|_| invalid())?;
+        let number = u128::from_str_radix(hex, 16).map_err(|_| invalid())?;
         match hex.len() == 2 * HASH_LEN {
             true => Ok(Fingerprint { caller, hash: number.to_be_bytes() }),
-            false => Err(bad()),
+            false => Err(invalid()),
         }
     }
 }
@@ -96,9 +96,9 @@
 mod tests {
     use super::*;
 
-    fn print(workspace: &str, path: &str, body: &str) -> Fingerprint {
+    fn fingerprint_of(workspace: &str, path: &str, body: &str) -> Fingerprint {
         let workspace = workspace.parse().expect("a name");
-        Fingerprint::of(&Repeated {
+        Fingerprint::of(&RequestIdentity {
             workspace: Some(&workspace),
             hostname: "shop.example",
             method: "POST",
@@ -109,19 +109,25 @@
 
     #[test]
     fn only_the_same_path_caller_and_body_have_the_same_fingerprint() {
-        let one = print("north", "/a", "b");
-
-        assert_eq!(one, print("north", "/a", "b"));
-        let others =
-            [print("south", "/a", "b"), print("north", "/ab", ""), print("north", "/a", "c")];
-        assert!(others.iter().all(|other| *other != one));
+        let fingerprint = fingerprint_of("north", "/a", "b");
+
+        assert_eq!(fingerprint, fingerprint_of("north", "/a", "b"));
+        let different = [
+            fingerprint_of("south", "/a", "b"),
+            fingerprint_of("north", "/ab", ""),
+            fingerprint_of("north", "/a", "c"),
+        ];
+        assert!(different.iter().all(|other| *other != fingerprint));
     }
 
     #[test]
     fn a_fingerprint_is_read_as_it_is_written() {
-        let one = print("north", "/a", "b");
+        let fingerprint = fingerprint_of("north", "/a", "b");
 
-        assert_eq!(one.to_string().parse::<Fingerprint>().expect("a fingerprint"), one);
+        assert_eq!(
+            fingerprint.to_string().parse::<Fingerprint>().expect("a fingerprint"),
+            fingerprint
+        );
         assert!("1-22".parse::<Fingerprint>().is_err());
     }
 }
--- a/crates/tidetrack-core/src/traffic/outlook.rs
+++ b/crates/tidetrack-core/src/traffic/latency_estimate.rs
@@ -11,7 +11,7 @@
 use crate::units::Millis;
 
 /// Part of the older answers' weight that is left after a newer one: about the last fifty count.
-const FADING: f64 = 0.98;
+const DECAY_FACTOR: f64 = 0.98;
 
 /// Pace assumed before the first answers, in microseconds for one token of work, and the work for which
 /// it counts.
@@ -28,24 +28,24 @@
 
 /// Fading sums of what the answers of one service took.
 #[derive(Clone, Copy, Debug)]
-struct Pace {
+struct ServicePace {
     work: f64,
     us: f64,
 }
 
-impl Default for Pace {
+impl Default for ServicePace {
     fn default() -> Self {
-        Pace { work: ASSUMED_WORK, us: ASSUMED_WORK * ASSUMED_PACE_US }
+        ServicePace { work: ASSUMED_WORK, us: ASSUMED_WORK * ASSUMED_PACE_US }
     }
 }
 
 /// A run that may be begun at an endpoint.
 #[derive(Clone, Copy, Debug)]
-pub struct Planned {
+pub struct PlannedAttempt {
     /// Work that the endpoint has before it, in answer tokens.
-    pub ahead: f64,
+    pub work_ahead: f64,
     /// The run's own.
-    pub own: f64,
+    pub own_work: f64,
     /// Time since the request came.
     pub elapsed: Millis,
     /// Time within which its answer earns its full credit.
@@ -54,33 +54,33 @@
 
 /// What is expected of a planned run, in parts of the objective.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Expected {
+pub struct LatencyEstimate {
     /// How long others' work goes before it.
     pub wait: f64,
     /// When its answer begins, counted from the request's coming.
-    pub begins: f64,
+    pub response_start: f64,
 }
 
-impl Expected {
+impl LatencyEstimate {
     /// Gets the chance that the answer comes in time.
-    pub fn in_time(&self) -> f64 {
-        let late = (self.begins - SURELY_IN_TIME) / (SURELY_LATE - SURELY_IN_TIME);
-        1.0 - late.clamp(0.0, 1.0)
+    pub fn in_time_probability(&self) -> f64 {
+        let lateness = (self.response_start - SURELY_IN_TIME) / (SURELY_LATE - SURELY_IN_TIME);
+        1.0 - lateness.clamp(0.0, 1.0)
     }
 }
 
 /// What one host has learnt of its services.
 #[derive(Clone, Debug, Default)]
-pub struct Outlook {
-    paces: HashMap<ServiceId, Pace>,
+pub struct LatencyEstimator {
+    paces: HashMap<ServiceId, ServicePace>,
 }
 
-impl Outlook {
+impl LatencyEstimator {
     /// Takes note of how long an answer took to begin, behind and with so much work.
-    pub fn began(&mut self, service: &ServiceId, work: f64, us: f64) {
+    pub fn record_response_start(&mut self, service: &ServiceId, work: f64, us: f64) {
         let pace = self.paces.entry(service.clone()).or_default();
-        pace.work = pace.work * FADING + work;
-        pace.us = pace.us * FADING + us;
+        pace.work = pace.work * DECAY_FACTOR + work;
+        pace.us = pace.us * DECAY_FACTOR + us;
     }
 
     /// Gets the microseconds that a token of work takes.
@@ -90,11 +90,14 @@
     }
 
     /// Tells what is expected of a planned run.
-    pub fn expect(&self, service: &ServiceId, planned: Planned) -> Expected {
+    pub fn estimate(&self, service: &ServiceId, planned: PlannedAttempt) -> LatencyEstimate {
         let objective_us = (planned.objective.0.max(1) * 1_000) as f64;
         let pace = self.pace_us(service);
-        let wait = planned.ahead * pace / objective_us;
+        let wait = planned.work_ahead * pace / objective_us;
         let elapsed = planned.elapsed.0 as f64 / planned.objective.0.max(1) as f64;
-        Expected { wait, begins: elapsed + wait + planned.own * pace / objective_us }
+        LatencyEstimate {
+            wait,
+            response_start: elapsed + wait + planned.own_work * pace / objective_us,
+        }
     }
 }
--- a/crates/tidetrack-core/src/traffic/loading.rs
+++ b/crates/tidetrack-core/src/traffic/load_concentration.rs
@@ -10,36 +10,43 @@
 //! it has not read before, and of what the others do there one of many hosts knows little. A part of the sample
 //! goes on to all endpoints, so that a version that turns slow later is told from the proven ones at rest.
 
-use crate::traffic::trial::{Phase, TrialView};
+use crate::traffic::canary::{CanaryView, Phase};
 use crate::units::Millis;
 
 /// How many times as much as a proven endpoint in the mean an endpoint gets at least: about what the busiest of
 /// many have.
-const TIMES: f64 = 2.5;
+const TARGET_LOAD_RATIO: f64 = 2.5;
 
 /// Below this multiple an endpoint that had the whole sample would be no busier than many proven ones.
-const LEAST_TIMES: f64 = 2.0;
+const MIN_LOAD_RATIO: f64 = 2.0;
 
 /// How long an endpoint has its turn: several runs, for it reads each prompt's shared part anew at first, and
 /// requests have to come together.
-const TURN: Millis = Millis(4_500);
+const WINDOW: Millis = Millis(4_500);
 
 /// Endpoints that have the sample now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Turn {
+pub struct ConcentrationWindow {
     /// Which turn it is.
-    pub number: u64,
+    pub index: u64,
     /// How many endpoints have it.
     pub endpoints: usize,
 }
 
 /// Gets the turn at an instant, if the sample of a roll-out beside so many proven endpoints is given to few.
-pub fn turn_at(trial: &TrialView, now: Millis, proven: usize) -> Option<Turn> {
-    let times = (trial.grown_sample - trial.idle_sample) * proven as f64;
-    if trial.phase_at(now) != Phase::Sample || now < trial.grows_at || times < LEAST_TIMES {
+pub fn concentration_window_at(
+    canary: &CanaryView,
+    now: Millis,
+    stable_endpoints: usize,
+) -> Option<ConcentrationWindow> {
+    let load_ratio = (canary.grown_sample - canary.unconcentrated_sample) * stable_endpoints as f64;
+    if canary.phase_at(now) != Phase::Sample
+        || now < canary.sample_grows_at
+        || load_ratio < MIN_LOAD_RATIO
+    {
         return None;
     }
-    let number = (now - trial.grows_at).0 / TURN.0;
-    let endpoints = ((times / TIMES) as usize).max(1);
-    Some(Turn { number, endpoints })
+    let index = (now - canary.sample_grows_at).0 / WINDOW.0;
+    let endpoints = ((load_ratio / TARGET_LOAD_RATIO) as usize).max(1);
+    Some(ConcentrationWindow { index, endpoints })
 }
--- a/crates/tidetrack-core/src/traffic/mod.rs
+++ b/crates/tidetrack-core/src/traffic/mod.rs
@@ -4,11 +4,14 @@
 //! The modules take values and times and give back values; sockets, clocks and threads are the
 //! business of `tidetrack-plane`.
 
-pub mod basis;
+pub mod baseline;
 pub mod budget;
+pub mod canary;
 pub mod cascade;
 pub mod catalog;
+mod compact_count;
 pub mod control;
+pub mod cutover_counts;
 pub mod endpoint_limits;
 pub mod endpoints;
 pub mod exposure;
@@ -18,19 +21,16 @@
 pub mod gate;
 pub mod joining;
 pub mod judge;
-pub mod loading;
-pub mod moved;
+pub mod latency_estimate;
+pub mod load_concentration;
 pub mod outliers;
-pub mod outlook;
 pub mod peers;
-pub mod prefixes;
+pub mod prefix_index;
 pub mod reach;
 pub mod samples;
-mod short;
 mod sight;
 pub mod suspects;
 mod telling;
-pub mod trial;
 pub mod turns;
-pub mod usual;
+pub mod verdict_basis;
 pub mod view;
--- a/crates/tidetrack-core/src/traffic/peers/messages.rs
+++ b/crates/tidetrack-core/src/traffic/peers/messages.rs
@@ -5,14 +5,14 @@
 use serde::{Deserialize, Serialize};
 
 use crate::ids::{EndpointKey, FailureDomain, HostId, ServiceId, VersionName};
+use crate::traffic::baseline::BaselineReport;
 use crate::traffic::endpoint_limits::ToldLimit;
-use crate::traffic::exposure::ToldSession;
+use crate::traffic::exposure::SessionReport;
 use crate::traffic::feeds::Revisions;
 use crate::traffic::judge::Tally;
 use crate::traffic::outliers::Results;
-use crate::traffic::prefixes::ToldRead;
+use crate::traffic::prefix_index::PrefixReport;
 use crate::traffic::suspects::ToldSuspect;
-use crate::traffic::usual::ToldUsual;
 use crate::units::Millis;
 
 /// A proof of the configuration, as it is told.
@@ -45,7 +45,7 @@
     /// The counts.
     pub tally: Tally,
     /// What is usual on the proven versions.
-    pub usual: ToldUsual,
+    pub usual: BaselineReport,
 }
 
 /// What a host tells of itself, the same for all receivers.
@@ -66,9 +66,9 @@
     /// Up to where it knows the store.
     pub complete: Revisions,
     /// Sessions at work on proven versions of services under roll-out.
-    pub sessions: Vec<(ServiceId, Vec<ToldSession>)>,
+    pub sessions: Vec<(ServiceId, Vec<SessionReport>)>,
     /// Where it had shared parts read of late.
-    pub reads: Vec<(ServiceId, Vec<ToldRead>)>,
+    pub reads: Vec<(ServiceId, Vec<PrefixReport>)>,
     /// Requests under which endpoints crashed.
     pub suspects: Vec<ToldSuspect>,
     /// Limits that endpoints named.
--- a/crates/tidetrack-core/src/traffic/peers/mod.rs
+++ b/crates/tidetrack-core/src/traffic/peers/mod.rs
@@ -20,10 +20,10 @@
 
 use crate::ids::{EndpointKey, FailureDomain, HostId, ServiceId, VersionName};
 use crate::placement::rendezvous;
+use crate::traffic::baseline::BaselineReport;
 use crate::traffic::feeds::Kind;
 use crate::traffic::judge::Tally;
 use crate::traffic::outliers::Results;
-use crate::traffic::usual::ToldUsual;
 use crate::units::Millis;
 
 mod messages;
@@ -354,7 +354,7 @@
         &'a self,
         service: &'a ServiceId,
         version: &'a VersionName,
-    ) -> impl Iterator<Item = &'a ToldUsual> + 'a {
+    ) -> impl Iterator<Item = &'a BaselineReport> + 'a {
         self.told_of(service, version).map(|(told, _)| &told.usual)
     }
 
--- a/crates/tidetrack-core/src/traffic/samples.rs
+++ b/crates/tidetrack-core/src/traffic/samples.rs
@@ -13,9 +13,9 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::traffic::basis::Basis;
-use crate::traffic::moved::Moved;
-use crate::traffic::usual::Measured;
+use crate::traffic::baseline::ResponseComparison;
+use crate::traffic::cutover_counts::CutoverCounts;
+use crate::traffic::verdict_basis::VerdictBasis;
 use crate::units::Millis;
 
 /// Counts halve in this time: several times the time in which a version has to be found.
@@ -28,96 +28,96 @@
 const ENDPOINT_GROUPS: u32 = 16;
 
 /// Likelihood ratio, as a logarithm, from which a version is worse: 1 in 400 by chance at a single look.
-const WORSE_FROM: f32 = 6.0;
+const REGRESSION_MIN_LOG_RATIO: f32 = 6.0;
 
 /// The same for what all groups of endpoints but the worst one counted: that several do badly tells a version from
 /// an endpoint with reasons of its own.
-const OTHERS_FROM: f32 = 2.5;
+const OTHER_GROUPS_MIN_LOG_RATIO: f32 = 2.5;
 
 /// Least of what is counted that tells a version from chance. Hosts that start again know each a part of the
 /// answers, and the more of them look, the more often a few bad ones stand out for one of them.
-const LEAST_COUNTED: f32 = 5.5;
+const MIN_COUNTED: f32 = 5.5;
 
 /// The same from which a version is doubted: often by chance, so it decides nothing but how much is looked at.
-const DOUBTED_FROM: f32 = 1.0;
+const INCONCLUSIVE_MIN_LOG_RATIO: f32 = 1.0;
 
 /// The same as the first for what came since all traffic moved: it is looked at a few times, and good versions reach it
 /// rarely, for the worst groups of endpoints are left out.
-const SINCE_MOVE_FROM: f32 = 4.0;
+const SINCE_CUTOVER_MIN_LOG_RATIO: f32 = 4.0;
 
 /// The same as the first for one route out of several.
-const ON_ROUTE_FROM: f32 = 7.0;
+const SINGLE_ROUTE_MIN_LOG_RATIO: f32 = 7.0;
 
 /// Share of failed or slow answers over the proven versions' that is borne.
-pub const MARGIN: f32 = 0.02;
+pub const SHARE_MARGIN: f32 = 0.02;
 
 /// Share of answers above the usual pace, over the proven versions', that is borne. Nearly half of these are, and
 /// hardly any of a good version's sample at rest, so a quarter of its endpoints may be several times as slow.
 const PACE_MARGIN: f32 = 0.05;
 
 /// Answers of the proven versions before their share says anything.
-pub const LEAST_PROVEN: f32 = 20.0;
+pub const MIN_STABLE_RESPONSES: f32 = 20.0;
 
 /// Endpoints that have to do badly before the version does, where it has as many.
-const LEAST_GROUPS: usize = 3;
+const MIN_REGRESSED_GROUPS: usize = 3;
 
 /// Share of the groups of loaded endpoints that is left out, the worst ones: few have a turn, and one in five may
 /// fail four answers in ten for reasons of its own.
-const LEFT_OUT: f64 = 0.4;
+const EXCLUDED_FRACTION: f64 = 0.4;
 
 /// Where some endpoints fail for reasons of their own, they do so many times as often as all in the mean: those that
 /// have a turn may be mostly such ones.
-const ODD_TIMES: f32 = 4.0;
+const FAULTY_ENDPOINT_RATIO: f32 = 4.0;
 
 /// The margin for loaded endpoints, of which the worst are left out: a version that fails where half of an endpoint's
 /// places are taken fails a small part of their answers.
-const LOADED_MARGIN: f32 = 0.01;
+const CONCENTRATED_MARGIN: f32 = 0.01;
 
 /// Counts of a kind of answers, which fade with time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Counts {
+pub struct OutcomeCounts {
     /// All answers.
-    #[serde(with = "crate::traffic::short")]
-    pub all: f32,
+    #[serde(with = "crate::traffic::compact_count")]
+    pub total: f32,
     /// Those that failed.
-    #[serde(with = "crate::traffic::short")]
+    #[serde(with = "crate::traffic::compact_count")]
     pub failed: f32,
     /// Those that failed, and plain calls that took clearly longer than is usual: past its time an
     /// endpoint may answer with a failure.
-    #[serde(with = "crate::traffic::short")]
+    #[serde(with = "crate::traffic::compact_count")]
     pub bad: f32,
     /// Plain calls that took several times as long as is usual.
-    #[serde(with = "crate::traffic::short")]
+    #[serde(with = "crate::traffic::compact_count")]
     pub far_late: f32,
     /// Those above the usual pace.
-    #[serde(with = "crate::traffic::short")]
-    pub above: f32,
+    #[serde(with = "crate::traffic::compact_count")]
+    pub above_pace: f32,
 }
 
-impl Counts {
-    fn add(&mut self, seen: Measured) {
-        let one = |is: bool| f32::from(u8::from(is));
-        self.all += 1.0;
-        self.failed += one(seen.failed);
+impl OutcomeCounts {
+    fn add(&mut self, comparison: ResponseComparison) {
+        let as_count = |holds: bool| f32::from(u8::from(holds));
+        self.total += 1.0;
+        self.failed += as_count(comparison.is_failed);
         // A stream that begins late may have read a prompt that is kept elsewhere; its pace tells.
-        self.bad += one(seen.failed || seen.late);
-        self.far_late += one(seen.far_late);
-        self.above += one(seen.above == Some(true));
+        self.bad += as_count(comparison.is_failed || comparison.is_late);
+        self.far_late += as_count(comparison.is_far_late);
+        self.above_pace += as_count(comparison.is_above_pace == Some(true));
     }
 
-    fn scale(&mut self, part: f32) {
-        let Counts { all, failed, bad, far_late, above } = self;
-        for count in [all, failed, bad, far_late, above] {
-            *count *= part;
+    fn decay(&mut self, fraction: f32) {
+        let OutcomeCounts { total, failed, bad, far_late, above_pace } = self;
+        for count in [total, failed, bad, far_late, above_pace] {
+            *count *= fraction;
         }
     }
 
-    fn sum(&mut self, other: &Counts) {
-        self.all += other.all;
+    fn merge(&mut self, other: &OutcomeCounts) {
+        self.total += other.total;
         self.failed += other.failed;
         self.bad += other.bad;
         self.far_late += other.far_late;
-        self.above += other.above;
+        self.above_pace += other.above_pace;
     }
 }
 
@@ -125,56 +125,56 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Sample {
     /// The answers.
-    pub of: Counts,
+    pub outcomes: OutcomeCounts,
     /// Those whose pace could be compared.
-    #[serde(with = "crate::traffic::short")]
+    #[serde(with = "crate::traffic::compact_count")]
     pub paced: f32,
 }
 
 impl Sample {
-    fn add(&mut self, seen: Measured) {
-        self.of.add(seen);
-        self.paced += f32::from(u8::from(seen.above.is_some()));
+    fn add(&mut self, comparison: ResponseComparison) {
+        self.outcomes.add(comparison);
+        self.paced += f32::from(u8::from(comparison.is_above_pace.is_some()));
     }
 
-    fn scale(&mut self, part: f32) {
-        self.of.scale(part);
-        self.paced *= part;
+    fn decay(&mut self, fraction: f32) {
+        self.outcomes.decay(fraction);
+        self.paced *= fraction;
     }
 
-    fn sum(&mut self, other: &Sample) {
-        self.of.sum(&other.of);
+    fn merge(&mut self, other: &Sample) {
+        self.outcomes.merge(&other.outcomes);
         self.paced += other.paced;
     }
 }
 
 /// Counts of a class of routes.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-struct OfRoute {
+struct RouteSamples {
     route: u8,
-    new: Sample,
-    proven: Sample,
+    canary: Sample,
+    stable: Sample,
 }
 
 /// Counts of a group of the new version's endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-struct OfGroup {
+struct GroupCounts {
     group: u8,
-    new: Counts,
+    canary: OutcomeCounts,
     /// Answers while its endpoints were loaded, and those of them that failed; these don't fade.
-    loaded: u16,
-    loaded_failed: u16,
+    concentrated: u16,
+    concentrated_failed: u16,
 }
 
-impl OfGroup {
-    fn loaded_share(&self) -> f32 {
-        f32::from(self.loaded_failed) / f32::from(self.loaded.max(1))
+impl GroupCounts {
+    fn concentrated_failed_share(&self) -> f32 {
+        f32::from(self.concentrated_failed) / f32::from(self.concentrated.max(1))
     }
 }
 
 /// In what a version is worse than the proven ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Worse {
+pub enum Regression {
     /// More of its answers fail.
     Fails,
     /// More of its answers fail on some route.
@@ -182,7 +182,7 @@
     /// More of its answers fail at endpoints that have much to do.
     FailsUnderLoad,
     /// More of its plain calls fail since all of them go there.
-    FailsSinceMove,
+    FailsSinceCutover,
     /// More of its plain calls fail or take clearly longer.
     Late,
     /// Its answers take longer.
@@ -191,16 +191,16 @@
     SlowerOnRoute,
 }
 
-impl fmt::Display for Worse {
+impl fmt::Display for Regression {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Worse::Fails => "fails",
-            Worse::FailsOnRoute => "fails_on_route",
-            Worse::FailsUnderLoad => "fails_under_load",
-            Worse::FailsSinceMove => "fails_since_move",
-            Worse::Late => "late",
-            Worse::Slower => "slower",
-            Worse::SlowerOnRoute => "slower_on_route",
+            Regression::Fails => "fails",
+            Regression::FailsOnRoute => "fails_on_route",
+            Regression::FailsUnderLoad => "fails_under_load",
+            Regression::FailsSinceCutover => "fails_since_move",
+            Regression::Late => "late",
+            Regression::Slower => "slower",
+            Regression::SlowerOnRoute => "slower_on_route",
         })
     }
 }
@@ -208,8 +208,8 @@
 /// Both samples.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Samples {
-    routes: Vec<OfRoute>,
-    groups: Vec<OfGroup>,
+    routes: Vec<RouteSamples>,
+    groups: Vec<GroupCounts>,
 }
 
 /// Names a class of routes by a route's hash.
@@ -224,205 +224,257 @@
 
 impl Samples {
     /// Counts an answer of a proven version.
-    pub fn add_proven(&mut self, route: u8, seen: Measured) {
-        self.of_route(route).proven.add(seen);
+    pub fn add_stable(&mut self, route: u8, comparison: ResponseComparison) {
+        self.route_mut(route).stable.add(comparison);
     }
 
     /// Counts an answer of the new version.
-    pub fn add_new(&mut self, route: u8, group: u8, seen: Measured) {
-        self.of_route(route).new.add(seen);
-        self.of_group(group).new.add(seen);
+    pub fn add_canary(&mut self, route: u8, group: u8, comparison: ResponseComparison) {
+        self.route_mut(route).canary.add(comparison);
+        self.group_mut(group).canary.add(comparison);
     }
 
     /// Counts an answer of the new version from an endpoint that was loaded.
-    pub fn add_loaded(&mut self, group: u8, failed: bool) {
-        let of = self.of_group(group);
-        of.loaded = of.loaded.saturating_add(1);
-        of.loaded_failed = of.loaded_failed.saturating_add(u16::from(failed));
+    pub fn add_concentrated(&mut self, group: u8, failed: bool) {
+        let counts = self.group_mut(group);
+        counts.concentrated = counts.concentrated.saturating_add(1);
+        counts.concentrated_failed = counts.concentrated_failed.saturating_add(u16::from(failed));
     }
 
     /// Lets the counts fade for some time.
-    pub fn fade(&mut self, age: Millis) {
-        let part = (-(age.0 as f32) / HALF_LIFE_MS).exp2();
-        for of in &mut self.routes {
-            of.new.scale(part);
-            of.proven.scale(part);
+    pub fn decay(&mut self, age: Millis) {
+        let fraction = (-(age.0 as f32) / HALF_LIFE_MS).exp2();
+        for route in &mut self.routes {
+            route.canary.decay(fraction);
+            route.stable.decay(fraction);
         }
-        self.groups.iter_mut().for_each(|of| of.new.scale(part));
+        self.groups.iter_mut().for_each(|group| group.canary.decay(fraction));
     }
 
     /// Adds another host's counts.
-    pub fn sum(&mut self, other: &Samples) {
-        for of in &other.routes {
-            let own = self.of_route(of.route);
-            own.new.sum(&of.new);
-            own.proven.sum(&of.proven);
+    pub fn merge(&mut self, other: &Samples) {
+        for route in &other.routes {
+            let own_counts = self.route_mut(route.route);
+            own_counts.canary.merge(&route.canary);
+            own_counts.stable.merge(&route.stable);
         }
-        for of in &other.groups {
-            let own = self.of_group(of.group);
-            own.new.sum(&of.new);
-            own.loaded = own.loaded.saturating_add(of.loaded);
-            own.loaded_failed = own.loaded_failed.saturating_add(of.loaded_failed);
+        for group in &other.groups {
+            let own_counts = self.group_mut(group.group);
+            own_counts.canary.merge(&group.canary);
+            own_counts.concentrated = own_counts.concentrated.saturating_add(group.concentrated);
+            own_counts.concentrated_failed =
+                own_counts.concentrated_failed.saturating_add(group.concentrated_failed);
         }
     }
 
     /// Sums the samples of the new and the proven versions over all routes.
     pub fn totals(&self) -> (Sample, Sample) {
         let mut totals = (Sample::default(), Sample::default());
-        for of in &self.routes {
-            totals.0.sum(&of.new);
-            totals.1.sum(&of.proven);
+        for route in &self.routes {
+            totals.0.merge(&route.canary);
+            totals.1.merge(&route.stable);
         }
         totals
     }
 
     /// Tells in what a version is worse than the proven ones, if it is.
-    pub fn worse(&self, basis: Basis) -> Option<Worse> {
-        let Basis { endpoints, .. } = basis;
-        let from = WORSE_FROM + basis.surplus();
-        let on_route_from = ON_ROUTE_FROM + basis.surplus();
-        let (new, proven) = self.totals();
-        if proven.of.all < LEAST_PROVEN {
+    pub fn regression(&self, basis: VerdictBasis) -> Option<Regression> {
+        let VerdictBasis { endpoints, .. } = basis;
+        let min_log_ratio = REGRESSION_MIN_LOG_RATIO + basis.threshold_surcharge();
+        let single_route_min_log_ratio = SINGLE_ROUTE_MIN_LOG_RATIO + basis.threshold_surcharge();
+        let (canary, stable) = self.totals();
+        if stable.outcomes.total < MIN_STABLE_RESPONSES {
             return None;
         }
-        if self.fails_under_load(&proven.of, endpoints, from) {
-            return Some(Worse::FailsUnderLoad);
+        if self.fails_under_load(&stable.outcomes, endpoints, min_log_ratio) {
+            return Some(Regression::FailsUnderLoad);
         }
-        let is_slower = slowness(&new, &proven) >= from;
-        let tests: [(Worse, bool, CountOf); 7] = [
-            (Worse::Fails, self.is_over(failed, all, from), failed),
-            (Worse::Late, self.is_over(late, whole, from), late),
-            (Worse::Late, self.is_over(far_late, whole, from), far_late),
-            (Worse::Late, self.is_over(bad, all, from), bad),
-            (Worse::FailsOnRoute, self.fails_on_route(on_route_from), failed),
-            (Worse::Slower, is_slower, above),
-            (Worse::SlowerOnRoute, self.is_slower_on_route(on_route_from), above),
+        let is_slower = pace_log_ratio(&canary, &stable) >= min_log_ratio;
+        let tests: [(Regression, bool, CountSelector); 7] = [
+            (Regression::Fails, self.is_regressed(failed, total, min_log_ratio), failed),
+            (Regression::Late, self.is_regressed(late, not_failed, min_log_ratio), late),
+            (Regression::Late, self.is_regressed(far_late, not_failed, min_log_ratio), far_late),
+            (Regression::Late, self.is_regressed(bad, total, min_log_ratio), bad),
+            (Regression::FailsOnRoute, self.fails_on_route(single_route_min_log_ratio), failed),
+            (Regression::Slower, is_slower, above_pace),
+            (
+                Regression::SlowerOnRoute,
+                self.is_slower_on_route(single_route_min_log_ratio),
+                above_pace,
+            ),
         ];
-        let found = |(_, is_found, count): &&(Worse, bool, CountOf)| {
-            *is_found && self.has_groups(endpoints, *count)
+        let is_confirmed = |(_, is_over_threshold, count): &&(Regression, bool, CountSelector)| {
+            *is_over_threshold && self.has_enough_groups(endpoints, *count)
         };
-        tests.iter().find(found).map(|(worse, ..)| *worse)
+        tests.iter().find(is_confirmed).map(|(regression, ..)| *regression)
     }
 
     /// Tells whether several endpoints counted something, as far as the version has several.
-    fn has_groups(&self, endpoints: usize, count: CountOf) -> bool {
-        let groups = self.groups.iter().filter(|of| count(&of.new) >= 0.5).count();
-        groups >= least_groups(endpoints)
+    fn has_enough_groups(&self, endpoints: usize, count: CountSelector) -> bool {
+        let groups = self.groups.iter().filter(|group| count(&group.canary) >= 0.5).count();
+        groups >= min_regressed_groups(endpoints)
     }
 
     /// Tells whether the new version counts more of something, out of some answers, than the proven ones do on the
     /// same routes, and still does without its worst group of endpoints.
-    fn is_over(&self, count: CountOf, of: CountOf, from: f32) -> bool {
-        let total: f32 = self.routes.iter().map(|route| count(&route.new.of)).sum();
-        let others = self.part_of_others(count, of);
-        total >= LEAST_COUNTED
-            && self.ratio(count, of, (1.0, 1.0)) >= from
-            && self.ratio(count, of, others) >= OTHERS_FROM
+    fn is_regressed(
+        &self,
+        numerator: CountSelector,
+        denominator: CountSelector,
+        min_log_ratio: f32,
+    ) -> bool {
+        let counted: f32 = self.routes.iter().map(|route| numerator(&route.canary.outcomes)).sum();
+        let other_fractions = self.fractions_without_worst_group(numerator, denominator);
+        counted >= MIN_COUNTED
+            && self.log_ratio(numerator, denominator, (1.0, 1.0)) >= min_log_ratio
+            && self.log_ratio(numerator, denominator, other_fractions) >= OTHER_GROUPS_MIN_LOG_RATIO
     }
 
     /// Gets the likelihood ratio, as a logarithm, of such parts of what was counted and of the answers it is out of,
     /// at the new version. Route by route: one call in seven may fail on one, and none on another.
-    fn ratio(&self, count: CountOf, of: CountOf, (counted, seen): (f32, f32)) -> f32 {
-        let on_route = |route: &OfRoute| {
-            let (new, proven) = (&route.new.of, &route.proven.of);
-            let usual = usual_share(count(proven), of(proven)) + MARGIN;
-            signed_likelihood(count(new) * counted, of(new) * seen, usual)
+    fn log_ratio(
+        &self,
+        numerator: CountSelector,
+        denominator: CountSelector,
+        (numerator_fraction, denominator_fraction): (f32, f32),
+    ) -> f32 {
+        let route_log_ratio = |route: &RouteSamples| {
+            let (canary, stable) = (&route.canary.outcomes, &route.stable.outcomes);
+            let baseline = estimated_share(numerator(stable), denominator(stable)) + SHARE_MARGIN;
+            signed_log_likelihood_ratio(
+                numerator(canary) * numerator_fraction,
+                denominator(canary) * denominator_fraction,
+                baseline,
+            )
         };
-        self.routes.iter().map(on_route).sum()
+        self.routes.iter().map(route_log_ratio).sum()
     }
 
     /// Tells whether the new version looks worse than the proven ones, too little to say so.
-    pub fn is_doubtful(&self) -> bool {
-        let (new, proven) = self.totals();
-        let ratios: [(CountOf, CountOf); 4] =
-            [(failed, all), (late, whole), (far_late, whole), (bad, all)];
-        let is_doubtful = |(count, of)| self.ratio(count, of, (1.0, 1.0)) >= DOUBTED_FROM;
-        let is_slow = slowness(&new, &proven) >= DOUBTED_FROM;
-        proven.of.all >= LEAST_PROVEN && (is_slow || ratios.into_iter().any(is_doubtful))
+    pub fn is_inconclusive(&self) -> bool {
+        let (canary, stable) = self.totals();
+        let ratios: [(CountSelector, CountSelector); 4] =
+            [(failed, total), (late, not_failed), (far_late, not_failed), (bad, total)];
+        let is_inconclusive = |(numerator, denominator)| {
+            self.log_ratio(numerator, denominator, (1.0, 1.0)) >= INCONCLUSIVE_MIN_LOG_RATIO
+        };
+        let is_slow = pace_log_ratio(&canary, &stable) >= INCONCLUSIVE_MIN_LOG_RATIO;
+        stable.outcomes.total >= MIN_STABLE_RESPONSES
+            && (is_slow || ratios.into_iter().any(is_inconclusive))
     }
 
     /// Gets which parts of what was counted, and of the answers it is out of, are not of the group of endpoints that
     /// counted most beyond the mean.
-    fn part_of_others(&self, count: CountOf, of: CountOf) -> (f32, f32) {
-        let counted: f32 = self.groups.iter().map(|group| count(&group.new)).sum();
-        let seen: f32 = self.groups.iter().map(|group| of(&group.new)).sum();
-        let mean = counted / seen.max(1.0);
-        let excess = |group: &&OfGroup| count(&group.new) - of(&group.new) * mean;
+    fn fractions_without_worst_group(
+        &self,
+        numerator: CountSelector,
+        denominator: CountSelector,
+    ) -> (f32, f32) {
+        let counted: f32 = self.groups.iter().map(|group| numerator(&group.canary)).sum();
+        let total: f32 = self.groups.iter().map(|group| denominator(&group.canary)).sum();
+        let mean = counted / total.max(1.0);
+        let excess =
+            |group: &&GroupCounts| numerator(&group.canary) - denominator(&group.canary) * mean;
         let worst = self.groups.iter().max_by(|a, b| excess(a).total_cmp(&excess(b)));
-        let (worst_counted, worst_seen) = worst
+        let (worst_counted, worst_total) = worst
             .filter(|_| self.groups.len() > 1)
-            .map_or((0.0, 0.0), |group| (count(&group.new), of(&group.new)));
-        (1.0 - worst_counted / counted.max(1.0), 1.0 - worst_seen / seen.max(1.0))
+            .map_or((0.0, 0.0), |group| (numerator(&group.canary), denominator(&group.canary)));
+        (1.0 - worst_counted / counted.max(1.0), 1.0 - worst_total / total.max(1.0))
     }
 
-    fn fails_on_route(&self, from: f32) -> bool {
-        self.routes.iter().any(|of| {
-            let usual = usual_share(of.proven.of.failed, of.proven.of.all);
-            likelihood(of.new.of.failed, of.new.of.all, usual + MARGIN) >= from
+    fn fails_on_route(&self, min_log_ratio: f32) -> bool {
+        self.routes.iter().any(|route| {
+            let baseline =
+                estimated_share(route.stable.outcomes.failed, route.stable.outcomes.total);
+            log_likelihood_ratio(
+                route.canary.outcomes.failed,
+                route.canary.outcomes.total,
+                baseline + SHARE_MARGIN,
+            ) >= min_log_ratio
         })
     }
 
     /// Tells whether more answers fail at loaded endpoints than the proven versions' do, leaving the worst ones
     /// out: few endpoints had a turn, and some may have failed for reasons of their own.
-    fn fails_under_load(&self, proven: &Counts, endpoints: usize, from: f32) -> bool {
-        let mut groups: Vec<&OfGroup> = self.groups.iter().filter(|of| of.loaded > 0).collect();
-        if groups.len() < least_groups(endpoints) {
+    fn fails_under_load(
+        &self,
+        stable: &OutcomeCounts,
+        endpoints: usize,
+        min_log_ratio: f32,
+    ) -> bool {
+        let mut groups: Vec<&GroupCounts> =
+            self.groups.iter().filter(|group| group.concentrated > 0).collect();
+        if groups.len() < min_regressed_groups(endpoints) {
             return false;
         }
-        groups.sort_by(|a, b| a.loaded_share().total_cmp(&b.loaded_share()));
-        let left_out = (groups.len() as f64 * LEFT_OUT) as usize;
-        groups.truncate(groups.len() - left_out);
-        let (failed, all) = loaded_of(groups);
-        let usual = usual_share(proven.failed, proven.all) * ODD_TIMES + LOADED_MARGIN;
-        likelihood(failed, all, usual) >= from
+        groups.sort_by(|a, b| {
+            a.concentrated_failed_share().total_cmp(&b.concentrated_failed_share())
+        });
+        let excluded = (groups.len() as f64 * EXCLUDED_FRACTION) as usize;
+        groups.truncate(groups.len() - excluded);
+        let (failed, total) = concentrated_totals(groups);
+        let baseline = estimated_share(stable.failed, stable.total) * FAULTY_ENDPOINT_RATIO
+            + CONCENTRATED_MARGIN;
+        log_likelihood_ratio(failed, total, baseline) >= min_log_ratio
     }
 
     /// Tells whether more answers fail since all traffic moved than the proven versions' do on the same routes, leaving
     /// the worst endpoints out.
-    pub fn fails_since(&self, moved: &Moved, basis: Basis) -> bool {
-        let of_most = moved.without_worst();
-        moved.groups() >= least_groups(basis.endpoints)
-            && of_most.total().failed >= LEAST_COUNTED
-            && self.ratio_since(&of_most) >= SINCE_MOVE_FROM + basis.surplus()
+    pub fn fails_since_cutover(&self, since_cutover: &CutoverCounts, basis: VerdictBasis) -> bool {
+        let without_worst = since_cutover.without_worst();
+        since_cutover.group_count() >= min_regressed_groups(basis.endpoints)
+            && without_worst.totals().failed >= MIN_COUNTED
+            && self.log_ratio_since_cutover(&without_worst)
+                >= SINCE_CUTOVER_MIN_LOG_RATIO + basis.threshold_surcharge()
     }
 
     /// Tells whether the new version looks worse since all traffic moved, too little to say so.
-    pub fn is_doubtful_since(&self, moved: &Moved) -> bool {
-        self.ratio_since(&moved.without_worst()) >= DOUBTED_FROM
+    pub fn is_inconclusive_since_cutover(&self, since_cutover: &CutoverCounts) -> bool {
+        self.log_ratio_since_cutover(&since_cutover.without_worst()) >= INCONCLUSIVE_MIN_LOG_RATIO
     }
 
     /// Gets the likelihood ratio, as a logarithm, of what failed since all traffic moved; 0 while too little is known
     /// of the proven versions.
-    fn ratio_since(&self, moved: &Moved) -> f32 {
-        let (_, proven) = self.totals();
-        if proven.of.all < LEAST_PROVEN {
+    fn log_ratio_since_cutover(&self, since_cutover: &CutoverCounts) -> f32 {
+        let (_, stable) = self.totals();
+        if stable.outcomes.total < MIN_STABLE_RESPONSES {
             return 0.0;
         }
-        let on_route = |route: &OfRoute| {
-            let usual = usual_share(route.proven.of.failed, route.proven.of.all) + MARGIN;
-            let new = moved.on_route(route.route);
-            signed_likelihood(new.failed, new.all, usual)
+        let route_log_ratio = |route: &RouteSamples| {
+            let baseline =
+                estimated_share(route.stable.outcomes.failed, route.stable.outcomes.total)
+                    + SHARE_MARGIN;
+            let canary_totals = since_cutover.totals_on_route(route.route);
+            signed_log_likelihood_ratio(canary_totals.failed, canary_totals.total, baseline)
         };
-        self.routes.iter().map(on_route).sum()
+        self.routes.iter().map(route_log_ratio).sum()
     }
 
-    fn is_slower_on_route(&self, from: f32) -> bool {
-        self.routes.iter().any(|of| slowness(&of.new, &of.proven) >= from)
+    fn is_slower_on_route(&self, min_log_ratio: f32) -> bool {
+        self.routes
+            .iter()
+            .any(|route| pace_log_ratio(&route.canary, &route.stable) >= min_log_ratio)
     }
 
-    fn of_route(&mut self, route: u8) -> &mut OfRoute {
-        let at = self.routes.iter().position(|of| of.route == route).unwrap_or_else(|| {
-            let (new, proven) = (Sample::default(), Sample::default());
-            self.routes.push(OfRoute { route, new, proven });
-            self.routes.len() - 1
-        });
+    fn route_mut(&mut self, route: u8) -> &mut RouteSamples {
+        let at =
+            self.routes.iter().position(|samples| samples.route == route).unwrap_or_else(|| {
+                let (canary, stable) = (Sample::default(), Sample::default());
+                self.routes.push(RouteSamples { route, canary, stable });
+                self.routes.len() - 1
+            });
         &mut self.routes[at]
     }
 
-    fn of_group(&mut self, group: u8) -> &mut OfGroup {
-        let at = self.groups.iter().position(|of| of.group == group).unwrap_or_else(|| {
-            let new = Counts::default();
-            self.groups.push(OfGroup { group, new, loaded: 0, loaded_failed: 0 });
+    fn group_mut(&mut self, group: u8) -> &mut GroupCounts {
+        let at = self.groups.iter().position(|counts| counts.group == group).unwrap_or_else(|| {
+            let canary = OutcomeCounts::default();
+            self.groups.push(GroupCounts {
+                group,
+                canary,
+                concentrated: 0,
+                concentrated_failed: 0,
+            });
             self.groups.len() - 1
         });
         &mut self.groups[at]
@@ -431,99 +483,103 @@
 
 impl fmt::Display for Samples {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let (new, proven) = self.totals();
-        let (loaded_failed, loaded) = loaded_of(&self.groups);
+        let (canary, stable) = self.totals();
+        let (concentrated_failed, concentrated) = concentrated_totals(&self.groups);
         write!(
             f,
             "all_failed={:.1} all_bad={:.1} all={:.1} above={:.1} paced={:.1} proven_above={:.1} \
              proven_paced={:.1} loaded_failed={:.0} loaded={:.0}",
-            new.of.failed,
-            new.of.bad,
-            new.of.all,
-            new.of.above,
-            new.paced,
-            proven.of.above,
-            proven.paced,
-            loaded_failed,
-            loaded
+            canary.outcomes.failed,
+            canary.outcomes.bad,
+            canary.outcomes.total,
+            canary.outcomes.above_pace,
+            canary.paced,
+            stable.outcomes.above_pace,
+            stable.paced,
+            concentrated_failed,
+            concentrated
         )
     }
 }
 
 /// Sums the answers of loaded endpoints that failed, and all of them.
-fn loaded_of<'a>(groups: impl IntoIterator<Item = &'a OfGroup>) -> (f32, f32) {
-    groups.into_iter().fold((0.0, 0.0), |(failed, all), of| {
-        (failed + f32::from(of.loaded_failed), all + f32::from(of.loaded))
+fn concentrated_totals<'a>(groups: impl IntoIterator<Item = &'a GroupCounts>) -> (f32, f32) {
+    groups.into_iter().fold((0.0, 0.0), |(failed, total), group| {
+        (failed + f32::from(group.concentrated_failed), total + f32::from(group.concentrated))
     })
 }
 
 /// Gets how many groups of a version with so many endpoints have to do badly. Of three or more, one may be spared
 /// by chance, and two may be of one group.
-fn least_groups(endpoints: usize) -> usize {
+fn min_regressed_groups(endpoints: usize) -> usize {
     match endpoints {
         0..=2 => endpoints,
-        _ => LEAST_GROUPS.min(endpoints - 1),
+        _ => MIN_REGRESSED_GROUPS.min(endpoints - 1),
     }
 }
 
 /// What is counted of a sample.
-type CountOf = fn(&Counts) -> f32;
+type CountSelector = fn(&OutcomeCounts) -> f32;
 
-fn failed(of: &Counts) -> f32 {
-    of.failed
+fn failed(counts: &OutcomeCounts) -> f32 {
+    counts.failed
 }
 
-fn bad(of: &Counts) -> f32 {
-    of.bad
+fn bad(counts: &OutcomeCounts) -> f32 {
+    counts.bad
 }
 
-fn late(of: &Counts) -> f32 {
-    of.bad - of.failed
+fn late(counts: &OutcomeCounts) -> f32 {
+    counts.bad - counts.failed
 }
 
-fn far_late(of: &Counts) -> f32 {
-    of.far_late
+fn far_late(counts: &OutcomeCounts) -> f32 {
+    counts.far_late
 }
 
-fn all(of: &Counts) -> f32 {
-    of.all
+fn total(counts: &OutcomeCounts) -> f32 {
+    counts.total
 }
 
 /// Those that may be late: where many fail on any version, these tell more without them.
-fn whole(of: &Counts) -> f32 {
-    of.all - of.failed
+fn not_failed(counts: &OutcomeCounts) -> f32 {
+    counts.total - counts.failed
 }
 
-fn above(of: &Counts) -> f32 {
-    of.above
+fn above_pace(counts: &OutcomeCounts) -> f32 {
+    counts.above_pace
 }
 
 /// Estimates the proven versions' share; with few answers it is not taken for small.
-pub fn usual_share(counted: f32, all: f32) -> f32 {
-    (counted + 1.0) / (all + 2.0)
+pub fn estimated_share(counted: f32, total: f32) -> f32 {
+    (counted + 1.0) / (total + 2.0)
 }
 
-fn slowness(new: &Sample, proven: &Sample) -> f32 {
-    likelihood(new.of.above, new.paced, usual_share(proven.of.above, proven.paced) + PACE_MARGIN)
+fn pace_log_ratio(canary: &Sample, stable: &Sample) -> f32 {
+    log_likelihood_ratio(
+        canary.outcomes.above_pace,
+        canary.paced,
+        estimated_share(stable.outcomes.above_pace, stable.paced) + PACE_MARGIN,
+    )
 }
 
 /// Gets the logarithm of the likelihood ratio of the share that was counted against a usual one; 0 if it is
 /// not over that. The counts may have faded.
-pub fn likelihood(counted: f32, all: f32, usual: f32) -> f32 {
-    signed_likelihood(counted, all, usual).max(0.0)
+pub fn log_likelihood_ratio(counted: f32, total: f32, baseline: f32) -> f32 {
+    signed_log_likelihood_ratio(counted, total, baseline).max(0.0)
 }
 
 /// Gets the same, below 0 for a share under the usual one.
-fn signed_likelihood(counted: f32, all: f32, usual: f32) -> f32 {
-    let (share, usual) = ((counted / all.max(1.0)).min(1.0), usual.min(0.99));
-    let part = |share: f32, usual: f32| match share {
+fn signed_log_likelihood_ratio(counted: f32, total: f32, baseline: f32) -> f32 {
+    let (share, baseline) = ((counted / total.max(1.0)).min(1.0), baseline.min(0.99));
+    let divergence = |share: f32, baseline: f32| match share {
         0.0 => 0.0,
-        share => share * (share / usual).ln(),
+        share => share * (share / baseline).ln(),
     };
-    let ratio = all * (part(share, usual) + part(1.0 - share, 1.0 - usual));
-    if share < usual {
-        -ratio
+    let log_ratio = total * (divergence(share, baseline) + divergence(1.0 - share, 1.0 - baseline));
+    if share < baseline {
+        -log_ratio
     } else {
-        ratio
+        log_ratio
     }
 }
--- a/crates/tidetrack-core/src/traffic/suspects/mod.rs
+++ b/crates/tidetrack-core/src/traffic/suspects/mod.rs
@@ -349,7 +349,7 @@
     /// Lists what to tell other hosts in a round: what is new, and now and then what is barred, for hosts that missed
     /// it.
     pub fn told(&self, now: Millis) -> Vec<ToldSuspect> {
-        self.tell(now, MOST_TOLD, |fingerprint| is_told_again(now, fingerprint.hash_start()))
+        self.tell(now, MOST_TOLD, |fingerprint| is_told_again(now, fingerprint.hash_prefix()))
     }
 
     /// Lists up to `most` requests to tell one other host: what is new, then barred ones in turn.
--- a/crates/tidetrack-core/src/traffic/basis.rs
+++ b/crates/tidetrack-core/src/traffic/verdict_basis.rs
@@ -5,27 +5,27 @@
 
 /// What a verdict rests on.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Basis {
+pub struct VerdictBasis {
     /// Endpoints of the new version.
     pub endpoints: usize,
     /// Hosts of the fleet.
     pub hosts: usize,
     /// Those whose counts are in the samples.
-    pub counted: usize,
+    pub counted_hosts: usize,
 }
 
-impl Basis {
+impl VerdictBasis {
     /// Makes the basis of a verdict on all that was seen of a version with so many endpoints.
-    pub fn whole(endpoints: usize) -> Basis {
-        Basis { endpoints, hosts: 1, counted: 1 }
+    pub fn complete(endpoints: usize) -> VerdictBasis {
+        VerdictBasis { endpoints, hosts: 1, counted_hosts: 1 }
     }
 
     /// Gets by how much the logarithms of likelihood ratios have to be beyond what tells a version from chance. Of
     /// a large fleet each host knows another part of the counts for some seconds, and of so many parts one stands out
     /// by chance; where all know all, they have one look together.
-    pub fn surplus(self) -> f32 {
+    pub fn threshold_surcharge(self) -> f32 {
         let hosts = self.hosts.max(1) as f32;
-        let missing = 1.0 - (self.counted as f32 / hosts).min(1.0);
-        missing * hosts.ln()
+        let missing_fraction = 1.0 - (self.counted_hosts as f32 / hosts).min(1.0);
+        missing_fraction * hosts.ln()
     }
 }
--- a/crates/tidetrack-core/src/traffic/view.rs
+++ b/crates/tidetrack-core/src/traffic/view.rs
@@ -6,11 +6,11 @@
 use crate::errors::Result;
 use crate::ids::ServiceId;
 use crate::placement::{Ask, PoolEndpoint, PoolView};
+use crate::traffic::canary::{CanaryView, Phase, ReleaseTrack};
 use crate::traffic::catalog::Catalog;
-use crate::traffic::exposure::{Exposure, SessionDraw};
-use crate::traffic::loading::turn_at;
-use crate::traffic::prefixes::Prefixes;
-use crate::traffic::trial::{Phase, Side, TrialView};
+use crate::traffic::exposure::{Exposure, SessionHash};
+use crate::traffic::load_concentration::concentration_window_at;
+use crate::traffic::prefix_index::PrefixIndex;
 use crate::units::Millis;
 
 /// A service's endpoints, as traffic sees them.
@@ -21,11 +21,11 @@
     /// Endpoints of the version under roll-out.
     pub new: PoolView,
     /// The roll-out, if there is one.
-    pub trial: Option<TrialView>,
+    pub trial: Option<CanaryView>,
     /// Sessions and counts for the share of a new version.
     pub exposure: Arc<Exposure>,
     /// Which endpoints have read which shared parts of prompts.
-    pub prefixes: Arc<Prefixes>,
+    pub prefixes: Arc<PrefixIndex>,
 }
 
 /// An endpoint that was picked for a request.
@@ -39,9 +39,9 @@
 
 impl ServiceView {
     /// Decides which side a request goes to.
-    pub fn side(&self, now: Millis, who: SessionDraw, hold_for: Millis) -> Side {
+    pub fn side(&self, now: Millis, who: SessionHash, hold_for: Millis) -> ReleaseTrack {
         let can_try = !self.new.endpoints().is_empty();
-        self.exposure.side(now, who, self.trial.as_ref(), can_try, hold_for)
+        self.exposure.choose_track(now, who, self.trial.as_ref(), can_try, hold_for)
     }
 
     /// Tells whether the version under roll-out is barred.
@@ -53,7 +53,7 @@
     /// no endpoint for it: not beyond the bound, for all requests may come to that at once.
     pub fn may_fall_back(&self, now: Millis) -> bool {
         self.trial.as_ref().is_some_and(|trial| match trial.phase_at(now) {
-            Phase::Sample => self.exposure.has_room(trial.bound.share),
+            Phase::Sample => self.exposure.is_below_bound(trial.bound.share),
             Phase::Moved | Phase::Done => true,
             Phase::Barred => false,
         })
@@ -69,8 +69,8 @@
     pub fn pick(
         &self,
         now: Millis,
-        side: Side,
-        who: SessionDraw,
+        side: ReleaseTrack,
+        who: SessionHash,
         ask: &Ask<'_>,
     ) -> Result<Picked<'_>> {
         if let Some(endpoint) = self.loaded(now, side, who, ask) {
@@ -84,24 +84,24 @@
     fn loaded(
         &self,
         now: Millis,
-        side: Side,
-        who: SessionDraw,
+        side: ReleaseTrack,
+        who: SessionHash,
         ask: &Ask<'_>,
     ) -> Option<&PoolEndpoint> {
-        let trial = self.trial.as_ref().filter(|_| side == Side::New)?;
-        if who.draw < trial.idle_sample {
+        let trial = self.trial.as_ref().filter(|_| side == ReleaseTrack::Canary)?;
+        if who.hash_fraction < trial.unconcentrated_sample {
             return None;
         }
-        let turn = turn_at(trial, now, self.proven.endpoints().len())?;
-        let job = format!("turn {}", turn.number);
+        let turn = concentration_window_at(trial, now, self.proven.endpoints().len())?;
+        let job = format!("turn {}", turn.index);
         self.new.pick_of_first(now, ask, &job, turn.endpoints)
     }
 
     /// Gets the endpoints of a side.
-    pub fn pool(&self, side: Side) -> &PoolView {
+    pub fn pool(&self, side: ReleaseTrack) -> &PoolView {
         match side {
-            Side::Proven => &self.proven,
-            Side::New => &self.new,
+            ReleaseTrack::Stable => &self.proven,
+            ReleaseTrack::Canary => &self.new,
         }
     }
 }
--- a/crates/tidetrack-core/tests/endpoint_limits.rs
+++ b/crates/tidetrack-core/tests/endpoint_limits.rs
@@ -9,8 +9,8 @@
 use tidetrack_core::codes::Code;
 use tidetrack_core::ids::{EndpointId, ServiceId};
 use tidetrack_core::placement::{Allotted, Ask, EndpointLive};
+use tidetrack_core::traffic::canary::ReleaseTrack;
 use tidetrack_core::traffic::control::Input;
-use tidetrack_core::traffic::trial::Side;
 use tidetrack_core::units::{Millis, Rate};
 
 use support::fleet::{Fleet, STEP};
@@ -164,12 +164,12 @@
     let now = Millis(fleet.now);
     let view = fleet.hosts[0].view.clone().expect("a view");
     let service = &view.services[&id::<ServiceId>("llm")];
-    for endpoint in service.pool(Side::Proven).endpoints() {
+    for endpoint in service.pool(ReleaseTrack::Stable).endpoints() {
         endpoint.live.allot(Allotted::Share(Rate(2.0)));
         endpoint.live.sends(now);
     }
 
-    let pool = service.pool(Side::Proven);
+    let pool = service.pool(ReleaseTrack::Stable);
     let refused = pool.pick(now, &Ask::default()).expect_err("none takes more");
 
     assert_eq!(refused.code, Code::Overloaded);
--- a/crates/tidetrack-core/tests/exposure.rs
+++ b/crates/tidetrack-core/tests/exposure.rs
@@ -2,12 +2,12 @@
 
 mod support;
 
+use tidetrack_core::traffic::canary::{ReleaseTrack, RolloutOrder, RolloutState};
 use tidetrack_core::traffic::control::{Action, Beliefs, Input};
 use tidetrack_core::traffic::feeds::{Kind, Source};
 use tidetrack_core::traffic::freshness::Freshness;
 use tidetrack_core::traffic::judge::Tally;
 use tidetrack_core::traffic::peers::{Barred, News, ToldTally};
-use tidetrack_core::traffic::trial::{RolloutOrder, RolloutState, Side};
 use tidetrack_core::traffic::view::FleetView;
 use tidetrack_core::units::Millis;
 
@@ -65,7 +65,7 @@
         for n in 0..5 {
             let at = (all * 7 + n) % hosts as usize;
             let side = fleet.request(at, &format!("s{all}"));
-            new += usize::from(side == Side::New);
+            new += usize::from(side == ReleaseTrack::Canary);
             all += 1;
         }
         let state = fleet.rollout.as_ref().and_then(|o| o.progress.as_ref()).map(|p| p.state);
@@ -113,7 +113,7 @@
         let others = 2..hosts as usize;
         let moved = sessions.iter().enumerate().filter(|(n, s)| {
             let at = others.start + n % others.len();
-            fleet.request(at, s) == Side::New
+            fleet.request(at, s) == ReleaseTrack::Canary
         });
 
         assert_eq!(moved.count(), 0, "{hosts} hosts");
@@ -136,8 +136,9 @@
 
         fleet.order(order(1, None));
         fleet.run(began + 4_000, |_, _| {});
-        let is_moved =
-            |(n, session): &(usize, &String)| fleet.request(2 + n % 5, session) == Side::New;
+        let is_moved = |(n, session): &(usize, &String)| {
+            fleet.request(2 + n % 5, session) == ReleaseTrack::Canary
+        };
         moved += sessions.iter().enumerate().filter(is_moved).count();
     }
 
--- a/crates/tidetrack-core/tests/few_calls.rs
+++ b/crates/tidetrack-core/tests/few_calls.rs
@@ -7,10 +7,10 @@
 use rand::{RngExt, SeedableRng};
 
 use tidetrack_core::ids::EndpointId;
+use tidetrack_core::traffic::canary::{Phase, ReleaseTrack, RolloutState};
 use tidetrack_core::traffic::control::Input;
-use tidetrack_core::traffic::exposure::{ExposureBound, SessionDraw};
-use tidetrack_core::traffic::judge::{AttemptEnd, Observed};
-use tidetrack_core::traffic::trial::{Phase, RolloutState, Side};
+use tidetrack_core::traffic::exposure::{ExposureBound, SessionHash};
+use tidetrack_core::traffic::judge::{AttemptOutcome, ObservedResponse};
 use tidetrack_core::units::{Millis, Share};
 
 use support::fleet::{Fleet, HOLD_FOR, STEP};
@@ -130,25 +130,30 @@
         let host = self.seed.random_range(0..self.fleet.hosts.len());
         let name = format!("r{}", self.seed.random::<u64>());
         let side = match is_ordered {
-            true => self.fleet.call(host, SessionDraw::new(None, &name), HOLD_FOR),
-            false => Side::Proven,
+            true => self.fleet.call(host, SessionHash::new(None, &name), HOLD_FOR),
+            false => ReleaseTrack::Stable,
         };
         self.outcome.all += usize::from(is_ordered);
-        self.outcome.new += usize::from(side == Side::New);
+        self.outcome.new += usize::from(side == ReleaseTrack::Canary);
         let seen = self.answer(side);
         self.fleet.take(host, Input::Observed(seen.clone()));
-        if seen.failed() && self.case.fails_again > 0.0 {
+        if seen.is_failure() && self.case.fails_again > 0.0 {
             self.repeat(host, side, seen);
         }
     }
 
     /// Sends a call that failed to two more endpoints of the version, as long as it fails.
-    fn repeat(&mut self, host: usize, side: Side, failed: Observed) {
+    fn repeat(&mut self, host: usize, side: ReleaseTrack, failed: ObservedResponse) {
         for _ in 1..MOST_ATTEMPTS {
             let again = self.seed.random::<f64>() < self.case.fails_again;
-            let end = if again { AttemptEnd::Failed } else { AttemptEnd::Whole };
+            let end = if again { AttemptOutcome::Failed } else { AttemptOutcome::Complete };
             let endpoint = self.endpoint(side);
-            let seen = Observed { end, endpoint, has_failed: true, ..failed.clone() };
+            let seen = ObservedResponse {
+                outcome: end,
+                endpoint,
+                has_failed_before: true,
+                ..failed.clone()
+            };
             self.fleet.take(host, Input::Observed(seen));
             if !again {
                 return;
@@ -157,9 +162,9 @@
     }
 
     /// Draws an endpoint of a version.
-    fn endpoint(&mut self, side: Side) -> EndpointId {
+    fn endpoint(&mut self, side: ReleaseTrack) -> EndpointId {
         let n = self.seed.random_range(1..=self.case.endpoints);
-        id(&format!("{}{n}", if side == Side::New { 'n' } else { 'o' }))
+        id(&format!("{}{n}", if side == ReleaseTrack::Canary { 'n' } else { 'o' }))
     }
 
     /// Tells whether all calls go to the new version.
@@ -169,9 +174,9 @@
         trial.is_some_and(|t| t.phase_at(Millis(self.fleet.now)) == Phase::Moved)
     }
 
-    fn answer(&mut self, side: Side) -> Observed {
+    fn answer(&mut self, side: ReleaseTrack) -> ObservedResponse {
         let endpoint = self.endpoint(side);
-        let is_new = side == Side::New;
+        let is_new = side == ReleaseTrack::Canary;
         let is_empty = self.seed.random::<f64>() < EMPTY;
         let (second_share, fails) = SECOND_ROUTE;
         let is_second = self.seed.random::<f64>() < second_share;
@@ -183,19 +188,19 @@
         let times = if is_slow { self.case.times } else { 1.0 };
         let normal = (0..12).map(|_| self.seed.random::<f64>()).sum::<f64>() - 6.0;
         let ms = if is_empty { 2.0 } else { USUAL_MS * times * (0.4 * normal).exp() };
-        Observed {
+        ObservedResponse {
             service: id("llm"),
-            new_version: is_new.then(|| id("v2")),
+            canary_version: is_new.then(|| id("v2")),
             endpoint,
-            is_loaded: false,
+            is_concentrated: false,
             route: id(match (is_empty, is_second) {
                 (true, _) => "probe",
                 (false, true) => "return",
                 (false, false) => "lend",
             }),
             model: None,
-            end: if failed { AttemptEnd::Failed } else { AttemptEnd::Whole },
-            has_failed: false,
+            outcome: if failed { AttemptOutcome::Failed } else { AttemptOutcome::Complete },
+            has_failed_before: false,
             is_stream: false,
             load: 0.0,
             head_ms: Some(ms),
--- a/crates/tidetrack-core/tests/large_fleet.rs
+++ b/crates/tidetrack-core/tests/large_fleet.rs
@@ -7,9 +7,9 @@
 use rand::{RngExt, SeedableRng};
 
 use tidetrack_core::ids::ServiceId;
+use tidetrack_core::traffic::canary::ReleaseTrack;
 use tidetrack_core::traffic::control::Input;
 use tidetrack_core::traffic::freshness::Freshness;
-use tidetrack_core::traffic::trial::Side;
 use tidetrack_core::units::Millis;
 
 use support::fleet::{Fleet, ENDPOINT_BYTES, STEP};
@@ -179,7 +179,7 @@
 struct Session {
     name: String,
     next_at: u64,
-    last: Option<Side>,
+    last: Option<ReleaseTrack>,
 }
 
 /// What sessions met in a roll-out.
@@ -218,10 +218,14 @@
         for session in all.iter_mut().filter(|s| s.next_at <= now) {
             let at = seed.random_range(0..hosts as usize);
             let side = fleet.request(at, &session.name);
-            let is_early = is_first_half && side == Side::New && session.last == Some(Side::Proven);
+            let is_early = is_first_half
+                && side == ReleaseTrack::Canary
+                && session.last == Some(ReleaseTrack::Stable);
             moves.early += usize::from(is_early);
-            moves.back += usize::from(side == Side::Proven && session.last == Some(Side::New));
-            moves.sampled += usize::from(is_first_half && side == Side::New);
+            moves.back += usize::from(
+                side == ReleaseTrack::Stable && session.last == Some(ReleaseTrack::Canary),
+            );
+            moves.sampled += usize::from(is_first_half && side == ReleaseTrack::Canary);
             moves.all += usize::from(is_first_half);
             session.last = Some(side);
             // Some requests are short calls right after each other.
--- a/crates/tidetrack-core/tests/prefixes.rs
+++ b/crates/tidetrack-core/tests/prefixes.rs
@@ -1,7 +1,7 @@
 //! What hosts remember and tell of the shared parts of prompts that endpoints have read.
 
 use tidetrack_core::ids::{EndpointId, EndpointKey, ModelId};
-use tidetrack_core::traffic::prefixes::{PartKey, Prefixes};
+use tidetrack_core::traffic::prefix_index::{PrefixIndex, PrefixKey};
 use tidetrack_core::units::Millis;
 
 const TURN: Millis = Millis(500);
@@ -10,18 +10,18 @@
     EndpointKey::from(&name.parse::<EndpointId>().expect("a name"))
 }
 
-fn part(prefix: &str, model: &str) -> PartKey {
+fn part(prefix: &str, model: &str) -> PrefixKey {
     let model: ModelId = model.parse().expect("a name");
-    PartKey::new(prefix, Some(&model))
+    PrefixKey::new(prefix, Some(&model))
 }
 
 #[test]
 fn an_endpoint_keeps_a_part_for_the_model_that_read_it_and_not_for_ever() {
-    let prefixes = Prefixes::default();
+    let prefixes = PrefixIndex::default();
 
-    prefixes.used(Millis(0), part("manual", "large"), endpoint("e1"));
+    prefixes.record_use(Millis(0), part("manual", "large"), endpoint("e1"));
 
-    let readers = |at, model| prefixes.readers(Millis(at), part("manual", model));
+    let readers = |at, model| prefixes.endpoints_with(Millis(at), part("manual", model));
     assert_eq!(readers(10_000, "large"), [endpoint("e1")]);
     assert!(readers(10_000, "small").is_empty());
     assert!(readers(60_000, "large").is_empty());
@@ -29,15 +29,15 @@
 
 #[test]
 fn a_read_is_told_for_one_turn_and_again_only_after_a_while() {
-    let prefixes = Prefixes::default();
-    let use_at = |at| prefixes.used(Millis(at), part("manual", "large"), endpoint("e1"));
+    let prefixes = PrefixIndex::default();
+    let use_at = |at| prefixes.record_use(Millis(at), part("manual", "large"), endpoint("e1"));
 
     use_at(0);
-    let first = prefixes.told(Millis(100), TURN);
+    let first = prefixes.reports(Millis(100), TURN);
     use_at(700);
-    let repeated = prefixes.told(Millis(800), TURN);
+    let repeated = prefixes.reports(Millis(800), TURN);
     use_at(6_000);
-    let later = prefixes.told(Millis(6_100), TURN);
+    let later = prefixes.reports(Millis(6_100), TURN);
 
     assert_eq!(first.len(), 1);
     assert!(repeated.is_empty());
@@ -46,30 +46,30 @@
 
 #[test]
 fn what_is_heard_is_known_and_not_told_on() {
-    let (one, other) = (Prefixes::default(), Prefixes::default());
-    one.used(Millis(0), part("manual", "large"), endpoint("e1"));
+    let (one, other) = (PrefixIndex::default(), PrefixIndex::default());
+    one.record_use(Millis(0), part("manual", "large"), endpoint("e1"));
 
-    other.hear(Millis(50), &one.told(Millis(0), TURN));
+    other.record_reports(Millis(50), &one.reports(Millis(0), TURN));
 
-    assert_eq!(other.readers(Millis(60), part("manual", "large")), [endpoint("e1")]);
-    assert!(other.told(Millis(60), TURN).is_empty());
-    other.used(Millis(70), part("manual", "large"), endpoint("e1"));
-    assert!(other.told(Millis(80), TURN).is_empty(), "a use that others know of is no news");
+    assert_eq!(other.endpoints_with(Millis(60), part("manual", "large")), [endpoint("e1")]);
+    assert!(other.reports(Millis(60), TURN).is_empty());
+    other.record_use(Millis(70), part("manual", "large"), endpoint("e1"));
+    assert!(other.reports(Millis(80), TURN).is_empty(), "a use that others know of is no news");
 }
 
 #[test]
 fn what_is_told_and_remembered_is_bounded() {
-    let prefixes = Prefixes::default();
+    let prefixes = PrefixIndex::default();
 
     for i in 0..20_000u64 {
-        prefixes.used(Millis(i / 100), part(&i.to_string(), "large"), endpoint("e1"));
+        prefixes.record_use(Millis(i / 100), part(&i.to_string(), "large"), endpoint("e1"));
     }
     for i in 0..100u64 {
-        prefixes.used(Millis(200 + i), part("0", "large"), endpoint(&format!("e{i}")));
+        prefixes.record_use(Millis(200 + i), part("0", "large"), endpoint(&format!("e{i}")));
     }
 
-    assert!(prefixes.told(Millis(300), TURN).len() <= 16);
-    let readers = prefixes.readers(Millis(300), part("0", "large"));
+    assert!(prefixes.reports(Millis(300), TURN).len() <= 16);
+    let readers = prefixes.endpoints_with(Millis(300), part("0", "large"));
     assert_eq!(readers.len(), 8);
     assert!(readers.contains(&endpoint("e99")), "the newest use is remembered");
 }
--- a/crates/tidetrack-core/tests/support/answers.rs
+++ b/crates/tidetrack-core/tests/support/answers.rs
@@ -9,9 +9,9 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
+use tidetrack_core::traffic::canary::{Phase, RolloutState};
 use tidetrack_core::traffic::control::Input;
-use tidetrack_core::traffic::judge::{AttemptEnd, Observed};
-use tidetrack_core::traffic::trial::{Phase, RolloutState};
+use tidetrack_core::traffic::judge::{AttemptOutcome, ObservedResponse};
 use tidetrack_core::units::Millis;
 
 use super::fleet::{Fleet, FleetHost, STEP};
@@ -285,15 +285,15 @@
             }
         };
         let side = if new { 'n' } else { 'o' };
-        let seen = Observed {
+        let seen = ObservedResponse {
             service: id("llm"),
-            new_version: new.then(|| id("v2")),
+            canary_version: new.then(|| id("v2")),
             endpoint: id(&format!("{side}{n}")),
-            is_loaded: false,
+            is_concentrated: false,
             route: id(route),
             model: None,
-            end: if failed { AttemptEnd::Failed } else { AttemptEnd::Whole },
-            has_failed: false,
+            outcome: if failed { AttemptOutcome::Failed } else { AttemptOutcome::Complete },
+            has_failed_before: false,
             is_stream,
             load,
             head_ms: Some(ms),
--- a/crates/tidetrack-core/tests/support/fleet.rs
+++ b/crates/tidetrack-core/tests/support/fleet.rs
@@ -9,13 +9,15 @@
 
 use tidetrack_core::ids::ServiceId;
 use tidetrack_core::placement::draw;
+use tidetrack_core::traffic::canary::{
+    ProgressWrite, ReleaseTrack, RolloutOrder, DEFAULT_EXPOSURE_BOUND,
+};
 use tidetrack_core::traffic::control::{Action, Beliefs, Input};
-use tidetrack_core::traffic::exposure::{ExposureBound, SessionDraw};
+use tidetrack_core::traffic::exposure::{ExposureBound, SessionHash};
 use tidetrack_core::traffic::feeds::{Catch, Giving, Kind, Source};
 use tidetrack_core::traffic::freshness::Freshness;
 use tidetrack_core::traffic::joining::{is_strong, Starter};
 use tidetrack_core::traffic::peers::{PeerBook, PeerMessage};
-use tidetrack_core::traffic::trial::{ProgressWrite, RolloutOrder, Side, USUAL_BOUND};
 use tidetrack_core::traffic::view::FleetView;
 use tidetrack_core::units::{Bandwidth, Millis};
 
@@ -136,7 +138,7 @@
 impl Fleet {
     /// Starts hosts that each have read the store.
     pub fn start(hosts: u32, seed: u64) -> Fleet {
-        Fleet::start_bounded(hosts, seed, USUAL_BOUND)
+        Fleet::start_bounded(hosts, seed, DEFAULT_EXPOSURE_BOUND)
     }
 
     /// Starts hosts that keep versions under roll-out to a bound.
@@ -466,18 +468,18 @@
     }
 
     /// Sends a request of a session to a host; gets the side it goes to.
-    pub fn request(&mut self, i: usize, session: &str) -> Side {
-        self.call(i, SessionDraw::new(Some(session), "r"), HOLD_FOR)
+    pub fn request(&mut self, i: usize, session: &str) -> ReleaseTrack {
+        self.call(i, SessionHash::new(Some(session), "r"), HOLD_FOR)
     }
 
     /// Sends a request to a host; gets the side it goes to.
-    pub fn call(&mut self, i: usize, who: SessionDraw, hold_for: Millis) -> Side {
+    pub fn call(&mut self, i: usize, who: SessionHash, hold_for: Millis) -> ReleaseTrack {
         let host = &self.hosts[i];
         let view = host.view.as_ref().expect("a view");
         let service = &view.services[&id::<ServiceId>("llm")];
         let side = service.side(Millis(self.now), who, hold_for);
-        if side == Side::New {
-            service.exposure.sent_to_new(false);
+        if side == ReleaseTrack::Canary {
+            service.exposure.record_canary_attempt(false);
         }
         side
     }
--- a/crates/tidetrack-core/tests/support/mod.rs
+++ b/crates/tidetrack-core/tests/support/mod.rs
@@ -11,6 +11,7 @@
 use std::sync::Arc;
 
 use tidetrack_core::ids::HostId;
+use tidetrack_core::traffic::canary::{Progress, RolloutOrder, RolloutState};
 use tidetrack_core::traffic::catalog::{
     Catalog, KeyHolder, PricedModel, Route, Service, Target, Work,
 };
@@ -19,7 +20,6 @@
 use tidetrack_core::traffic::feeds::Kind;
 use tidetrack_core::traffic::freshness::Freshness;
 use tidetrack_core::traffic::peers::{News, PeerBook, PeerMessage};
-use tidetrack_core::traffic::trial::{Progress, RolloutOrder, RolloutState};
 use tidetrack_core::traffic::view::FleetView;
 use tidetrack_core::units::Millis;
 
--- a/crates/tidetrack-core/tests/suspects.rs
+++ b/crates/tidetrack-core/tests/suspects.rs
@@ -9,7 +9,7 @@
 
 use tidetrack_core::codes::Code;
 use tidetrack_core::ids::WorkspaceId;
-use tidetrack_core::traffic::fingerprint::{Fingerprint, Repeated};
+use tidetrack_core::traffic::fingerprint::{Fingerprint, RequestIdentity};
 use tidetrack_core::traffic::suspects::{Change, SuspectOptions, Suspects, MOST_TOLD};
 use tidetrack_core::units::Millis;
 
@@ -27,7 +27,7 @@
 
 fn print_of(workspace: &str, body: &str) -> Fingerprint {
     let workspace: WorkspaceId = id(workspace);
-    Fingerprint::of(&Repeated {
+    Fingerprint::of(&RequestIdentity {
         workspace: Some(&workspace),
         hostname: "shop.example",
         method: "POST",
--- a/crates/tidetrack-core/tests/traffic.rs
+++ b/crates/tidetrack-core/tests/traffic.rs
@@ -9,14 +9,16 @@
 use tidetrack_core::ids::{EndpointId, ServiceId, VersionName};
 use tidetrack_core::placement::PoolView;
 use tidetrack_core::traffic::budget::{SendAgain, SendBudget};
+use tidetrack_core::traffic::canary::{
+    Canary, Phase, ReleaseTrack, RolloutOrder, RolloutState, DEFAULT_EXPOSURE_BOUND,
+};
 use tidetrack_core::traffic::control::{Action, Beliefs, Input};
 use tidetrack_core::traffic::endpoints::{EndpointRecord, EndpointTable};
-use tidetrack_core::traffic::exposure::{Exposure, ExposureBound, SessionDraw, MOST_SAMPLED};
+use tidetrack_core::traffic::exposure::{Exposure, ExposureBound, SessionHash, MAX_SAMPLE_SHARE};
 use tidetrack_core::traffic::freshness::Freshness;
 use tidetrack_core::traffic::gate::{admit, Entry};
-use tidetrack_core::traffic::judge::{AttemptEnd, Observed};
+use tidetrack_core::traffic::judge::{AttemptOutcome, ObservedResponse};
 use tidetrack_core::traffic::peers::{News, PeerBook, PeerMessage, ToldProof};
-use tidetrack_core::traffic::trial::{Phase, RolloutOrder, RolloutState, Side, Trial, USUAL_BOUND};
 use tidetrack_core::units::{Millis, Share};
 
 use support::{
@@ -151,13 +153,13 @@
 /// of it left for runs that go on at the new version.
 #[test]
 fn a_rollout_moves_as_late_as_keeps_the_bound_and_ends_before_its_deadline() {
-    let mut trial = Trial::new(Millis(0), order(1, None), USUAL_BOUND);
+    let mut trial = Canary::new(Millis(0), order(1, None), DEFAULT_EXPOSURE_BOUND);
     let view = trial.view(Millis(500), 2);
     let mut revision = 1;
     let mut seen = Vec::new();
 
     for t in (0..20_000).step_by(100) {
-        if let Some(write) = trial.due(Millis(t), Millis(50), Millis(700), 2) {
+        if let Some(write) = trial.take_due_write(Millis(t), Millis(50), Millis(700), 2) {
             assert_eq!(write.revision, revision);
             revision += 1;
             seen.push((t, write.progress.state));
@@ -166,31 +168,32 @@
     }
 
     let done = seen.iter().find(|(_, s)| *s == RolloutState::Completed).expect("it ends").0;
-    let moved = view.moves_at.0;
+    let moved = view.cutover_at.0;
     let exposed = (view.sample * moved as f64 + (20_000 - moved) as f64) / 20_000.0;
     assert!((0.11..0.13).contains(&exposed), "{exposed}");
     assert!((moved + 500..19_600).contains(&done), "moved at {moved}, {seen:?}");
     assert_eq!((view.phase_at(Millis(moved)), trial.phase()), (Phase::Moved, Phase::Done));
-    assert!(trial.has_moved(Millis(moved), 2) && seen.len() <= 4, "{seen:?}");
+    assert!(trial.has_cut_over(Millis(moved), 2) && seen.len() <= 4, "{seen:?}");
 }
 
 #[test]
 fn a_bound_of_the_settings_makes_the_sample_and_the_time_of_the_move() {
-    let of_share = |share| ExposureBound { share: Share(share), ..USUAL_BOUND };
-    let view = |share| Trial::new(Millis(0), order(1, None), of_share(share)).view(Millis(0), 2);
+    let of_share = |share| ExposureBound { share: Share(share), ..DEFAULT_EXPOSURE_BOUND };
+    let view = |share| Canary::new(Millis(0), order(1, None), of_share(share)).view(Millis(0), 2);
 
     let (narrow, wide) = (view(0.05), view(0.3));
 
-    assert!(narrow.sample < 0.021 && narrow.moves_at > Millis(19_500), "{narrow:?}");
-    assert!(wide.sample <= MOST_SAMPLED && wide.moves_at < Millis(16_500), "{wide:?}");
+    assert!(narrow.sample < 0.021 && narrow.cutover_at > Millis(19_500), "{narrow:?}");
+    assert!(wide.sample <= MAX_SAMPLE_SHARE && wide.cutover_at < Millis(16_500), "{wide:?}");
 }
 
 #[test]
 fn a_host_that_starts_halfway_goes_on_from_what_is_written() {
     let written = progress(RolloutState::InProgress, 15_000);
 
-    let mut trial = Trial::new(Millis(100_000), order(7, Some(written)), USUAL_BOUND);
-    let write = trial.due(Millis(104_600), Millis(0), Millis(700), 2).expect("its end is due");
+    let mut trial = Canary::new(Millis(100_000), order(7, Some(written)), DEFAULT_EXPOSURE_BOUND);
+    let write =
+        trial.take_due_write(Millis(104_600), Millis(0), Millis(700), 2).expect("its end is due");
 
     assert_eq!(write.progress.state, RolloutState::Completed);
 }
@@ -200,59 +203,64 @@
     let mut earlier = progress(RolloutState::Completed, 15_000);
     earlier.version = id("v1");
 
-    let trial = Trial::new(Millis(0), order(7, Some(earlier)), USUAL_BOUND);
+    let trial = Canary::new(Millis(0), order(7, Some(earlier)), DEFAULT_EXPOSURE_BOUND);
 
     assert_eq!(trial.phase(), Phase::Sample);
 }
 
 /// A session whose draw puts it on a new version.
-fn drawn_session() -> SessionDraw {
-    let mut all = (0..).map(|i| SessionDraw::new(Some(&format!("s{i}")), "r"));
-    all.find(|s| s.draw < 0.01).expect("one in a hundred")
+fn drawn_session() -> SessionHash {
+    let mut all = (0..).map(|i| SessionHash::new(Some(&format!("s{i}")), "r"));
+    all.find(|s| s.hash_fraction < 0.01).expect("one in a hundred")
 }
 
 #[test]
 fn a_session_at_work_on_the_old_version_stays_there_also_at_another_host() {
     let (first, second) = (Exposure::default(), Exposure::default());
-    let trial = Trial::new(Millis(0), order(1, None), USUAL_BOUND).view(Millis(0), 2);
+    let trial = Canary::new(Millis(0), order(1, None), DEFAULT_EXPOSURE_BOUND).view(Millis(0), 2);
     let who = drawn_session();
-    let side = |e: &Exposure, now| e.side(Millis(now), who, Some(&trial), true, Millis(5_000));
+    let side =
+        |e: &Exposure, now| e.choose_track(Millis(now), who, Some(&trial), true, Millis(5_000));
 
-    let before = first.side(Millis(0), who, None, false, Millis(5_000));
-    second.hold_told(Millis(300), &first.told(Millis(300), 1.0));
+    let before = first.choose_track(Millis(0), who, None, false, Millis(5_000));
+    second.hold_reported(Millis(300), &first.reports(Millis(300), 1.0));
     let at_second = side(&second, 2_000);
     let idle_since = side(&second, 9_000);
 
-    assert_eq!((before, at_second, idle_since), (Side::Proven, Side::Proven, Side::New));
+    assert_eq!(
+        (before, at_second, idle_since),
+        (ReleaseTrack::Stable, ReleaseTrack::Stable, ReleaseTrack::Canary)
+    );
 }
 
 #[test]
 fn a_hosts_share_of_a_new_version_is_bounded_whatever_the_draws_are() {
     let exposure = Exposure::default();
-    let trial = Trial::new(Millis(0), order(1, None), USUAL_BOUND).view(Millis(0), 2);
+    let trial = Canary::new(Millis(0), order(1, None), DEFAULT_EXPOSURE_BOUND).view(Millis(0), 2);
 
     // Requests without a session, all of which the draw would put on the new version.
-    let who = SessionDraw { session: None, draw: 0.0 };
+    let who = SessionHash { session: None, hash_fraction: 0.0 };
     let new = (0..1_000)
         .filter(|_| {
-            exposure.side(Millis(5_000), who, Some(&trial), true, Millis(5_000)) == Side::New
+            exposure.choose_track(Millis(5_000), who, Some(&trial), true, Millis(5_000))
+                == ReleaseTrack::Canary
         })
-        .inspect(|_| exposure.sent_to_new(false))
+        .inspect(|_| exposure.record_canary_attempt(false))
         .count();
 
     assert!(new <= 150, "{new}");
 }
 
 fn seen(endpoint: &str, new: bool, failed: bool) -> Input {
-    Input::Observed(Observed {
+    Input::Observed(ObservedResponse {
         service: id("llm"),
-        new_version: new.then(|| id::<VersionName>("v2")),
+        canary_version: new.then(|| id::<VersionName>("v2")),
         endpoint: id(endpoint),
-        is_loaded: false,
+        is_concentrated: false,
         route: id("all"),
         model: None,
-        end: if failed { AttemptEnd::Failed } else { AttemptEnd::Whole },
-        has_failed: false,
+        outcome: if failed { AttemptOutcome::Failed } else { AttemptOutcome::Complete },
+        has_failed_before: false,
         is_stream: true,
         load: 0.0,
         head_ms: Some(50.0),
--- a/crates/tidetrack-core/tests/under_load.rs
+++ b/crates/tidetrack-core/tests/under_load.rs
@@ -7,10 +7,10 @@
 use rand::{RngExt, SeedableRng};
 
 use tidetrack_core::placement::{place_of, Ask, PoolEndpoint};
+use tidetrack_core::traffic::canary::{CanaryView, Phase, ReleaseTrack, RolloutState};
 use tidetrack_core::traffic::control::Input;
-use tidetrack_core::traffic::exposure::SessionDraw;
-use tidetrack_core::traffic::judge::{AttemptEnd, Observed};
-use tidetrack_core::traffic::trial::{Phase, RolloutState, Side, TrialView};
+use tidetrack_core::traffic::exposure::SessionHash;
+use tidetrack_core::traffic::judge::{AttemptOutcome, ObservedResponse};
 use tidetrack_core::traffic::view::Picked;
 use tidetrack_core::units::Millis;
 
@@ -71,7 +71,7 @@
 struct Run {
     until: u64,
     host: usize,
-    side: Side,
+    side: ReleaseTrack,
     endpoint: PoolEndpoint,
     failed: bool,
     is_loaded: bool,
@@ -108,7 +108,7 @@
         play
     }
 
-    fn trial(&self, host: usize) -> Option<&TrialView> {
+    fn trial(&self, host: usize) -> Option<&CanaryView> {
         let view = self.fleet.hosts[host].view.as_ref().expect("a view");
         view.services[&id("llm")].trial.as_ref()
     }
@@ -150,7 +150,7 @@
         for run in ended {
             run.endpoint.live.end(WORK);
             run.endpoint.live.note(Millis(now), !run.failed);
-            self.bad += usize::from(run.failed && run.side == Side::New);
+            self.bad += usize::from(run.failed && run.side == ReleaseTrack::Canary);
             self.fleet.take(run.host, Input::Observed(observed(&run)));
         }
     }
@@ -162,7 +162,7 @@
         let now = Millis(self.fleet.now);
         let view = self.fleet.hosts[host].view.clone().expect("a view");
         let service = &view.services[&id("llm")];
-        let who = SessionDraw::new(Some(&name), "r");
+        let who = SessionHash::new(Some(&name), "r");
         let side = service.side(now, who, HOLD_FOR);
         if service.pool(side).endpoints().is_empty() {
             return;
@@ -171,8 +171,8 @@
         let ask = Ask { place, salt: place, ..Ask::default() };
         let Picked { endpoint, is_loaded } =
             service.pick(now, side, who, &ask).expect("an endpoint");
-        if side == Side::New {
-            service.exposure.sent_to_new(false);
+        if side == ReleaseTrack::Canary {
+            service.exposure.record_canary_attempt(false);
         }
         endpoint.live.begin(WORK);
         let others = self.runs.iter().filter(|run| run.endpoint.id == endpoint.id).count();
@@ -184,19 +184,19 @@
     }
 
     /// Gets the time between the events of an answer beside so many others.
-    fn gap_ms(&self, side: Side, others: usize, is_loaded: bool) -> f64 {
+    fn gap_ms(&self, side: ReleaseTrack, others: usize, is_loaded: bool) -> f64 {
         let slow = match self.fails {
-            Fails::Slow(times) if side == Side::New => times,
+            Fails::Slow(times) if side == ReleaseTrack::Canary => times,
             _ => 1.0,
         };
         let cold = if is_loaded { COLD_TIMES } else { 1.0 };
         ALONE_MS * (1.0 + others as f64 * EACH_ADDS) * slow * cold
     }
 
-    fn draw_failure(&mut self, side: Side, endpoint: &PoolEndpoint, others: usize) -> bool {
+    fn draw_failure(&mut self, side: ReleaseTrack, endpoint: &PoolEndpoint, others: usize) -> bool {
         let n: usize = endpoint.id.as_str()[1..].parse().expect("a number");
         let share = match self.fails {
-            Fails::From(many, share) if side == Side::New && others >= many => share,
+            Fails::From(many, share) if side == ReleaseTrack::Canary && others >= many => share,
             Fails::OneIn(odd) if (n + self.shift).is_multiple_of(odd) => 0.4,
             _ => 0.0,
         };
@@ -204,16 +204,16 @@
     }
 }
 
-fn observed(run: &Run) -> Observed {
-    Observed {
+fn observed(run: &Run) -> ObservedResponse {
+    ObservedResponse {
         service: id("llm"),
-        new_version: (run.side == Side::New).then(|| id("v2")),
+        canary_version: (run.side == ReleaseTrack::Canary).then(|| id("v2")),
         endpoint: run.endpoint.id.clone(),
-        is_loaded: run.is_loaded,
+        is_concentrated: run.is_loaded,
         route: id("all"),
         model: None,
-        end: if run.failed { AttemptEnd::Failed } else { AttemptEnd::Whole },
-        has_failed: false,
+        outcome: if run.failed { AttemptOutcome::Failed } else { AttemptOutcome::Complete },
+        has_failed_before: false,
         is_stream: true,
         // A host of a large fleet knows of little more than its own.
         load: WORK as f64,
--- a/crates/tidetrack-core/tests/verdicts.rs
+++ b/crates/tidetrack-core/tests/verdicts.rs
@@ -4,10 +4,10 @@
 
 mod support;
 
-use tidetrack_core::traffic::basis::Basis;
-use tidetrack_core::traffic::judge::{AttemptEnd, Bad, Judge, Observed};
-use tidetrack_core::traffic::samples::Worse;
-use tidetrack_core::traffic::usual::Usual;
+use tidetrack_core::traffic::baseline::Baseline;
+use tidetrack_core::traffic::judge::{AttemptOutcome, BarReason, Judge, ObservedResponse};
+use tidetrack_core::traffic::samples::Regression;
+use tidetrack_core::traffic::verdict_basis::VerdictBasis;
 use tidetrack_core::units::Millis;
 
 use support::answers::{Day, Play, Service, Version};
@@ -99,16 +99,16 @@
 }
 
 /// An answer of a plain call.
-fn answer(endpoint: &str, end: AttemptEnd) -> Observed {
-    Observed {
+fn answer(endpoint: &str, end: AttemptOutcome) -> ObservedResponse {
+    ObservedResponse {
         service: "desk".parse().expect("a name"),
-        new_version: None,
+        canary_version: None,
         endpoint: endpoint.parse().expect("a name"),
-        is_loaded: false,
+        is_concentrated: false,
         route: "return".parse().expect("a name"),
         model: None,
-        end,
-        has_failed: false,
+        outcome: end,
+        has_failed_before: false,
         is_stream: false,
         load: 0.0,
         head_ms: Some(10.0),
@@ -122,33 +122,39 @@
 /// were above the usual pace. Evidence: the log's line of the verdict, 8 of 8 answers above, each of 1 ms.
 #[test]
 fn a_few_milliseconds_of_a_call_are_no_slowness() {
-    let call = |ms: f64| Observed { head_ms: Some(ms), ..answer("e1", AttemptEnd::Whole) };
-    let mut usual = Usual::default();
+    let call =
+        |ms: f64| ObservedResponse { head_ms: Some(ms), ..answer("e1", AttemptOutcome::Complete) };
+    let mut usual = Baseline::default();
     (0..100).for_each(|_| usual.learn(&call(0.6)));
 
-    let measured = [0.9, 1.4, 4.0, 20.0, 200.0].map(|ms| usual.measure(&call(ms)));
+    let measured = [0.9, 1.4, 4.0, 20.0, 200.0].map(|ms| usual.compare(&call(ms)));
 
-    assert!(measured.iter().all(|m| m.above.is_none()), "{measured:?}");
-    assert_eq!(measured.map(|m| m.slow), [false, false, false, false, true]);
+    assert!(measured.iter().all(|m| m.is_above_pace.is_none()), "{measured:?}");
+    assert_eq!(measured.map(|m| m.is_slow), [false, false, false, false, true]);
 }
 
 /// A host counts what it sends over all of its roll-outs, also after they were completed: of a judgement that begins
 /// with the next one that is nothing.
 #[test]
 fn what_was_sent_in_earlier_roll_outs_does_not_count_for_the_next() {
-    let usual = Usual::default();
+    let usual = Baseline::default();
     let mut judge = Judge::default();
-    (0..30).for_each(|_| judge.see_proven(Millis(0), &answer("o1", AttemptEnd::Whole), &usual));
+    (0..30).for_each(|_| {
+        judge.record_stable(Millis(0), &answer("o1", AttemptOutcome::Complete), &usual)
+    });
 
-    judge.sent(Millis(0), 5_000);
+    judge.record_sent_total(Millis(0), 5_000);
     for n in 0..8 {
-        let end = if n % 2 == 0 { AttemptEnd::Failed } else { AttemptEnd::Whole };
+        let end = if n % 2 == 0 { AttemptOutcome::Failed } else { AttemptOutcome::Complete };
         let endpoint = format!("n{}", n / 2);
-        judge.see_new(Millis(500), &answer(&endpoint, end), &usual);
+        judge.record_canary(Millis(500), &answer(&endpoint, end), &usual);
     }
-    judge.sent(Millis(500), 5_008);
+    judge.record_sent_total(Millis(500), 5_008);
 
-    assert_eq!(judge.tally(Millis(500)).shows_bad(Basis::whole(4)), Some(Bad::OfLate));
+    assert_eq!(
+        judge.tally(Millis(500)).bar_reason(VerdictBasis::complete(4)),
+        Some(BarReason::Recent)
+    );
 }
 
 /// What was seen: of plain calls with few requests, 9 of 43 real ones of a new version were late, 1 in 30 usual, and
@@ -157,47 +163,53 @@
 #[test]
 fn late_calls_tell_on_a_route_where_many_fail_on_any_version() {
     let answered = |endpoint: &str, n: usize, ms: f64| match n % 4 {
-        0 => answer(endpoint, AttemptEnd::Failed),
-        _ => Observed { head_ms: Some(ms), ..answer(endpoint, AttemptEnd::Whole) },
+        0 => answer(endpoint, AttemptOutcome::Failed),
+        _ => ObservedResponse { head_ms: Some(ms), ..answer(endpoint, AttemptOutcome::Complete) },
     };
-    let mut usual = Usual::default();
+    let mut usual = Baseline::default();
     let mut judge = Judge::default();
     for n in 0..80 {
         let seen = answered(&format!("o{}", n % 4), n, 30.0);
-        judge.see_proven(Millis(0), &seen, &usual);
+        judge.record_stable(Millis(0), &seen, &usual);
         usual.learn(&seen);
     }
 
     for n in 0..36 {
         let ms = if n % 3 == 0 { 240.0 } else { 30.0 };
-        judge.see_new(Millis(100), &answered(&format!("n{}", n / 4 % 4), n, ms), &usual);
+        judge.record_canary(Millis(100), &answered(&format!("n{}", n / 4 % 4), n, ms), &usual);
     }
 
-    assert_eq!(judge.tally(Millis(100)).shows_bad(Basis::whole(4)), Some(Bad::Sample(Worse::Late)));
+    assert_eq!(
+        judge.tally(Millis(100)).bar_reason(VerdictBasis::complete(4)),
+        Some(BarReason::Sample(Regression::Late))
+    );
 }
 
 /// Guards against a slow version whose few far late calls pass for late ones, of which any version has some.
 #[test]
 fn far_late_calls_tell_though_some_late_ones_are_usual() {
-    let took = |endpoint: &str, ms: f64| Observed {
+    let took = |endpoint: &str, ms: f64| ObservedResponse {
         head_ms: Some(ms),
-        ..answer(endpoint, AttemptEnd::Whole)
+        ..answer(endpoint, AttemptOutcome::Complete)
     };
-    let mut usual = Usual::default();
+    let mut usual = Baseline::default();
     let mut judge = Judge::default();
     for n in 0..80 {
         let ms = if n % 16 == 0 { 100.0 } else { 30.0 };
         let seen = took(&format!("o{}", n % 4), ms);
-        judge.see_proven(Millis(0), &seen, &usual);
+        judge.record_stable(Millis(0), &seen, &usual);
         usual.learn(&seen);
     }
 
     for n in 0..45 {
         let ms = if n % 5 == 0 { 240.0 } else { 30.0 };
-        judge.see_new(Millis(100), &took(&format!("n{}", n % 4), ms), &usual);
+        judge.record_canary(Millis(100), &took(&format!("n{}", n % 4), ms), &usual);
     }
 
-    assert_eq!(judge.tally(Millis(100)).shows_bad(Basis::whole(4)), Some(Bad::Sample(Worse::Late)));
+    assert_eq!(
+        judge.tally(Millis(100)).bar_reason(VerdictBasis::complete(4)),
+        Some(BarReason::Sample(Regression::Late))
+    );
 }
 
 /// What was seen: a good version of a plain service was rolled back in 2 of 10 plays alone on 295 hosts, in one for
@@ -205,19 +217,21 @@
 /// has heard a third of the others, each a different third, and one of 295 parts stands out by chance.
 #[test]
 fn a_part_of_the_counts_of_a_large_fleet_has_to_show_more_than_all_of_them() {
-    let usual = Usual::default();
+    let usual = Baseline::default();
     let mut judge = Judge::default();
     for n in 0..160 {
-        let end = if n % 35 == 0 { AttemptEnd::Failed } else { AttemptEnd::Whole };
-        judge.see_proven(Millis(0), &answer(&format!("o{}", n % 4), end), &usual);
+        let end = if n % 35 == 0 { AttemptOutcome::Failed } else { AttemptOutcome::Complete };
+        judge.record_stable(Millis(0), &answer(&format!("o{}", n % 4), end), &usual);
     }
     for n in 0..5 {
-        let end = if n == 0 { AttemptEnd::Whole } else { AttemptEnd::Failed };
-        judge.see_new(Millis(100), &answer(&format!("n{n}"), end), &usual);
+        let end = if n == 0 { AttemptOutcome::Complete } else { AttemptOutcome::Failed };
+        judge.record_canary(Millis(100), &answer(&format!("n{n}"), end), &usual);
     }
 
     let tally = judge.tally(Millis(100));
-    let verdict = |counted| tally.shows_bad(Basis { endpoints: 6, hosts: 295, counted });
+    let verdict = |counted| {
+        tally.bar_reason(VerdictBasis { endpoints: 6, hosts: 295, counted_hosts: counted })
+    };
 
     assert_eq!(verdict(98), None);
     assert!(verdict(295).is_some());
@@ -226,18 +240,22 @@
 /// Where all answers fail a host needs few more of them, however little it knows of the others.
 #[test]
 fn a_version_that_always_fails_is_found_by_what_one_host_of_hundreds_knows() {
-    let usual = Usual::default();
+    let usual = Baseline::default();
     let mut judge = Judge::default();
     for n in 0..160 {
-        judge.see_proven(Millis(0), &answer(&format!("o{}", n % 4), AttemptEnd::Whole), &usual);
+        judge.record_stable(
+            Millis(0),
+            &answer(&format!("o{}", n % 4), AttemptOutcome::Complete),
+            &usual,
+        );
     }
     for n in 0..6 {
-        judge.see_new(Millis(100), &answer(&format!("n{n}"), AttemptEnd::Failed), &usual);
+        judge.record_canary(Millis(100), &answer(&format!("n{n}"), AttemptOutcome::Failed), &usual);
     }
 
-    let basis = Basis { endpoints: 6, hosts: 295, counted: 1 };
+    let basis = VerdictBasis { endpoints: 6, hosts: 295, counted_hosts: 1 };
 
-    assert!(judge.tally(Millis(100)).shows_bad(basis).is_some());
+    assert!(judge.tally(Millis(100)).bar_reason(basis).is_some());
 }
 
 #[test]
--- a/crates/tidetrack-plane/src/choose.rs
+++ b/crates/tidetrack-plane/src/choose.rs
@@ -5,10 +5,10 @@
 use tidetrack_core::ids::{EndpointId, EndpointKey, ModelId};
 use tidetrack_core::placement::{place_of, Ask, Near, PoolEndpoint, PoolView};
 use tidetrack_core::traffic::budget::SendAgain;
+use tidetrack_core::traffic::canary::ReleaseTrack;
 use tidetrack_core::traffic::gate;
-use tidetrack_core::traffic::outlook::Planned;
-use tidetrack_core::traffic::prefixes::PartKey;
-use tidetrack_core::traffic::trial::Side;
+use tidetrack_core::traffic::latency_estimate::PlannedAttempt;
+use tidetrack_core::traffic::prefix_index::PrefixKey;
 use tidetrack_core::traffic::view::{Picked, ServiceView};
 use tidetrack_core::units::{Millis, Tokens};
 
@@ -78,14 +78,16 @@
         match pick(traffic, job, &avoided, service, side, &prompt) {
             Ok(chosen) => {
                 if let Some(part) = prompt.part {
-                    service.prefixes.used(now, part, EndpointKey::from(&chosen.id));
+                    service.prefixes.record_use(now, part, EndpointKey::from(&chosen.id));
                 }
                 if service.trial.is_some() {
                     traffic.shared.metrics.version_send(job.service.as_str(), side.as_str());
                 }
                 match side {
-                    Side::Proven => service.exposure.hold(now, who, hold_for),
-                    Side::New => service.exposure.sent_to_new(job.has_failed.get()),
+                    ReleaseTrack::Stable => service.exposure.hold(now, who, hold_for),
+                    ReleaseTrack::Canary => {
+                        service.exposure.record_canary_attempt(job.has_failed.get())
+                    }
                 }
                 return Ok(chosen);
             }
@@ -113,7 +115,7 @@
     let view = traffic.shared.view.load();
     let Some(service) = view.services.get(&job.service) else { return false };
     let prompt = Prompt::new(traffic, job, service, model);
-    let mut searches = searches(service, traffic.shared.now(), tries, Side::Proven);
+    let mut searches = searches(service, traffic.shared.now(), tries, ReleaseTrack::Stable);
     searches.any(|(side, avoided)| pick(traffic, job, &avoided, service, side, &prompt).is_ok())
 }
 
@@ -124,12 +126,14 @@
     service: &'a ServiceView,
     now: Millis,
     tries: &'a Tries,
-    first: Side,
-) -> impl Iterator<Item = (Side, Vec<EndpointId>)> + 'a {
+    first: ReleaseTrack,
+) -> impl Iterator<Item = (ReleaseTrack, Vec<EndpointId>)> + 'a {
     let sides = match first {
-        Side::New => [Side::New, Side::Proven].as_slice(),
-        Side::Proven if service.may_fall_back(now) => &[Side::Proven, Side::New],
-        Side::Proven => &[Side::Proven],
+        ReleaseTrack::Canary => [ReleaseTrack::Canary, ReleaseTrack::Stable].as_slice(),
+        ReleaseTrack::Stable if service.may_fall_back(now) => {
+            &[ReleaseTrack::Stable, ReleaseTrack::Canary]
+        }
+        ReleaseTrack::Stable => &[ReleaseTrack::Stable],
     };
     sides.iter().flat_map(|side| tries.avoided().map(|avoided| (*side, avoided)))
 }
@@ -147,16 +151,17 @@
     tries: &Tries,
     model: &ModelId,
     earlier: &Chosen,
-) -> Option<(Chosen, Planned)> {
+) -> Option<(Chosen, PlannedAttempt)> {
     let view = traffic.shared.view.load();
     let service = view.services.get(&job.service)?;
-    let side = if earlier.new_version.is_some() { Side::New } else { Side::Proven };
+    let side =
+        if earlier.new_version.is_some() { ReleaseTrack::Canary } else { ReleaseTrack::Stable };
     let prompt = Prompt::new(traffic, job, service, Some(model));
     let chosen = pick(traffic, job, &tries.tried, service, side, &prompt).ok()?;
     let weight = weight_of(traffic, job, Some(model));
-    let planned = Planned {
-        ahead: chosen.live.load(traffic.shared.now()),
-        own: job.work(weight, chosen.prefix.is_at_hand()) as f64,
+    let planned = PlannedAttempt {
+        work_ahead: chosen.live.load(traffic.shared.now()),
+        own_work: job.work(weight, chosen.prefix.is_at_hand()) as f64,
         elapsed: Millis(job.began.elapsed().as_millis() as u64),
         objective: job.admitted.route.objective,
     };
@@ -166,7 +171,7 @@
 /// What a request's prompt means for the choice.
 struct Prompt {
     /// Its shared part, as read for the model.
-    part: Option<PartKey>,
+    part: Option<PrefixKey>,
     /// Work of reading its shared part where it is not kept.
     reread: u64,
     /// Endpoints that are known to keep that part.
@@ -177,7 +182,7 @@
     fn new(traffic: &Traffic, job: &Job, service: &ServiceView, model: Option<&ModelId>) -> Prompt {
         let now = traffic.shared.now();
         let part = job.part(model);
-        let readers = |part| service.prefixes.readers(now, part);
+        let readers = |part| service.prefixes.endpoints_with(now, part);
         Prompt {
             part,
             reread: job.reread(weight_of(traffic, job, model)),
@@ -191,7 +196,7 @@
     job: &Job,
     tried: &[EndpointId],
     service: &ServiceView,
-    side: Side,
+    side: ReleaseTrack,
     prompt: &Prompt,
 ) -> Result<Chosen> {
     let place = job.facts.shared_prefix.as_deref().unwrap_or(&job.id);
@@ -217,8 +222,8 @@
         None => PrefixAt::None,
     };
     let new_version = match side {
-        Side::Proven => None,
-        Side::New => service.trial.as_ref().map(|t| t.version.clone()),
+        ReleaseTrack::Stable => None,
+        ReleaseTrack::Canary => service.trial.as_ref().map(|t| t.version.clone()),
     };
     Ok(Chosen {
         id: picked.id.clone(),
--- a/crates/tidetrack-plane/src/dialect.rs
+++ b/crates/tidetrack-plane/src/dialect.rs
@@ -12,11 +12,11 @@
 use tidetrack_core::codes::Code;
 use tidetrack_core::errors::{Error, Result};
 use tidetrack_core::ids::{EndpointId, ModelId, ServiceId, WorkspaceId};
+use tidetrack_core::traffic::canary::{ProgressWrite, RolloutOrder};
 use tidetrack_core::traffic::cascade::GenerationSize;
 use tidetrack_core::traffic::catalog::Catalog;
 use tidetrack_core::traffic::endpoints::EndpointRecord;
 pub use tidetrack_core::traffic::feeds::Kind;
-use tidetrack_core::traffic::trial::{ProgressWrite, RolloutOrder};
 use tidetrack_core::units::{Millis, Rate, Tokens};
 
 /// What a request's head says.
--- a/crates/tidetrack-plane/src/exchange.rs
+++ b/crates/tidetrack-plane/src/exchange.rs
@@ -19,10 +19,10 @@
 use tidetrack_core::placement::draw;
 use tidetrack_core::retry::{may_retry, Failed};
 use tidetrack_core::traffic::cascade;
-use tidetrack_core::traffic::fingerprint::{Fingerprint, Repeated};
+use tidetrack_core::traffic::fingerprint::{Fingerprint, RequestIdentity};
 use tidetrack_core::traffic::gate;
 use tidetrack_core::traffic::joining::held_for;
-use tidetrack_core::traffic::judge::AttemptEnd;
+use tidetrack_core::traffic::judge::AttemptOutcome;
 
 use tidetrack_core::units::Millis;
 
@@ -157,7 +157,7 @@
     let time = facts.time_left.map_or(held, |t| held.min(Duration::from_millis(t.0)));
     let (until, due) = (began + time, Moment::now().after(time.saturating_sub(began.elapsed())));
     let body = read_body(body, limits.body_bytes, until).await?;
-    let fingerprint = Fingerprint::of(&Repeated {
+    let fingerprint = Fingerprint::of(&RequestIdentity {
         workspace: admitted.holder.as_ref().map(|h| &h.workspace),
         hostname: entry.hostname,
         method: head.method.as_str(),
@@ -248,7 +248,7 @@
                 tries.is_paid = true;
                 tries.note_ran(Ran::Yes);
                 chosen.live.note(traffic.shared.now(), true);
-                let seen = Seen::ended(AttemptEnd::Dropped, began.elapsed());
+                let seen = Seen::ended(AttemptOutcome::Superseded, began.elapsed());
                 observe(traffic, job, &chosen, model.as_ref(), &seen);
                 model = Some(larger);
                 // Dropping the answer closes its connection, and the endpoint stops.
@@ -268,7 +268,7 @@
         }
         tries.note_ran(Ran::Yes);
         let is_failure = status.is_server_error();
-        let end = if is_failure { AttemptEnd::Failed } else { AttemptEnd::Whole };
+        let end = if is_failure { AttemptOutcome::Failed } else { AttemptOutcome::Complete };
         let seen = Seen::ended(end, began.elapsed());
         observe(traffic, job, &chosen, model.as_ref(), &seen);
         chosen.live.note(traffic.shared.now(), !is_failure);
@@ -318,7 +318,7 @@
         Ok(answered) => {
             if job.is_engine() {
                 let us = began.elapsed().as_micros() as f64;
-                traffic.outlook.borrow_mut().began(&job.service, work, us);
+                traffic.outlook.borrow_mut().record_response_start(&job.service, work, us);
             }
             share.answer_began();
             note_load(traffic, &chosen, &answered);
@@ -389,7 +389,7 @@
         }
     };
     chosen.live.note(traffic.shared.now(), true);
-    let seen = Seen::ended(AttemptEnd::Whole, began.elapsed());
+    let seen = Seen::ended(AttemptOutcome::Complete, began.elapsed());
     observe(traffic, job, &chosen, model, &seen);
     drop(share);
     Ok(resp)
--- a/crates/tidetrack-plane/src/job.rs
+++ b/crates/tidetrack-plane/src/job.rs
@@ -16,11 +16,11 @@
 use tidetrack_core::ids::{EndpointId, FailureDomain, ModelId, ServiceId, VersionName};
 use tidetrack_core::placement::{work_of, EndpointLive};
 use tidetrack_core::traffic::budget::SendBudget;
-use tidetrack_core::traffic::exposure::SessionDraw;
+use tidetrack_core::traffic::exposure::SessionHash;
 use tidetrack_core::traffic::fingerprint::Fingerprint;
 use tidetrack_core::traffic::gate::Admitted;
-use tidetrack_core::traffic::outlook::Outlook;
-use tidetrack_core::traffic::prefixes::PartKey;
+use tidetrack_core::traffic::latency_estimate::LatencyEstimator;
+use tidetrack_core::traffic::prefix_index::PrefixKey;
 use tidetrack_core::traffic::reach::Reach;
 use tidetrack_core::traffic::suspects::Running;
 use tidetrack_core::units::{Millis, Tokens};
@@ -49,7 +49,7 @@
     pub pool: Pool,
     budgets: RefCell<HashMap<ServiceId, SendBudget>>,
     /// What is expected of second runs.
-    pub outlook: RefCell<Outlook>,
+    pub outlook: RefCell<LatencyEstimator>,
     /// Connects of late that gave no sign of life.
     pub reach: RefCell<Reach>,
     /// Whether endpoints ended whose connections broke.
@@ -159,14 +159,14 @@
     }
 
     /// Gets its draw of versions.
-    pub fn version_draw(&self) -> SessionDraw {
-        SessionDraw::new(self.facts.session.as_deref(), &self.id)
+    pub fn version_draw(&self) -> SessionHash {
+        SessionHash::new(self.facts.session.as_deref(), &self.id)
     }
 
     /// Names the shared part of its prompt, as read for a model.
-    pub fn part(&self, model: Option<&ModelId>) -> Option<PartKey> {
+    pub fn part(&self, model: Option<&ModelId>) -> Option<PrefixKey> {
         let prefix = self.facts.shared_prefix.as_deref()?;
-        Some(PartKey::new(prefix, model))
+        Some(PrefixKey::new(prefix, model))
     }
 
     /// Gets the work that an endpoint without the request's shared prefix does in addition.
@@ -185,7 +185,7 @@
     pub fn work(&self, weight: f64, has_prefix: bool) -> u64 {
         let kept = self.facts.shared_tokens.filter(|_| has_prefix).unwrap_or(Tokens(0));
         let full = match &self.facts.size {
-            Some(size) => work_of(Tokens(size.prompt.0.saturating_sub(kept.0)), Tokens(0)),
+            Some(size) => work_of(Tokens(size.prompt_tokens.0.saturating_sub(kept.0)), Tokens(0)),
             None => PLAIN_WORK,
         };
         ((full as f64 * weight) as u64).max(1)
@@ -194,7 +194,7 @@
     /// Gets the work that is left once the prompt has been read.
     pub fn work_left(&self, weight: f64) -> u64 {
         let of_size = self.facts.size.as_ref();
-        of_size.map_or(0, |s| (s.generated() * GENERATED_PART * weight) as u64)
+        of_size.map_or(0, |s| (s.estimated_generated_tokens() * GENERATED_PART * weight) as u64)
     }
 }
 
--- a/crates/tidetrack-plane/src/relay.rs
+++ b/crates/tidetrack-plane/src/relay.rs
@@ -25,7 +25,7 @@
 use tidetrack_core::ids::ModelId;
 use tidetrack_core::placement::EndpointLive;
 use tidetrack_core::traffic::catalog::Work;
-use tidetrack_core::traffic::judge::AttemptEnd;
+use tidetrack_core::traffic::judge::AttemptOutcome;
 
 use crate::attempt::Answered;
 use crate::body::{AnswerBody, BrokenOff, Piece};
@@ -176,7 +176,7 @@
         self.last_event = event.id.or(self.last_event);
         self.events += 1;
         if self.source.events == EVENTS_TO_TELL {
-            self.observe(AttemptEnd::UnderWay);
+            self.observe(AttemptOutcome::InProgress);
         }
         Ok(())
     }
@@ -328,7 +328,7 @@
 
     /// Ends a stream that came to its end.
     fn finish(mut self) {
-        self.observe(AttemptEnd::Whole);
+        self.observe(AttemptOutcome::Complete);
         if self.source.shows_good_end {
             let shared = &self.traffic.shared;
             shared.suspects.ended_well(shared.now(), self.job.fingerprint);
@@ -339,7 +339,7 @@
     }
 
     /// Tells how far the present endpoint's answer came: when its pace is known, or else at its end.
-    fn observe(&mut self, end: AttemptEnd) {
+    fn observe(&mut self, end: AttemptOutcome) {
         let source = &mut self.source;
         let is_told = std::mem::replace(&mut source.is_told, true);
         let head = source.first_event.map(|at| at - source.sent_at);
@@ -348,7 +348,7 @@
     }
 
     fn caller_left(mut self) {
-        self.observe(AttemptEnd::Left);
+        self.observe(AttemptOutcome::CallerLeft);
         let fields: [(&'static str, &dyn std::fmt::Display); 2] =
             [("request", &self.job.id), ("events", &self.events)];
         self.traffic.shared.journal.line(Event::CallerLeft, &fields);
@@ -356,7 +356,7 @@
 
     /// Breaks the caller's connection off, so that the stream does not look whole.
     async fn cut(mut self, tx: &mpsc::Sender<Piece>, why: &Error) {
-        self.observe(AttemptEnd::Cut);
+        self.observe(AttemptOutcome::Interrupted);
         self.traffic.shared.journal.line(
             Event::AnswerCut,
             &[
--- a/crates/tidetrack-plane/src/report.rs
+++ b/crates/tidetrack-plane/src/report.rs
@@ -8,7 +8,7 @@
 use tidetrack_core::events::Event;
 use tidetrack_core::ids::ModelId;
 use tidetrack_core::traffic::control::Input;
-use tidetrack_core::traffic::judge::{AttemptEnd, Observed};
+use tidetrack_core::traffic::judge::{AttemptOutcome, ObservedResponse};
 use tidetrack_core::traffic::reach::{Blame, Connect};
 use tidetrack_core::units::Millis;
 
@@ -49,7 +49,7 @@
         Code::Deadline => {
             let since = Millis(shared.now().0.saturating_sub(took.as_millis() as u64));
             if chosen.live.was_heard_since(since) {
-                let seen = Seen::ended(AttemptEnd::GivenUp, took);
+                let seen = Seen::ended(AttemptOutcome::TimedOut, took);
                 observe(traffic, job, chosen, model, &seen);
             } else {
                 chosen.live.note_silent(shared.now());
@@ -125,7 +125,7 @@
 /// What was seen of an attempt, as far as it came.
 pub struct Seen {
     /// How it ended.
-    pub end: AttemptEnd,
+    pub end: AttemptOutcome,
     /// Time to the answer, of a stream to its first event.
     pub head: Option<Duration>,
     /// Mean milliseconds between the events of a stream.
@@ -136,7 +136,7 @@
 
 impl Seen {
     /// Makes what was seen of an attempt that has only a time.
-    pub fn ended(end: AttemptEnd, took: Duration) -> Seen {
+    pub fn ended(end: AttemptOutcome, took: Duration) -> Seen {
         Seen { end, head: Some(took), gap_ms: None, is_told: false }
     }
 }
@@ -152,7 +152,8 @@
     let shared = &traffic.shared;
     let load = chosen.live.load(shared.now());
     let head_ms = seen.head.map(|d| d.as_secs_f64() * 1_000.0);
-    let has_failed = job.has_failed.replace(job.has_failed.get() || seen.end == AttemptEnd::Failed);
+    let has_failed =
+        job.has_failed.replace(job.has_failed.get() || seen.end == AttemptOutcome::Failed);
     if let Some(version) = &chosen.new_version {
         shared.metrics.version_attempt(job.service.as_str(), seen.end.as_str());
         shared.journal.routine(
@@ -175,15 +176,15 @@
     if seen.is_told {
         return;
     }
-    shared.tell(Input::Observed(Observed {
+    shared.tell(Input::Observed(ObservedResponse {
         service: job.service.clone(),
-        new_version: chosen.new_version.clone(),
+        canary_version: chosen.new_version.clone(),
         endpoint: chosen.id.clone(),
-        is_loaded: chosen.is_loaded,
+        is_concentrated: chosen.is_loaded,
         route: job.admitted.route.name.clone(),
         model: model.cloned(),
-        end: seen.end,
-        has_failed,
+        outcome: seen.end,
+        has_failed_before: has_failed,
         is_stream: job.admitted.route.work.is_stream(),
         load,
         head_ms,
--- a/crates/tidetrack-plane/src/second_run.rs
+++ b/crates/tidetrack-plane/src/second_run.rs
@@ -9,7 +9,7 @@
 use tidetrack_core::events::Event;
 use tidetrack_core::ids::ModelId;
 use tidetrack_core::traffic::budget::SendAgain;
-use tidetrack_core::traffic::cascade::{self, Prospect};
+use tidetrack_core::traffic::cascade::{self, SecondOpinionEstimate};
 
 use crate::attempt::Answered;
 use crate::choose::plan;
@@ -32,11 +32,15 @@
     let view = traffic.shared.view.load_full();
     let service = view.catalog.as_ref()?.services.get(&job.service)?;
     let opts = &traffic.shared.settings.cascade;
-    let larger = cascade::second_model(route, model)?;
+    let larger = cascade::second_opinion_model(route, model)?;
     let (next, planned) = plan(traffic, job, tries, larger, chosen)?;
-    let expected = traffic.outlook.borrow().expect(&job.service, planned);
-    let prospect = Prospect { confidence, in_time: expected.in_time(), wait: expected.wait };
-    let weighed = cascade::weigh(route, service, model, prospect, size, opts)?;
+    let expected = traffic.outlook.borrow().estimate(&job.service, planned);
+    let prospect = SecondOpinionEstimate {
+        confidence,
+        in_time_probability: expected.in_time_probability(),
+        wait: expected.wait,
+    };
+    let weighed = cascade::weigh_second_opinion(route, service, model, prospect, size, opts)?;
     let now = traffic.shared.now();
     let may_drop = tries.sent < route.most_attempts && route.work.is_repeatable();
     let budget = || traffic.with_budget(&job.service, |b| b.take(now, SendAgain::SecondOpinion));
@@ -59,17 +63,17 @@
             ("model", model),
             ("kept_for", &kept_for.unwrap_or("-")),
             ("confidence", &confidence),
-            ("prompt", &size.prompt),
-            ("ahead", &format_args!("{:.0}", planned.ahead)),
-            ("own", &format_args!("{:.0}", planned.own)),
+            ("prompt", &size.prompt_tokens),
+            ("ahead", &format_args!("{:.0}", planned.work_ahead)),
+            ("own", &format_args!("{:.0}", planned.own_work)),
             ("wait", &format_args!("{:.2}", expected.wait)),
-            ("begins", &format_args!("{:.2}", expected.begins)),
-            ("larger", weighed.larger),
+            ("begins", &format_args!("{:.2}", expected.response_start)),
+            ("larger", weighed.larger_model),
             ("gain", &format_args!("{:.3}", weighed.gain)),
             ("cost", &format_args!("{:.3}", weighed.cost)),
         ],
     );
-    kept_for.is_none().then(|| weighed.larger.clone())
+    kept_for.is_none().then(|| weighed.larger_model.clone())
 }
 
 /// Tells whether a connection to the endpoint of a second run is up, or comes up in time.
--- a/crates/tidetrack-plane/tests/messages.rs
+++ b/crates/tidetrack-plane/tests/messages.rs
@@ -1,10 +1,10 @@
 //! Sizes of the messages between hosts.
 
 use tidetrack_core::ids::{EndpointId, EndpointKey};
-use tidetrack_core::traffic::judge::{AttemptEnd, Judge, Observed, Tally};
+use tidetrack_core::traffic::baseline::Baseline;
+use tidetrack_core::traffic::judge::{AttemptOutcome, Judge, ObservedResponse, Tally};
 use tidetrack_core::traffic::peers::{News, PeerMessage, ToldProof, ToldTally};
-use tidetrack_core::traffic::prefixes::{PartKey, Prefixes};
-use tidetrack_core::traffic::usual::Usual;
+use tidetrack_core::traffic::prefix_index::{PrefixIndex, PrefixKey};
 use tidetrack_core::units::Millis;
 
 /// Bytes that one endpoint in use may add to a message.
@@ -62,13 +62,17 @@
 
 #[test]
 fn what_is_told_of_prefixes_stays_small_however_many_were_read() {
-    let prefixes = Prefixes::default();
+    let prefixes = PrefixIndex::default();
     for i in 0..5_000u64 {
         let endpoint = format!("i-{i:010}").parse::<EndpointId>().expect("a name");
-        prefixes.used(Millis(i), PartKey::new(&i.to_string(), None), EndpointKey::from(&endpoint));
+        prefixes.record_use(
+            Millis(i),
+            PrefixKey::new(&i.to_string(), None),
+            EndpointKey::from(&endpoint),
+        );
     }
 
-    let told = prefixes.told(Millis(5_000), Millis(20_000));
+    let told = prefixes.reports(Millis(5_000), Millis(20_000));
     let bytes = postcard::to_allocvec(&told).expect("it can be written").len();
 
     println!("bytes of what a message tells of prefixes: {bytes}");
@@ -78,25 +82,25 @@
 #[test]
 fn what_is_told_of_a_roll_out_stays_small_however_many_routes_and_endpoints_it_has() {
     let mut judge = Judge::default();
-    let usual = Usual::default();
+    let usual = Baseline::default();
     for i in 0..5_000 {
-        let seen = Observed {
+        let seen = ObservedResponse {
             service: "model-service".parse().expect("a name"),
-            new_version: None,
+            canary_version: None,
             endpoint: format!("i-{i:010}").parse().expect("a name"),
-            is_loaded: false,
+            is_concentrated: false,
             route: format!("route-{i}").parse().expect("a name"),
             model: None,
-            end: AttemptEnd::Whole,
-            has_failed: false,
+            outcome: AttemptOutcome::Complete,
+            has_failed_before: false,
             is_stream: true,
             load: 0.0,
             head_ms: Some(50.0),
             gap_ms: Some(20.0),
         };
-        judge.see_proven(Millis(i), &seen, &usual);
-        judge.see_new(Millis(i), &seen, &usual);
-        judge.see_new(Millis(i), &Observed { is_loaded: true, ..seen }, &usual);
+        judge.record_stable(Millis(i), &seen, &usual);
+        judge.record_canary(Millis(i), &seen, &usual);
+        judge.record_canary(Millis(i), &ObservedResponse { is_concentrated: true, ..seen }, &usual);
     }
 
     let told = postcard::to_allocvec(judge.tally(Millis(5_000))).expect("it can be written");
--- a/crates/tidetrack-plane/tests/told_sizes.rs
+++ b/crates/tidetrack-plane/tests/told_sizes.rs
@@ -2,7 +2,7 @@
 
 use tidetrack_core::ids::{EndpointId, EndpointKey, WorkspaceId};
 use tidetrack_core::traffic::endpoint_limits::EndpointLimits;
-use tidetrack_core::traffic::fingerprint::{Fingerprint, Repeated};
+use tidetrack_core::traffic::fingerprint::{Fingerprint, RequestIdentity};
 use tidetrack_core::traffic::suspects::Suspects;
 use tidetrack_core::units::{Millis, Rate};
 
@@ -13,7 +13,7 @@
 
 fn fingerprint(n: usize) -> Fingerprint {
     let workspace: WorkspaceId = format!("w-{}", n % 12).parse().expect("a name");
-    Fingerprint::of(&Repeated {
+    Fingerprint::of(&RequestIdentity {
         workspace: Some(&workspace),
         hostname: "shop.example",
         method: "POST",
--- a/crates/tidetrack-router/src/chat/mod.rs
+++ b/crates/tidetrack-router/src/chat/mod.rs
@@ -14,7 +14,7 @@
 use tidetrack_core::placement::{draw, PoolEndpoint};
 use tidetrack_core::policy::{Features, Plan};
 use tidetrack_core::session::Session;
-use tidetrack_core::traffic::fingerprint::{Fingerprint, Repeated};
+use tidetrack_core::traffic::fingerprint::{Fingerprint, RequestIdentity};
 use tidetrack_core::units::Tokens;
 use tidetrack_core::view::{Chosen, View};
 use tidetrack_wire::caller::{ChatRequest, Usage};
@@ -144,7 +144,7 @@
                 route: route.to_string(),
                 ..Labels::default()
             },
-            fingerprint: Fingerprint::of(&Repeated {
+            fingerprint: Fingerprint::of(&RequestIdentity {
                 workspace: Some(&caller.workspace),
                 hostname: "",
                 method: request.method().as_str(),
--- a/crates/tidetrack-router/src/services.rs
+++ b/crates/tidetrack-router/src/services.rs
@@ -11,7 +11,7 @@
 use tidetrack_core::retry::{may_retry, Failed};
 use tidetrack_core::seal::digest;
 use tidetrack_core::tickets::{Admission, KeptAnswer, Ticket};
-use tidetrack_core::traffic::fingerprint::{Fingerprint, Repeated};
+use tidetrack_core::traffic::fingerprint::{Fingerprint, RequestIdentity};
 use tidetrack_core::units::Tokens;
 use tidetrack_core::view::{ServiceView, View};
 use tidetrack_wire::headers;
@@ -83,7 +83,7 @@
     let mut labels = Labels { workspace: caller.workspace.to_string(), ..Labels::default() };
     let result = find(caller, &view, &request).and_then(|(name, service, path)| {
         labels.route = name.to_string();
-        let fingerprint = Fingerprint::of(&Repeated {
+        let fingerprint = Fingerprint::of(&RequestIdentity {
             workspace: Some(&caller.workspace),
             hostname: "",
             method: request.method().as_str(),
