--- a/crates/tidetrack-core/src/traffic/baseline.rs
+++ b/crates/tidetrack-core/src/traffic/baseline.rs
@@ -209,8 +209,8 @@
     }
 
     fn exceeds_mean(&self, kind: MeanKind, ms: Option<f64>, ratio: f64, slack_ms: f64) -> bool {
-        let pair = ms.zip(self.mean(kind));
-        pair.is_some_and(|(ms, mean)| ms > mean * ratio + slack_ms)
+        let ms_and_mean = ms.zip(self.mean(kind));
+        ms_and_mean.is_some_and(|(ms, mean)| ms > mean * ratio + slack_ms)
     }
 
     fn is_slow(&self, response: &ObservedResponse) -> bool {
--- a/crates/tidetrack-core/src/traffic/canary.rs
+++ b/crates/tidetrack-core/src/traffic/canary.rs
@@ -171,7 +171,7 @@
     /// are at work on the proven versions.
     pub sample_starts_at: Millis,
     /// Share of the sessions in the sample.
-    pub sample: f64,
+    pub initial_sample: f64,
     /// When the sample grows: from then on a session may move to the new version, as all do at the move, and
     /// stays there.
     pub sample_grows_at: Millis,
@@ -208,7 +208,7 @@
     pub fn sample_at(&self, now: Millis) -> f64 {
         match now {
             _ if now < self.sample_starts_at => 0.0,
-            _ if now < self.sample_grows_at => self.sample,
+            _ if now < self.sample_grows_at => self.initial_sample,
             _ => self.grown_sample,
         }
     }
@@ -232,7 +232,7 @@
     /// The same, as traffic's view shows it.
     published_start: Millis,
     /// When this host took the version for bad, if it did.
-    judged_bad_at: Option<Millis>,
+    barred_at: Option<Millis>,
     /// Whether it did so on the counts, and not on another host's word.
     is_own_verdict: bool,
     /// What the version may get of all requests before the deadline.
@@ -254,7 +254,7 @@
             order,
             started_at: now,
             published_start: now,
-            judged_bad_at: None,
+            barred_at: None,
             is_own_verdict: false,
             bound,
             judge: Judge::default(),
@@ -358,7 +358,7 @@
             version: self.order.version.clone(),
             phase: self.phase(),
             sample_starts_at: self.started_at + propagation_time + MIN_PROPAGATION_TIME,
-            sample: shares.initial,
+            initial_sample: shares.initial,
             sample_grows_at: self.started_at + self.fraction_of_duration(SAMPLE_GROWTH_FRACTION),
             grown_sample: shares.grown,
             unconcentrated_sample: shares.grown * UNCONCENTRATED_FRACTION,
@@ -376,7 +376,7 @@
         match self.progress() {
             Some(p) if p.state == RolloutState::RolledBack => Phase::Barred,
             Some(p) if p.state == RolloutState::Completed => Phase::Done,
-            _ if self.judged_bad_at.is_some() => Phase::Barred,
+            _ if self.barred_at.is_some() => Phase::Barred,
             _ => Phase::Sample,
         }
     }
@@ -387,14 +387,13 @@
         &mut self,
         now: Millis,
         tally: &Tally,
-        verdict_basis: VerdictBasis,
+        basis: VerdictBasis,
         basis_since_cutover: VerdictBasis,
     ) -> Option<BarReason> {
         let is_undecided = self.phase() == Phase::Sample;
         self.is_inconclusive = is_undecided && tally.is_inconclusive();
-        let bar_reason = tally
-            .bar_reason(verdict_basis)
-            .or_else(|| tally.bar_reason_since_cutover(basis_since_cutover));
+        let bar_reason =
+            tally.bar_reason(basis).or_else(|| tally.bar_reason_since_cutover(basis_since_cutover));
         let bar_reason = bar_reason.filter(|_| is_undecided)?;
         self.is_own_verdict = self.bar(now);
         self.is_own_verdict.then_some(bar_reason)
@@ -404,7 +403,7 @@
     pub fn bar(&mut self, now: Millis) -> bool {
         let is_newly_barred = self.phase() == Phase::Sample;
         if is_newly_barred {
-            self.judged_bad_at = Some(now);
+            self.barred_at = Some(now);
             self.write_retry_at = None;
         }
         is_newly_barred
@@ -429,7 +428,7 @@
     /// Gets how long a host leaves the next write to others. Once all traffic has moved, whoever finds the version bad
     /// writes it at once: a completion that comes first cannot be taken back.
     pub fn write_delay(&self, now: Millis, writer: ProgressWriter, hosts: usize) -> Millis {
-        if self.judged_bad_at.is_none() && self.has_cut_over(now, hosts) {
+        if self.barred_at.is_none() && self.has_cut_over(now, hosts) {
             let remaining_ms = (self.order.duration - self.cutover_age(hosts)).0 as f64;
             let delay = match writer {
                 ProgressWriter { collects_tallies: true, .. } => 0.0,
@@ -440,8 +439,7 @@
                 (remaining_ms * (delay + writer.stagger_fraction * COMPLETION_STAGGER)) as u64,
             );
         }
-        if self.is_own_verdict && self.judged_bad_at.is_some_and(|at| self.has_cut_over(at, hosts))
-        {
+        if self.is_own_verdict && self.barred_at.is_some_and(|at| self.has_cut_over(at, hosts)) {
             return Millis(0);
         }
         let delay = if writer.watches_store { Millis(0) } else { NON_WATCHER_WRITE_DELAY };
@@ -489,7 +487,7 @@
         if let Some(RolloutState::Completed | RolloutState::RolledBack) = written.map(|p| p.state) {
             return None;
         }
-        if let Some(since) = self.judged_bad_at {
+        if let Some(since) = self.barred_at {
             let is_write_due = now >= since + write_delay;
             return is_write_due.then(|| with_state(RolloutState::RolledBack));
         }
--- a/crates/tidetrack-core/src/traffic/cascade.rs
+++ b/crates/tidetrack-core/src/traffic/cascade.rs
@@ -71,7 +71,7 @@
     pub fn estimated_generated_tokens(&self) -> f64 {
         let max_tokens = self.max_generated_tokens.0 as f64;
         match self.generated_tokens_hint {
-            Some(generated_tokens_hint) => (generated_tokens_hint.0 as f64).min(max_tokens),
+            Some(hint) => (hint.0 as f64).min(max_tokens),
             None => max_tokens * DEFAULT_GENERATED_FRACTION,
         }
     }
@@ -145,7 +145,7 @@
     service: &Service,
     model: &ModelId,
     estimate: SecondOpinionEstimate,
-    value_tokens: &GenerationSize,
+    size: &GenerationSize,
     opts: &CascadeOptions,
 ) -> Option<SecondOpinionTradeoff<'a>> {
     let larger_model = second_opinion_model(route, model)?;
@@ -154,13 +154,13 @@
     let second_value =
         estimate.in_time_probability + (1.0 - estimate.in_time_probability) * LATE_RESPONSE_VALUE;
     let per_1k = service.price_of(larger_model);
-    let gain = (second_value - current_value) * value_tokens.estimated_value(per_1k, opts);
+    let gain = (second_value - current_value) * size.estimated_value(per_1k, opts);
     // The second run also delays others' runs, the more the busier the engines are.
-    let wait_cost_factor =
+    let cost_multiplier =
         opts.delay_cost_ratio * (1.0 + opts.wait_cost_factor * estimate.wait * estimate.wait);
     Some(SecondOpinionTradeoff {
         larger_model,
         gain,
-        cost: value_tokens.estimated_price(per_1k) * wait_cost_factor,
+        cost: size.estimated_price(per_1k) * cost_multiplier,
     })
 }
--- a/crates/tidetrack-core/src/traffic/exposure.rs
+++ b/crates/tidetrack-core/src/traffic/exposure.rs
@@ -156,17 +156,17 @@
         has_canary_endpoint: bool,
         hold_for: Millis,
     ) -> ReleaseTrack {
-        match canary.map(|t| t.phase_at(now)) {
+        match canary.map(|view| view.phase_at(now)) {
             Some(Phase::Moved | Phase::Done) => return ReleaseTrack::Canary,
             Some(Phase::Barred) => return ReleaseTrack::Stable,
             Some(Phase::Sample) => drop(self.total_requests.fetch_add(1, Ordering::Relaxed)),
             None => {}
         }
         let sampled =
-            canary.filter(|t| has_canary_endpoint && self.is_sampled(now, session_hash, t));
+            canary.filter(|view| has_canary_endpoint && self.is_sampled(now, session_hash, view));
         let may_switch =
-            |t: &CanaryView| now >= t.sample_grows_at || !self.is_held(now, session_hash);
-        if sampled.is_some_and(|t| self.is_below_bound(t.bound.share) && may_switch(t)) {
+            |view: &CanaryView| now >= view.sample_grows_at || !self.is_held(now, session_hash);
+        if sampled.is_some_and(|view| self.is_below_bound(view.bound.share) && may_switch(view)) {
             return ReleaseTrack::Canary;
         }
         self.hold(now, session_hash, hold_for);
--- a/crates/tidetrack-core/src/traffic/fingerprint.rs
+++ b/crates/tidetrack-core/src/traffic/fingerprint.rs
@@ -121,7 +121,7 @@
     }
 
     #[test]
-    fn a_fingerprint_is_read_as_it_is_written() {
+    fn a_fingerprint_parses_from_its_displayed_text() {
         let fingerprint = fingerprint_of("north", "/a", "b");
 
         assert_eq!(
--- a/crates/tidetrack-core/src/traffic/judge.rs
+++ b/crates/tidetrack-core/src/traffic/judge.rs
@@ -84,7 +84,7 @@
     /// The endpoint that answered.
     pub endpoint: EndpointId,
     /// Whether it was given more of the new version's sample than its part (`loading`).
-    pub is_concentrated: bool,
+    pub is_load_concentrated: bool,
     /// The request's route.
     pub route: RouteId,
     /// The model, if it is an engine.
@@ -365,7 +365,7 @@
         let endpoint = EndpointKey::from(&response.endpoint).get();
         self.tally(now);
         let (route, group) = (response.route_class(), endpoint_group(endpoint));
-        if response.is_concentrated {
+        if response.is_load_concentrated {
             self.tally.samples.add_concentrated(group, comparison.is_failed);
             return;
         }
--- a/crates/tidetrack-core/src/traffic/prefix_index.rs
+++ b/crates/tidetrack-core/src/traffic/prefix_index.rs
@@ -61,7 +61,7 @@
     /// Since when this host tells of the use; `None` if it only heard of it.
     reported_since: Option<Millis>,
     /// Until when further uses are no news to the others.
-    reported_until: Millis,
+    next_report_at: Millis,
 }
 
 /// The memory of one service at one host.
@@ -81,9 +81,9 @@
     /// Takes note that a request of this host has an endpoint use a part.
     pub fn record_use(&self, now: Millis, prefix: PrefixKey, endpoint: EndpointKey) {
         self.update_entry(now, prefix, endpoint, |entry| {
-            if now >= entry.reported_until {
+            if now >= entry.next_report_at {
                 entry.reported_since = Some(now);
-                entry.reported_until = now + REPORT_INTERVAL;
+                entry.next_report_at = now + REPORT_INTERVAL;
             }
         });
     }
@@ -91,9 +91,9 @@
     /// Takes what another host tells.
     pub fn record_reports(&self, now: Millis, reports: &[PrefixReport]) {
         for report in reports {
-            let reported_until = now + REPORT_INTERVAL;
+            let next_report_at = now + REPORT_INTERVAL;
             self.update_entry(now, report.prefix, report.endpoint, |entry| {
-                entry.reported_until = reported_until
+                entry.next_report_at = next_report_at
             });
         }
     }
@@ -145,7 +145,7 @@
                 endpoint,
                 used_at: now,
                 reported_since: None,
-                reported_until: now,
+                next_report_at: now,
             });
             entries.len() - 1
         });
--- a/crates/tidetrack-core/src/traffic/samples.rs
+++ b/crates/tidetrack-core/src/traffic/samples.rs
@@ -128,23 +128,23 @@
     pub outcomes: OutcomeCounts,
     /// Those whose pace could be compared.
     #[serde(with = "crate::traffic::compact_count")]
-    pub paced: f32,
+    pub pace_compared: f32,
 }
 
 impl Sample {
     fn add(&mut self, comparison: ResponseComparison) {
         self.outcomes.add(comparison);
-        self.paced += f32::from(u8::from(comparison.is_above_pace.is_some()));
+        self.pace_compared += f32::from(u8::from(comparison.is_above_pace.is_some()));
     }
 
     fn decay(&mut self, fraction: f32) {
         self.outcomes.decay(fraction);
-        self.paced *= fraction;
+        self.pace_compared *= fraction;
     }
 
     fn merge(&mut self, other: &Sample) {
         self.outcomes.merge(&other.outcomes);
-        self.paced += other.paced;
+        self.pace_compared += other.pace_compared;
     }
 }
 
@@ -162,13 +162,13 @@
     group: u8,
     canary: OutcomeCounts,
     /// Answers while its endpoints were loaded, and those of them that failed; these don't fade.
-    concentrated: u16,
+    concentrated_total: u16,
     concentrated_failed: u16,
 }
 
 impl GroupCounts {
     fn concentrated_failed_share(&self) -> f32 {
-        f32::from(self.concentrated_failed) / f32::from(self.concentrated.max(1))
+        f32::from(self.concentrated_failed) / f32::from(self.concentrated_total.max(1))
     }
 }
 
@@ -237,7 +237,7 @@
     /// Counts an answer of the new version from an endpoint that was loaded.
     pub fn add_concentrated(&mut self, group: u8, failed: bool) {
         let counts = self.group_mut(group);
-        counts.concentrated = counts.concentrated.saturating_add(1);
+        counts.concentrated_total = counts.concentrated_total.saturating_add(1);
         counts.concentrated_failed = counts.concentrated_failed.saturating_add(u16::from(failed));
     }
 
@@ -261,7 +261,8 @@
         for group in &other.groups {
             let own_counts = self.group_mut(group.group);
             own_counts.canary.merge(&group.canary);
-            own_counts.concentrated = own_counts.concentrated.saturating_add(group.concentrated);
+            own_counts.concentrated_total =
+                own_counts.concentrated_total.saturating_add(group.concentrated_total);
             own_counts.concentrated_failed =
                 own_counts.concentrated_failed.saturating_add(group.concentrated_failed);
         }
@@ -403,7 +404,7 @@
         min_log_ratio: f32,
     ) -> bool {
         let mut groups: Vec<&GroupCounts> =
-            self.groups.iter().filter(|group| group.concentrated > 0).collect();
+            self.groups.iter().filter(|group| group.concentrated_total > 0).collect();
         if groups.len() < min_regressed_groups(endpoints) {
             return false;
         }
@@ -472,7 +473,7 @@
             self.groups.push(GroupCounts {
                 group,
                 canary,
-                concentrated: 0,
+                concentrated_total: 0,
                 concentrated_failed: 0,
             });
             self.groups.len() - 1
@@ -484,7 +485,7 @@
 impl fmt::Display for Samples {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (canary, stable) = self.totals();
-        let (concentrated_failed, concentrated) = concentrated_totals(&self.groups);
+        let (concentrated_failed, concentrated_total) = concentrated_totals(&self.groups);
         write!(
             f,
             "all_failed={:.1} all_bad={:.1} all={:.1} above={:.1} paced={:.1} proven_above={:.1} \
@@ -493,11 +494,11 @@
             canary.outcomes.bad,
             canary.outcomes.total,
             canary.outcomes.above_pace,
-            canary.paced,
+            canary.pace_compared,
             stable.outcomes.above_pace,
-            stable.paced,
+            stable.pace_compared,
             concentrated_failed,
-            concentrated
+            concentrated_total
         )
     }
 }
@@ -505,7 +506,7 @@
 /// Sums the answers of loaded endpoints that failed, and all of them.
 fn concentrated_totals<'a>(groups: impl IntoIterator<Item = &'a GroupCounts>) -> (f32, f32) {
     groups.into_iter().fold((0.0, 0.0), |(failed, total), group| {
-        (failed + f32::from(group.concentrated_failed), total + f32::from(group.concentrated))
+        (failed + f32::from(group.concentrated_failed), total + f32::from(group.concentrated_total))
     })
 }
 
@@ -558,8 +559,8 @@
 fn pace_log_ratio(canary: &Sample, stable: &Sample) -> f32 {
     log_likelihood_ratio(
         canary.outcomes.above_pace,
-        canary.paced,
-        estimated_share(stable.outcomes.above_pace, stable.paced) + PACE_MARGIN,
+        canary.pace_compared,
+        estimated_share(stable.outcomes.above_pace, stable.pace_compared) + PACE_MARGIN,
     )
 }
 
--- a/crates/tidetrack-core/tests/few_calls.rs
+++ b/crates/tidetrack-core/tests/few_calls.rs
@@ -146,14 +146,10 @@
     fn repeat(&mut self, host: usize, side: ReleaseTrack, failed: ObservedResponse) {
         for _ in 1..MOST_ATTEMPTS {
             let again = self.seed.random::<f64>() < self.case.fails_again;
-            let end = if again { AttemptOutcome::Failed } else { AttemptOutcome::Complete };
+            let outcome = if again { AttemptOutcome::Failed } else { AttemptOutcome::Complete };
             let endpoint = self.endpoint(side);
-            let seen = ObservedResponse {
-                outcome: end,
-                endpoint,
-                has_failed_before: true,
-                ..failed.clone()
-            };
+            let seen =
+                ObservedResponse { outcome, endpoint, has_failed_before: true, ..failed.clone() };
             self.fleet.take(host, Input::Observed(seen));
             if !again {
                 return;
@@ -192,7 +188,7 @@
             service: id("llm"),
             canary_version: is_new.then(|| id("v2")),
             endpoint,
-            is_concentrated: false,
+            is_load_concentrated: false,
             route: id(match (is_empty, is_second) {
                 (true, _) => "probe",
                 (false, true) => "return",
--- a/crates/tidetrack-core/tests/second_runs.rs
+++ b/crates/tidetrack-core/tests/second_runs.rs
@@ -79,9 +79,9 @@
     assert!(in_cents[0] && !in_cents[100]);
 }
 
-fn planned(ahead: f64, elapsed: u64) -> PlannedAttempt {
+fn planned(work_ahead: f64, elapsed: u64) -> PlannedAttempt {
     PlannedAttempt {
-        work_ahead: ahead,
+        work_ahead,
         own_work: 500.0,
         elapsed: Millis(elapsed),
         objective: Millis(4_000),
--- a/crates/tidetrack-core/tests/support/answers.rs
+++ b/crates/tidetrack-core/tests/support/answers.rs
@@ -289,7 +289,7 @@
             service: id("llm"),
             canary_version: new.then(|| id("v2")),
             endpoint: id(&format!("{side}{n}")),
-            is_concentrated: false,
+            is_load_concentrated: false,
             route: id(route),
             model: None,
             outcome: if failed { AttemptOutcome::Failed } else { AttemptOutcome::Complete },
--- a/crates/tidetrack-core/tests/traffic.rs
+++ b/crates/tidetrack-core/tests/traffic.rs
@@ -169,7 +169,7 @@
 
     let done = seen.iter().find(|(_, s)| *s == RolloutState::Completed).expect("it ends").0;
     let moved = view.cutover_at.0;
-    let exposed = (view.sample * moved as f64 + (20_000 - moved) as f64) / 20_000.0;
+    let exposed = (view.initial_sample * moved as f64 + (20_000 - moved) as f64) / 20_000.0;
     assert!((0.11..0.13).contains(&exposed), "{exposed}");
     assert!((moved + 500..19_600).contains(&done), "moved at {moved}, {seen:?}");
     assert_eq!((view.phase_at(Millis(moved)), trial.phase()), (Phase::Moved, Phase::Done));
@@ -183,8 +183,11 @@
 
     let (narrow, wide) = (view(0.05), view(0.3));
 
-    assert!(narrow.sample < 0.021 && narrow.cutover_at > Millis(19_500), "{narrow:?}");
-    assert!(wide.sample <= MAX_SAMPLE_SHARE && wide.cutover_at < Millis(16_500), "{wide:?}");
+    assert!(narrow.initial_sample < 0.021 && narrow.cutover_at > Millis(19_500), "{narrow:?}");
+    assert!(
+        wide.initial_sample <= MAX_SAMPLE_SHARE && wide.cutover_at < Millis(16_500),
+        "{wide:?}"
+    );
 }
 
 #[test]
@@ -256,7 +259,7 @@
         service: id("llm"),
         canary_version: new.then(|| id::<VersionName>("v2")),
         endpoint: id(endpoint),
-        is_concentrated: false,
+        is_load_concentrated: false,
         route: id("all"),
         model: None,
         outcome: if failed { AttemptOutcome::Failed } else { AttemptOutcome::Complete },
--- a/crates/tidetrack-core/tests/under_load.rs
+++ b/crates/tidetrack-core/tests/under_load.rs
@@ -209,7 +209,7 @@
         service: id("llm"),
         canary_version: (run.side == ReleaseTrack::Canary).then(|| id("v2")),
         endpoint: run.endpoint.id.clone(),
-        is_concentrated: run.is_loaded,
+        is_load_concentrated: run.is_loaded,
         route: id("all"),
         model: None,
         outcome: if run.failed { AttemptOutcome::Failed } else { AttemptOutcome::Complete },
--- a/crates/tidetrack-core/tests/verdicts.rs
+++ b/crates/tidetrack-core/tests/verdicts.rs
@@ -99,15 +99,15 @@
 }
 
 /// An answer of a plain call.
-fn answer(endpoint: &str, end: AttemptOutcome) -> ObservedResponse {
+fn answer(endpoint: &str, outcome: AttemptOutcome) -> ObservedResponse {
     ObservedResponse {
         service: "desk".parse().expect("a name"),
         canary_version: None,
         endpoint: endpoint.parse().expect("a name"),
-        is_concentrated: false,
+        is_load_concentrated: false,
         route: "return".parse().expect("a name"),
         model: None,
-        outcome: end,
+        outcome,
         has_failed_before: false,
         is_stream: false,
         load: 0.0,
@@ -229,9 +229,8 @@
     }
 
     let tally = judge.tally(Millis(100));
-    let verdict = |counted| {
-        tally.bar_reason(VerdictBasis { endpoints: 6, hosts: 295, counted_hosts: counted })
-    };
+    let verdict =
+        |counted_hosts| tally.bar_reason(VerdictBasis { endpoints: 6, hosts: 295, counted_hosts });
 
     assert_eq!(verdict(98), None);
     assert!(verdict(295).is_some());
--- a/crates/tidetrack-plane/src/report.rs
+++ b/crates/tidetrack-plane/src/report.rs
@@ -152,7 +152,7 @@
     let shared = &traffic.shared;
     let load = chosen.live.load(shared.now());
     let head_ms = seen.head.map(|d| d.as_secs_f64() * 1_000.0);
-    let has_failed =
+    let has_failed_before =
         job.has_failed.replace(job.has_failed.get() || seen.end == AttemptOutcome::Failed);
     if let Some(version) = &chosen.new_version {
         shared.metrics.version_attempt(job.service.as_str(), seen.end.as_str());
@@ -165,7 +165,7 @@
                 ("version", version),
                 ("model", &model.map_or("-", ModelId::as_str)),
                 ("end", &seen.end.as_str()),
-                ("has_failed", &has_failed),
+                ("has_failed", &has_failed_before),
                 ("head_ms", &format_args!("{:.0}", head_ms.unwrap_or(-1.0))),
                 ("gap_ms", &format_args!("{:.1}", seen.gap_ms.unwrap_or(-1.0))),
                 ("load", &format_args!("{load:.0}")),
@@ -180,11 +180,11 @@
         service: job.service.clone(),
         canary_version: chosen.new_version.clone(),
         endpoint: chosen.id.clone(),
-        is_concentrated: chosen.is_loaded,
+        is_load_concentrated: chosen.is_loaded,
         route: job.admitted.route.name.clone(),
         model: model.cloned(),
         outcome: seen.end,
-        has_failed_before: has_failed,
+        has_failed_before,
         is_stream: job.admitted.route.work.is_stream(),
         load,
         head_ms,
--- a/crates/tidetrack-plane/tests/messages.rs
+++ b/crates/tidetrack-plane/tests/messages.rs
@@ -88,7 +88,7 @@
             service: "model-service".parse().expect("a name"),
             canary_version: None,
             endpoint: format!("i-{i:010}").parse().expect("a name"),
-            is_concentrated: false,
+            is_load_concentrated: false,
             route: format!("route-{i}").parse().expect("a name"),
             model: None,
             outcome: AttemptOutcome::Complete,
@@ -100,7 +100,11 @@
         };
         judge.record_stable(Millis(i), &seen, &usual);
         judge.record_canary(Millis(i), &seen, &usual);
-        judge.record_canary(Millis(i), &ObservedResponse { is_concentrated: true, ..seen }, &usual);
+        judge.record_canary(
+            Millis(i),
+            &ObservedResponse { is_load_concentrated: true, ..seen },
+            &usual,
+        );
     }
 
     let told = postcard::to_allocvec(judge.tally(Millis(5_000))).expect("it can be written");
