--- a/crates/tidetrack-core/src/traffic/canary.rs
+++ b/crates/tidetrack-core/src/traffic/canary.rs
@@ -1,14 +1,18 @@
-//! Roll-outs: how much traffic a new version gets, and what is written down about it.
+//! Canary roll-outs: the share of traffic that a canary version gets over time, and the progress
+//! records that hosts write to the store.
 //!
-//! For most of its time a fixed small share of the sessions is on the new version (`exposure`), in a large fleet
-//! a larger one in the second half, which goes to a few endpoints at a time (`loading`). Shortly
-//! before the deadline all requests move there, at one instant of the order's age, and none goes back; soon
-//! after that the roll-out is completed. Nobody knows of a version whether it is bad in a way that has not
-//! shown yet, so no verdict is needed to keep its share of all requests under the bound: the times alone do.
+//! For most of a roll-out a small, fixed share of the sessions (the sample) runs on the canary
+//! version; see `exposure`. In a large fleet the sample grows in the second half and is sent to a
+//! few endpoints at a time; see `load_concentration`. Shortly before the deadline comes the
+//! cutover: at one age of the order, all requests go to the canary version and none go back. The
+//! roll-out is completed soon afterwards. Because a fault may stay hidden until late, the share of
+//! all requests that a version gets is limited by this schedule alone and does not depend on a
+//! verdict.
 //!
-//! The hosts judge on what they saw together (`judge`); the first that finds the version bad bars it at once,
-//! tells the others, and writes so to the store. That and the end are writes of whichever host is first,
-//! under the object's revision.
+//! All hosts judge the version on their combined counts; see `judge`. The first host that finds the
+//! version bad bars it at once, reports this to the others, and writes it to the store. Both this
+//! write and the completion are made by whichever host is first, conditional on the object's
+//! revision.
 
 use crate::ids::{ServiceId, VersionName};
 use crate::traffic::exposure::{
@@ -18,140 +22,149 @@
 use crate::traffic::verdict_basis::VerdictBasis;
 use crate::units::{Millis, Share};
 
-/// Difference in an order's age for which traffic's view is made anew: messages differ by a few
-/// milliseconds on their way.
+/// Change in the known age of an order from which the traffic view is rebuilt. Smaller changes are
+/// ignored, because message delays vary by a few milliseconds.
 const AGE_TOLERANCE: Millis = Millis(15);
 
-/// Time that the hosts have at least to tell each other their sessions before a sample begins.
+/// Minimum time that hosts have to report their sessions to each other before a sample begins.
 const MIN_PROPAGATION_TIME: Millis = Millis(500);
 
-/// What a version may get from its order to its deadline, where the settings name nothing.
+/// Share of requests that a version may get between its order and its deadline if the settings name
+/// none.
 pub const DEFAULT_EXPOSURE_BOUND: ExposureBound =
     ExposureBound { share: Share(0.15), allowance: 0 };
 
-/// Part of the bound that is kept for runs which the old version had not ended when it stops, and which go on
-/// at the new one: the requests of about a second of a roll-out of 24 s.
+/// Fraction of the exposure bound that is reserved for attempts that still run on the stable
+/// version when it stops and then continue on the canary version. It covers the requests of about
+/// one second in a roll-out of 24 s.
 const RUNNING_ATTEMPTS_RESERVE: f64 = 0.2;
 
-/// Part of the roll-out's time after which the sample grows, in fleets in which it was small: a session stays on
-/// its version through the first half, and hosts know the order's age to some milliseconds.
+/// Fraction of the roll-out's duration after which the sample grows, in fleets that start with a
+/// small one. A session keeps its version through the first half, and hosts know the order's age
+/// only to within some milliseconds.
 const SAMPLE_GROWTH_FRACTION: f64 = 0.53;
 
-/// Part of the grown sample that goes on to endpoints with little to do.
+/// Fraction of the grown sample that continues to go to all canary endpoints, most of which have
+/// little to do, instead of the few that take the concentrated load.
 const UNCONCENTRATED_FRACTION: f64 = 0.1;
 
-/// Part of the time between the move and the deadline after which the roll-out is completed. What the old
-/// version still runs has that time to end, and what fails only once all traffic is there to show; the rest is for the
-/// write to be taken.
+/// Fraction of the time between cutover and deadline after which the roll-out is completed. Until
+/// then, attempts on the stable version can end and faults that need the full traffic can show. The
+/// rest of the time is left for the write to be accepted.
 const COMPLETION_FRACTION: f64 = 0.55;
 
-/// The same while the version is in doubt: more answers come until then.
+/// Like [`COMPLETION_FRACTION`], for a version that looks bad without enough evidence: the later
+/// time lets more responses arrive.
 const INCONCLUSIVE_COMPLETION_FRACTION: f64 = 0.65;
 
-/// Parts of that time for which hosts leave the end to those that collect the counts: hosts that watch the store, the
-/// others, and the turns within each.
+/// Fractions of the time between cutover and deadline by which hosts delay the completion write, so
+/// that a host that collects the tallies writes first: the delay of hosts that watch the store, the
+/// delay of all others, and the range of the stagger within each group.
 const WATCHER_COMPLETION_DELAY: f64 = 0.15;
 const NON_WATCHER_COMPLETION_DELAY: f64 = 0.35;
 const COMPLETION_STAGGER: f64 = 0.03;
 
-/// Longest that a host leaves a write before the end to others; hosts draw their turn within it.
+/// Upper limit of the stagger delay before a write that precedes the completion.
 const MAX_WRITE_STAGGER: Millis = Millis(400);
 
-/// How long a host that does not watch the store leaves such a write to those that do: some rounds more than
-/// a write needs to be known everywhere.
+/// Additional delay of such a write on hosts that do not watch the store. It is some gossip rounds
+/// longer than a write needs to become known to all hosts.
 const NON_WATCHER_WRITE_DELAY: Millis = Millis(1_500);
 
-/// Progress is written down in steps of this part, for hosts that start in between.
+/// Interval of progress writes as a fraction of the roll-out's duration. Hosts that start during
+/// the roll-out read its age and sample from them.
 const PROGRESS_WRITE_INTERVAL: f64 = 0.4;
 
-/// Time between two lines of the log on what is known of a version.
+/// Time between two log lines with the evidence about a version.
 const EVIDENCE_LOG_INTERVAL: Millis = Millis(2_000);
 
-/// What the store holds of a roll-out's state.
+/// State of a roll-out in the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RolloutState {
-    /// It goes on.
+    /// The roll-out is running.
     InProgress,
-    /// The new version is in place; the old endpoints stop.
+    /// The canary version is in place, and the old endpoints stop.
     Completed,
-    /// The new version was bad; its endpoints leave.
+    /// The canary version was bad, and its endpoints are withdrawn.
     RolledBack,
 }
 
-/// How far a roll-out has come, as the hosts write it down.
+/// Progress of a roll-out as hosts write it to the store.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Progress {
-    /// Its state.
+    /// Whether the roll-out is running, completed or rolled back.
     pub state: RolloutState,
-    /// The version the state is about.
+    /// Version that this progress refers to.
     pub version: VersionName,
-    /// Time since the order, as the writer knew it.
+    /// Time since the order, as known to the host that wrote the progress.
     pub elapsed: Millis,
-    /// Share of the sessions that meet the new version first, so that all hosts sample the same ones.
+    /// Share of the sessions in the initial sample, stored so that all hosts sample the same
+    /// sessions. `None` if the writer did not record it.
     pub sample: Option<f64>,
 }
 
-/// An operator's order to bring a version in, with what the hosts have written about it.
+/// An operator's order to roll out a version, with the progress that hosts have written for it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RolloutOrder {
-    /// The service.
+    /// Service whose version changes.
     pub service: ServiceId,
-    /// The new version.
+    /// Version to roll out.
     pub version: VersionName,
     /// Time from the order to its deadline.
     pub duration: Millis,
-    /// Revision of the object's last change.
+    /// Revision of the store object at its last change.
     pub revision: u64,
-    /// Progress written down, if any; it may be about an earlier order.
+    /// Last written progress, if any. It may belong to an earlier order.
     pub progress: Option<Progress>,
 }
 
-/// A change of a roll-out's progress to be written under the order's revision.
+/// A progress update to be written to the store, conditional on the order's revision.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProgressWrite {
-    /// The service.
+    /// Service of the roll-out.
     pub service: ServiceId,
-    /// The revision it is based on.
+    /// Revision that the object must still have for the write to succeed.
     pub revision: u64,
-    /// The progress.
+    /// Progress to store.
     pub progress: Progress,
 }
 
-/// A host's place among those that may write a roll-out's progress.
+/// Properties of a host that determine when it may write a roll-out's progress.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ProgressWriter {
-    /// Whether it watches the store, and so hears first what others wrote.
+    /// Whether the host watches the store and therefore sees the writes of others first.
     pub watches_store: bool,
-    /// Whether all hosts tell it their counts once all traffic has moved.
+    /// Whether all hosts send their tallies to this host after the cutover.
     pub collects_tallies: bool,
-    /// Its turn among its like, from 0 up to 1.
+    /// Hash fraction in [0, 1) that staggers this host's writes against those of similar hosts.
     pub stagger_fraction: f64,
 }
 
-/// Where requests of a service go with respect to a new version.
+/// Phase of a roll-out, which decides where requests of the service go.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// A small share of the sessions is on the new version.
+    /// A small share of the sessions runs on the canary version.
     Sample,
-    /// All requests go to the new version, and the old ones end.
+    /// After the cutover: all requests go to the canary version, and attempts on the stable
+    /// versions run to their end.
     Moved,
-    /// Only the new version is remaining_ms.
+    /// Only endpoints of the canary version remain.
     Done,
-    /// The new version is bad; nothing goes there.
+    /// The canary version is bad and gets no more requests.
     Barred,
 }
 
-/// Which endpoints a request goes to.
+/// Group of versions whose endpoints serve a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReleaseTrack {
-    /// Those of the proven versions.
+    /// Endpoints of the stable versions.
     Stable,
-    /// Those of the version under roll-out.
+    /// Endpoints of the version under roll-out.
     Canary,
 }
 
 impl ReleaseTrack {
-    /// Gets the word for it in metrics.
+    /// Returns the name of the track in metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             ReleaseTrack::Stable => "proven",
@@ -160,51 +173,54 @@
     }
 }
 
-/// A roll-out as traffic sees it.
+/// Immutable view of a roll-out that request routing uses.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CanaryView {
-    /// The new version.
+    /// Canary version.
     pub version: VersionName,
-    /// Where requests go.
+    /// Last known phase, without the cutover, which depends on the time; see
+    /// [`CanaryView::phase_at`].
     pub phase: Phase,
-    /// When the first half's sample begins: by then the hosts have told each other which sessions
-    /// are at work on the proven versions.
+    /// Start of the initial sample. By then the hosts have reported to each other which sessions
+    /// are active on the stable versions.
     pub sample_starts_at: Millis,
-    /// Share of the sessions in the sample.
+    /// Share of the sessions in the initial sample.
     pub initial_sample: f64,
-    /// When the sample grows: from then on a session may move to the new version, as all do at the move, and
-    /// stays there.
+    /// Time at which the sample grows. From then on, an active session may switch to the canary
+    /// version, as all do at the cutover, and stays there.
     pub sample_grows_at: Millis,
-    /// Share of the sessions in the sample from then on.
+    /// Share of the sessions in the sample after it has grown.
     pub grown_sample: f64,
-    /// Share of the sessions whose requests are never given to loaded endpoints.
+    /// Share of the sessions whose requests are never sent to endpoints with concentrated load.
     pub unconcentrated_sample: f64,
-    /// Share of the requests that belong to no session in the sample.
+    /// Share of the requests without a session that go to the canary version.
     pub sessionless_sample: f64,
-    /// The same while the version is in doubt.
+    /// Like `sessionless_sample`, while the version looks bad without enough evidence.
     pub inconclusive_sessionless_sample: f64,
-    /// Such requests that this host sends there besides, up to the move.
+    /// Number of further sessionless requests that this host may send to the canary version before
+    /// the cutover.
     pub extra_requests: f64,
-    /// What the version may get of all requests.
+    /// Limit on the requests that the canary version may get before the deadline.
     pub bound: ExposureBound,
-    /// When all traffic moves. Hosts move at one instant, as near as they know the order's age, and not
-    /// as they hear of it: a session must not find one host moved and the next one not.
+    /// Time of the cutover. Hosts derive it from the order's age instead of acting on a message, so
+    /// that all of them switch at nearly the same instant and no session meets one host before and
+    /// another after the cutover.
     pub cutover_at: Millis,
 }
 
-/// Shares of a service's sessions that meet a new version.
+/// Sample shares and cutover time of a roll-out.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct SampleShares {
-    /// Share of the first part of the time.
+    /// Share of the sessions until the sample grows.
     initial: f64,
-    /// Share from then on.
+    /// Share of the sessions after the sample has grown.
     grown: f64,
-    /// Part of the time at which all traffic moves.
+    /// Cutover time as a fraction of the roll-out's duration.
     cutover_fraction: f64,
 }
 
 impl CanaryView {
-    /// Gets the share of the sessions that meet the new version, before all move.
+    /// Returns the share of the sessions on the canary version at a time before the cutover.
     pub fn sample_at(&self, now: Millis) -> f64 {
         match now {
             _ if now < self.sample_starts_at => 0.0,
@@ -213,7 +229,7 @@
         }
     }
 
-    /// Gets where requests go at an instant.
+    /// Returns the phase at a given time, including the cutover.
     pub fn phase_at(&self, now: Millis) -> Phase {
         match self.phase {
             Phase::Sample if now >= self.cutover_at => Phase::Moved,
@@ -222,33 +238,34 @@
     }
 }
 
-/// A roll-out as one host sees it.
+/// State of a roll-out on one host.
 #[derive(Debug)]
 pub struct Canary {
-    /// The order.
+    /// Latest known order, with its progress.
     pub order: RolloutOrder,
-    /// When the order began, by this host's clock as far as it knows.
+    /// Start of the order on this host's clock, as early as any known age implies.
     started_at: Millis,
-    /// The same, as traffic's view shows it.
+    /// Value of `started_at` in the last view given to request routing.
     published_start: Millis,
-    /// When this host took the version for bad, if it did.
+    /// Time at which this host barred the version; `None` if it has not.
     barred_at: Option<Millis>,
-    /// Whether it did so on the counts, and not on another host's word.
+    /// Whether the version was barred on this host's own evaluation of the counts and not on
+    /// another host's report.
     is_own_verdict: bool,
-    /// What the version may get of all requests before the deadline.
+    /// Limit on the requests that the version may get before the deadline.
     bound: ExposureBound,
-    /// The judgement.
+    /// Counts of responses from which the verdict is made.
     pub judge: Judge,
-    /// Whether the version looks bad, but not clearly so.
+    /// Whether the version looks bad without enough evidence to bar it.
     pub is_inconclusive: bool,
-    /// Progress that is being written, and when it may be tried again.
+    /// Time at which a pending progress write may be retried; `None` if none is pending.
     write_retry_at: Option<Millis>,
-    /// When its evidence was logged last.
+    /// Time of the last log line with the evidence.
     evidence_logged_at: Option<Millis>,
 }
 
 impl Canary {
-    /// Takes up an order of a version that may get so much of the requests before the deadline.
+    /// Starts tracking an order for a version with the given exposure bound.
     pub fn new(now: Millis, order: RolloutOrder, bound: ExposureBound) -> Canary {
         let mut canary = Canary {
             order,
@@ -266,7 +283,8 @@
         canary
     }
 
-    /// Takes a newer state of the same object; another version begins a new trial.
+    /// Applies a newer state of the same store object. An order for another version replaces this
+    /// roll-out; an older revision is ignored.
     pub fn update(&mut self, now: Millis, order: RolloutOrder) {
         if order.revision < self.order.revision {
             return;
@@ -286,33 +304,37 @@
         }
     }
 
-    /// Gets the written progress, if it is about this order.
+    /// Returns the stored progress if it belongs to the current version.
     fn progress(&self) -> Option<&Progress> {
         self.order.progress.as_ref().filter(|p| p.version == self.order.version)
     }
 
-    /// Takes the age of the order as another host knows it; tells whether traffic should know.
+    /// Updates the start time from the order's age as another host knows it, and reports whether
+    /// the traffic view has to be rebuilt.
     pub fn update_start_from_peer(&mut self, now: Millis, age: Millis) -> bool {
         self.started_at = self.started_at.min(now - age);
         self.started_at + AGE_TOLERANCE <= self.published_start
     }
 
-    /// Gets the order's age.
+    /// Returns the order's age.
     pub fn age(&self, now: Millis) -> Millis {
         now - self.started_at
     }
 
-    /// Gets the share of the sessions that meet the new version first: what is written, or what this
-    /// host would write.
+    /// Returns the share of the sessions in the initial sample: the stored value if it is valid,
+    /// otherwise the value that this host would write.
     pub fn sample_share(&self, hosts: usize) -> f64 {
         let written = self.progress().and_then(|p| p.sample);
         let is_valid = |s: &f64| (0.0..=MAX_SAMPLE_SHARE).contains(s);
         written.filter(is_valid).unwrap_or_else(|| initial_sample_share(hosts, self.bound.share))
     }
 
-    /// Gets the shares of the roll-out. Most of what a large fleet's smaller sample leaves of the bound goes to the
-    /// grown one, and lets all traffic move 0.01 of the time sooner, for the old runs to end; it moves as late as
-    /// keeps both samples and everything after them within the bound.
+    /// Calculates the sample shares and the cutover time.
+    ///
+    /// The initial sample of a large fleet uses less of the exposure bound than allowed. Most of
+    /// the remainder goes to the grown sample, and the rest makes the cutover 0.01 of the duration
+    /// earlier, which gives attempts on the stable version time to end. The cutover is as late as
+    /// possible while both samples and all later traffic stay within the bound.
     fn shares(&self, hosts: usize) -> SampleShares {
         let min_stable_share = 1.0 - self.bound.share.0 * (1.0 - RUNNING_ATTEMPTS_RESERVE);
         let (initial, full_share) = (self.sample_share(hosts), full_sample_share(self.bound.share));
@@ -323,12 +345,12 @@
         SampleShares { initial, grown, cutover_fraction: cutover_fraction.clamp(0.0, 1.0) }
     }
 
-    /// Gets the order's age at which all traffic moves.
+    /// Returns the order's age at the cutover.
     fn cutover_age(&self, hosts: usize) -> Millis {
         self.fraction_of_duration(self.shares(hosts).cutover_fraction)
     }
 
-    /// Gets the order's age at which the roll-out is completed.
+    /// Returns the order's age at which the roll-out is completed.
     fn completion_age(&self, hosts: usize) -> Millis {
         let cutover_age = self.cutover_age(hosts);
         let remaining_ms = (self.order.duration - cutover_age).0 as f64;
@@ -340,17 +362,18 @@
         cutover_age + Millis((remaining_ms * fraction) as u64)
     }
 
-    /// Tells whether all traffic has moved.
+    /// Reports whether the cutover time has passed.
     pub fn has_cut_over(&self, now: Millis, hosts: usize) -> bool {
         now >= self.cutover_at(hosts)
     }
 
-    /// Gets when all traffic moves, or moved.
+    /// Returns the time of the cutover, which may be in the past.
     pub fn cutover_at(&self, hosts: usize) -> Millis {
         self.started_at + self.cutover_age(hosts)
     }
 
-    /// Gets the roll-out as traffic sees it; `propagation_time` is the time that news takes to tally `hosts`.
+    /// Creates the view for request routing. `propagation_time` is the time that an update takes to
+    /// reach all `hosts`.
     pub fn view(&mut self, propagation_time: Millis, hosts: usize) -> CanaryView {
         self.published_start = self.started_at;
         let shares = self.shares(hosts);
@@ -371,7 +394,7 @@
         }
     }
 
-    /// Gets where requests go, but for the move: that is the clock's.
+    /// Returns the phase without regard to the cutover, which depends on the time alone.
     pub fn phase(&self) -> Phase {
         match self.progress() {
             Some(p) if p.state == RolloutState::RolledBack => Phase::Barred,
@@ -381,8 +404,8 @@
         }
     }
 
-    /// Judges the version by the counts of all hosts; tells in what it is bad, if it is barred by that. `basis_since_cutover` is
-    /// the basis of those that were told since all traffic moved.
+    /// Judges the version on the combined tally of all hosts, and returns the reason if this call
+    /// bars it. `basis_since_cutover` covers only the tallies that were reported after the cutover.
     pub fn judge(
         &mut self,
         now: Millis,
@@ -399,7 +422,8 @@
         self.is_own_verdict.then_some(bar_reason)
     }
 
-    /// Bars the version, on this host's or another's judgement; tells whether that is news.
+    /// Bars the version on this host's or another host's verdict, and reports whether it was not
+    /// barred or completed before.
     pub fn bar(&mut self, now: Millis) -> bool {
         let is_newly_barred = self.phase() == Phase::Sample;
         if is_newly_barred {
@@ -409,7 +433,7 @@
         is_newly_barred
     }
 
-    /// Tells whether its evidence is to be logged now; it is then taken as logged.
+    /// Reports whether the evidence is due to be logged, and if so records it as logged now.
     pub fn is_log_due(&mut self, now: Millis) -> bool {
         let is_undecided = self.phase() == Phase::Sample;
         let is_due = is_undecided
@@ -420,13 +444,15 @@
         is_due
     }
 
-    /// Tells whether nothing is to be found out about the version any more.
+    /// Reports whether the roll-out is completed or its version is barred, so that no further
+    /// evidence is needed.
     pub fn is_finished(&self) -> bool {
         matches!(self.phase(), Phase::Done | Phase::Barred)
     }
 
-    /// Gets how long a host leaves the next write to others. Once all traffic has moved, whoever finds the version bad
-    /// writes it at once: a completion that comes first cannot be taken back.
+    /// Returns how long this host delays the next write so that others can make it first. After the
+    /// cutover, a host that has found the version bad itself writes without delay, because a
+    /// completion that is written first cannot be undone.
     pub fn write_delay(&self, now: Millis, writer: ProgressWriter, hosts: usize) -> Millis {
         if self.barred_at.is_none() && self.has_cut_over(now, hosts) {
             let remaining_ms = (self.order.duration - self.cutover_age(hosts)).0 as f64;
@@ -446,15 +472,15 @@
         delay + Millis((writer.stagger_fraction * MAX_WRITE_STAGGER.0 as f64) as u64)
     }
 
-    /// Tells whether the roll-out is about to be completed by this host.
+    /// Reports whether this host is about to complete the roll-out.
     pub fn is_completion_due(&self, now: Millis, write_delay: Millis, hosts: usize) -> bool {
         let is_write_pending = self.write_retry_at.is_some_and(|until| now < until);
         let is_due = self.age(now) >= self.completion_age(hosts) + write_delay;
         is_due && !is_write_pending && self.phase() == Phase::Sample
     }
 
-    /// Gets the progress to be written now, if any. `write_delay` is this host's place in the order of
-    /// writers, as a time: others may be first.
+    /// Returns the progress to write now, if any, and blocks further writes for `retry_after`.
+    /// `write_delay` is the time that this host leaves others to make the write first.
     pub fn take_due_write(
         &mut self,
         now: Millis,
@@ -474,7 +500,7 @@
         Some(ProgressWrite { service: self.order.service.clone(), revision, progress })
     }
 
-    /// Gets a part of the roll-out's time.
+    /// Returns the given fraction of the roll-out's duration.
     fn fraction_of_duration(&self, fraction: f64) -> Millis {
         Millis((self.order.duration.0 as f64 * fraction) as u64)
     }
