--- a/crates/tidetrack-core/src/traffic/judge.rs
+++ b/crates/tidetrack-core/src/traffic/judge.rs
@@ -1,4 +1,5 @@
-//! Judgement of a new version by the answers that all hosts saw, beside those of the proven versions.
+//! Canary judge: compares the responses of a canary version, as counted by all hosts, with those of
+//! the stable versions.
 
 use std::fmt;
 
@@ -14,53 +15,57 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Failed answers that bar the version, over all hosts.
+/// Minimum number of recently failed responses, over all hosts, to bar the version.
 const MIN_FAILED_TO_BAR: f32 = 3.5;
 
-/// Least share of failed answers that bars the version.
+/// Minimum share of failed responses to bar the version.
 const MIN_FAILED_SHARE: f32 = 0.17;
 
-/// Least multiple of the proven versions' share of failed answers.
+/// Minimum ratio between the canary's share of failed responses and that of the stable versions.
 const MIN_FAILED_RATIO: f32 = 2.5;
 
-/// Failed or slow answers that bar the version: more, for load makes answers slow too.
+/// Minimum number of recently failed or slow responses to bar the version. It is higher than
+/// [`MIN_FAILED_TO_BAR`] because load makes responses slow, too.
 const MIN_BAD_TO_BAR: f32 = 6.0;
 
-/// Least share of failed or slow answers that bars the version.
+/// Minimum share of failed or slow responses to bar the version.
 const MIN_BAD_SHARE: f32 = 0.3;
 
-/// Least multiple of the proven versions' share of failed or slow answers.
+/// Minimum ratio between the canary's share of failed or slow responses and that of the stable
+/// versions.
 const MIN_BAD_RATIO: f32 = 2.5;
 
-/// Likelihood ratio of these shares against the proven versions', as a logarithm: where one call in seven fails
-/// on any version, four failures of twelve are chance.
+/// Minimum log-likelihood ratio of the canary's share against that of the stable versions. It keeps
+/// chance from barring a version: where one call in seven fails on any version, four failures in
+/// twelve calls are not significant.
 const MIN_RECENT_LOG_RATIO: f32 = 6.0;
 
-/// Counts halve in this time, so that a version which turns bad late is found as soon as one that
-/// was bad from the start.
+/// Half-life of the recent counts in milliseconds. It is short so that a version which turns bad
+/// late is found as soon as one that was bad from the start.
 const HALF_LIFE_MS: f32 = 4_000.0;
 
-/// How an attempt at an endpoint ended.
+/// Outcome of an attempt at an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// Its stream goes on, and has made enough events to tell its pace. What becomes of it is not told again.
+    /// The stream is still running and has had enough events to measure its pace. Its later end is
+    /// not reported again.
     InProgress,
-    /// With a whole answer.
+    /// The response was complete.
     Complete,
-    /// With a failure of the endpoint's.
+    /// The endpoint failed.
     Failed,
-    /// It was given up for its time.
+    /// The attempt was abandoned because it took too long.
     TimedOut,
-    /// Its answer was dropped for a larger model's.
+    /// The response was discarded in favor of a larger model's response.
     Superseded,
-    /// The caller left.
+    /// The caller disconnected.
     CallerLeft,
-    /// The answer broke off.
+    /// The response was interrupted before its end.
     Interrupted,
 }
 
 impl AttemptOutcome {
-    /// Gets the word for it in logs and metrics.
+    /// Returns the name of the outcome in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             AttemptOutcome::InProgress => "under_way",
@@ -74,44 +79,48 @@
     }
 }
 
-/// What was seen of one answer, for the judgement of versions.
+/// Measurements of one attempt's response, used to judge versions.
 #[derive(Clone, Debug)]
 pub struct ObservedResponse {
-    /// The service.
+    /// Service that was requested.
     pub service: ServiceId,
-    /// The version under roll-out, if the endpoint runs it.
+    /// Version under roll-out if the endpoint runs it; `None` for a stable version.
     pub canary_version: Option<VersionName>,
-    /// The endpoint that answered.
+    /// Endpoint that was sent the attempt.
     pub endpoint: EndpointId,
-    /// Whether it was given more of the new version's sample than its part (`loading`).
+    /// Whether the request was sent to an endpoint that takes the concentrated load of the sample;
+    /// see `load_concentration`.
     pub is_load_concentrated: bool,
-    /// The request's route.
+    /// Route of the request.
     pub route: RouteId,
-    /// The model, if it is an engine.
+    /// Model that was requested; `None` for plain services.
     pub model: Option<ModelId>,
-    /// How it ended.
+    /// Outcome of the attempt.
     pub outcome: AttemptOutcome,
-    /// Whether an endpoint failed for the same request before.
+    /// Whether an earlier attempt of the same request failed at an endpoint.
     pub has_failed_before: bool,
-    /// Whether the answer is a stream.
+    /// Whether the response is a stream.
     pub is_stream: bool,
-    /// Work at the endpoint, in answer tokens, as hosts know of it then.
+    /// Work at the endpoint in response tokens, as known to the hosts at that time.
     pub load: f64,
-    /// Milliseconds to the head of the answer.
+    /// Time to the head of the response in milliseconds; `None` if there was no head.
     pub head_ms: Option<f64>,
-    /// Mean milliseconds between the events of a stream.
+    /// Mean time between the events of a stream in milliseconds; `None` if it was not measured.
     pub gap_ms: Option<f64>,
 }
 
 impl ObservedResponse {
-    /// Tells whether the answer was a failure of the endpoint's.
+    /// Reports whether the endpoint failed.
     pub fn is_failure(&self) -> bool {
         self.outcome == AttemptOutcome::Failed
     }
 
-    /// Tells whether it says anything of its version: a break is the endpoint's end or the network's doing,
-    /// but for the pace that the answer had before it. A request for which an endpoint failed may fail at any other,
-    /// so what becomes of its further attempts is no evidence of its own.
+    /// Reports whether the response counts as evidence about its version.
+    ///
+    /// An interrupted response does not, unless its pace was measured before: the interruption is
+    /// caused by the end of the endpoint or by the network. Later attempts of a request that has
+    /// failed before do not count either, because such a request may fail at any endpoint and the
+    /// attempts are not independent.
     fn is_evidence(&self) -> bool {
         !self.has_failed_before
             && (self.outcome != AttemptOutcome::Interrupted || self.gap_ms.is_some())
@@ -122,16 +131,16 @@
     }
 }
 
-/// Counts of answers, which fade with time.
+/// Response counts with exponential decay.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RecentCounts {
-    /// All answers.
+    /// All responses.
     pub total: f32,
-    /// Those that failed.
+    /// Failed responses.
     pub failed: f32,
-    /// Those that failed or were slow.
+    /// Failed or slow responses.
     pub bad: f32,
-    /// Requests that were sent, where they are counted.
+    /// Requests sent, where they are counted; otherwise 0.
     pub sent: f32,
 }
 
@@ -156,8 +165,9 @@
         self.sent += other.sent;
     }
 
-    /// Gets the requests whose share is judged. A failure comes sooner than a good answer, so while the requests
-    /// grow many, as after the move, most answers that have come are failures: one that is still open counts.
+    /// Returns the number of requests that shares are taken of. Failures arrive sooner than
+    /// successful responses, so while traffic rises, as after the cutover, most responses received
+    /// so far are failures. Requests without a response are therefore included.
     fn judged_requests(&self) -> f32 {
         self.total.max(self.sent)
     }
@@ -167,20 +177,20 @@
     }
 }
 
-/// What one host counted of a roll-out.
+/// One host's counts for a roll-out.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Tally {
-    /// Answers of the new version, of late.
+    /// Recent responses of the canary version.
     pub canary: RecentCounts,
-    /// Answers of the proven versions, of late.
+    /// Recent responses of the stable versions.
     pub stable: RecentCounts,
-    /// Answers of both over a longer time.
+    /// Responses of both over a longer time.
     pub samples: Samples,
-    /// Plain calls of the new version since all traffic moved to it.
+    /// Plain calls to the canary version since the cutover.
     pub since_cutover: CutoverCounts,
-    /// Names one endpoint with a bad answer of the new version; 0 if there was none.
+    /// Key of an endpoint with a bad response from the canary version; 0 if there was none.
     pub bad_endpoint: u32,
-    /// Whether several endpoints gave bad answers.
+    /// Whether more than one endpoint gave bad responses.
     pub has_several_bad_endpoints: bool,
 }
 
@@ -218,7 +228,7 @@
         self.bad_endpoint = endpoint;
     }
 
-    /// Adds another host's counts of some age.
+    /// Adds the counts of another host, decayed by their age.
     pub fn add(&mut self, mut other: Tally, age: Millis) {
         other.decay(age);
         self.canary.merge(&other.canary);
@@ -231,20 +241,21 @@
         }
     }
 
-    /// Tells in what a version is bad, if it is: a high share of its answers of late fails or is slow, well over the
-    /// proven versions', or its sample as a whole is worse than theirs.
+    /// Returns the reason to bar the version, if any: a high share of its recent responses is
+    /// failed or slow, well above that of the stable versions, or its long-term sample is
+    /// significantly worse than theirs.
     pub fn bar_reason(&self, basis: VerdictBasis) -> Option<BarReason> {
         let recent = self.is_recently_bad(basis).then_some(BarReason::Recent);
         recent.or_else(|| self.samples.regression(basis).map(BarReason::Sample))
     }
 
-    /// Tells whether a version looks bad, too little to say so.
+    /// Reports whether the version looks bad without enough evidence to bar it.
     pub fn is_inconclusive(&self) -> bool {
         self.samples.is_inconclusive()
             || self.samples.is_inconclusive_since_cutover(&self.since_cutover)
     }
 
-    /// Tells in what a version is bad since all traffic moved to it, if it is.
+    /// Returns the reason to bar the version on its responses since the cutover, if any.
     pub fn bar_reason_since_cutover(&self, basis: VerdictBasis) -> Option<BarReason> {
         let fails = self.samples.fails_since_cutover(&self.since_cutover, basis);
         fails.then_some(BarReason::Sample(Regression::FailsSinceCutover))
@@ -258,7 +269,8 @@
                     >= MIN_RECENT_LOG_RATIO + basis.threshold_surcharge();
             is_significant && canary.share(counted) >= min_share.max(baseline * min_ratio)
         };
-        // Of late few may have failed by chance, or few be known of: hosts that start again know a part.
+        // The recent counts may hold few failures by chance, and a host that has just started knows
+        // only a part of the counts, so the long-term share of failures is used if it is higher.
         let (_, stable_sample) = self.samples.totals();
         let baseline_share = |failed: f32, total: f32| match total >= MIN_STABLE_RESPONSES {
             true => estimated_share(failed, total),
@@ -276,12 +288,12 @@
     }
 }
 
-/// In what a version is bad.
+/// Reason to bar a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BarReason {
-    /// In a high share of its answers of late.
+    /// A high share of its recent responses is bad.
     Recent,
-    /// In its sample as a whole.
+    /// Its sample is worse than that of the stable versions.
     Sample(Regression),
 }
 
@@ -294,32 +306,33 @@
     }
 }
 
-/// One host's counts of a roll-out.
+/// Collects one host's counts for a roll-out.
 #[derive(Clone, Debug, Default)]
 pub struct Judge {
     tally: Tally,
     decayed_at: Millis,
-    /// Requests sent to the new version when that was looked at last, as this host's traffic counts them: over all
-    /// of its roll-outs.
+    /// Requests sent to the canary version at the last call of `record_sent_total`. The total
+    /// covers all roll-outs of the service on this host.
     last_sent_total: Option<u64>,
 }
 
 impl Judge {
-    /// Gets the counts as of now.
+    /// Returns the counts, decayed to the present time.
     pub fn tally(&mut self, now: Millis) -> &Tally {
         self.tally.decay(now - self.decayed_at);
         self.decayed_at = now;
         &self.tally
     }
 
-    /// Takes note of how many requests this host has sent to the new version so far.
+    /// Records the total number of requests that this host has sent to canary versions of the
+    /// service.
     pub fn record_sent_total(&mut self, now: Millis, sent_total: u64) {
         self.tally(now);
         let previous_total = self.last_sent_total.replace(sent_total).unwrap_or(sent_total);
         self.tally.canary.sent += sent_total.saturating_sub(previous_total) as f32;
     }
 
-    /// Takes an answer of a proven version, beside what was usual before it.
+    /// Records a response of a stable version, compared with the baseline before it.
     pub fn record_stable(&mut self, now: Millis, response: &ObservedResponse, baseline: &Baseline) {
         if !response.is_evidence() {
             return;
@@ -330,19 +343,20 @@
         self.tally.samples.add_stable(response.route_class(), comparison);
     }
 
-    /// Takes an answer of the new version.
+    /// Records a response of the canary version before the cutover.
     pub fn record_canary(&mut self, now: Millis, response: &ObservedResponse, baseline: &Baseline) {
         self.record_canary_response(now, response, baseline, true);
     }
 
-    /// Takes an answer of the new version that came after all traffic moved to it.
+    /// Records a response of the canary version after the cutover.
     pub fn record_after_cutover(
         &mut self,
         now: Millis,
         response: &ObservedResponse,
         baseline: &Baseline,
     ) {
-        // Failures of streams come sooner than good answers, and the roll-out ends before most of these have come.
+        // Failed streams end sooner than successful ones, and the roll-out completes before most of
+        // the latter have ended, so streams would make the sample look worse than it is.
         self.record_canary_response(now, response, baseline, !response.is_stream);
         if response.is_evidence() && !response.is_stream {
             let group = endpoint_group(EndpointKey::from(&response.endpoint).get());
@@ -350,7 +364,8 @@
         }
     }
 
-    /// Takes an answer of the new version; `counts_in_sample` tells whether it counts beside those of the sample.
+    /// Records a response of the canary version. `counts_in_sample` states whether it is added to
+    /// the sample.
     fn record_canary_response(
         &mut self,
         now: Millis,
@@ -374,7 +389,7 @@
             self.tally.samples.add_canary(route, group, comparison);
         }
         if comparison.is_failed || comparison.is_slow {
-            // Zero stands for none.
+            // 0 means that there is no bad endpoint.
             self.tally.record_bad_endpoint(endpoint.max(1));
         }
     }
