--- a/crates/tidetrack-core/src/traffic/exposure.rs
+++ b/crates/tidetrack-core/src/traffic/exposure.rs
@@ -1,10 +1,11 @@
-//! Which sessions meet a new version before all of them do.
+//! Selects the sessions and requests that go to a canary version before the cutover.
 //!
-//! What hosts tell each other of sessions is passed on by whoever hears it, so it reaches a large
-//! fleet in a few rounds; to keep that small, the sample shrinks as the fleet grows. Requests that
-//! belong to no session need no such word: their share is the same in every fleet, and of the
-//! requests that a version may get beyond its share each host has a part for them, so that a
-//! service with few requests shows how its version does.
+//! Hosts report active sessions to each other and pass on the reports they receive, so that a
+//! report reaches a large fleet within a few rounds. To limit this traffic, the sample shrinks as
+//! the fleet grows. Requests without a session need no reports, so their share is the same in every
+//! fleet. Each host may also send a part of the allowance, the requests that a version may get
+//! beyond its share, as sessionless requests, so that a service with few requests yields enough
+//! evidence about its version.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -18,86 +19,91 @@
 use crate::traffic::canary::{CanaryView, Phase, ReleaseTrack};
 use crate::units::{Millis, Share};
 
-/// Largest share of sessions on the new version before all move.
+/// Maximum share of sessions on the canary version before the cutover.
 pub const MAX_SAMPLE_SHARE: f64 = 0.07;
 
-/// Part of the bound on a version's requests that the sample is: a host hardly ever meets its own share of
-/// the bound and has to move a session off the new version for it, and half of the bound is left for the end.
+/// Sample size as a fraction of the exposure bound. At this size a host rarely reaches its own
+/// limit, where it would have to move a session off the canary version, and half of the bound
+/// remains for the time after the cutover.
 const SAMPLE_BOUND_FRACTION: f64 = 0.4;
 
-/// Part of the allowance that is spent on the sample; the rest is for what hosts count apart.
+/// Fraction of the allowance that is spent on the sample. The rest covers the inaccuracy of hosts
+/// that count independently.
 const SAMPLE_ALLOWANCE_FRACTION: f64 = 0.8;
 
-/// Part of the bound that each host keeps its own requests to.
+/// Fraction of the exposure bound to which each host limits its own requests.
 const HOST_BOUND_FRACTION: f64 = 0.93;
 
-/// Requests that a host may send to the new version before the share counts.
+/// Requests that a host may send to the canary version before the share is enforced.
 const FREE_REQUESTS: u64 = 6;
 
-/// Sessions that one message tells at most: about 1 KB.
+/// Maximum number of sessions reported in one message, about 1 KB.
 const MAX_SESSIONS_PER_MESSAGE: usize = 200;
 
-/// Steps in which messages tell how long a session is still held, in milliseconds.
+/// Unit of the remaining hold time in messages, in milliseconds.
 const HOLD_STEP_MS: u64 = 100;
 
-/// How long a host tells others of a request of a session, while no version is under roll-out: a few rounds.
-/// Otherwise what a host knew of sessions at work would end with it, and the next order would part them.
+/// Time during which a host reports a session after its last request while no roll-out is running;
+/// it spans a few rounds. Without these reports, a host's knowledge of active sessions would be
+/// lost when it stops, and the next roll-out would split these sessions between versions.
 const RECENT_PERIOD: Millis = Millis(1_000);
 
-/// Names a session in messages.
+/// Hash that identifies a session in messages.
 pub type SessionKey = u32;
 
-/// How many of a service's requests a version under roll-out may get before its deadline.
+/// Limit on the share of a service's requests that a version under roll-out may get before its
+/// deadline.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ExposureBound {
-    /// Share of all requests from the order on.
+    /// Share of all requests since the order.
     pub share: Share,
-    /// Requests beyond that share, over all hosts.
+    /// Number of requests beyond the share, over all hosts.
     pub allowance: u32,
 }
 
 impl ExposureBound {
-    /// Gets one host's part of the allowance, in a fleet of so many.
+    /// Returns one host's part of the allowance in a fleet of the given size.
     pub fn extra_requests(&self, hosts: usize) -> f64 {
         f64::from(self.allowance) * SAMPLE_ALLOWANCE_FRACTION / hosts.max(1) as f64
     }
 }
 
-/// A session that stays on the proven versions, as hosts tell each other.
+/// Report that a session stays on the stable versions, as sent between hosts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SessionReport {
-    /// The session.
+    /// Session that stays.
     pub session: SessionKey,
-    /// How much longer it stays there, in steps of a tenth of a second.
+    /// Remaining hold time in units of 100 ms.
     pub remaining_steps: u16,
 }
 
-/// Hosts up to which the sample is the largest: a larger fleet with few requests each would see too little of a slow
-/// version, one with many would tell each other too many sessions.
+/// Fleet size up to which the sample has its full size. With a lower limit, a fleet of many hosts
+/// with few requests each would see too little of a slow version; with a higher one, hosts with
+/// many requests would report too many sessions to each other.
 const MAX_FULL_SAMPLE_HOSTS: f64 = 45.0;
 
-/// Gets the share of sessions that meet a new version before all move, over the whole of that time.
+/// Returns the mean share of sessions on the canary version over the time before the cutover.
 pub fn full_sample_share(bound: Share) -> f64 {
     (bound.0 * SAMPLE_BOUND_FRACTION).min(MAX_SAMPLE_SHARE)
 }
 
-/// Gets the share of sessions that meet a new version first, in a fleet of so many hosts: the more
-/// hosts, the more traffic, and the fewer sessions show how a version does.
+/// Returns the share of sessions in the initial sample for a fleet of the given size. A larger
+/// fleet has more traffic, so a smaller share of the sessions is enough to judge a version.
 pub fn initial_sample_share(hosts: usize, bound: Share) -> f64 {
     full_sample_share(bound) * (MAX_FULL_SAMPLE_HOSTS / hosts as f64).min(1.0)
 }
 
-/// Who a request belongs to, for the draw of versions.
+/// Identity of a request for the selection of a version.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SessionHash {
-    /// The session; `None` for a request that stands alone.
+    /// Session of the request; `None` if it has none.
     pub session: Option<SessionKey>,
-    /// Its draw, from 0 up to 1; the same at every host.
+    /// Uniform hash value in [0, 1), the same on every host.
     pub hash_fraction: f64,
 }
 
 impl SessionHash {
-    /// Draws for a session, or for a request that has none.
+    /// Creates the hash of a session, or of the request if it has no session.
     pub fn new(session: Option<&str>, request: &str) -> SessionHash {
         SessionHash {
             session: session.map(|name| xxh3_64(name.as_bytes()) as SessionKey),
@@ -106,48 +112,54 @@
     }
 }
 
-/// Sessions and counts of one service at one host, for the share of a new version.
+/// Active sessions and request counts of one service on one host, which limit the share of a canary
+/// version.
 ///
-/// A session that is at work on a proven version when a roll-out begins must stay there until all move.
-/// Only sessions whose draw would move them matter, so each host remembers just those it saw of late, and
-/// the hosts tell them to each other until then.
+/// A session that is active on a stable version when a roll-out begins stays there until the
+/// cutover or until the sample grows. This matters only for sessions whose hash would put them into
+/// the sample, so each host remembers only recent sessions of that kind, and hosts report them to
+/// each other.
 #[derive(Debug, Default)]
 pub struct Exposure {
     total_requests: AtomicU64,
     canary_requests: AtomicU64,
-    /// Those of the new version's that had not failed before.
+    /// Requests to the canary version that were the first attempt of a request or followed no
+    /// failure.
     canary_first_attempts: AtomicU64,
     held_sessions: Mutex<HashMap<SessionKey, HeldSession>>,
-    /// Whether a session began here that no other host was told of.
+    /// Whether a session began on this host that has not been reported to any other host.
     has_unreported: AtomicBool,
     extra_requests: Mutex<Option<ExtraRequests>>,
     is_inconclusive: AtomicBool,
 }
 
-/// This host's part of a roll-out's allowance, as far as it was taken.
+/// Budget of further sessionless requests, this host's part of a roll-out's allowance.
 #[derive(Debug)]
 struct ExtraRequests {
     version: VersionName,
-    /// When this host began to earn it: one that started in between must not take all of it again.
+    /// Time since which the budget accrues. A host that starts during the roll-out must not spend
+    /// the whole budget again.
     earning_since: Millis,
-    /// What it began with, from 0 up to 1, so that the parts of many hosts make up the whole.
+    /// Initial value in [0, 1). It varies between hosts so that the fractional budgets of many
+    /// hosts add up to the whole allowance.
     initial_fraction: f64,
     spent: u32,
 }
 
-/// A session that stays on the proven versions.
+/// Session that stays on the stable versions.
 #[derive(Clone, Copy, Debug)]
 struct HeldSession {
     until: Millis,
-    /// Its draw, if this host saw the session itself.
+    /// Hash value of the session if this host has seen it itself; `None` if it was only reported.
     hash_fraction: Option<f64>,
-    /// When this host saw it last.
+    /// Time of the last request on this host; 0 if the session was only reported.
     seen_at: Millis,
 }
 
 impl Exposure {
-    /// Decides where a request goes. `has_canary_endpoint` tells whether the new version has an endpoint. A session
-    /// that is sent to the proven versions stays there for `hold_for`.
+    /// Selects the release track of a request. `has_canary_endpoint` states whether the canary
+    /// version has an endpoint. A session that is sent to the stable versions stays there for
+    /// `hold_for`.
     pub fn choose_track(
         &self,
         now: Millis,
@@ -173,13 +185,14 @@
         ReleaseTrack::Stable
     }
 
-    /// Tells whether a request belongs to the sample.
+    /// Reports whether a request belongs to the sample.
     fn is_sampled(&self, now: Millis, session_hash: SessionHash, canary: &CanaryView) -> bool {
         match session_hash.session {
             Some(_) => session_hash.hash_fraction < canary.sample_at(now),
             None if now < canary.sample_starts_at => false,
-            // Such a request leaves no run behind that would go on at the new version, so a version in doubt may
-            // get what is kept for those, too.
+            // The bound has a reserve for attempts that continue on the canary version after the
+            // stable one stops. A sessionless request leaves no such attempt, so this reserve may
+            // be used while the version looks bad without enough evidence.
             None if self.is_inconclusive.load(Ordering::Relaxed)
                 && session_hash.hash_fraction < canary.inconclusive_sessionless_sample =>
             {
@@ -192,8 +205,8 @@
         }
     }
 
-    /// Takes one request of this host's part of the allowance, if it has earned one: it does so evenly over the
-    /// time of the sample.
+    /// Takes one request from this host's budget of the allowance if one has accrued, and reports
+    /// whether it did. The budget accrues evenly over the time of the sample.
     fn spend_extra_request(
         &self,
         now: Millis,
@@ -218,23 +231,24 @@
         can_spend
     }
 
-    /// Takes note of whether the version under roll-out looks bad, but not clearly so.
+    /// Records whether the version under roll-out looks bad without enough evidence.
     pub fn set_inconclusive(&self, is_inconclusive: bool) {
         self.is_inconclusive.store(is_inconclusive, Ordering::Relaxed);
     }
 
-    /// Counts a request sent to the new version, for which an endpoint may have failed before.
+    /// Counts a request sent to the canary version. `has_failed` states whether an earlier attempt
+    /// of the request failed at an endpoint.
     pub fn record_canary_attempt(&self, has_failed: bool) {
         self.canary_requests.fetch_add(1, Ordering::Relaxed);
         self.canary_first_attempts.fetch_add(u64::from(!has_failed), Ordering::Relaxed);
     }
 
-    /// Gets the requests sent to the new version so far that had not failed before.
+    /// Returns the number of requests sent to the canary version that had no failed attempt before.
     pub fn canary_first_attempts(&self) -> u64 {
         self.canary_first_attempts.load(Ordering::Relaxed)
     }
 
-    /// Takes note that a session is at work on a proven version.
+    /// Records that a session is active on a stable version.
     pub fn hold(&self, now: Millis, session_hash: SessionHash, hold_for: Millis) {
         if let Some(session) =
             session_hash.session.filter(|_| session_hash.hash_fraction < MAX_SAMPLE_SHARE)
@@ -253,7 +267,7 @@
         }
     }
 
-    /// Takes sessions that another host tells.
+    /// Records sessions that another host reported.
     pub fn hold_reported(&self, now: Millis, reports: &[SessionReport]) {
         let mut sessions = self.held_sessions.lock().expect("no holder of the lock panics");
         for report in reports {
@@ -267,21 +281,22 @@
         }
     }
 
-    /// Tells whether a session began here that no other host was told of: what this host knows would end with it.
+    /// Reports whether a session began on this host that has not been reported yet, and would be
+    /// forgotten if the host stopped now.
     pub fn has_unreported(&self) -> bool {
         self.has_unreported.load(Ordering::Relaxed)
     }
 
-    /// Lists the sessions to tell other hosts, those seen here and those heard of, when a roll-out's
-    /// sample is `sample`; forgets those that have ended.
+    /// Returns the reports of active sessions, both seen on this host and received from others,
+    /// that matter for a roll-out with the given sample share. Removes expired sessions.
     pub fn reports(&self, now: Millis, sample: f64) -> Vec<SessionReport> {
         self.collect_reports(now, |held| {
             held.hash_fraction.is_none_or(|fraction| fraction < sample)
         })
     }
 
-    /// Lists the sessions that were seen here of late, for a roll-out with any sample: by the time it begins this
-    /// host may have ended.
+    /// Returns the reports of sessions seen recently on this host, for a later roll-out with any
+    /// sample share. They are sent early because this host may have stopped by then.
     pub fn recent_reports(&self, now: Millis) -> Vec<SessionReport> {
         self.collect_reports(now, |held| {
             held.hash_fraction.is_some() && now < held.seen_at + RECENT_PERIOD
@@ -297,7 +312,7 @@
         let mut sessions = self.held_sessions.lock().expect("no holder of the lock panics");
         sessions.retain(|_, held| now < held.until);
         let report_of = |(session, held): (&SessionKey, &HeldSession)| {
-            // Rounded down: what is passed on many times must not live for ever.
+            // Rounded down so that a report that is passed on many times still expires.
             let remaining_steps = (held.until - now).0 / HOLD_STEP_MS;
             SessionReport {
                 session: *session,
@@ -317,7 +332,8 @@
         session_hash.session.and_then(|s| sessions.get(&s)).is_some_and(|held| now < held.until)
     }
 
-    /// Tells whether one more of this host's requests may meet a version that is held to a bound.
+    /// Reports whether this host may send one more request to a version with the given exposure
+    /// bound.
     pub fn is_below_bound(&self, bound: Share) -> bool {
         let max_requests =
             self.total_requests.load(Ordering::Relaxed) as f64 * bound.0 * HOST_BOUND_FRACTION;
