--- a/crates/tidetrack-core/src/traffic/samples.rs
+++ b/crates/tidetrack-core/src/traffic/samples.rs
@@ -1,13 +1,16 @@
-//! Answers of a new version and of the proven ones as two samples, counted by all hosts together.
+//! Long-term samples of the responses of a canary version and of the stable versions, combined over
+//! all hosts.
 //!
-//! A version may be bad in a part of its answers only, on one route only, or a little in all of them, and it
-//! gets few requests before it must be found. So nothing is thrown away that any host saw: counts fade
-//! slowly, and a test that may be looked at any time weighs them. It is the likelihood ratio of the share that
-//! the new version shows against the proven versions' share and a margin; at a share within the margin its
-//! expectation falls with each answer, so looking often does not make a good version look bad.
+//! A version may be bad in a part of its responses, on a single route, or slightly in all of them,
+//! and it gets few requests before it has to be detected. The counts of all hosts are therefore
+//! kept with slow decay and evaluated by a sequential test: the log-likelihood ratio of the
+//! canary's share against the stable versions' share plus a margin. For a share within the margin,
+//! the expected ratio falls with each response, so frequent evaluation does not make a good version
+//! look bad.
 //!
-//! One endpoint of a version may do badly for reasons of its own. Endpoints are counted in groups, and a version
-//! is worse only if it is so without its worst group too.
+//! A single endpoint may perform badly for reasons unrelated to its version. Endpoints are
+//! therefore counted in groups, and a version is worse only if it is so without its worst group,
+//! too.
 
 use std::fmt;
 
@@ -18,78 +21,89 @@
 use crate::traffic::verdict_basis::VerdictBasis;
 use crate::units::Millis;
 
-/// Counts halve in this time: several times the time in which a version has to be found.
+/// Half-life of the counts in milliseconds, several times the time within which a bad version has
+/// to be detected.
 const HALF_LIFE_MS: f32 = 60_000.0;
 
-/// Routes are counted in so many classes.
+/// Number of classes into which routes are hashed.
 const ROUTE_CLASSES: u64 = 16;
 
-/// Endpoints are counted in so many groups.
+/// Number of groups into which endpoints are hashed.
 const ENDPOINT_GROUPS: u32 = 16;
 
-/// Likelihood ratio, as a logarithm, from which a version is worse: 1 in 400 by chance at a single look.
+/// Minimum log-likelihood ratio for a regression; a single evaluation reaches it by chance in 1 of
+/// 400 cases.
 const REGRESSION_MIN_LOG_RATIO: f32 = 6.0;
 
-/// The same for what all groups of endpoints but the worst one counted: that several do badly tells a version from
-/// an endpoint with reasons of its own.
+/// Minimum log-likelihood ratio of all endpoint groups except the worst one. Requiring several bad
+/// groups separates a bad version from an endpoint that is bad for its own reasons.
 const OTHER_GROUPS_MIN_LOG_RATIO: f32 = 2.5;
 
-/// Least of what is counted that tells a version from chance. Hosts that start again know each a part of the
-/// answers, and the more of them look, the more often a few bad ones stand out for one of them.
+/// Minimum decayed count of bad responses for a regression. Hosts that restart each know only a
+/// part of the responses, and the more hosts evaluate such parts, the more often a few bad
+/// responses look significant to one of them.
 const MIN_COUNTED: f32 = 5.5;
 
-/// The same from which a version is doubted: often by chance, so it decides nothing but how much is looked at.
+/// Minimum log-likelihood ratio for an inconclusive result. Good versions often reach it by chance,
+/// so it only affects how much evidence is collected.
 const INCONCLUSIVE_MIN_LOG_RATIO: f32 = 1.0;
 
-/// The same as the first for what came since all traffic moved: it is looked at a few times, and good versions reach it
-/// rarely, for the worst groups of endpoints are left out.
+/// Like [`REGRESSION_MIN_LOG_RATIO`], for responses since the cutover. It is lower because these
+/// are evaluated only a few times, and good versions rarely reach it as the worst endpoint groups
+/// are excluded.
 const SINCE_CUTOVER_MIN_LOG_RATIO: f32 = 4.0;
 
-/// The same as the first for one route out of several.
+/// Like [`REGRESSION_MIN_LOG_RATIO`], for a single one of several routes.
 const SINGLE_ROUTE_MIN_LOG_RATIO: f32 = 7.0;
 
-/// Share of failed or slow answers over the proven versions' that is borne.
+/// Tolerated difference between the canary's share of failed or late responses and that of the
+/// stable versions.
 pub const SHARE_MARGIN: f32 = 0.02;
 
-/// Share of answers above the usual pace, over the proven versions', that is borne. Nearly half of these are, and
-/// hardly any of a good version's sample at rest, so a quarter of its endpoints may be several times as slow.
+/// Tolerated difference between the canary's share of responses above the baseline pace and that of
+/// the stable versions. Nearly half of the stable responses are above the pace but hardly any of a
+/// good version's sample, whose endpoints are nearly idle, so up to a quarter of a version's
+/// endpoints may be several times as slow without detection.
 const PACE_MARGIN: f32 = 0.05;
 
-/// Answers of the proven versions before their share says anything.
+/// Minimum number of responses of the stable versions for their shares to be meaningful.
 pub const MIN_STABLE_RESPONSES: f32 = 20.0;
 
-/// Endpoints that have to do badly before the version does, where it has as many.
+/// Minimum number of endpoint groups with bad responses for a regression, for versions that have
+/// enough endpoints.
 const MIN_REGRESSED_GROUPS: usize = 3;
 
-/// Share of the groups of loaded endpoints that is left out, the worst ones: few have a turn, and one in five may
-/// fail four answers in ten for reasons of its own.
+/// Fraction of the endpoint groups with concentrated load that is excluded, worst first. Few groups
+/// take the load at a time, and one endpoint in five may fail 40 % of its responses for its own
+/// reasons.
 const EXCLUDED_FRACTION: f64 = 0.4;
 
-/// Where some endpoints fail for reasons of their own, they do so many times as often as all in the mean: those that
-/// have a turn may be mostly such ones.
+/// Factor by which endpoints that fail for their own reasons may exceed the mean share of failures.
+/// The endpoints that take the concentrated load may be mostly of this kind.
 const FAULTY_ENDPOINT_RATIO: f32 = 4.0;
 
-/// The margin for loaded endpoints, of which the worst are left out: a version that fails where half of an endpoint's
-/// places are taken fails a small part of their answers.
+/// Like [`SHARE_MARGIN`], for endpoints with concentrated load after the worst are excluded. It is
+/// smaller because a version that fails once half of an endpoint's capacity is in use fails only a
+/// small share of these responses.
 const CONCENTRATED_MARGIN: f32 = 0.01;
 
-/// Counts of a kind of answers, which fade with time.
+/// Response counts with exponential decay.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct OutcomeCounts {
-    /// All answers.
+    /// All responses.
     #[serde(with = "crate::traffic::compact_count")]
     pub total: f32,
-    /// Those that failed.
+    /// Failed responses.
     #[serde(with = "crate::traffic::compact_count")]
     pub failed: f32,
-    /// Those that failed, and plain calls that took clearly longer than is usual: past its time an
-    /// endpoint may answer with a failure.
+    /// Failed responses and late plain calls. They are counted together because an endpoint that
+    /// exceeds its own time limit may respond with a failure.
     #[serde(with = "crate::traffic::compact_count")]
     pub bad: f32,
-    /// Plain calls that took several times as long as is usual.
+    /// Plain calls that took several times as long as the baseline.
     #[serde(with = "crate::traffic::compact_count")]
     pub far_late: f32,
-    /// Those above the usual pace.
+    /// Responses whose pace was above the baseline.
     #[serde(with = "crate::traffic::compact_count")]
     pub above_pace: f32,
 }
@@ -99,7 +113,8 @@
         let as_count = |holds: bool| f32::from(u8::from(holds));
         self.total += 1.0;
         self.failed += as_count(comparison.is_failed);
-        // A stream that begins late may have read a prompt that is kept elsewhere; its pace tells.
+        // A stream that starts late is not counted as bad: it may have had to read a prompt that is
+        // cached on another endpoint. Slow streams are detected by their pace.
         self.bad += as_count(comparison.is_failed || comparison.is_late);
         self.far_late += as_count(comparison.is_far_late);
         self.above_pace += as_count(comparison.is_above_pace == Some(true));
@@ -121,12 +136,12 @@
     }
 }
 
-/// Counts of answers whose paces are weighed too.
+/// Response counts together with the number of responses whose pace was compared.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Sample {
-    /// The answers.
+    /// Counts by outcome.
     pub outcomes: OutcomeCounts,
-    /// Those whose pace could be compared.
+    /// Responses whose pace could be compared with the baseline.
     #[serde(with = "crate::traffic::compact_count")]
     pub pace_compared: f32,
 }
@@ -148,7 +163,7 @@
     }
 }
 
-/// Counts of a class of routes.
+/// Samples of a class of routes.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 struct RouteSamples {
     route: u8,
@@ -156,12 +171,13 @@
     stable: Sample,
 }
 
-/// Counts of a group of the new version's endpoints.
+/// Counts of a group of endpoints of the canary version.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 struct GroupCounts {
     group: u8,
     canary: OutcomeCounts,
-    /// Answers while its endpoints were loaded, and those of them that failed; these don't fade.
+    /// Responses of the group's endpoints under concentrated load, and the failed ones among them.
+    /// These counts do not decay.
     concentrated_total: u16,
     concentrated_failed: u16,
 }
@@ -172,22 +188,22 @@
     }
 }
 
-/// In what a version is worse than the proven ones.
+/// Way in which a canary version is worse than the stable versions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Regression {
-    /// More of its answers fail.
+    /// A higher share of its responses fails.
     Fails,
-    /// More of its answers fail on some route.
+    /// A higher share of its responses fails on some route.
     FailsOnRoute,
-    /// More of its answers fail at endpoints that have much to do.
+    /// A higher share of its responses fails at endpoints under concentrated load.
     FailsUnderLoad,
-    /// More of its plain calls fail since all of them go there.
+    /// A higher share of its plain calls fails since the cutover.
     FailsSinceCutover,
-    /// More of its plain calls fail or take clearly longer.
+    /// A higher share of its responses is late, or is either late or failed.
     Late,
-    /// Its answers take longer.
+    /// A higher share of its responses is above the baseline pace.
     Slower,
-    /// Its answers take longer on some route.
+    /// A higher share of its responses is above the baseline pace on some route.
     SlowerOnRoute,
 }
 
@@ -205,43 +221,43 @@
     }
 }
 
-/// Both samples.
+/// Samples of the canary version and the stable versions, by route class and endpoint group.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Samples {
     routes: Vec<RouteSamples>,
     groups: Vec<GroupCounts>,
 }
 
-/// Names a class of routes by a route's hash.
+/// Returns the class of a route from the hash of its name.
 pub fn route_class(hash: u64) -> u8 {
     (hash % ROUTE_CLASSES) as u8
 }
 
-/// Names a group of endpoints by an endpoint's key.
+/// Returns the group of an endpoint from its key.
 pub fn endpoint_group(key: u32) -> u8 {
     (key % ENDPOINT_GROUPS) as u8
 }
 
 impl Samples {
-    /// Counts an answer of a proven version.
+    /// Adds a response of a stable version.
     pub fn add_stable(&mut self, route: u8, comparison: ResponseComparison) {
         self.route_mut(route).stable.add(comparison);
     }
 
-    /// Counts an answer of the new version.
+    /// Adds a response of the canary version.
     pub fn add_canary(&mut self, route: u8, group: u8, comparison: ResponseComparison) {
         self.route_mut(route).canary.add(comparison);
         self.group_mut(group).canary.add(comparison);
     }
 
-    /// Counts an answer of the new version from an endpoint that was loaded.
+    /// Adds a response of a canary endpoint under concentrated load.
     pub fn add_concentrated(&mut self, group: u8, failed: bool) {
         let counts = self.group_mut(group);
         counts.concentrated_total = counts.concentrated_total.saturating_add(1);
         counts.concentrated_failed = counts.concentrated_failed.saturating_add(u16::from(failed));
     }
 
-    /// Lets the counts fade for some time.
+    /// Decays the counts by the given time.
     pub fn decay(&mut self, age: Millis) {
         let fraction = (-(age.0 as f32) / HALF_LIFE_MS).exp2();
         for route in &mut self.routes {
@@ -251,7 +267,7 @@
         self.groups.iter_mut().for_each(|group| group.canary.decay(fraction));
     }
 
-    /// Adds another host's counts.
+    /// Adds the counts of another host.
     pub fn merge(&mut self, other: &Samples) {
         for route in &other.routes {
             let own_counts = self.route_mut(route.route);
@@ -268,7 +284,8 @@
         }
     }
 
-    /// Sums the samples of the new and the proven versions over all routes.
+    /// Returns the samples of the canary version and of the stable versions, summed over all
+    /// routes.
     pub fn totals(&self) -> (Sample, Sample) {
         let mut totals = (Sample::default(), Sample::default());
         for route in &self.routes {
@@ -278,7 +295,7 @@
         totals
     }
 
-    /// Tells in what a version is worse than the proven ones, if it is.
+    /// Returns the way in which the canary version is worse than the stable versions, if any.
     pub fn regression(&self, basis: VerdictBasis) -> Option<Regression> {
         let VerdictBasis { endpoints, .. } = basis;
         let min_log_ratio = REGRESSION_MIN_LOG_RATIO + basis.threshold_surcharge();
@@ -310,14 +327,16 @@
         tests.iter().find(is_confirmed).map(|(regression, ..)| *regression)
     }
 
-    /// Tells whether several endpoints counted something, as far as the version has several.
+    /// Reports whether enough endpoint groups have a nonzero count, given the number of endpoints
+    /// of the version.
     fn has_enough_groups(&self, endpoints: usize, count: CountSelector) -> bool {
         let groups = self.groups.iter().filter(|group| count(&group.canary) >= 0.5).count();
         groups >= min_regressed_groups(endpoints)
     }
 
-    /// Tells whether the new version counts more of something, out of some answers, than the proven ones do on the
-    /// same routes, and still does without its worst group of endpoints.
+    /// Reports whether the canary version has a significantly higher share `numerator` /
+    /// `denominator` than the stable versions on the same routes, both with and without its worst
+    /// endpoint group.
     fn is_regressed(
         &self,
         numerator: CountSelector,
@@ -331,8 +350,10 @@
             && self.log_ratio(numerator, denominator, other_fractions) >= OTHER_GROUPS_MIN_LOG_RATIO
     }
 
-    /// Gets the likelihood ratio, as a logarithm, of such parts of what was counted and of the answers it is out of,
-    /// at the new version. Route by route: one call in seven may fail on one, and none on another.
+    /// Returns the log-likelihood ratio of the canary's share against that of the stable versions,
+    /// with the canary's counts multiplied by the given fractions. It is summed over the routes,
+    /// because failure rates differ between them: one call in seven may fail on one route and none
+    /// on another.
     fn log_ratio(
         &self,
         numerator: CountSelector,
@@ -351,7 +372,8 @@
         self.routes.iter().map(route_log_ratio).sum()
     }
 
-    /// Tells whether the new version looks worse than the proven ones, too little to say so.
+    /// Reports whether the canary version looks worse than the stable versions without enough
+    /// evidence for a regression.
     pub fn is_inconclusive(&self) -> bool {
         let (canary, stable) = self.totals();
         let ratios: [(CountSelector, CountSelector); 4] =
@@ -364,8 +386,8 @@
             && (is_slow || ratios.into_iter().any(is_inconclusive))
     }
 
-    /// Gets which parts of what was counted, and of the answers it is out of, are not of the group of endpoints that
-    /// counted most beyond the mean.
+    /// Returns the fractions of the numerator and of the denominator that remain without the
+    /// endpoint group whose numerator exceeds the mean most.
     fn fractions_without_worst_group(
         &self,
         numerator: CountSelector,
@@ -395,8 +417,9 @@
         })
     }
 
-    /// Tells whether more answers fail at loaded endpoints than the proven versions' do, leaving the worst ones
-    /// out: few endpoints had a turn, and some may have failed for reasons of their own.
+    /// Reports whether responses under concentrated load fail more often than those of the stable
+    /// versions. The worst groups are excluded, because few endpoints have taken the load and some
+    /// of them may fail for their own reasons.
     fn fails_under_load(
         &self,
         stable: &OutcomeCounts,
@@ -419,8 +442,8 @@
         log_likelihood_ratio(failed, total, baseline) >= min_log_ratio
     }
 
-    /// Tells whether more answers fail since all traffic moved than the proven versions' do on the same routes, leaving
-    /// the worst endpoints out.
+    /// Reports whether responses since the cutover fail more often than those of the stable
+    /// versions on the same routes, with the worst endpoint groups excluded.
     pub fn fails_since_cutover(&self, since_cutover: &CutoverCounts, basis: VerdictBasis) -> bool {
         let without_worst = since_cutover.without_worst();
         since_cutover.group_count() >= min_regressed_groups(basis.endpoints)
@@ -429,13 +452,14 @@
                 >= SINCE_CUTOVER_MIN_LOG_RATIO + basis.threshold_surcharge()
     }
 
-    /// Tells whether the new version looks worse since all traffic moved, too little to say so.
+    /// Reports whether the canary version looks worse since the cutover without enough evidence for
+    /// a regression.
     pub fn is_inconclusive_since_cutover(&self, since_cutover: &CutoverCounts) -> bool {
         self.log_ratio_since_cutover(&since_cutover.without_worst()) >= INCONCLUSIVE_MIN_LOG_RATIO
     }
 
-    /// Gets the likelihood ratio, as a logarithm, of what failed since all traffic moved; 0 while too little is known
-    /// of the proven versions.
+    /// Returns the log-likelihood ratio of the failures since the cutover, or 0 if the stable
+    /// versions have too few responses.
     fn log_ratio_since_cutover(&self, since_cutover: &CutoverCounts) -> f32 {
         let (_, stable) = self.totals();
         if stable.outcomes.total < MIN_STABLE_RESPONSES {
@@ -503,15 +527,16 @@
     }
 }
 
-/// Sums the answers of loaded endpoints that failed, and all of them.
+/// Returns the number of failed responses and of all responses under concentrated load.
 fn concentrated_totals<'a>(groups: impl IntoIterator<Item = &'a GroupCounts>) -> (f32, f32) {
     groups.into_iter().fold((0.0, 0.0), |(failed, total), group| {
         (failed + f32::from(group.concentrated_failed), total + f32::from(group.concentrated_total))
     })
 }
 
-/// Gets how many groups of a version with so many endpoints have to do badly. Of three or more, one may be spared
-/// by chance, and two may be of one group.
+/// Returns the minimum number of endpoint groups with bad responses for a version with the given
+/// number of endpoints. With three or more endpoints it is below their number, because one of them
+/// may have no bad response by chance and two may share a group.
 fn min_regressed_groups(endpoints: usize) -> usize {
     match endpoints {
         0..=2 => endpoints,
@@ -519,7 +544,7 @@
     }
 }
 
-/// What is counted of a sample.
+/// Function that selects a count from [`OutcomeCounts`].
 type CountSelector = fn(&OutcomeCounts) -> f32;
 
 fn failed(counts: &OutcomeCounts) -> f32 {
@@ -542,7 +567,8 @@
     counts.total
 }
 
-/// Those that may be late: where many fail on any version, these tell more without them.
+/// Counts the responses that can be late. Where many responses fail on any version, the share of
+/// late ones is more significant without the failed ones.
 fn not_failed(counts: &OutcomeCounts) -> f32 {
     counts.total - counts.failed
 }
@@ -551,7 +577,8 @@
     counts.above_pace
 }
 
-/// Estimates the proven versions' share; with few answers it is not taken for small.
+/// Estimates a share with one additional success and one additional failure, so that few responses
+/// do not yield a share near 0.
 pub fn estimated_share(counted: f32, total: f32) -> f32 {
     (counted + 1.0) / (total + 2.0)
 }
@@ -564,13 +591,14 @@
     )
 }
 
-/// Gets the logarithm of the likelihood ratio of the share that was counted against a usual one; 0 if it is
-/// not over that. The counts may have faded.
+/// Returns the log-likelihood ratio of a counted share against a baseline share, or 0 if the
+/// counted share is not higher. The counts may be decayed and thus fractional.
 pub fn log_likelihood_ratio(counted: f32, total: f32, baseline: f32) -> f32 {
     signed_log_likelihood_ratio(counted, total, baseline).max(0.0)
 }
 
-/// Gets the same, below 0 for a share under the usual one.
+/// Returns the log-likelihood ratio of a counted share against a baseline share, negative if the
+/// counted share is lower.
 fn signed_log_likelihood_ratio(counted: f32, total: f32, baseline: f32) -> f32 {
     let (share, baseline) = ((counted / total.max(1.0)).min(1.0), baseline.min(0.99));
     let divergence = |share: f32, baseline: f32| match share {
