--- a/crates/tidetrack-core/src/traffic/baseline.rs
+++ b/crates/tidetrack-core/src/traffic/baseline.rs
@@ -1,14 +1,16 @@
-//! What is usual on a service's proven versions.
+//! Baseline of a service: response times and stream paces of its stable versions.
 //!
-//! A new version's endpoints have little to do while they get a sample, and an engine is faster the less it
-//! has to do: at rest a version that takes twice as long is no slower than the proven one at work. So paces
-//! are compared at equal load. An engine makes the events of all that run together, so their pace depends on
-//! the load and hardly on the request. A plain call has no pace: what is usual differs by its route and by
-//! whether its connection is new, and of four endpoints a slow one makes a quarter of the calls.
+//! The endpoints of a canary version have little to do while they get only a sample, and an engine
+//! is faster the less load it has. A version that takes twice as long may therefore look as fast at
+//! low load as the stable version at its normal load, so paces are compared at equal load. An
+//! engine produces the events of all running streams together; their pace depends on the load and
+//! hardly on the request. A plain call has no pace. Its baseline depends on the route and on
+//! whether its connection is new, and if one endpoint in four is slow, a quarter of the calls are
+//! slow.
 //!
-//! One of many hosts sees few answers of a route, and for as long as it knows nothing usual each answer of
-//! the new version would pass for a good one. So hosts tell each other what is usual while a version is under
-//! roll-out, and each compares with what all of them saw.
+//! A single host sees few responses of a route, and as long as it has no baseline it would count
+//! every response of the canary version as good. Hosts therefore report their baselines to each
+//! other during a roll-out, and each host compares with the combined values.
 
 use std::collections::BTreeMap;
 
@@ -18,75 +20,79 @@
 use crate::ids::{ModelId, RouteId};
 use crate::traffic::judge::ObservedResponse;
 
-/// Weight of the newest value in a running mean.
+/// Minimum weight of the newest value in a running mean.
 const MEAN_WEIGHT: f64 = 0.05;
 
-/// Answers of the proven versions before their mean says anything.
+/// Minimum number of responses of the stable versions for their mean to be used.
 const MIN_RESPONSES: u32 = 8;
 
-/// An answer is slow past this multiple of the proven versions' mean.
+/// Ratio to the mean of the stable versions above which a response is slow.
 const SLOW_RATIO: f64 = 3.5;
 
-/// Slack of a slow answer over the proven versions' mean, for small means, in milliseconds.
+/// Slack in milliseconds that is added to the limit of a slow response, for small means.
 const SLOW_SLACK_MS: f64 = 40.0;
 
-/// A plain call is late past this multiple of the proven versions' mean. The share of late ones is weighed beside
-/// theirs, so it need not be rare: a version that takes several times as long is late in nearly all of its calls.
+/// Ratio to the mean of the stable versions above which a plain call is late. The share of late
+/// calls is compared with that of the stable versions, so late calls need not be rare there: a
+/// version that takes several times as long is late in nearly all of its calls.
 const LATE_RATIO: f64 = 2.0;
 
-/// The same for a call that is far late: hardly any of the proven versions' is, so few of them tell.
+/// Like [`LATE_RATIO`], for a call that is far too late. Hardly any call to a stable version is, so
+/// a few of them are significant.
 const FAR_LATE_RATIO: f64 = 4.0;
 
-/// Slack of a late call over the proven versions' mean, in milliseconds: calls of a sample come on connections
-/// that are new or have rested, some milliseconds later.
+/// Slack in milliseconds that is added to the limit of a late call. Calls of a sample use new or
+/// idle connections and take some milliseconds longer.
 const LATE_SLACK_MS: f64 = 15.0;
 
-/// Slack of a pace over the usual one, in milliseconds, for small paces.
+/// Slack in milliseconds over the baseline pace, for small values.
 const PACE_SLACK_MS: f64 = 1.0;
 
-/// Work, in answer tokens, that the first step of the load ends at; each further step ends at about twice. It is the
-/// work that hosts know of when the pace is told: what an endpoint told with the head of its answer is older.
+/// Upper end of the first load step, in response tokens of work; each further step ends at about
+/// twice the previous one. The load is the work that the hosts know of when the pace is reported,
+/// because the load that the endpoint sent with the head of its response is older.
 const FIRST_LOAD_STEP: f64 = 50.0;
 
-/// Steps of the load.
+/// Number of load steps.
 const LOAD_STEPS: u8 = 10;
 
-/// Answers that a mean counts as at most where it is put together with others: later ones fade earlier ones out.
+/// Maximum number of responses for which a mean counts when it is combined with others. Means are
+/// running averages in which newer responses displace older ones.
 const MAX_WEIGHT: u32 = 40;
 
-/// Means that one message tells of a service at most, about 10 bytes each.
+/// Maximum number of means of a service in one message, about 10 bytes each.
 const MAX_MEANS_PER_MESSAGE: usize = 64;
 
-/// A running mean.
+/// Running mean and the number of responses behind it.
 #[derive(Clone, Copy, Debug, Default)]
 struct RunningMean {
     value: f64,
     responses: u32,
 }
 
-/// What a mean is of, as hosts tell each other.
+/// Quantity that a mean describes, as sent between hosts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum MeanKind {
-    /// Milliseconds to the head of an answer to a kind of request.
+    /// Milliseconds to the head of the response, by request kind.
     Head(u32),
-    /// Milliseconds between the events of an answer to a kind of request.
+    /// Milliseconds between the events of a stream, by request kind.
     Gap(u32),
-    /// Logarithm of the pace at a step of the load.
+    /// Logarithm of the pace in milliseconds per event, by load step.
     Pace(u8),
 }
 
-/// A mean, as hosts tell each other.
+/// Mean of one quantity, as sent between hosts.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MeanReport {
-    /// What it is of.
+    /// Quantity that the mean describes.
     pub kind: MeanKind,
-    /// The mean.
+    /// Value of the mean.
     pub value: f32,
-    /// Answers that it counts as.
+    /// Number of responses that the mean counts for, capped at [`MAX_WEIGHT`].
     pub responses: u8,
 }
 
-/// What is usual on a service's proven versions, as one host saw it.
+/// Baseline of a service as one host observed it.
 pub type BaselineReport = Vec<MeanReport>;
 
 impl RunningMean {
@@ -96,14 +102,14 @@
         self.value += (value - self.value) * weight;
     }
 
-    /// Puts two means of the same together.
+    /// Combines two means of the same quantity, weighted by their responses.
     fn merge(self, other: RunningMean) -> RunningMean {
         let responses = self.responses + other.responses;
         let weight = f64::from(other.responses) / f64::from(responses.max(1));
         RunningMean { value: self.value + (other.value - self.value) * weight, responses }
     }
 
-    /// Gets it as it counts beside others.
+    /// Limits the weight of the mean for a combination with others.
     fn capped(self) -> RunningMean {
         RunningMean { responses: self.responses.min(MAX_WEIGHT), ..self }
     }
@@ -113,37 +119,38 @@
     }
 }
 
-/// Names a kind of request: a route and a model.
+/// Returns a hash that identifies a kind of request: its route and model.
 fn request_kind_hash(route: &RouteId, model: Option<&ModelId>) -> u32 {
     let model = model.map_or(0, |m| xxh3_64(m.as_str().as_bytes()));
     xxh3_64_with_seed(route.as_str().as_bytes(), model) as u32
 }
 
-/// How an answer compares with what is usual.
+/// Result of comparing a response with the baseline.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ResponseComparison {
-    /// Whether it was a failure of the endpoint's.
+    /// Whether the endpoint failed.
     pub is_failed: bool,
-    /// Whether it was several times as slow as is usual.
+    /// Whether the response was several times as slow as the baseline.
     pub is_slow: bool,
-    /// Whether it was a plain call that took clearly longer than is usual.
+    /// Whether this was a plain call that took clearly longer than the baseline.
     pub is_late: bool,
-    /// Whether it was a plain call that took several times as long as is usual.
+    /// Whether this was a plain call that took several times as long as the baseline.
     pub is_far_late: bool,
-    /// Whether it was above the usual pace; `None` if it has no pace, or none is known.
+    /// Whether the pace was above the baseline; `None` if the response has no pace or there is no
+    /// baseline for it.
     pub is_above_pace: Option<bool>,
 }
 
-/// What is usual on the proven versions of a service.
+/// Baseline of the stable versions of a service.
 #[derive(Clone, Debug, Default)]
 pub struct Baseline {
     local: BTreeMap<MeanKind, RunningMean>,
-    /// What other hosts told, put together.
+    /// Combined means that other hosts reported.
     remote: BTreeMap<MeanKind, RunningMean>,
 }
 
 impl Baseline {
-    /// Compares an answer with what is usual so far.
+    /// Compares a response with the present baseline.
     pub fn compare(&self, response: &ObservedResponse) -> ResponseComparison {
         let is_failed = response.is_failure();
         let is_slow = !is_failed && self.is_slow(response);
@@ -159,7 +166,7 @@
         }
     }
 
-    /// Learns from an answer of a proven version.
+    /// Updates the baseline with a response of a stable version. Failures are ignored.
     pub fn learn(&mut self, response: &ObservedResponse) {
         if response.is_failure() {
             return;
@@ -178,7 +185,7 @@
         }
     }
 
-    /// Gets what this host saw, for others.
+    /// Returns the means observed on this host, for other hosts.
     pub fn report(&self) -> BaselineReport {
         let reports = self.local.iter().map(|(kind, mean)| MeanReport {
             kind: *kind,
@@ -188,7 +195,7 @@
         reports.take(MAX_MEANS_PER_MESSAGE).collect()
     }
 
-    /// Takes what all other hosts told last.
+    /// Replaces the means of other hosts by their latest reports.
     pub fn set_remote_reports<'a>(&mut self, reports: impl Iterator<Item = &'a BaselineReport>) {
         self.remote.clear();
         for report in reports.flatten().filter(|report| report.value.is_finite()) {
@@ -201,7 +208,7 @@
         }
     }
 
-    /// Gets a mean of all hosts.
+    /// Returns the mean over all hosts, or `None` if it is based on too few responses.
     fn mean(&self, kind: MeanKind) -> Option<f64> {
         let get =
             |means: &BTreeMap<MeanKind, RunningMean>| means.get(&kind).copied().unwrap_or_default();
@@ -231,15 +238,16 @@
         Some(ms > log_pace.exp() + PACE_SLACK_MS)
     }
 
-    /// Gets the usual pace at a step of the load, or else at the next one that is known: rather a higher
-    /// step, at which slowness counts less.
+    /// Returns the logarithm of the baseline pace at a load step. If the step has no baseline, the
+    /// nearest higher step is used, or else the nearest lower one: against the pace at a higher
+    /// load, a response is less likely to look slow.
     fn pace_at(&self, step: u8) -> Option<f64> {
         let at = |step| self.mean(MeanKind::Pace(step));
         (step..LOAD_STEPS).chain((0..step).rev()).find_map(at)
     }
 }
 
-/// Gets the time between the events of a stream, in milliseconds.
+/// Returns the mean time between the events of a successful stream in milliseconds.
 fn event_pace_ms(response: &ObservedResponse) -> Option<f64> {
     response.gap_ms.filter(|ms| response.is_stream && !response.is_failure() && *ms > 0.0)
 }
