--- a/crates/tidetrack-core/src/traffic/load_concentration.rs
+++ b/crates/tidetrack-core/src/traffic/load_concentration.rs
@@ -1,39 +1,43 @@
-//! Shows how a new version does where an endpoint has much to do.
+//! Concentrates the sample of a canary version on few endpoints, to test the version under load.
 //!
-//! A sample spread over as many endpoints as the proven versions have leaves each of them idle, and a version
-//! whose answers fail under load is good there. So once the sample has grown (`exposure`), a fleet that is large
-//! enough sends it to a few endpoints at a time, the same ones at every host, so that each has several times as
-//! much to do as a proven one in the mean, which is what the busiest of these have. After a while others take
-//! their turn: an endpoint may fail for reasons of its own.
+//! A sample that is spread over as many endpoints as the stable versions have leaves each of them
+//! nearly idle, and a version that fails under load would look good. Once the sample has grown (see
+//! `exposure`), a large enough fleet therefore sends it to a few endpoints at a time, the same ones
+//! on every host. Each of them gets several times the mean load of a stable endpoint, about as much
+//! as the busiest of these. After a while other endpoints take over, because an endpoint may fail
+//! for its own reasons.
 //!
-//! What is compared there is whether answers fail. Times are not: no proven endpoint is as busy with prompts that
-//! it has not read before, and of what the others do there one of many hosts knows little. A part of the sample
-//! goes on to all endpoints, so that a version that turns slow later is told from the proven ones at rest.
+//! Only failures are compared under concentrated load. Times are not: no stable endpoint has as
+//! much work with prompts that are not in its cache, and a single host knows little of the load
+//! that other hosts put on these endpoints. A part of the sample still goes to all endpoints, so
+//! that a version that becomes slow later can be compared with the stable versions at low load.
 
 use crate::traffic::canary::{CanaryView, Phase};
 use crate::units::Millis;
 
-/// How many times as much as a proven endpoint in the mean an endpoint gets at least: about what the busiest of
-/// many have.
+/// Minimum load of an endpoint under concentrated load, as a multiple of the mean load of a stable
+/// endpoint. The busiest of many stable endpoints have about as much.
 const TARGET_LOAD_RATIO: f64 = 2.5;
 
-/// Below this multiple an endpoint that had the whole sample would be no busier than many proven ones.
+/// Minimum multiple that one endpoint must reach with the whole sample. Below it, the endpoint
+/// would not be busier than many stable ones.
 const MIN_LOAD_RATIO: f64 = 2.0;
 
-/// How long an endpoint has its turn: several runs, for it reads each prompt's shared part anew at first, and
-/// requests have to come together.
+/// Time for which an endpoint takes the concentrated load. It lasts for several attempts, because
+/// the endpoint first has to read the shared part of each prompt, and requests must accumulate.
 const WINDOW: Millis = Millis(4_500);
 
-/// Endpoints that have the sample now.
+/// Endpoints that take the concentrated load during one time window.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConcentrationWindow {
-    /// Which turn it is.
+    /// Index of the window, counted from 0 when the sample grows.
     pub index: u64,
-    /// How many endpoints have it.
+    /// Number of endpoints that take the load.
     pub endpoints: usize,
 }
 
-/// Gets the turn at an instant, if the sample of a roll-out beside so many proven endpoints is given to few.
+/// Returns the concentration window at the given time, or `None` if the sample is not concentrated
+/// then. `stable_endpoints` is the number of endpoints of the stable versions.
 pub fn concentration_window_at(
     canary: &CanaryView,
     now: Millis,
