--- a/crates/tidetrack-core/src/traffic/cutover_counts.rs
+++ b/crates/tidetrack-core/src/traffic/cutover_counts.rs
@@ -1,21 +1,22 @@
-//! Answers of a new version since all traffic moved to it.
+//! Response counts of a canary version since the cutover.
 //!
-//! A version may be bad only at the load that all traffic brings. The counts of its sample would dilute what shows
-//! then, and there is little time before the roll-out is completed, which cannot be taken back. So answers
-//! are counted anew from the move on, by route and by group of endpoints, and the worst groups are left out: an endpoint
-//! may fail for reasons of its own, and all of them get traffic at once.
+//! Some versions are bad only under the load of all traffic. The counts of the sample would dilute
+//! such evidence, and little time is left before the roll-out is completed, which cannot be undone.
+//! Responses are therefore counted separately from the cutover on, by route class and endpoint
+//! group. The worst groups are excluded: an endpoint may fail for its own reasons, and all of them
+//! get traffic at once.
 //!
-//! Streams are not counted: a failure comes sooner than a good answer, so within a second of the move most of what has
-//! come of them are failures.
+//! Streams are not counted. A failure arrives sooner than a successful response, so within a second
+//! of the cutover most ended streams are failures.
 
 use std::collections::BTreeSet;
 
 use serde::{Deserialize, Serialize};
 
-/// Share of the groups of endpoints that is left out, the worst ones.
+/// Fraction of the endpoint groups that is excluded, worst first.
 const EXCLUDED_FRACTION: f64 = 0.4;
 
-/// Answers of a class of routes at a group of endpoints.
+/// Counts for a route class at an endpoint group.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 struct RouteGroupCounts {
     route: u8,
@@ -24,30 +25,30 @@
     failed: u16,
 }
 
-/// Sums of answers.
+/// Sums over several route classes or endpoint groups.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ResponseTotals {
-    /// All answers.
+    /// All responses.
     pub total: f32,
-    /// Those that failed.
+    /// Failed responses.
     pub failed: f32,
 }
 
-/// Counts of answers since the move.
+/// Counts since the cutover, by route class and endpoint group.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct CutoverCounts {
     counts: Vec<RouteGroupCounts>,
 }
 
 impl CutoverCounts {
-    /// Counts an answer.
+    /// Adds a response.
     pub fn add(&mut self, route: u8, group: u8, failed: bool) {
         let counts = self.count_mut(route, group);
         counts.total = counts.total.saturating_add(1);
         counts.failed = counts.failed.saturating_add(u16::from(failed));
     }
 
-    /// Adds another host's counts.
+    /// Adds the counts of another host.
     pub fn merge(&mut self, other: &CutoverCounts) {
         for other_counts in &other.counts {
             let counts = self.count_mut(other_counts.route, other_counts.group);
@@ -56,12 +57,12 @@
         }
     }
 
-    /// Counts the groups of endpoints that answered.
+    /// Returns the number of endpoint groups with responses.
     pub fn group_count(&self) -> usize {
         self.failed_shares().len()
     }
 
-    /// Gets the counts without the worst groups of endpoints.
+    /// Returns the counts without the worst endpoint groups.
     pub fn without_worst(&self) -> CutoverCounts {
         let mut shares = self.failed_shares();
         shares.sort_by(|a, b| a.1.total_cmp(&b.1));
@@ -70,17 +71,17 @@
         CutoverCounts { counts: self.counts.iter().filter(is_kept).copied().collect() }
     }
 
-    /// Gets the answers on a class of routes.
+    /// Returns the sums for a route class.
     pub fn totals_on_route(&self, route: u8) -> ResponseTotals {
         sum_counts(self.counts.iter().filter(|c| c.route == route))
     }
 
-    /// Gets the answers on all routes.
+    /// Returns the sums over all routes.
     pub fn totals(&self) -> ResponseTotals {
         sum_counts(&self.counts)
     }
 
-    /// Gets the share of failed answers of each group of endpoints.
+    /// Returns the share of failed responses of each endpoint group.
     fn failed_shares(&self) -> Vec<(u8, f32)> {
         let groups: BTreeSet<u8> = self.counts.iter().map(|c| c.group).collect();
         let failed_share = |group: u8| {
@@ -100,7 +101,7 @@
     }
 }
 
-/// Gets how many of so many groups of endpoints are left out.
+/// Returns how many of the given number of endpoint groups are excluded.
 fn excluded_groups(groups: usize) -> usize {
     match groups {
         0 | 1 => 0,
