--- a/crates/tidetrack-core/src/traffic/fingerprint.rs
+++ b/crates/tidetrack-core/src/traffic/fingerprint.rs
@@ -1,8 +1,9 @@
-//! What stays the same when a caller sends a request again.
+//! Fingerprint that identifies a request when its caller sends it again.
 //!
-//! An attempt's id is new each time, so a request is known again by what it asks for: who sent it, to which host
-//! name, method and path, and its body. Bodies are chosen by callers, so the hash is one for which nobody finds two
-//! of the same value, and the workspace is part of it: no workspace can send a request that is taken for another's.
+//! Attempt ids are new for each try, so a request is recognized by its contents: workspace, host
+//! name, method, path and body. Callers choose the bodies, so the hash must be collision-resistant.
+//! It includes the workspace, so that no workspace can send a request that is taken for one of
+//! another workspace.
 
 use std::fmt;
 use std::str::FromStr;
@@ -14,40 +15,40 @@
 use crate::errors::{bad_value, Error};
 use crate::ids::WorkspaceId;
 
-/// Bytes of the hash that are kept.
+/// Number of hash bytes that are kept.
 const HASH_LEN: usize = 16;
 
-/// Names a caller's request across its repeats and across hosts.
+/// Identifies a caller's request across repeated sends and across hosts.
 ///
-/// Written `caller-hash`, both in hexadecimal.
+/// The text form is `caller-hash`, both parts in hexadecimal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Fingerprint {
     caller: u32,
     hash: [u8; HASH_LEN],
 }
 
-/// A request as far as it is the same each time.
+/// Parts of a request that stay the same when it is sent again.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestIdentity<'a> {
-    /// The workspace, where the request carried a key.
+    /// Workspace of the request's API key; `None` if it had no key.
     pub workspace: Option<&'a WorkspaceId>,
-    /// The host name that was asked for.
+    /// Host name that the request was sent to.
     pub hostname: &'a str,
-    /// The method.
+    /// HTTP method.
     pub method: &'a str,
     /// Path and query.
     pub path: &'a str,
-    /// The whole body.
+    /// Complete body.
     pub body: &'a [u8],
 }
 
 impl Fingerprint {
-    /// Makes the fingerprint of a request.
+    /// Calculates the fingerprint of a request.
     pub fn of(req: &RequestIdentity<'_>) -> Fingerprint {
         let workspace = req.workspace.map_or("", WorkspaceId::as_str);
         let mut hash = Sha256::new();
         for part in [workspace, req.hostname, req.method, req.path] {
-            // Lengths keep the end of one part from being taken for the beginning of the next.
+            // The length prefix makes the boundaries between the parts unambiguous.
             hash.update((part.len() as u64).to_le_bytes());
             hash.update(part.as_bytes());
         }
@@ -58,13 +59,13 @@
         Fingerprint { caller: xxh3_64(workspace.as_bytes()) as u32, hash }
     }
 
-    /// Gets the beginning of the hash, the same number at every host.
+    /// Returns the first four bytes of the hash as a number, which is the same on every host.
     pub fn hash_prefix(&self) -> u32 {
         let [a, b, c, d, ..] = self.hash;
         u32::from_le_bytes([a, b, c, d])
     }
 
-    /// Gets what stands for the request's caller.
+    /// Returns a hash that identifies the request's workspace.
     pub fn caller(&self) -> u32 {
         self.caller
     }
