--- a/crates/tidetrack-core/src/traffic/prefix_index.rs
+++ b/crates/tidetrack-core/src/traffic/prefix_index.rs
@@ -1,10 +1,10 @@
-//! Which endpoints have read the shared part of a prompt.
+//! Index of the endpoints that hold a prompt prefix in their cache.
 //!
-//! Reading a long shared part takes a large model a second; an endpoint that has read it for a model
-//! keeps it for a while. Each host remembers where it had what read, and hosts tell each other what
-//! is new, so that a part goes where some host's request has brought it already. What is told and
-//! remembered is bounded, forgets by itself, and only guides placement: a false memory costs one
-//! more read.
+//! A large model takes about a second to read a long shared prefix, and an endpoint that has read
+//! one for a model caches it for a while. Each host remembers where its requests used which prefix,
+//! and hosts report new entries to each other, so that requests go to endpoints that already hold
+//! their prefix. Reports and memory are bounded and entries expire. The index only guides
+//! placement: a wrong entry costs one additional read.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -15,70 +15,72 @@
 use crate::ids::{EndpointKey, ModelId};
 use crate::units::Millis;
 
-/// How long an endpoint is taken to keep a part that no request used there.
+/// Time for which an endpoint is assumed to cache a prefix after its last use.
 const CACHE_LIFETIME: Millis = Millis(20_000);
 
-/// Parts that are remembered: some hundred KB.
+/// Maximum number of prefixes in the index; they take a few hundred KB.
 const MAX_PREFIXES: usize = 8_192;
 
-/// Endpoints remembered for one part, those that used it last.
+/// Maximum number of endpoints per prefix. The most recently used ones are kept.
 const MAX_ENDPOINTS_PER_PREFIX: usize = 8;
 
-/// Reads that one message tells at most, the newest: 160 bytes. A host sends 32 messages a second whatever
-/// the fleet's size, and control may take 8 KB a second of it.
+/// Maximum number of reports in one message, 160 bytes; the newest are sent. A host sends 32
+/// messages per second regardless of the fleet's size, and control traffic may use 8 KB per second
+/// for reports.
 const MAX_REPORTS_PER_MESSAGE: usize = 16;
 
-/// A use is told again when that many milliseconds have passed since it was told.
+/// Minimum time between two reports of the same entry.
 const REPORT_INTERVAL: Millis = Millis(5_000);
 
-/// Names a shared part read for a model.
+/// Identifies a prompt prefix that is cached for a model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PrefixKey(u32);
 
 impl PrefixKey {
-    /// Names the part `prefix`, which stands for all before it, as report for `model`.
+    /// Creates the key of a prefix for `model`. The name `prefix` identifies everything in the
+    /// prompt up to its end.
     pub fn new(prefix: &str, model: Option<&ModelId>) -> PrefixKey {
         let seed = model.map_or(0, |m| xxh3_64(m.as_str().as_bytes()));
-        // A collision misplaces a request now and then; nothing else depends on it.
+        // A collision only causes an occasional poor placement.
         PrefixKey(xxh3_64_with_seed(prefix.as_bytes(), seed) as u32)
     }
 }
 
-/// An endpoint that has read a part, as hosts tell each other.
+/// Report that an endpoint holds a prefix, as sent between hosts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PrefixReport {
-    /// The part.
+    /// Prefix that was read.
     pub prefix: PrefixKey,
-    /// The endpoint.
+    /// Endpoint that read it.
     pub endpoint: EndpointKey,
 }
 
-/// One endpoint's use of a part.
+/// Cache entry of a prefix at one endpoint.
 #[derive(Clone, Copy, Debug)]
 struct CachedPrefix {
     endpoint: EndpointKey,
     used_at: Millis,
-    /// Since when this host tells of the use; `None` if it only heard of it.
+    /// Time since which this host reports the use; `None` if it only knows it from another host.
     reported_since: Option<Millis>,
-    /// Until when further uses are no news to the others.
+    /// Time from which a further use is reported again.
     next_report_at: Millis,
 }
 
-/// The memory of one service at one host.
+/// Prefix locations of one service as known to one host.
 #[derive(Debug, Default)]
 pub struct PrefixIndex {
     prefixes: Mutex<HashMap<PrefixKey, Vec<CachedPrefix>>>,
 }
 
 impl PrefixIndex {
-    /// Lists the endpoints that keep a part as far as is known.
+    /// Returns the endpoints that are assumed to hold a prefix.
     pub fn endpoints_with(&self, now: Millis, prefix: PrefixKey) -> Vec<EndpointKey> {
         let prefixes = self.prefixes.lock().expect("no holder of the lock panics");
         let Some(entries) = prefixes.get(&prefix) else { return Vec::new() };
         entries.iter().filter(|r| now < r.used_at + CACHE_LIFETIME).map(|r| r.endpoint).collect()
     }
 
-    /// Takes note that a request of this host has an endpoint use a part.
+    /// Records that a request of this host uses a prefix at an endpoint.
     pub fn record_use(&self, now: Millis, prefix: PrefixKey, endpoint: EndpointKey) {
         self.update_entry(now, prefix, endpoint, |entry| {
             if now >= entry.next_report_at {
@@ -88,7 +90,7 @@
         });
     }
 
-    /// Takes what another host tells.
+    /// Records the reports of another host.
     pub fn record_reports(&self, now: Millis, reports: &[PrefixReport]) {
         for report in reports {
             let next_report_at = now + REPORT_INTERVAL;
@@ -98,8 +100,8 @@
         }
     }
 
-    /// Lists what is to be told in messages until all hosts were told, which takes `round_time`; forgets
-    /// what is old.
+    /// Returns the entries to report. Each entry is included for `round_time`, the time after which
+    /// all hosts have received it. Removes expired entries.
     pub fn reports(&self, now: Millis, round_time: Millis) -> Vec<PrefixReport> {
         let mut prefixes = self.prefixes.lock().expect("no holder of the lock panics");
         prefixes.retain(|_, entries| {
