--- a/crates/tidetrack-core/src/traffic/samples.rs
+++ b/crates/tidetrack-core/src/traffic/samples.rs
@@ -199,7 +199,7 @@
     FailsUnderLoad,
     /// A higher share of its plain calls fails since the cutover.
     FailsSinceCutover,
-    /// A higher share of its responses is late, or is either late or failed.
+    /// It has a higher share of late plain calls, or of late and failed ones together.
     Late,
     /// A higher share of its responses is above the baseline pace.
     Slower,
