--- a/crates/tidetrack-core/src/traffic/cutover_counts.rs
+++ b/crates/tidetrack-core/src/traffic/cutover_counts.rs
@@ -42,10 +42,10 @@
 
 impl CutoverCounts {
     /// Adds a response.
-    pub fn add(&mut self, route: u8, group: u8, failed: bool) {
+    pub fn add(&mut self, route: u8, group: u8, is_failed: bool) {
         let counts = self.count_mut(route, group);
         counts.total = counts.total.saturating_add(1);
-        counts.failed = counts.failed.saturating_add(u16::from(failed));
+        counts.failed = counts.failed.saturating_add(u16::from(is_failed));
     }
 
     /// Adds the counts of another host.
@@ -93,11 +93,11 @@
 
     fn count_mut(&mut self, route: u8, group: u8) -> &mut RouteGroupCounts {
         let is_match = |c: &RouteGroupCounts| c.route == route && c.group == group;
-        let at = self.counts.iter().position(is_match).unwrap_or_else(|| {
+        let index = self.counts.iter().position(is_match).unwrap_or_else(|| {
             self.counts.push(RouteGroupCounts { route, group, total: 0, failed: 0 });
             self.counts.len() - 1
         });
-        &mut self.counts[at]
+        &mut self.counts[index]
     }
 }
 
--- a/crates/tidetrack-core/src/traffic/exposure.rs
+++ b/crates/tidetrack-core/src/traffic/exposure.rs
@@ -262,8 +262,8 @@
             if sessions.get(&session).is_none_or(|known| now >= known.until) {
                 self.has_unreported.store(true, Ordering::Relaxed);
             }
-            let known = sessions.entry(session).or_insert(held);
-            *known = HeldSession { until: known.until.max(held.until), ..held };
+            let session_hold = sessions.entry(session).or_insert(held);
+            *session_hold = HeldSession { until: session_hold.until.max(held.until), ..held };
         }
     }
 
--- a/crates/tidetrack-core/src/traffic/judge.rs
+++ b/crates/tidetrack-core/src/traffic/judge.rs
@@ -145,10 +145,10 @@
 }
 
 impl RecentCounts {
-    fn add(&mut self, failed: bool, slow: bool) {
+    fn add(&mut self, is_failed: bool, is_slow: bool) {
         self.total += 1.0;
-        self.failed += f32::from(u8::from(failed));
-        self.bad += f32::from(u8::from(failed || slow));
+        self.failed += f32::from(u8::from(is_failed));
+        self.bad += f32::from(u8::from(is_failed || is_slow));
     }
 
     fn decay(&mut self, fraction: f32) {
@@ -279,12 +279,12 @@
         let recent_failed = baseline_share(stable.failed, stable.judged_requests());
         let baseline_failed = recent_failed
             .max(baseline_share(stable_sample.outcomes.failed, stable_sample.outcomes.total));
-        let fails = canary.failed >= MIN_FAILED_TO_BAR
+        let is_failing = canary.failed >= MIN_FAILED_TO_BAR
             && exceeds_baseline(canary.failed, baseline_failed, MIN_FAILED_SHARE, MIN_FAILED_RATIO);
         let baseline_bad = stable.share(stable.bad);
         let is_bad = canary.bad >= MIN_BAD_TO_BAR
             && exceeds_baseline(canary.bad, baseline_bad, MIN_BAD_SHARE, MIN_BAD_RATIO);
-        (fails || is_bad) && (self.has_several_bad_endpoints || basis.endpoints < 2)
+        (is_failing || is_bad) && (self.has_several_bad_endpoints || basis.endpoints < 2)
     }
 }
 
--- a/crates/tidetrack-core/src/traffic/prefix_index.rs
+++ b/crates/tidetrack-core/src/traffic/prefix_index.rs
@@ -77,7 +77,7 @@
     pub fn endpoints_with(&self, now: Millis, prefix: PrefixKey) -> Vec<EndpointKey> {
         let prefixes = self.prefixes.lock().expect("no holder of the lock panics");
         let Some(entries) = prefixes.get(&prefix) else { return Vec::new() };
-        entries.iter().filter(|r| now < r.used_at + CACHE_LIFETIME).map(|r| r.endpoint).collect()
+        entries.iter().filter(|e| now < e.used_at + CACHE_LIFETIME).map(|e| e.endpoint).collect()
     }
 
     /// Records that a request of this host uses a prefix at an endpoint.
@@ -105,7 +105,7 @@
     pub fn reports(&self, now: Millis, round_time: Millis) -> Vec<PrefixReport> {
         let mut prefixes = self.prefixes.lock().expect("no holder of the lock panics");
         prefixes.retain(|_, entries| {
-            entries.retain(|r| now < r.used_at + CACHE_LIFETIME);
+            entries.retain(|e| now < e.used_at + CACHE_LIFETIME);
             !entries.is_empty()
         });
         let mut reports = Vec::new();
@@ -135,12 +135,12 @@
             return;
         }
         let entries = prefixes.entry(prefix).or_default();
-        let position = entries.iter().position(|r| r.endpoint == endpoint);
-        let at = position.unwrap_or_else(|| {
+        let position = entries.iter().position(|e| e.endpoint == endpoint);
+        let index = position.unwrap_or_else(|| {
             if entries.len() >= MAX_ENDPOINTS_PER_PREFIX {
-                let oldest = entries.iter().enumerate().min_by_key(|(_, r)| r.used_at);
-                if let Some((at, _)) = oldest {
-                    entries.swap_remove(at);
+                let oldest = entries.iter().enumerate().min_by_key(|(_, e)| e.used_at);
+                if let Some((index, _)) = oldest {
+                    entries.swap_remove(index);
                 }
             }
             entries.push(CachedPrefix {
@@ -151,7 +151,7 @@
             });
             entries.len() - 1
         });
-        entries[at].used_at = now;
-        update(&mut entries[at]);
+        entries[index].used_at = now;
+        update(&mut entries[index]);
     }
 }
--- a/crates/tidetrack-core/src/traffic/samples.rs
+++ b/crates/tidetrack-core/src/traffic/samples.rs
@@ -251,10 +251,11 @@
     }
 
     /// Adds a response of a canary endpoint under concentrated load.
-    pub fn add_concentrated(&mut self, group: u8, failed: bool) {
+    pub fn add_concentrated(&mut self, group: u8, is_failed: bool) {
         let counts = self.group_mut(group);
         counts.concentrated_total = counts.concentrated_total.saturating_add(1);
-        counts.concentrated_failed = counts.concentrated_failed.saturating_add(u16::from(failed));
+        counts.concentrated_failed =
+            counts.concentrated_failed.saturating_add(u16::from(is_failed));
     }
 
     /// Decays the counts by the given time.
@@ -482,27 +483,28 @@
     }
 
     fn route_mut(&mut self, route: u8) -> &mut RouteSamples {
-        let at =
+        let index =
             self.routes.iter().position(|samples| samples.route == route).unwrap_or_else(|| {
                 let (canary, stable) = (Sample::default(), Sample::default());
                 self.routes.push(RouteSamples { route, canary, stable });
                 self.routes.len() - 1
             });
-        &mut self.routes[at]
+        &mut self.routes[index]
     }
 
     fn group_mut(&mut self, group: u8) -> &mut GroupCounts {
-        let at = self.groups.iter().position(|counts| counts.group == group).unwrap_or_else(|| {
-            let canary = OutcomeCounts::default();
-            self.groups.push(GroupCounts {
-                group,
-                canary,
-                concentrated_total: 0,
-                concentrated_failed: 0,
+        let index =
+            self.groups.iter().position(|counts| counts.group == group).unwrap_or_else(|| {
+                let canary = OutcomeCounts::default();
+                self.groups.push(GroupCounts {
+                    group,
+                    canary,
+                    concentrated_total: 0,
+                    concentrated_failed: 0,
+                });
+                self.groups.len() - 1
             });
-            self.groups.len() - 1
-        });
-        &mut self.groups[at]
+        &mut self.groups[index]
     }
 }
 
