--- a/crates/tidetrack-core/src/traffic/baseline.rs
+++ b/crates/tidetrack-core/src/traffic/baseline.rs
@@ -88,7 +88,7 @@
     pub kind: MeanKind,
     /// Value of the mean.
     pub value: f32,
-    /// Number of responses that the mean counts for, capped at [`MAX_WEIGHT`].
+    /// Number of responses that the mean counts for, capped at `MAX_WEIGHT`.
     pub responses: u8,
 }
 
--- a/crates/tidetrack-core/src/traffic/canary.rs
+++ b/crates/tidetrack-core/src/traffic/canary.rs
@@ -91,7 +91,7 @@
 
 /// Progress of a roll-out as hosts write it to the store.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Progress {
+pub struct RolloutProgress {
     /// Whether the roll-out is running, completed or rolled back.
     pub state: RolloutState,
     /// Version that this progress refers to.
@@ -115,7 +115,7 @@
     /// Revision of the store object at its last change.
     pub revision: u64,
     /// Last written progress, if any. It may belong to an earlier order.
-    pub progress: Option<Progress>,
+    pub progress: Option<RolloutProgress>,
 }
 
 /// A progress update to be written to the store, conditional on the order's revision.
@@ -126,7 +126,7 @@
     /// Revision that the object must still have for the write to succeed.
     pub revision: u64,
     /// Progress to store.
-    pub progress: Progress,
+    pub progress: RolloutProgress,
 }
 
 /// Properties of a host that determine when it may write a roll-out's progress.
@@ -305,7 +305,7 @@
     }
 
     /// Returns the stored progress if it belongs to the current version.
-    fn progress(&self) -> Option<&Progress> {
+    fn progress(&self) -> Option<&RolloutProgress> {
         self.order.progress.as_ref().filter(|p| p.version == self.order.version)
     }
 
@@ -324,9 +324,9 @@
     /// Returns the share of the sessions in the initial sample: the stored value if it is valid,
     /// otherwise the value that this host would write.
     pub fn sample_share(&self, hosts: usize) -> f64 {
-        let written = self.progress().and_then(|p| p.sample);
+        let stored = self.progress().and_then(|p| p.sample);
         let is_valid = |s: &f64| (0.0..=MAX_SAMPLE_SHARE).contains(s);
-        written.filter(is_valid).unwrap_or_else(|| initial_sample_share(hosts, self.bound.share))
+        stored.filter(is_valid).unwrap_or_else(|| initial_sample_share(hosts, self.bound.share))
     }
 
     /// Calculates the sample shares and the cutover time.
@@ -335,11 +335,12 @@
     /// the remainder goes to the grown sample, and the rest makes the cutover 0.01 of the duration
     /// earlier, which gives attempts on the stable version time to end. The cutover is as late as
     /// possible while both samples and all later traffic stay within the bound.
-    fn shares(&self, hosts: usize) -> SampleShares {
+    fn sample_shares(&self, hosts: usize) -> SampleShares {
         let min_stable_share = 1.0 - self.bound.share.0 * (1.0 - RUNNING_ATTEMPTS_RESERVE);
         let (initial, full_share) = (self.sample_share(hosts), full_sample_share(self.bound.share));
-        let uniform_cutover = min_stable_share / (1.0 - full_share);
-        let grown = (full_share * uniform_cutover / SAMPLE_GROWTH_FRACTION - initial).max(initial);
+        let constant_sample_cutover = min_stable_share / (1.0 - full_share);
+        let grown =
+            (full_share * constant_sample_cutover / SAMPLE_GROWTH_FRACTION - initial).max(initial);
         let cutover_fraction =
             (min_stable_share + SAMPLE_GROWTH_FRACTION * (initial - grown)) / (1.0 - grown);
         SampleShares { initial, grown, cutover_fraction: cutover_fraction.clamp(0.0, 1.0) }
@@ -347,7 +348,7 @@
 
     /// Returns the order's age at the cutover.
     fn cutover_age(&self, hosts: usize) -> Millis {
-        self.fraction_of_duration(self.shares(hosts).cutover_fraction)
+        self.fraction_of_duration(self.sample_shares(hosts).cutover_fraction)
     }
 
     /// Returns the order's age at which the roll-out is completed.
@@ -376,7 +377,7 @@
     /// reach all `hosts`.
     pub fn view(&mut self, propagation_time: Millis, hosts: usize) -> CanaryView {
         self.published_start = self.started_at;
-        let shares = self.shares(hosts);
+        let shares = self.sample_shares(hosts);
         CanaryView {
             version: self.order.version.clone(),
             phase: self.phase(),
@@ -491,7 +492,7 @@
         if self.write_retry_at.is_some_and(|until| now < until) {
             return None;
         }
-        let progress = Progress {
+        let progress = RolloutProgress {
             sample: Some(self.sample_share(hosts)),
             ..self.next_progress(now, write_delay, hosts)?
         };
@@ -505,12 +506,17 @@
         Millis((self.order.duration.0 as f64 * fraction) as u64)
     }
 
-    fn next_progress(&self, now: Millis, write_delay: Millis, hosts: usize) -> Option<Progress> {
+    fn next_progress(
+        &self,
+        now: Millis,
+        write_delay: Millis,
+        hosts: usize,
+    ) -> Option<RolloutProgress> {
         let elapsed = now - self.started_at;
         let version = self.order.version.clone();
-        let with_state = |state| Progress { state, version, elapsed, sample: None };
-        let written = self.progress();
-        if let Some(RolloutState::Completed | RolloutState::RolledBack) = written.map(|p| p.state) {
+        let with_state = |state| RolloutProgress { state, version, elapsed, sample: None };
+        let stored = self.progress();
+        if let Some(RolloutState::Completed | RolloutState::RolledBack) = stored.map(|p| p.state) {
             return None;
         }
         if let Some(since) = self.barred_at {
@@ -521,8 +527,8 @@
             return Some(with_state(RolloutState::Completed));
         }
         let due_after = self.fraction_of_duration(PROGRESS_WRITE_INTERVAL) + write_delay;
-        let is_due = written.is_none_or(|p| elapsed >= p.elapsed + due_after);
-        let has_waited = written.is_some() || elapsed >= write_delay;
+        let is_due = stored.is_none_or(|p| elapsed >= p.elapsed + due_after);
+        let has_waited = stored.is_some() || elapsed >= write_delay;
         (is_due && has_waited).then(|| with_state(RolloutState::InProgress))
     }
 }
--- a/crates/tidetrack-core/src/traffic/cascade.rs
+++ b/crates/tidetrack-core/src/traffic/cascade.rs
@@ -83,18 +83,18 @@
     }
 
     /// Estimates the price of an attempt on a model with the given price per 1,000 tokens.
-    pub fn estimated_price(&self, per_1k: f64) -> f64 {
+    pub fn estimated_price(&self, price_per_1k: f64) -> f64 {
         let charged_tokens =
             self.estimated_generated_tokens() + self.prompt_tokens.0 as f64 * PROMPT_PRICE_RATIO;
-        charged_tokens / PRICE_UNIT_TOKENS * per_1k
+        charged_tokens / PRICE_UNIT_TOKENS * price_per_1k
     }
 
     /// Estimates the value of a correct response if the largest model has the given price per 1,000
     /// tokens.
-    pub fn estimated_value(&self, largest_per_1k: f64, opts: &CascadeOptions) -> f64 {
+    pub fn estimated_value(&self, largest_price_per_1k: f64, opts: &CascadeOptions) -> f64 {
         let value_tokens = self.prompt_tokens.0 as f64
             + GENERATED_TOKEN_WEIGHT * self.estimated_generated_tokens();
-        value_tokens / PRICE_UNIT_TOKENS * largest_per_1k * opts.value_to_price_ratio
+        value_tokens / PRICE_UNIT_TOKENS * largest_price_per_1k * opts.value_to_price_ratio
     }
 }
 
@@ -162,14 +162,14 @@
     let current_value = correct_probability + (1.0 - correct_probability) * WRONG_RESPONSE_VALUE;
     let second_value =
         estimate.in_time_probability + (1.0 - estimate.in_time_probability) * LATE_RESPONSE_VALUE;
-    let per_1k = service.price_of(larger_model);
-    let gain = (second_value - current_value) * size.estimated_value(per_1k, opts);
+    let price_per_1k = service.price_of(larger_model);
+    let gain = (second_value - current_value) * size.estimated_value(price_per_1k, opts);
     // The second attempt also delays others, and more so the busier the engines are.
     let cost_multiplier =
         opts.delay_cost_ratio * (1.0 + opts.wait_cost_factor * estimate.wait * estimate.wait);
     Some(SecondOpinionTradeoff {
         larger_model,
         gain,
-        cost: size.estimated_price(per_1k) * cost_multiplier,
+        cost: size.estimated_price(price_per_1k) * cost_multiplier,
     })
 }
--- a/crates/tidetrack-core/src/traffic/exposure.rs
+++ b/crates/tidetrack-core/src/traffic/exposure.rs
@@ -35,7 +35,7 @@
 const HOST_BOUND_FRACTION: f64 = 0.93;
 
 /// Requests that a host may send to the canary version before the share is enforced.
-const FREE_REQUESTS: u64 = 6;
+const FREE_REQUESTS_PER_HOST: u64 = 6;
 
 /// Maximum number of sessions reported in one message, about 1 KB.
 const MAX_SESSIONS_PER_MESSAGE: usize = 200;
@@ -46,7 +46,7 @@
 /// Time during which a host reports a session after its last request while no roll-out is running;
 /// it spans a few rounds. Without these reports, a host's knowledge of active sessions would be
 /// lost when it stops, and the next roll-out would split these sessions between versions.
-const RECENT_PERIOD: Millis = Millis(1_000);
+const SESSION_REPORT_PERIOD: Millis = Millis(1_000);
 
 /// Hash that identifies a session in messages.
 pub type SessionKey = u32;
@@ -174,11 +174,13 @@
             Some(Phase::Sample) => drop(self.total_requests.fetch_add(1, Ordering::Relaxed)),
             None => {}
         }
-        let sampled =
+        let sampled_canary =
             canary.filter(|view| has_canary_endpoint && self.is_sampled(now, session_hash, view));
-        let may_switch =
+        let can_switch =
             |view: &CanaryView| now >= view.sample_grows_at || !self.is_held(now, session_hash);
-        if sampled.is_some_and(|view| self.is_below_bound(view.bound.share) && may_switch(view)) {
+        if sampled_canary
+            .is_some_and(|view| self.is_below_bound(view.bound.share) && can_switch(view))
+        {
             return ReleaseTrack::Canary;
         }
         self.hold(now, session_hash, hold_for);
@@ -299,7 +301,7 @@
     /// sample share. They are sent early because this host may have stopped by then.
     pub fn recent_reports(&self, now: Millis) -> Vec<SessionReport> {
         self.collect_reports(now, |held| {
-            held.hash_fraction.is_some() && now < held.seen_at + RECENT_PERIOD
+            held.hash_fraction.is_some() && now < held.seen_at + SESSION_REPORT_PERIOD
         })
     }
 
@@ -337,6 +339,6 @@
     pub fn is_below_bound(&self, bound: Share) -> bool {
         let max_requests =
             self.total_requests.load(Ordering::Relaxed) as f64 * bound.0 * HOST_BOUND_FRACTION;
-        self.canary_requests.load(Ordering::Relaxed) < max_requests as u64 + FREE_REQUESTS
+        self.canary_requests.load(Ordering::Relaxed) < max_requests as u64 + FREE_REQUESTS_PER_HOST
     }
 }
--- a/crates/tidetrack-core/src/traffic/judge.rs
+++ b/crates/tidetrack-core/src/traffic/judge.rs
@@ -257,8 +257,8 @@
 
     /// Returns the reason to bar the version on its responses since the cutover, if any.
     pub fn bar_reason_since_cutover(&self, basis: VerdictBasis) -> Option<BarReason> {
-        let fails = self.samples.fails_since_cutover(&self.since_cutover, basis);
-        fails.then_some(BarReason::Sample(Regression::FailsSinceCutover))
+        let is_failing = self.samples.fails_since_cutover(&self.since_cutover, basis);
+        is_failing.then_some(BarReason::Sample(Regression::FailsSinceCutover))
     }
 
     fn is_recently_bad(&self, basis: VerdictBasis) -> bool {
@@ -381,7 +381,7 @@
         self.tally(now);
         let (route, group) = (response.route_class(), endpoint_group(endpoint));
         if response.is_load_concentrated {
-            self.tally.samples.add_concentrated(group, comparison.is_failed);
+            self.tally.samples.add_concentrated_load(group, comparison.is_failed);
             return;
         }
         self.tally.canary.add(comparison.is_failed, comparison.is_slow);
--- a/crates/tidetrack-core/src/traffic/latency_estimate.rs
+++ b/crates/tidetrack-core/src/traffic/latency_estimate.rs
@@ -32,12 +32,12 @@
 #[derive(Clone, Copy, Debug)]
 struct ServicePace {
     work: f64,
-    us: f64,
+    duration_us: f64,
 }
 
 impl Default for ServicePace {
     fn default() -> Self {
-        ServicePace { work: ASSUMED_WORK, us: ASSUMED_WORK * ASSUMED_PACE_US }
+        ServicePace { work: ASSUMED_WORK, duration_us: ASSUMED_WORK * ASSUMED_PACE_US }
     }
 }
 
@@ -80,16 +80,16 @@
 impl LatencyEstimator {
     /// Records the microseconds that a response took to start, and the work in tokens done until
     /// then, including the work queued ahead.
-    pub fn record_response_start(&mut self, service: &ServiceId, work: f64, us: f64) {
+    pub fn record_response_start(&mut self, service: &ServiceId, work: f64, duration_us: f64) {
         let pace = self.paces.entry(service.clone()).or_default();
         pace.work = pace.work * DECAY_FACTOR + work;
-        pace.us = pace.us * DECAY_FACTOR + us;
+        pace.duration_us = pace.duration_us * DECAY_FACTOR + duration_us;
     }
 
     /// Returns the microseconds that the service takes per token of work.
     pub fn pace_us(&self, service: &ServiceId) -> f64 {
         let pace = self.paces.get(service).copied().unwrap_or_default();
-        pace.us / pace.work.max(1.0)
+        pace.duration_us / pace.work.max(1.0)
     }
 
     /// Estimates the latency of a planned attempt.
--- a/crates/tidetrack-core/src/traffic/load_concentration.rs
+++ b/crates/tidetrack-core/src/traffic/load_concentration.rs
@@ -25,7 +25,7 @@
 
 /// Time for which an endpoint takes the concentrated load. It lasts for several attempts, because
 /// the endpoint first has to read the shared part of each prompt, and requests must accumulate.
-const WINDOW: Millis = Millis(4_500);
+const CONCENTRATION_WINDOW_LENGTH: Millis = Millis(4_500);
 
 /// Endpoints that take the concentrated load during one time window.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -50,7 +50,7 @@
     {
         return None;
     }
-    let index = (now - canary.sample_grows_at).0 / WINDOW.0;
+    let index = (now - canary.sample_grows_at).0 / CONCENTRATION_WINDOW_LENGTH.0;
     let endpoints = ((load_ratio / TARGET_LOAD_RATIO) as usize).max(1);
     Some(ConcentrationWindow { index, endpoints })
 }
--- a/crates/tidetrack-core/src/traffic/samples.rs
+++ b/crates/tidetrack-core/src/traffic/samples.rs
@@ -42,7 +42,7 @@
 /// Minimum decayed count of bad responses for a regression. Hosts that restart each know only a
 /// part of the responses, and the more hosts evaluate such parts, the more often a few bad
 /// responses look significant to one of them.
-const MIN_COUNTED: f32 = 5.5;
+const MIN_BAD_RESPONSES: f32 = 5.5;
 
 /// Minimum log-likelihood ratio for an inconclusive result. Good versions often reach it by chance,
 /// so it only affects how much evidence is collected.
@@ -85,7 +85,7 @@
 /// Like [`SHARE_MARGIN`], for endpoints with concentrated load after the worst are excluded. It is
 /// smaller because a version that fails once half of an endpoint's capacity is in use fails only a
 /// small share of these responses.
-const CONCENTRATED_MARGIN: f32 = 0.01;
+const CONCENTRATED_LOAD_MARGIN: f32 = 0.01;
 
 /// Response counts with exponential decay.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -251,7 +251,7 @@
     }
 
     /// Adds a response of a canary endpoint under concentrated load.
-    pub fn add_concentrated(&mut self, group: u8, is_failed: bool) {
+    pub fn add_concentrated_load(&mut self, group: u8, is_failed: bool) {
         let counts = self.group_mut(group);
         counts.concentrated_total = counts.concentrated_total.saturating_add(1);
         counts.concentrated_failed =
@@ -346,7 +346,7 @@
     ) -> bool {
         let counted: f32 = self.routes.iter().map(|route| numerator(&route.canary.outcomes)).sum();
         let other_fractions = self.fractions_without_worst_group(numerator, denominator);
-        counted >= MIN_COUNTED
+        counted >= MIN_BAD_RESPONSES
             && self.log_ratio(numerator, denominator, (1.0, 1.0)) >= min_log_ratio
             && self.log_ratio(numerator, denominator, other_fractions) >= OTHER_GROUPS_MIN_LOG_RATIO
     }
@@ -435,11 +435,11 @@
         groups.sort_by(|a, b| {
             a.concentrated_failed_share().total_cmp(&b.concentrated_failed_share())
         });
-        let excluded = (groups.len() as f64 * EXCLUDED_FRACTION) as usize;
-        groups.truncate(groups.len() - excluded);
+        let excluded_count = (groups.len() as f64 * EXCLUDED_FRACTION) as usize;
+        groups.truncate(groups.len() - excluded_count);
         let (failed, total) = concentrated_totals(groups);
         let baseline = estimated_share(stable.failed, stable.total) * FAULTY_ENDPOINT_RATIO
-            + CONCENTRATED_MARGIN;
+            + CONCENTRATED_LOAD_MARGIN;
         log_likelihood_ratio(failed, total, baseline) >= min_log_ratio
     }
 
@@ -448,7 +448,7 @@
     pub fn fails_since_cutover(&self, since_cutover: &CutoverCounts, basis: VerdictBasis) -> bool {
         let without_worst = since_cutover.without_worst();
         since_cutover.group_count() >= min_regressed_groups(basis.endpoints)
-            && without_worst.totals().failed >= MIN_COUNTED
+            && without_worst.totals().failed >= MIN_BAD_RESPONSES
             && self.log_ratio_since_cutover(&without_worst)
                 >= SINCE_CUTOVER_MIN_LOG_RATIO + basis.threshold_surcharge()
     }
--- a/crates/tidetrack-core/tests/support/mod.rs
+++ b/crates/tidetrack-core/tests/support/mod.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 
 use tidetrack_core::ids::HostId;
-use tidetrack_core::traffic::canary::{Progress, RolloutOrder, RolloutState};
+use tidetrack_core::traffic::canary::{RolloutOrder, RolloutProgress, RolloutState};
 use tidetrack_core::traffic::catalog::{
     Catalog, KeyHolder, PricedModel, Route, Service, Target, Work,
 };
@@ -80,7 +80,7 @@
     }
 }
 
-pub fn order(revision: u64, progress: Option<Progress>) -> RolloutOrder {
+pub fn order(revision: u64, progress: Option<RolloutProgress>) -> RolloutOrder {
     RolloutOrder {
         service: id("llm"),
         version: id("v2"),
@@ -90,8 +90,8 @@
     }
 }
 
-pub fn progress(state: RolloutState, elapsed: u64) -> Progress {
-    Progress { state, version: id("v2"), elapsed: Millis(elapsed), sample: None }
+pub fn progress(state: RolloutState, elapsed: u64) -> RolloutProgress {
+    RolloutProgress { state, version: id("v2"), elapsed: Millis(elapsed), sample: None }
 }
 
 pub fn host(n: u32) -> (HostId, SocketAddr) {
