--- a/crates/tidetrack-core/src/traffic/canary.rs
+++ b/crates/tidetrack-core/src/traffic/canary.rs
@@ -26,11 +26,12 @@
 /// ignored, because message delays vary by a few milliseconds.
 const AGE_TOLERANCE: Millis = Millis(15);
 
-/// Minimum time that hosts have to report their sessions to each other before a sample begins.
+/// Time that is added to the propagation time of an update before a sample begins. Hosts have at
+/// least this long to report their sessions to each other.
 const MIN_PROPAGATION_TIME: Millis = Millis(500);
 
-/// Share of requests that a version may get between its order and its deadline if the settings name
-/// none.
+/// Limit on the requests that a version may get between its order and its deadline, used if the
+/// settings do not specify one.
 pub const DEFAULT_EXPOSURE_BOUND: ExposureBound =
     ExposureBound { share: Share(0.15), allowance: 0 };
 
