--- a/crates/tidetrack-core/src/traffic/fingerprint.rs
+++ b/crates/tidetrack-core/src/traffic/fingerprint.rs
@@ -1,8 +1,9 @@
-//! What stays the same when a caller sends a request again.
+//! Fingerprint that identifies a request when its caller sends it again.
 //!
-//! An attempt's id is new each time, so a request is known again by what it asks for: who sent it, to which host
-//! name, method and path, and its body. Bodies are chosen by callers, so the hash is one for which nobody finds two
-//! of the same value, and the workspace is part of it: no workspace can send a request that is taken for another's.
+//! Attempt ids are new for each try, so a request is recognized by its contents: workspace, host
+//! name, method, path and body. Callers choose the bodies, so the hash must be collision-resistant.
+//! It includes the workspace, so that no workspace can send a request that is taken for one of
+//! another workspace.
 
 use std::fmt;
 use std::str::FromStr;
@@ -14,57 +15,57 @@
 use crate::errors::{bad_value, Error};
 use crate::ids::WorkspaceId;
 
-/// Bytes of the hash that are kept.
+/// Number of hash bytes that are kept.
 const HASH_LEN: usize = 16;
 
-/// Names a caller's request across its repeats and across hosts.
+/// Identifies a caller's request across repeated sends and across hosts.
 ///
-/// Written `caller-hash`, both in hexadecimal.
+/// The text form is `caller-hash`, both parts in hexadecimal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Fingerprint {
     caller: u32,
     hash: [u8; HASH_LEN],
 }
 
-/// A request as far as it is the same each time.
+/// Parts of a request that stay the same when it is sent again.
 #[derive(Clone, Copy, Debug)]
-pub struct Repeated<'a> {
-    /// The workspace, where the request carried a key.
+pub struct RequestIdentity<'a> {
+    /// Workspace of the request's API key; `None` if it had no key.
     pub workspace: Option<&'a WorkspaceId>,
-    /// The host name that was asked for.
+    /// Host name that the request was sent to.
     pub hostname: &'a str,
-    /// The method.
+    /// HTTP method.
     pub method: &'a str,
     /// Path and query.
     pub path: &'a str,
-    /// The whole body.
+    /// Complete body.
     pub body: &'a [u8],
 }
 
 impl Fingerprint {
-    /// Makes the fingerprint of a request.
-    pub fn of(req: &Repeated<'_>) -> Fingerprint {
+    /// Calculates the fingerprint of a request.
+    pub fn of(req: &RequestIdentity<'_>) -> Fingerprint {
         let workspace = req.workspace.map_or("", WorkspaceId::as_str);
         let mut hash = Sha256::new();
         for part in [workspace, req.hostname, req.method, req.path] {
-            // Lengths keep the end of one part from being taken for the beginning of the next.
+            // The length prefix makes the boundaries between the parts unambiguous.
             hash.update((part.len() as u64).to_le_bytes());
             hash.update(part.as_bytes());
         }
         hash.update(req.body);
-        let whole = hash.finalize();
+        let digest = hash.finalize();
         let mut hash = [0; HASH_LEN];
-        hash.copy_from_slice(&whole[..HASH_LEN]);
+        hash.copy_from_slice(&digest[..HASH_LEN]);
         Fingerprint { caller: xxh3_64(workspace.as_bytes()) as u32, hash }
     }
 
-    /// Gets the beginning of the hash, the same number at every host.
-    pub fn hash_start(&self) -> u32 {
+    /// Returns the first four bytes of the hash as a number, which is the same on every host.
+    pub fn hash_prefix(&self) -> u32 {
         let [a, b, c, d, ..] = self.hash;
         u32::from_le_bytes([a, b, c, d])
     }
 
-    /// Gets what stands for the request's caller.
+    /// Returns a hash that identifies the request's workspace.
     pub fn caller(&self) -> u32 {
         self.caller
     }
@@ -81,13 +82,13 @@
     type Err = Error;
 
     fn from_str(s: &str) -> Result<Self, Error> {
-        let bad = || bad_value("fingerprint", s, "caller-hash in hexadecimal");
-        let (caller, hex) = s.split_once('-').ok_or_else(bad)?;
-        let caller = u32::from_str_radix(caller, 16).map_err(|_| bad())?;
-        let number = u128::from_str_radix(hex, 16).map_err(|_| bad())?;
+        let invalid = || bad_value("fingerprint", s, "caller-hash in hexadecimal");
+        let (caller, hex) = s.split_once('-').ok_or_else(invalid)?;
+        let caller = u32::from_str_radix(caller, 16).map_err(|_| invalid())?;
+        let number = u128::from_str_radix(hex, 16).map_err(|_| invalid())?;
         match hex.len() == 2 * HASH_LEN {
             true => Ok(Fingerprint { caller, hash: number.to_be_bytes() }),
-            false => Err(bad()),
+            false => Err(invalid()),
         }
     }
 }
@@ -96,9 +97,9 @@
 mod tests {
     use super::*;
 
-    fn print(workspace: &str, path: &str, body: &str) -> Fingerprint {
+    fn fingerprint_of(workspace: &str, path: &str, body: &str) -> Fingerprint {
         let workspace = workspace.parse().expect("a name");
-        Fingerprint::of(&Repeated {
+        Fingerprint::of(&RequestIdentity {
             workspace: Some(&workspace),
             hostname: "shop.example",
             method: "POST",
@@ -109,19 +110,25 @@
 
     #[test]
     fn only_the_same_path_caller_and_body_have_the_same_fingerprint() {
-        let one = print("north", "/a", "b");
-
-        assert_eq!(one, print("north", "/a", "b"));
-        let others =
-            [print("south", "/a", "b"), print("north", "/ab", ""), print("north", "/a", "c")];
-        assert!(others.iter().all(|other| *other != one));
+        let fingerprint = fingerprint_of("north", "/a", "b");
+
+        assert_eq!(fingerprint, fingerprint_of("north", "/a", "b"));
+        let different = [
+            fingerprint_of("south", "/a", "b"),
+            fingerprint_of("north", "/ab", ""),
+            fingerprint_of("north", "/a", "c"),
+        ];
+        assert!(different.iter().all(|other| *other != fingerprint));
     }
 
     #[test]
-    fn a_fingerprint_is_read_as_it_is_written() {
-        let one = print("north", "/a", "b");
+    fn a_fingerprint_parses_from_its_displayed_text() {
+        let fingerprint = fingerprint_of("north", "/a", "b");
 
-        assert_eq!(one.to_string().parse::<Fingerprint>().expect("a fingerprint"), one);
+        assert_eq!(
+            fingerprint.to_string().parse::<Fingerprint>().expect("a fingerprint"),
+            fingerprint
+        );
         assert!("1-22".parse::<Fingerprint>().is_err());
     }
 }
