--- a/crates/tidetrack-core/src/traffic/control/rollouts.rs
+++ b/crates/tidetrack-core/src/traffic/control/rollouts.rs
@@ -7,8 +7,8 @@
 use crate::traffic::feeds::Kind;
 use crate::traffic::judge::Observed;
 use crate::traffic::peers::Barred;
+use crate::traffic::stagger::turn;
 use crate::traffic::trial::{Phase, RolloutOrder, Trial};
-use crate::traffic::turns::turn;
 use crate::units::Millis;
 
 use super::versions::Doubt;
--- a/crates/tidetrack-core/src/traffic/endpoint_limits.rs
+++ b/crates/tidetrack-core/src/traffic/endpoint_limits.rs
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::ids::EndpointKey;
-use crate::traffic::telling::{is_news, is_told_again, news_then_rest};
+use crate::traffic::gossip::{is_news, is_told_again, news_then_rest};
 use crate::units::{Millis, Rate};
 
 /// Limits that one message tells at most.
--- a/crates/tidetrack-core/src/traffic/mod.rs
+++ b/crates/tidetrack-core/src/traffic/mod.rs
@@ -4,7 +4,9 @@
 //! The modules take values and times and give back values; sockets, clocks and threads are the
 //! business of `tidetrack-plane`.
 
+pub mod admission;
 pub mod basis;
+pub mod bootstrap;
 pub mod budget;
 pub mod cascade;
 pub mod catalog;
@@ -15,8 +17,8 @@
 pub mod feeds;
 pub mod fingerprint;
 pub mod freshness;
-pub mod gate;
-pub mod joining;
+mod gossip;
+mod isolation;
 pub mod judge;
 pub mod loading;
 pub mod moved;
@@ -24,13 +26,11 @@
 pub mod outlook;
 pub mod peers;
 pub mod prefixes;
-pub mod reach;
+pub mod reachability;
 pub mod samples;
 mod short;
-mod sight;
+pub mod stagger;
 pub mod suspects;
-mod telling;
 pub mod trial;
-pub mod turns;
 pub mod usual;
 pub mod view;
--- a/crates/tidetrack-core/src/traffic/suspects/mod.rs
+++ b/crates/tidetrack-core/src/traffic/suspects/mod.rs
@@ -22,12 +22,12 @@
 use crate::errors::{Error, Result};
 use crate::ids::{EndpointId, EndpointKey, FailureDomain};
 use crate::traffic::fingerprint::Fingerprint;
-use crate::traffic::telling::{is_news, is_told_again, news_then_rest};
+use crate::traffic::gossip::{is_news, is_told_again, news_then_rest};
 use crate::units::Millis;
 
-mod told;
+mod reports;
 
-pub use told::{Change, ToldCrash, ToldSuspect};
+pub use reports::{Change, ToldCrash, ToldSuspect};
 
 /// Crashes from which a request runs at one place at a time on a host.
 const ALONE_FROM: usize = 2;
--- a/crates/tidetrack-core/tests/feeds.rs
+++ b/crates/tidetrack-core/tests/feeds.rs
@@ -10,7 +10,7 @@
 use tidetrack_core::traffic::control::{Action, Input};
 use tidetrack_core::traffic::feeds::{Catch, Feeds, Giving, Kind, Revisions, Source};
 use tidetrack_core::traffic::freshness::Freshness;
-use tidetrack_core::traffic::turns::turn;
+use tidetrack_core::traffic::stagger::turn;
 use tidetrack_core::units::{Bandwidth, Millis};
 
 use support::{catalog, id, view_of, with_endpoints, without_rollout};
--- a/crates/tidetrack-core/tests/starts.rs
+++ b/crates/tidetrack-core/tests/starts.rs
@@ -4,9 +4,9 @@
 
 use std::sync::Arc;
 
+use tidetrack_core::traffic::bootstrap::held_for;
 use tidetrack_core::traffic::control::Input;
 use tidetrack_core::traffic::feeds::Kind;
-use tidetrack_core::traffic::joining::held_for;
 use tidetrack_core::units::{Bandwidth, Millis};
 
 use support::fleet::{ColdStart, Fleet};
--- a/crates/tidetrack-core/tests/support/fleet.rs
+++ b/crates/tidetrack-core/tests/support/fleet.rs
@@ -9,11 +9,11 @@
 
 use tidetrack_core::ids::ServiceId;
 use tidetrack_core::placement::draw;
+use tidetrack_core::traffic::bootstrap::{is_strong, Starter};
 use tidetrack_core::traffic::control::{Action, Beliefs, Input};
 use tidetrack_core::traffic::exposure::{ExposureBound, SessionDraw};
 use tidetrack_core::traffic::feeds::{Catch, Giving, Kind, Source};
 use tidetrack_core::traffic::freshness::Freshness;
-use tidetrack_core::traffic::joining::{is_strong, Starter};
 use tidetrack_core::traffic::peers::{PeerBook, PeerMessage};
 use tidetrack_core::traffic::trial::{ProgressWrite, RolloutOrder, Side, USUAL_BOUND};
 use tidetrack_core::traffic::view::FleetView;
--- a/crates/tidetrack-plane/src/choose.rs
+++ b/crates/tidetrack-plane/src/choose.rs
@@ -4,8 +4,8 @@
 use tidetrack_core::errors::{Error, Result};
 use tidetrack_core::ids::{EndpointId, EndpointKey, ModelId};
 use tidetrack_core::placement::{place_of, Ask, Near, PoolEndpoint, PoolView};
+use tidetrack_core::traffic::admission;
 use tidetrack_core::traffic::budget::SendAgain;
-use tidetrack_core::traffic::gate;
 use tidetrack_core::traffic::outlook::Planned;
 use tidetrack_core::traffic::prefixes::PartKey;
 use tidetrack_core::traffic::trial::Side;
@@ -44,7 +44,7 @@
     let bound = shared.settings.bounds.revoke_within;
     let needs_proof = tries.sent == 0 && job.admitted.holder.is_some();
     if needs_proof && bound.is_some_and(|bound| !shared.fresh.holds(now, bound)) {
-        return Err(gate::stale());
+        return Err(admission::stale());
     }
     if tries.sent == 0 {
         if tries.unreached == 0 {
--- a/crates/tidetrack-plane/src/control.rs
+++ b/crates/tidetrack-plane/src/control.rs
@@ -10,8 +10,8 @@
 
 use tidetrack_core::codes::Code;
 use tidetrack_core::events::Event;
+use tidetrack_core::traffic::bootstrap::{is_strong, Starter};
 use tidetrack_core::traffic::control::{Action, Beliefs, Duties, Input};
-use tidetrack_core::traffic::joining::{is_strong, Starter};
 use tidetrack_core::traffic::peers::PeerBook;
 use tidetrack_core::traffic::trial::ProgressWrite;
 
--- a/crates/tidetrack-plane/src/exchange.rs
+++ b/crates/tidetrack-plane/src/exchange.rs
@@ -18,10 +18,10 @@
 use tidetrack_core::ids::ModelId;
 use tidetrack_core::placement::draw;
 use tidetrack_core::retry::{may_retry, Failed};
+use tidetrack_core::traffic::admission;
+use tidetrack_core::traffic::bootstrap::held_for;
 use tidetrack_core::traffic::cascade;
 use tidetrack_core::traffic::fingerprint::{Fingerprint, Repeated};
-use tidetrack_core::traffic::gate;
-use tidetrack_core::traffic::joining::held_for;
 use tidetrack_core::traffic::judge::AttemptEnd;
 
 use tidetrack_core::units::Millis;
@@ -141,7 +141,7 @@
     let (head, body) = req.into_parts();
     let facts = facts?;
     let hostname = head.headers.get(http::header::HOST).and_then(|h| h.to_str().ok());
-    let entry = gate::Entry {
+    let entry = admission::Entry {
         hostname: hostname.or(head.uri.host()).unwrap_or_default(),
         path: head.uri.path(),
         key: facts.key.as_deref(),
@@ -150,7 +150,7 @@
     let view = shared.view.load_full();
     let bound = shared.settings.bounds.revoke_within;
     let catalog = view.catalog.as_deref();
-    let admitted = gate::admit(catalog, &shared.fresh, shared.now(), bound, entry)?;
+    let admitted = admission::admit(catalog, &shared.fresh, shared.now(), bound, entry)?;
     let limits = catalog.map(|c| c.limits).unwrap_or_default();
     let route = &admitted.route;
     let held = Duration::from_millis(route.timeout.0);
--- a/crates/tidetrack-plane/src/job.rs
+++ b/crates/tidetrack-plane/src/job.rs
@@ -15,13 +15,13 @@
 use tidetrack_core::codes::Ran;
 use tidetrack_core::ids::{EndpointId, FailureDomain, ModelId, ServiceId, VersionName};
 use tidetrack_core::placement::{work_of, EndpointLive};
+use tidetrack_core::traffic::admission::Admitted;
 use tidetrack_core::traffic::budget::SendBudget;
 use tidetrack_core::traffic::exposure::SessionDraw;
 use tidetrack_core::traffic::fingerprint::Fingerprint;
-use tidetrack_core::traffic::gate::Admitted;
 use tidetrack_core::traffic::outlook::Outlook;
 use tidetrack_core::traffic::prefixes::PartKey;
-use tidetrack_core::traffic::reach::Reach;
+use tidetrack_core::traffic::reachability::Reach;
 use tidetrack_core::traffic::suspects::Running;
 use tidetrack_core::units::{Millis, Tokens};
 
--- a/crates/tidetrack-plane/src/pool.rs
+++ b/crates/tidetrack-plane/src/pool.rs
@@ -18,7 +18,7 @@
 use tidetrack_core::broke::{with_causes, Broke};
 use tidetrack_core::codes::{Code, Ran};
 use tidetrack_core::errors::{Error, Result};
-use tidetrack_core::traffic::reach::PROMPT;
+use tidetrack_core::traffic::reachability::PROMPT;
 
 use crate::clock::Moment;
 use crate::way::{Ends, Waits, Way};
--- a/crates/tidetrack-plane/src/report.rs
+++ b/crates/tidetrack-plane/src/report.rs
@@ -9,7 +9,7 @@
 use tidetrack_core::ids::ModelId;
 use tidetrack_core::traffic::control::Input;
 use tidetrack_core::traffic::judge::{AttemptEnd, Observed};
-use tidetrack_core::traffic::reach::{Blame, Connect};
+use tidetrack_core::traffic::reachability::{Blame, Connect};
 use tidetrack_core::units::Millis;
 
 use crate::job::{Chosen, Job, Traffic};
--- a/crates/tidetrack-plane/src/watch/follow.rs
+++ b/crates/tidetrack-plane/src/watch/follow.rs
@@ -7,7 +7,7 @@
 
 use tidetrack_core::codes::Code;
 use tidetrack_core::errors::Error;
-use tidetrack_core::traffic::joining::MEETING_TIME;
+use tidetrack_core::traffic::bootstrap::MEETING_TIME;
 use tidetrack_core::units::Millis;
 
 use crate::dialect::Kind;
--- a/crates/tidetrack-plane/src/watch/proof.rs
+++ b/crates/tidetrack-plane/src/watch/proof.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use tidetrack_core::traffic::control::Input;
-use tidetrack_core::traffic::turns::turn;
+use tidetrack_core::traffic::stagger::turn;
 use tidetrack_core::units::Millis;
 
 use crate::dialect::Kind;
