--- a/crates/tidetrack-core/src/node/exchange.rs
+++ b/crates/tidetrack-core/src/node/exchange.rs
@@ -3,7 +3,7 @@
 use crate::ids::HostId;
 use crate::limits::LoanAsk;
 use crate::store::Delta;
-use crate::traffic::suspects::MOST_TOLD;
+use crate::traffic::suspects::MAX_REPORTS_PER_MESSAGE;
 use crate::units::Millis;
 
 use super::messages::Exchange;
@@ -39,7 +39,7 @@
             room: Some(room),
             objects,
             items,
-            suspects: self.suspects.told_to_one(now, MOST_TOLD),
+            suspects: self.suspects.reports_for_host(now, MAX_REPORTS_PER_MESSAGE),
             asks,
             loans: Vec::new(),
         }
@@ -83,7 +83,7 @@
             room: None,
             objects: behind.then(|| self.run_for(peer_complete_to, room)).flatten(),
             items,
-            suspects: self.suspects.told_to_one(now, MOST_TOLD),
+            suspects: self.suspects.reports_for_host(now, MAX_REPORTS_PER_MESSAGE),
             asks: Vec::new(),
             loans,
         }
@@ -135,7 +135,7 @@
         if let Some(delta) = message.objects {
             self.merge_objects(delta);
         }
-        self.suspects.hear(now, &message.suspects);
+        self.suspects.receive_reports(now, &message.suspects);
         let from = message.from;
         for item in message.items {
             self.merge_item(now, &from, item);
--- a/crates/tidetrack-core/src/node/links.rs
+++ b/crates/tidetrack-core/src/node/links.rs
@@ -121,7 +121,7 @@
         beats: bool,
     ) -> bool {
         let urgent = self.urgent_seq;
-        let has_suspects = self.suspects.has_news(now);
+        let has_suspects = self.suspects.has_recent_changes(now);
         let complete_to = self.store.complete_to();
         let beat = Millis(self.options.beat_ms);
         let link = self.links.entry(host.clone()).or_insert_with(|| Link {
--- a/crates/tidetrack-core/src/node/messages.rs
+++ b/crates/tidetrack-core/src/node/messages.rs
@@ -8,7 +8,7 @@
 use crate::limits::{Loan, LoanAsk};
 use crate::membership::Member;
 use crate::store::Delta;
-use crate::traffic::suspects::ToldSuspect;
+use crate::traffic::suspects::SuspectReport;
 
 /// Something that hosts tell each other.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -75,7 +75,7 @@
     pub items: Vec<Item>,
     /// Requests under which endpoints crashed.
     #[serde(rename = "u", default, skip_serializing_if = "Vec::is_empty")]
-    pub suspects: Vec<ToldSuspect>,
+    pub suspects: Vec<SuspectReport>,
     /// Shares wanted.
     #[serde(rename = "q", default, skip_serializing_if = "Vec::is_empty")]
     pub asks: Vec<LoanAsk>,
--- a/crates/tidetrack-core/src/traffic/bootstrap.rs
+++ b/crates/tidetrack-core/src/traffic/bootstrap.rs
@@ -13,58 +13,60 @@
 use crate::units::{Bandwidth, Millis};
 
 /// A link that passes a dozen copies of a configuration of some hundred KB in a third of a second.
-const PASSES_COPIES_ON: Bandwidth = Bandwidth(100.0);
+const WELL_CONNECTED_BANDWIDTH: Bandwidth = Bandwidth(100.0);
 
 /// How long a host at least leaves the store to others: they have read it by then, and it has met some of them.
-const LEFT_TO_OTHERS: Millis = Millis(400);
+const MIN_STORE_READ_DELAY: Millis = Millis(400);
 
 /// Time in which hosts that were given nothing read the store, in milliseconds.
-const TURNS_MS: f64 = 1_000.0;
+const STORE_READ_STAGGER_MS: f64 = 1_000.0;
 
 /// Time from the start in which hosts of a large fleet have met.
-pub const MEETING_TIME: Millis = Millis(1_500);
+pub const DISCOVERY_TIME: Millis = Millis(1_500);
 
 /// Pause between first messages to others until then.
-pub const MEETING_ROUND: Millis = Millis(100);
+pub const DISCOVERY_ROUND_INTERVAL: Millis = Millis(100);
 
 /// Time after a start in which a host comes to know what it serves by.
-const KNOWS_WITHIN: Millis = Millis(1_000);
+const MAX_BOOTSTRAP_TIME: Millis = Millis(1_000);
 
 /// One in so many parts of the time that a caller leaves is what it may be held for: callers leave some ten times
 /// of what they aim at.
-const HELD_PART: u64 = 16;
+const HOLD_DIVISOR: u64 = 16;
 
 /// Longest that a request is held.
-const MOST_HELD: Millis = Millis(500);
+const MAX_HOLD_TIME: Millis = Millis(500);
 
 /// Gets how long a request may be held by a host that started some time ago and cannot serve yet.
-pub fn held_for(since_start: Millis, time_left: Option<Millis>) -> Millis {
-    let part = Millis(time_left.unwrap_or_default().0 / HELD_PART);
-    (KNOWS_WITHIN - since_start).min(part).min(MOST_HELD)
+pub fn hold_time(time_since_start: Millis, time_to_deadline: Option<Millis>) -> Millis {
+    let fraction = Millis(time_to_deadline.unwrap_or_default().0 / HOLD_DIVISOR);
+    (MAX_BOOTSTRAP_TIME - time_since_start).min(fraction).min(MAX_HOLD_TIME)
 }
 
 /// What a host knows of itself when it starts.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Starter {
+pub struct BootstrapInfo {
     /// What its link passes.
     pub link: Bandwidth,
     /// Whether the others know it from the start, or it knows of no others.
-    pub is_known: bool,
+    pub is_seed: bool,
     /// Drawn for it, from 0 up to 1.
-    pub draw: f64,
+    pub hash_fraction: f64,
 }
 
-impl Starter {
+impl BootstrapInfo {
     /// Gets how long it leaves the store to others.
-    pub fn waits(&self) -> Millis {
-        match self.is_known || is_strong(self.link) {
+    pub fn store_read_delay(&self) -> Millis {
+        match self.is_seed || is_well_connected(self.link) {
             true => Millis(0),
-            false => LEFT_TO_OTHERS + Millis((self.draw * TURNS_MS) as u64),
+            false => {
+                MIN_STORE_READ_DELAY + Millis((self.hash_fraction * STORE_READ_STAGGER_MS) as u64)
+            }
         }
     }
 }
 
 /// Tells whether a host with such a link reads, follows and proves for others before one that has less.
-pub fn is_strong(link: Bandwidth) -> bool {
-    link >= PASSES_COPIES_ON
+pub fn is_well_connected(link: Bandwidth) -> bool {
+    link >= WELL_CONNECTED_BANDWIDTH
 }
--- a/crates/tidetrack-core/src/traffic/control/limits.rs
+++ b/crates/tidetrack-core/src/traffic/control/limits.rs
@@ -5,7 +5,7 @@
 use crate::events::Event;
 use crate::ids::EndpointKey;
 use crate::placement::Allotted;
-use crate::traffic::endpoint_limits::shares;
+use crate::traffic::endpoint_limits::split_limit;
 use crate::units::Millis;
 
 use super::{Action, Beliefs};
@@ -17,7 +17,7 @@
     /// Works out what this host may send to endpoints that named limits, if that may have changed.
     pub(super) fn allot(&mut self, now: Millis, actions: &mut Vec<Action>) {
         let hosts = self.hosts();
-        let is_alone = self.sight.is_lost(now, hosts);
+        let is_alone = self.sight.is_isolated(now, hosts);
         if self.limits.is_empty() {
             return;
         }
@@ -29,10 +29,10 @@
         self.allotted = Some((now, hosts));
         let listed: HashSet<EndpointKey> =
             self.table.records().map(|r| EndpointKey::from(&r.id)).collect();
-        self.limits.sweep(now, |key| listed.contains(&key));
+        self.limits.remove_expired(now, |key| listed.contains(&key));
         for record in self.table.records() {
             let key = EndpointKey::from(&record.id);
-            let Some(named) = self.limits.of(key) else { continue };
+            let Some(named) = self.limits.limit_of(key) else { continue };
             let Some(live) = self.live.get(&record.id) else { continue };
             // The others divide the whole among themselves, and this host adds to it what it had.
             if is_alone && named.is_some() && live.is_limited() && !changed.contains(&key) {
@@ -41,9 +41,9 @@
             let allotted = match named {
                 None => Allotted::All,
                 Some(limit) => {
-                    let (holders, share) = shares(limit, hosts);
+                    let (holders, share) = split_limit(limit, hosts);
                     let job = record.id.as_str();
-                    match self.peers.is_among_first(job, &record.failure_domain, holders) {
+                    match self.peers.is_ranked_within(job, &record.failure_domain, holders) {
                         true => Allotted::Share(share),
                         false => Allotted::Nothing,
                     }
--- a/crates/tidetrack-core/src/traffic/control/mod.rs
+++ b/crates/tidetrack-core/src/traffic/control/mod.rs
@@ -11,19 +11,21 @@
 use crate::events::Event;
 use crate::ids::{EndpointId, EndpointKey, HostId, ServiceId};
 use crate::placement::EndpointLive;
-use crate::traffic::bootstrap::{Starter, MEETING_ROUND, MEETING_TIME};
+use crate::traffic::bootstrap::{BootstrapInfo, DISCOVERY_ROUND_INTERVAL, DISCOVERY_TIME};
 use crate::traffic::catalog::Catalog;
 use crate::traffic::endpoint_limits::EndpointLimits;
 use crate::traffic::endpoints::{EndpointRecord, EndpointTable};
 use crate::traffic::exposure::{Exposure, ExposureBound};
-use crate::traffic::feeds::{Catch, Feeds, Kind, Revisions, Source};
+use crate::traffic::feeds::{FeedKind, FeedTracker, Fetch, FetchSource, Revisions};
 use crate::traffic::freshness::Freshness;
-use crate::traffic::isolation::Sight;
+use crate::traffic::isolation::IsolationDetector;
 use crate::traffic::judge::Observed;
 use crate::traffic::outliers::Outliers;
-use crate::traffic::peers::{Barred, News, PeerBook, PeerMessage, Question, ROUND_EVERY};
+use crate::traffic::peers::{
+    BarredVersion, PeerMessage, PeerTable, PeerUpdate, ReplyRequest, ROUND_INTERVAL,
+};
 use crate::traffic::prefixes::Prefixes;
-use crate::traffic::suspects::{Suspects, FIRST_TOLD};
+use crate::traffic::suspects::{Suspects, MAX_REPORTS_IN_FIRST_REPLY};
 use crate::traffic::trial::{ProgressWrite, RolloutOrder, Trial, USUAL_BOUND};
 use crate::traffic::usual::Usual;
 use crate::traffic::view::FleetView;
@@ -97,7 +99,7 @@
     /// Every change of a kind up to a revision of the store is known.
     CaughtUp {
         /// The kind.
-        kind: Kind,
+        kind: FeedKind,
         /// The revision.
         complete: u64,
         /// The newest change; `None` if the changes were not told one by one.
@@ -109,9 +111,9 @@
     /// The store was at this revision when the configuration was read there.
     StoreSeen(u64),
     /// A large reply with changes of a kind is coming in.
-    Coming(Kind),
+    Coming(FeedKind),
     /// Changes could not be got.
-    CatchFailed(Catch),
+    CatchFailed(Fetch),
     /// The store does not answer this host.
     StoreLost,
     /// The store answers this host again.
@@ -136,7 +138,7 @@
     /// The configuration that traffic decides on was the newest at this time.
     Proved(Millis),
     /// Changes of the store are to be got.
-    Catch(Catch),
+    Catch(Fetch),
     /// Messages are to be sent.
     Send(Vec<(SocketAddr, PeerMessage)>),
     /// A belief changed; for the log.
@@ -172,9 +174,9 @@
     /// When shares of them were worked out, and for how many hosts.
     allotted: Option<(Millis, usize)>,
     /// How many hosts were heard of late.
-    sight: Sight,
-    peers: PeerBook,
-    feeds: Feeds,
+    sight: IsolationDetector,
+    peers: PeerTable,
+    feeds: FeedTracker,
     /// Until when this host tells the others of itself more often, if it lacks something since its start.
     meets_until: Millis,
     last_meeting: Millis,
@@ -187,16 +189,16 @@
     /// As of the last round.
     duties: Duties,
     /// What was told in the last round.
-    told: News,
+    told: PeerUpdate,
 }
 
 impl Beliefs {
     /// Makes the beliefs of a host that knows nothing yet but where some others may be.
-    pub fn new(host: HostId, peers: PeerBook) -> Beliefs {
+    pub fn new(host: HostId, peers: PeerTable) -> Beliefs {
         Beliefs {
             host,
             peers,
-            feeds: Feeds::default(),
+            feeds: FeedTracker::default(),
             meets_until: Millis(0),
             last_meeting: Millis(0),
             last_round: Millis(0),
@@ -204,7 +206,7 @@
             last_view: None,
             is_view_old: false,
             duties: Duties::default(),
-            told: News::default(),
+            told: PeerUpdate::default(),
             catalog: None,
             table: EndpointTable::default(),
             has_endpoints: false,
@@ -221,14 +223,14 @@
             suspects: Arc::default(),
             limits: EndpointLimits::default(),
             allotted: None,
-            sight: Sight::default(),
+            sight: IsolationDetector::default(),
         }
     }
 
     /// Begins at `now` with nothing, to be got from others or the store.
-    pub fn starting(mut self, now: Millis, starter: Starter) -> Beliefs {
-        self.feeds.join(now + starter.waits());
-        Beliefs { meets_until: now + MEETING_TIME, ..self }
+    pub fn starting(mut self, now: Millis, starter: BootstrapInfo) -> Beliefs {
+        self.feeds.start_bootstrap(now + starter.store_read_delay());
+        Beliefs { meets_until: now + DISCOVERY_TIME, ..self }
     }
 
     /// Keeps versions under roll-out to a bound on their services' requests.
@@ -262,7 +264,7 @@
     }
 
     /// Gets the other hosts that are heard.
-    pub fn peers(&self) -> &PeerBook {
+    pub fn peers(&self) -> &PeerTable {
         &self.peers
     }
 
@@ -275,28 +277,28 @@
     pub fn take(&mut self, now: Millis, input: Input, fresh: &Freshness) -> Vec<Action> {
         let mut actions = Vec::new();
         let question = match &input {
-            Input::Heard(msg) => Question::of(msg),
+            Input::Heard(msg) => ReplyRequest::from_message(msg),
             _ => None,
         };
         let mut bearing = self.apply(now, input, &mut actions);
         if let Some(question) = question {
-            let mut news = News { proof: self.told_proof(now, fresh), ..self.told.clone() };
-            if question.is_first {
-                news.suspects = self.suspects.told_to_one(now, FIRST_TOLD);
-                news.limits = self.limits.told_to_one(now);
+            let mut news = PeerUpdate { proof: self.told_proof(now, fresh), ..self.told.clone() };
+            if question.is_first_contact {
+                news.suspects = self.suspects.reports_for_host(now, MAX_REPORTS_IN_FIRST_REPLY);
+                news.limits = self.limits.reports_for_new_host(now);
             }
-            let reply = self.peers.reply(now, &question, &news);
+            let reply = self.peers.build_reply(now, &question, &news);
             actions.push(Action::Send(vec![(question.address, reply)]));
         }
         self.ask_for_proof(now, fresh, &mut actions);
-        let holder = |kind, revision| self.peers.holder(kind, revision, None);
-        let of_host = self.feeds.due_of_host(now, holder);
+        let holder = |kind, revision| self.peers.pick_holder(kind, revision, None);
+        let of_host = self.feeds.due_host_queries(now, holder);
         actions.extend(of_host.into_iter().map(Action::Catch));
-        actions.extend(self.feeds.due(now).into_iter().map(Action::Catch));
-        let meets = now < self.meets_until && self.feeds.is_joining();
-        if meets && now >= self.last_meeting + MEETING_ROUND {
+        actions.extend(self.feeds.due_store_reads(now).into_iter().map(Action::Catch));
+        let meets = now < self.meets_until && self.feeds.is_bootstrapping();
+        if meets && now >= self.last_meeting + DISCOVERY_ROUND_INTERVAL {
             self.last_meeting = now;
-            actions.push(Action::Send(self.peers.meet(now, &self.told)));
+            actions.push(Action::Send(self.peers.first_contact_messages(now, &self.told)));
         }
         if self.is_round_due(now) {
             self.last_round = now;
@@ -316,8 +318,9 @@
     /// endpoint that crashed under a request or named a limit.
     fn is_round_due(&self, now: Millis) -> bool {
         let has_session = self.exposures.values().any(|exposure| exposure.has_untold());
-        let has_untold = has_session || self.suspects.has_untold() || self.limits.has_untold();
-        let every = if has_untold { SOONEST_ROUND } else { ROUND_EVERY };
+        let has_untold =
+            has_session || self.suspects.has_unreported() || self.limits.has_unreported();
+        let every = if has_untold { SOONEST_ROUND } else { ROUND_INTERVAL };
         now >= self.last_round + every
     }
 
@@ -402,11 +405,11 @@
             Input::RolloutGone(service) => Bearing::now_if(self.order_gone(now, &service)),
             Input::CaughtUp { kind, complete, changed } => {
                 let is_first = self.feeds.complete(kind) == 0;
-                if self.feeds.caught_up(now, kind, complete, changed) || is_first {
+                if self.feeds.record_complete(now, kind, complete, changed) || is_first {
                     // Others are told at once.
                     self.last_round = Millis(0);
                 }
-                if kind == Kind::Endpoints {
+                if kind == FeedKind::Endpoints {
                     self.versions.listed_up_to(complete);
                 }
                 Bearing::now_if(self.clear_versions(now))
@@ -417,18 +420,19 @@
                 Bearing::None
             }
             Input::StoreSeen(revision) => {
-                self.feeds.store_seen(now, revision, self.duties.proves);
+                self.feeds.record_store_revision(now, revision, self.duties.proves);
                 Bearing::None
             }
             Input::Coming(kind) => {
-                self.feeds.coming(now, kind);
+                self.feeds.record_incoming(now, kind);
                 Bearing::None
             }
             Input::CatchFailed(catch) => {
-                self.feeds.failed(now, &catch);
-                if let (Source::Host(from), 0) = (catch.source, catch.after) {
-                    let other = self.peers.holder(catch.kind, 1, Some(from));
-                    let again = other.and_then(|from| self.feeds.again(now, catch.kind, from));
+                self.feeds.record_failure(now, &catch);
+                if let (FetchSource::Host(from), 0) = (catch.source, catch.after) {
+                    let other = self.peers.pick_holder(catch.kind, 1, Some(from));
+                    let again =
+                        other.and_then(|from| self.feeds.retry_bootstrap(now, catch.kind, from));
                     actions.extend(again.map(Action::Catch));
                 }
                 Bearing::None
@@ -443,7 +447,7 @@
             }
             Input::Observed(seen) => Bearing::now_if(self.observe(now, &seen, actions)),
             Input::LimitNamed(id, rate) => {
-                self.limits.answered(now, EndpointKey::from(&id), rate);
+                self.limits.record_response(now, EndpointKey::from(&id), rate);
                 self.allot(now, actions);
                 Bearing::None
             }
@@ -457,18 +461,18 @@
         let mut bearing = Bearing::None;
         let before = self.peers.len();
         let from = msg.from.clone();
-        for (service, sessions) in &msg.news.sessions {
+        for (service, sessions) in &msg.update.sessions {
             let exposure = self.exposures.entry(service.clone()).or_default();
             exposure.hold_told(now, sessions);
         }
-        for (service, reads) in &msg.news.reads {
+        for (service, reads) in &msg.update.prefix_reads {
             if let Some(prefixes) = self.prefixes.get(service) {
                 prefixes.hear(now, reads);
             }
         }
-        self.suspects.hear(now, &msg.news.suspects);
-        self.limits.hear(now, &msg.news.limits);
-        for told in &msg.news.tallies {
+        self.suspects.receive_reports(now, &msg.update.suspects);
+        self.limits.receive_reports(now, &msg.update.limits);
+        for told in &msg.update.tallies {
             match self.trials.get_mut(&told.service) {
                 Some(trial) if trial.order.version == told.version => {
                     if trial.learn_told_age(now, Millis(told.age_ms)) {
@@ -479,13 +483,13 @@
                 Some(_) => {}
                 None => {
                     let (service, version) = (told.service.clone(), told.version.clone());
-                    if self.versions.told(now, Barred { service, version }) {
+                    if self.versions.told(now, BarredVersion { service, version }) {
                         bearing = Bearing::Now;
                     }
                 }
             }
         }
-        for barred in &msg.news.barred {
+        for barred in &msg.update.barred_versions {
             let trial = self.trials.get(&barred.service);
             // Of the version under roll-out the trial itself is told, when it is judged.
             let is_over = trial.is_none_or(|t| t.order.version != barred.version);
@@ -497,11 +501,12 @@
                 bearing = Bearing::Now;
             }
         }
-        let is_near = self.peers.is_near(&msg.failure_domain);
-        let lacking = self.feeds.told(now, &msg.news.changed, msg.address, is_near);
+        let is_near = self.peers.is_local_domain(&msg.failure_domain);
+        let lacking =
+            self.feeds.receive_revisions(now, &msg.update.newest_changes, msg.address, is_near);
         actions.extend(lacking.into_iter().map(Action::Catch));
-        let complete = msg.news.complete;
-        let proof = self.peers.hear(now, msg);
+        let complete = msg.update.complete_revisions;
+        let proof = self.peers.receive(now, msg);
         self.join(now, &complete, actions);
         if self.peers.len() > before {
             actions.push(Action::Note(Event::PeerAlive, format!("peer={from}")));
@@ -518,9 +523,9 @@
 
     /// Gets what this host still lacks since its start, where another one has just told that it knows it.
     fn join(&mut self, now: Millis, told: &Revisions, actions: &mut Vec<Action>) {
-        for kind in self.feeds.joins(told) {
-            let holder = self.peers.holder(kind, 1, None);
-            let catch = holder.and_then(|from| self.feeds.again(now, kind, from));
+        for kind in self.feeds.bootstrap_kinds(told) {
+            let holder = self.peers.pick_holder(kind, 1, None);
+            let catch = holder.and_then(|from| self.feeds.retry_bootstrap(now, kind, from));
             actions.extend(catch.map(Action::Catch));
         }
     }
--- a/crates/tidetrack-core/src/traffic/control/rollouts.rs
+++ b/crates/tidetrack-core/src/traffic/control/rollouts.rs
@@ -4,10 +4,10 @@
 use crate::events::Event;
 use crate::ids::{ServiceId, VersionName};
 use crate::placement::draw;
-use crate::traffic::feeds::Kind;
+use crate::traffic::feeds::FeedKind;
 use crate::traffic::judge::Observed;
-use crate::traffic::peers::Barred;
-use crate::traffic::stagger::turn;
+use crate::traffic::peers::BarredVersion;
+use crate::traffic::stagger::stagger_delay;
 use crate::traffic::trial::{Phase, RolloutOrder, Trial};
 use crate::units::Millis;
 
@@ -24,8 +24,10 @@
     ) {
         let service = order.service.clone();
         let before = self.trials.get(&service).map(|t| (t.order.version.clone(), t.phase()));
-        let of_version =
-            |version: &VersionName| Barred { service: service.clone(), version: version.clone() };
+        let of_version = |version: &VersionName| BarredVersion {
+            service: service.clone(),
+            version: version.clone(),
+        };
         if let Some((version, phase)) = before.as_ref().filter(|(v, _)| *v != order.version) {
             if *phase != Phase::Done {
                 self.versions.hold(now, of_version(version), Doubt::Bad);
@@ -55,7 +57,8 @@
     pub(super) fn order_gone(&mut self, now: Millis, service: &ServiceId) -> bool {
         self.versions.set_readable(service);
         let Some(trial) = self.trials.remove(service) else { return false };
-        let version = Barred { service: service.clone(), version: trial.order.version.clone() };
+        let version =
+            BarredVersion { service: service.clone(), version: trial.order.version.clone() };
         match trial.phase() {
             Phase::Done => {}
             Phase::Barred => self.versions.hold(now, version, Doubt::Bad),
@@ -67,12 +70,12 @@
     /// Lets versions serve that were held for want of news, and sees to it that it comes for the others; tells
     /// whether any may serve now.
     pub(super) fn clear_versions(&mut self, now: Millis) -> bool {
-        let known = self.feeds.complete(Kind::Rollouts);
+        let known = self.feeds.complete(FeedKind::Rollouts);
         let cleared = self.versions.clear(now, known);
         if let Some(revision) = cleared.wanted {
             let draw = draw(&format!("rollouts/{revision}"), self.host.as_str());
-            let turn = (!self.duties.watches).then(|| turn(draw, self.hosts()));
-            self.feeds.wants(now, Kind::Rollouts, revision, turn);
+            let turn = (!self.duties.watches).then(|| stagger_delay(draw, self.hosts()));
+            self.feeds.request_revision(now, FeedKind::Rollouts, revision, turn);
         }
         cleared.any
     }
--- a/crates/tidetrack-core/src/traffic/control/rounds.rs
+++ b/crates/tidetrack-core/src/traffic/control/rounds.rs
@@ -9,7 +9,7 @@
 use crate::traffic::basis::Basis;
 use crate::traffic::endpoints::EndpointRecord;
 use crate::traffic::freshness::Freshness;
-use crate::traffic::peers::{Barred, News, ToldProof, ToldTally, ROUND_EVERY};
+use crate::traffic::peers::{BarredVersion, PeerUpdate, ProofReport, TallyReport, ROUND_INTERVAL};
 use crate::traffic::trial::{Phase, Trial, Writer};
 use crate::traffic::usual::Usual;
 use crate::units::Millis;
@@ -42,10 +42,10 @@
             hosts: self.hosts(),
         };
         let trials = &self.trials;
-        self.peers.forget_tallies(|told| {
+        self.peers.remove_tallies(|told| {
             trials.get(&told.service).is_none_or(|t| t.order.version != told.version || t.is_over())
         });
-        for host in self.peers.sweep(now) {
+        for host in self.peers.remove_silent_peers(now) {
             actions.push(Action::Note(Event::PeerDead, format!("peer={host}")));
         }
         // In a round and not on a tick: ticks come only when nothing else does, and a busy host would keep
@@ -56,9 +56,9 @@
         self.allot(now, actions);
         let is_swept = self.look_at_versions(now, actions) || is_swept;
         self.told = self.news(now, fresh);
-        let mut messages = self.peers.round(now, &self.told);
+        let mut messages = self.peers.round_messages(now, &self.told);
         if self.trials.values().any(|t| !t.is_over() && t.has_moved(now, self.duties.hosts)) {
-            messages.extend(self.peers.messages_to_provers(now, &self.told));
+            messages.extend(self.peers.prover_messages(now, &self.told));
         }
         actions.push(Action::Send(messages));
         if !self.peers.is_empty() {
@@ -70,7 +70,7 @@
         }
         for (service, trial) in self.trials.iter().filter(|(_, trial)| !trial.is_over()) {
             let usual = self.usual.entry(service.clone()).or_default();
-            usual.hear(self.peers.usual(service, &trial.order.version));
+            usual.hear(self.peers.baselines(service, &trial.order.version));
         }
         let services: Vec<ServiceId> = self.trials.keys().cloned().collect();
         services.iter().map(|s| self.judge(now, s, actions)).fold(is_swept, |a, b| a | b)
@@ -135,36 +135,36 @@
             return;
         }
         self.last_asked = now;
-        actions.extend(self.peers.ask_prover(now, &self.told).map(|m| Action::Send(vec![m])));
+        actions.extend(self.peers.proof_request(now, &self.told).map(|m| Action::Send(vec![m])));
     }
 
-    pub(super) fn told_proof(&self, now: Millis, fresh: &Freshness) -> Option<ToldProof> {
+    pub(super) fn told_proof(&self, now: Millis, fresh: &Freshness) -> Option<ProofReport> {
         let proof = self.catalog.as_ref().zip(fresh.age(now));
-        proof.map(|(c, age)| ToldProof { version: c.version, age_ms: age.0 })
+        proof.map(|(c, age)| ProofReport { version: c.version, age_ms: age.0 })
     }
 
-    fn news(&mut self, now: Millis, fresh: &Freshness) -> News {
+    fn news(&mut self, now: Millis, fresh: &Freshness) -> PeerUpdate {
         let proof = self.told_proof(now, fresh);
         let loads = self.live.iter().map(|(id, live)| (id, live.own_work()));
-        let mut news = News {
+        let mut news = PeerUpdate {
             proof,
             results: self.outliers.told(now),
-            suspects: self.suspects.told(now),
-            limits: self.limits.told(now),
-            changed: self.feeds.changed(),
-            complete: self.feeds.all_complete(),
-            barred: self.versions.bad().cloned().collect(),
+            suspects: self.suspects.reports_for_round(now),
+            limits: self.limits.reports_for_round(now),
+            newest_changes: self.feeds.newest_changes(),
+            complete_revisions: self.feeds.complete_revisions(),
+            barred_versions: self.versions.bad().cloned().collect(),
             loads: loads
                 .filter(|(_, work)| *work > 0)
                 .map(|(id, work)| (id.into(), u32::try_from(work).unwrap_or(u32::MAX)))
                 .collect(),
-            ..News::default()
+            ..PeerUpdate::default()
         };
-        let turn = self.peers.turn_time() + ROUND_EVERY;
+        let turn = self.peers.cycle_time() + ROUND_INTERVAL;
         for (service, prefixes) in &self.prefixes {
             let reads = prefixes.told(now, turn);
             if !reads.is_empty() {
-                news.reads.push((service.clone(), reads));
+                news.prefix_reads.push((service.clone(), reads));
             }
         }
         let hosts = self.hosts();
@@ -178,7 +178,7 @@
         for (service, trial) in &mut self.trials {
             let (service, version) = (service.clone(), trial.order.version.clone());
             match trial.phase() {
-                Phase::Barred => news.barred.push(Barred { service, version }),
+                Phase::Barred => news.barred_versions.push(BarredVersion { service, version }),
                 Phase::Done => {}
                 Phase::Sample | Phase::Moved => {
                     if let Some(exposure) = self.exposures.get(&service) {
@@ -187,8 +187,8 @@
                     }
                     let tally = trial.judge.tally(now).clone();
                     let age_ms = trial.age(now).0;
-                    let usual = self.usual.get(&service).map(Usual::told).unwrap_or_default();
-                    news.tallies.push(ToldTally { service, version, age_ms, tally, usual });
+                    let baseline = self.usual.get(&service).map(Usual::told).unwrap_or_default();
+                    news.tallies.push(TallyReport { service, version, age_ms, tally, baseline });
                 }
             }
         }
--- a/crates/tidetrack-core/src/traffic/control/versions.rs
+++ b/crates/tidetrack-core/src/traffic/control/versions.rs
@@ -10,7 +10,7 @@
 
 use crate::ids::{ServiceId, VersionName};
 use crate::traffic::endpoints::EndpointRecord;
-use crate::traffic::peers::Barred;
+use crate::traffic::peers::BarredVersion;
 use crate::units::Millis;
 
 /// How long an unproven version is kept in mind after its last endpoint was listed: longer than endpoints
@@ -46,7 +46,7 @@
 }
 
 /// Versions by name.
-type ByVersion<T> = BTreeMap<Barred, T>;
+type ByVersion<T> = BTreeMap<BarredVersion, T>;
 
 /// What a host knows of its services' versions outside of their trials.
 #[derive(Debug, Default)]
@@ -67,8 +67,8 @@
     pub wanted: Option<u64>,
 }
 
-fn name_of(record: &EndpointRecord) -> Barred {
-    Barred { service: record.service.clone(), version: record.version.clone() }
+fn name_of(record: &EndpointRecord) -> BarredVersion {
+    BarredVersion { service: record.service.clone(), version: record.version.clone() }
 }
 
 impl Versions {
@@ -127,12 +127,12 @@
     }
 
     /// Holds a version.
-    pub fn hold(&mut self, now: Millis, version: Barred, doubt: Doubt) {
+    pub fn hold(&mut self, now: Millis, version: BarredVersion, doubt: Doubt) {
         self.unproven.insert(version, (doubt, now));
     }
 
     /// Takes another host's word that a version is under roll-out; tells whether it is held by that.
-    pub fn told(&mut self, now: Millis, version: Barred) -> bool {
+    pub fn told(&mut self, now: Millis, version: BarredVersion) -> bool {
         match self.unproven.get(&version) {
             Some((Doubt::Bad | Doubt::Removed, _)) => false,
             before => {
@@ -144,17 +144,17 @@
     }
 
     /// Holds a version no longer: it is under roll-out again.
-    pub fn release(&mut self, version: &Barred) {
+    pub fn release(&mut self, version: &BarredVersion) {
         self.unproven.remove(version);
     }
 
     /// Tells whether a version is held bad.
-    pub fn is_bad(&self, version: &Barred) -> bool {
+    pub fn is_bad(&self, version: &BarredVersion) -> bool {
         self.unproven.get(version).is_some_and(|(doubt, _)| *doubt == Doubt::Bad)
     }
 
     /// Lists the versions that are held bad.
-    pub fn bad(&self) -> impl Iterator<Item = &Barred> {
+    pub fn bad(&self) -> impl Iterator<Item = &BarredVersion> {
         self.unproven.iter().filter(|(_, (doubt, _))| *doubt == Doubt::Bad).map(|(name, _)| name)
     }
 
@@ -183,7 +183,7 @@
     ) -> bool {
         let run: BTreeSet<(&ServiceId, &VersionName)> =
             records.map(|r| (&r.service, &r.version)).collect();
-        let is_run = |name: &Barred| run.contains(&(&name.service, &name.version));
+        let is_run = |name: &BarredVersion| run.contains(&(&name.service, &name.version));
         let before = (self.listed.len(), self.unproven.len());
         self.listed.retain(|name, _| is_run(name));
         self.unproven.retain(|name, (doubt, listed_at)| {
--- a/crates/tidetrack-core/src/traffic/control/views.rs
+++ b/crates/tidetrack-core/src/traffic/control/views.rs
@@ -57,7 +57,7 @@
         proven: Vec<PoolEndpoint>,
         new: Vec<PoolEndpoint>,
     ) -> ServiceView {
-        let spread = self.peers.spread();
+        let spread = self.peers.propagation_time();
         let hosts = self.hosts();
         let trial = self.trials.get_mut(service).map(|t| t.view(spread, hosts));
         let exposure = self.exposures.entry(service.clone()).or_default().clone();
--- a/crates/tidetrack-core/src/traffic/isolation.rs
+++ b/crates/tidetrack-core/src/traffic/isolation.rs
@@ -7,26 +7,30 @@
 
 /// How long the size of the fleet is remembered at the least, and at most twice as long. Hosts that are gone for good
 /// leave their parts idle for that time.
-const REMEMBERED_FOR: Millis = Millis(20_000);
+const FLEET_SIZE_WINDOW: Millis = Millis(20_000);
 
 /// How many hosts of the fleet were heard of late, this one among them.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Sight {
+pub struct IsolationDetector {
     /// When the present stretch began.
-    began: Millis,
+    window_start: Millis,
     /// The most of that stretch, and of the one before.
-    most: usize,
-    most_before: usize,
+    max_hosts: usize,
+    previous_max_hosts: usize,
 }
 
-impl Sight {
+impl IsolationDetector {
     /// Takes note of how many are heard; tells whether that is less than half of those of late.
-    pub fn is_lost(&mut self, now: Millis, hosts: usize) -> bool {
-        if now >= self.began + REMEMBERED_FOR {
-            *self = Sight { began: now, most: 0, most_before: self.most };
+    pub fn is_isolated(&mut self, now: Millis, heard_hosts: usize) -> bool {
+        if now >= self.window_start + FLEET_SIZE_WINDOW {
+            *self = IsolationDetector {
+                window_start: now,
+                max_hosts: 0,
+                previous_max_hosts: self.max_hosts,
+            };
         }
-        self.most = self.most.max(hosts);
-        hosts * 2 < self.most.max(self.most_before)
+        self.max_hosts = self.max_hosts.max(heard_hosts);
+        heard_hosts * 2 < self.max_hosts.max(self.previous_max_hosts)
     }
 }
 
@@ -35,15 +39,15 @@
     use super::*;
 
     #[test]
-    fn a_host_that_hears_few_has_lost_sight_of_the_others_for_a_time() {
-        let mut sight = Sight::default();
+    fn a_host_that_hears_less_than_half_is_isolated_until_the_fleet_size_expires() {
+        let mut detector = IsolationDetector::default();
 
-        let at_start = sight.is_lost(Millis(1_000), 10);
-        let fewer = sight.is_lost(Millis(2_000), 5);
-        let few = sight.is_lost(Millis(3_000), 4);
-        let later = sight.is_lost(Millis(22_000), 4);
-        let at_last = sight.is_lost(Millis(43_000), 4);
+        let at_start = detector.is_isolated(Millis(1_000), 10);
+        let fewer = detector.is_isolated(Millis(2_000), 5);
+        let few = detector.is_isolated(Millis(3_000), 4);
+        let later = detector.is_isolated(Millis(22_000), 4);
+        let last = detector.is_isolated(Millis(43_000), 4);
 
-        assert_eq!([at_start, fewer, few, later, at_last], [false, false, true, true, false]);
+        assert_eq!([at_start, fewer, few, later, last], [false, false, true, true, false]);
     }
 }
--- a/crates/tidetrack-core/src/traffic/peers/messages.rs
+++ b/crates/tidetrack-core/src/traffic/peers/messages.rs
@@ -5,19 +5,19 @@
 use serde::{Deserialize, Serialize};
 
 use crate::ids::{EndpointKey, FailureDomain, HostId, ServiceId, VersionName};
-use crate::traffic::endpoint_limits::ToldLimit;
+use crate::traffic::endpoint_limits::LimitReport;
 use crate::traffic::exposure::ToldSession;
 use crate::traffic::feeds::Revisions;
 use crate::traffic::judge::Tally;
 use crate::traffic::outliers::Results;
 use crate::traffic::prefixes::ToldRead;
-use crate::traffic::suspects::ToldSuspect;
+use crate::traffic::suspects::SuspectReport;
 use crate::traffic::usual::ToldUsual;
 use crate::units::Millis;
 
 /// A proof of the configuration, as it is told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldProof {
+pub struct ProofReport {
     /// The version that was the newest.
     pub version: u64,
     /// Milliseconds since the proving read began.
@@ -26,7 +26,7 @@
 
 /// A version that its teller holds bad.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Barred {
+pub struct BarredVersion {
     /// The service.
     pub service: ServiceId,
     /// The version.
@@ -35,7 +35,7 @@
 
 /// Counts of a version under roll-out.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ToldTally {
+pub struct TallyReport {
     /// The service.
     pub service: ServiceId,
     /// The version under roll-out.
@@ -45,34 +45,34 @@
     /// The counts.
     pub tally: Tally,
     /// What is usual on the proven versions.
-    pub usual: ToldUsual,
+    pub baseline: ToldUsual,
 }
 
 /// What a host tells of itself, the same for all receivers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct News {
+pub struct PeerUpdate {
     /// Its proof of the configuration.
-    pub proof: Option<ToldProof>,
+    pub proof: Option<ProofReport>,
     /// Work it has at endpoints.
     pub loads: Vec<(EndpointKey, u32)>,
     /// How its requests went at endpoints that some host saw fail.
     pub results: Vec<(EndpointKey, Results)>,
     /// Its counts of roll-outs.
-    pub tallies: Vec<ToldTally>,
+    pub tallies: Vec<TallyReport>,
     /// Versions it holds bad.
-    pub barred: Vec<Barred>,
+    pub barred_versions: Vec<BarredVersion>,
     /// The newest changes of the store it knows.
-    pub changed: Revisions,
+    pub newest_changes: Revisions,
     /// Up to where it knows the store.
-    pub complete: Revisions,
+    pub complete_revisions: Revisions,
     /// Sessions at work on proven versions of services under roll-out.
     pub sessions: Vec<(ServiceId, Vec<ToldSession>)>,
     /// Where it had shared parts read of late.
-    pub reads: Vec<(ServiceId, Vec<ToldRead>)>,
+    pub prefix_reads: Vec<(ServiceId, Vec<ToldRead>)>,
     /// Requests under which endpoints crashed.
-    pub suspects: Vec<ToldSuspect>,
+    pub suspects: Vec<SuspectReport>,
     /// Limits that endpoints named.
-    pub limits: Vec<ToldLimit>,
+    pub limits: Vec<LimitReport>,
 }
 
 /// One message.
@@ -87,7 +87,7 @@
     /// Where the sender stands.
     pub failure_domain: FailureDomain,
     /// Whether the sender has a link to give many others what it holds.
-    pub is_strong: bool,
+    pub is_well_connected: bool,
     /// Whether the sender waits for an answer.
     pub wants_reply: bool,
     /// The sender's clock, in milliseconds. Only the sender makes sense of it.
@@ -95,28 +95,29 @@
     /// The stamp of the last message that the sender had from the receiver.
     pub echo_ms: Option<u64>,
     /// Other hosts that the sender hears.
-    pub hints: Vec<SocketAddr>,
+    pub known_addresses: Vec<SocketAddr>,
     /// What the sender tells.
-    pub news: News,
+    pub update: PeerUpdate,
 }
 
 /// A message that its sender wants answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Question {
+pub struct ReplyRequest {
     /// Where the answer goes.
     pub address: SocketAddr,
     /// The sender's stamp.
     pub stamp_ms: u64,
     /// Whether the sender had not heard this host before.
-    pub is_first: bool,
+    pub is_first_contact: bool,
 }
 
-impl Question {
+impl ReplyRequest {
     /// Gets the question that a message asks, if any.
-    pub fn of(msg: &PeerMessage) -> Option<Question> {
-        let is_first = msg.echo_ms.is_none();
-        let question = Question { address: msg.address, stamp_ms: msg.stamp_ms, is_first };
-        msg.wants_reply.then_some(question)
+    pub fn from_message(msg: &PeerMessage) -> Option<ReplyRequest> {
+        let is_first_contact = msg.echo_ms.is_none();
+        let request =
+            ReplyRequest { address: msg.address, stamp_ms: msg.stamp_ms, is_first_contact };
+        msg.wants_reply.then_some(request)
     }
 }
 
--- a/crates/tidetrack-core/src/traffic/peers/mod.rs
+++ b/crates/tidetrack-core/src/traffic/peers/mod.rs
@@ -20,7 +20,7 @@
 
 use crate::ids::{EndpointKey, FailureDomain, HostId, ServiceId, VersionName};
 use crate::placement::rendezvous;
-use crate::traffic::feeds::Kind;
+use crate::traffic::feeds::FeedKind;
 use crate::traffic::judge::Tally;
 use crate::traffic::outliers::Results;
 use crate::traffic::usual::ToldUsual;
@@ -28,36 +28,38 @@
 
 mod messages;
 
-pub use messages::{Barred, News, PeerMessage, Question, RelayedProof, ToldProof, ToldTally};
+pub use messages::{
+    BarredVersion, PeerMessage, PeerUpdate, ProofReport, RelayedProof, ReplyRequest, TallyReport,
+};
 
 /// Hosts that one round of messages goes to.
 const FANOUT: usize = 8;
 
 /// A host that was not heard for this time is gone, in a fleet in which a round reaches all.
-const GONE_AFTER: Millis = Millis(3_000);
+const PEER_TIMEOUT: Millis = Millis(3_000);
 
 /// Rounds come this often.
-pub const ROUND_EVERY: Millis = Millis(250);
+pub const ROUND_INTERVAL: Millis = Millis(250);
 
 /// In a large fleet a host is gone when so many turns of its passed in silence: two messages in a row
 /// may be lost by chance, on links that lose a few in a hundred.
-const TURNS_MISSED: u64 = 3;
+const MAX_MISSED_CYCLES: u64 = 3;
 
 /// Loads older than this are not counted any more.
-const LOAD_KEPT: Millis = Millis(1_500);
+const MAX_LOAD_AGE: Millis = Millis(1_500);
 
 /// Addresses of other hosts that a message names.
-const HINTS: usize = 6;
+const ADDRESSES_PER_MESSAGE: usize = 6;
 
 /// Addresses that the answer to a host's first message names: enough that a host which starts knows
 /// most of some hundred others after a few answers.
-const FIRST_HINTS: usize = 48;
+const ADDRESSES_IN_FIRST_REPLY: usize = 48;
 
 /// Hosts of a failure domain that watch the store. Two, for one may be cut off from it unnoticed.
-const WATCHERS: usize = 2;
+const WATCHERS_PER_DOMAIN: usize = 2;
 
 /// Hosts of a fleet that prove the configuration themselves at short intervals.
-const PROVERS: usize = 3;
+const MAX_PROVERS: usize = 3;
 
 /// Another host, as far as it is known.
 #[derive(Clone, Debug)]
@@ -65,175 +67,192 @@
     incarnation: u64,
     address: SocketAddr,
     failure_domain: FailureDomain,
-    is_strong: bool,
-    heard_at: Millis,
+    is_well_connected: bool,
+    received_at: Millis,
     stamp_ms: u64,
-    news: News,
+    update: PeerUpdate,
 }
 
 /// The last word of a host that ended on a roll-out. A fleet whose hosts are replaced one after another
 /// would know a version by the answers of the last seconds only.
 #[derive(Clone, Debug)]
-struct LeftTally {
+struct DepartedTally {
     from: HostId,
     incarnation: u64,
-    heard_at: Millis,
-    told: ToldTally,
+    received_at: Millis,
+    report: TallyReport,
 }
 
 /// All other hosts.
 #[derive(Clone, Debug)]
-pub struct PeerBook {
+pub struct PeerTable {
     host: HostId,
     incarnation: u64,
     address: SocketAddr,
     failure_domain: FailureDomain,
-    is_strong: bool,
+    is_well_connected: bool,
     seeds: Vec<SocketAddr>,
     peers: BTreeMap<HostId, Peer>,
     /// What hosts that ended counted of roll-outs.
-    left: Vec<LeftTally>,
-    hinted: BTreeMap<SocketAddr, Millis>,
-    turn: usize,
+    departed_tallies: Vec<DepartedTally>,
+    unconfirmed_addresses: BTreeMap<SocketAddr, Millis>,
+    receiver_offset: usize,
     /// Counts the questions for a proof, to ask another host each time.
-    asked: usize,
+    request_count: usize,
 }
 
-impl PeerBook {
+impl PeerTable {
     /// Makes a book of a host that knows only where some others may be.
     pub fn new(
         host: HostId,
         address: SocketAddr,
         failure_domain: FailureDomain,
         seeds: Vec<SocketAddr>,
-    ) -> PeerBook {
+    ) -> PeerTable {
         let seeds = seeds.into_iter().filter(|s| *s != address).collect();
         // Hosts begin at different places: what several know must not go to the same few at once.
         let start = xxh3_64(host.as_str().as_bytes()) as usize;
-        PeerBook {
+        PeerTable {
             host,
             incarnation: 0,
             address,
             failure_domain,
-            is_strong: false,
+            is_well_connected: false,
             seeds,
             peers: BTreeMap::new(),
-            left: Vec::new(),
-            hinted: BTreeMap::new(),
-            turn: start,
-            asked: start,
+            departed_tallies: Vec::new(),
+            unconfirmed_addresses: BTreeMap::new(),
+            receiver_offset: start,
+            request_count: start,
         }
     }
 
     /// Names this start of the host.
-    pub fn started_as(self, incarnation: u64) -> PeerBook {
-        PeerBook { incarnation, ..self }
+    pub fn with_incarnation(self, incarnation: u64) -> PeerTable {
+        PeerTable { incarnation, ..self }
     }
 
     /// Tells whether this host has a link to give many others what it holds.
-    pub fn strong(self, is_strong: bool) -> PeerBook {
-        PeerBook { is_strong, ..self }
+    pub fn with_well_connected(self, is_well_connected: bool) -> PeerTable {
+        PeerTable { is_well_connected, ..self }
     }
 
     /// Takes a message; gives back the proof it carries, if it is one for this host.
-    pub fn hear(&mut self, now: Millis, msg: PeerMessage) -> Option<RelayedProof> {
+    pub fn receive(&mut self, now: Millis, msg: PeerMessage) -> Option<RelayedProof> {
         if msg.from == self.host {
             return None;
         }
-        self.hinted.remove(&msg.address);
-        for hint in msg.hints {
-            let is_known = hint == self.address || self.peers.values().any(|p| p.address == hint);
+        self.unconfirmed_addresses.remove(&msg.address);
+        for address in msg.known_addresses {
+            let is_known =
+                address == self.address || self.peers.values().any(|p| p.address == address);
             if !is_known {
-                self.hinted.entry(hint).or_insert(now);
+                self.unconfirmed_addresses.entry(address).or_insert(now);
             }
         }
-        let proof = msg.news.proof.zip(msg.echo_ms).map(|(proof, echo_ms)| RelayedProof {
+        let proof = msg.update.proof.zip(msg.echo_ms).map(|(proof, echo_ms)| RelayedProof {
             version: proof.version,
             began: Millis(echo_ms.min(now.0).saturating_sub(proof.age_ms)),
         });
-        let of_before = self.peers.get(&msg.from).filter(|p| p.incarnation != msg.incarnation);
-        if let Some(before) = of_before.cloned() {
-            self.keep_tallies(&msg.from, before);
+        let previous_incarnation =
+            self.peers.get(&msg.from).filter(|p| p.incarnation != msg.incarnation);
+        if let Some(previous) = previous_incarnation.cloned() {
+            self.retain_tallies(&msg.from, previous);
         }
         // It had only fallen silent.
-        self.left.retain(|left| left.from != msg.from || left.incarnation != msg.incarnation);
+        self.departed_tallies.retain(|departed| {
+            departed.from != msg.from || departed.incarnation != msg.incarnation
+        });
         let peer = Peer {
             incarnation: msg.incarnation,
             address: msg.address,
             failure_domain: msg.failure_domain,
-            is_strong: msg.is_strong,
-            heard_at: now,
+            is_well_connected: msg.is_well_connected,
+            received_at: now,
             stamp_ms: msg.stamp_ms,
-            news: msg.news,
+            update: msg.update,
         };
         self.peers.insert(msg.from, peer);
         proof
     }
 
     /// Forgets hosts that fell silent; lists them.
-    pub fn sweep(&mut self, now: Millis) -> Vec<HostId> {
-        self.hinted.retain(|_, since| now < *since + GONE_AFTER);
-        let gone_after = Millis(GONE_AFTER.0.max(self.turn_time().0 * TURNS_MISSED));
-        let is_gone = |p: &Peer| now >= p.heard_at + gone_after;
+    pub fn remove_silent_peers(&mut self, now: Millis) -> Vec<HostId> {
+        self.unconfirmed_addresses.retain(|_, since| now < *since + PEER_TIMEOUT);
+        let gone_after = Millis(PEER_TIMEOUT.0.max(self.cycle_time().0 * MAX_MISSED_CYCLES));
+        let is_gone = |p: &Peer| now >= p.received_at + gone_after;
         let gone: Vec<HostId> =
             self.peers.iter().filter(|(_, p)| is_gone(p)).map(|(h, _)| h.clone()).collect();
         for host in &gone {
             if let Some(peer) = self.peers.remove(host) {
-                self.keep_tallies(host, peer);
+                self.retain_tallies(host, peer);
             }
         }
         gone
     }
 
     /// Keeps what a host counted of roll-outs that has ended.
-    fn keep_tallies(&mut self, from: &HostId, peer: Peer) {
-        let Peer { incarnation, heard_at, news, .. } = peer;
-        let left = |told| LeftTally { from: from.clone(), incarnation, heard_at, told };
-        self.left.extend(news.tallies.into_iter().map(left));
+    fn retain_tallies(&mut self, from: &HostId, peer: Peer) {
+        let Peer { incarnation, received_at, update, .. } = peer;
+        let departed =
+            |report| DepartedTally { from: from.clone(), incarnation, received_at, report };
+        self.departed_tallies.extend(update.tallies.into_iter().map(departed));
     }
 
     /// Forgets what ended hosts counted of roll-outs that are over.
-    pub fn forget_tallies(&mut self, is_over: impl Fn(&ToldTally) -> bool) {
-        self.left.retain(|left| !is_over(&left.told));
+    pub fn remove_tallies(&mut self, is_over: impl Fn(&TallyReport) -> bool) {
+        self.departed_tallies.retain(|departed| !is_over(&departed.report));
     }
 
     /// Makes the messages of one round, with their receivers.
-    pub fn round(&mut self, now: Millis, news: &News) -> Vec<(SocketAddr, PeerMessage)> {
+    pub fn round_messages(
+        &mut self,
+        now: Millis,
+        update: &PeerUpdate,
+    ) -> Vec<(SocketAddr, PeerMessage)> {
         let known = self.peers.values().map(|p| (p.address, Some(p.stamp_ms)));
         let receivers: Vec<(SocketAddr, Option<u64>)> =
-            known.cycle().skip(self.turn_at()).take(self.peers.len().min(FANOUT)).collect();
+            known.cycle().skip(self.receiver_index()).take(self.peers.len().min(FANOUT)).collect();
         let mut messages: Vec<(SocketAddr, PeerMessage)> = receivers
             .into_iter()
-            .map(|(address, echo)| (address, self.message(now, echo, HINTS, news)))
+            .map(|(address, echo_ms)| {
+                (address, self.build_message(now, echo_ms, ADDRESSES_PER_MESSAGE, update))
+            })
             .collect();
-        messages.extend(self.meet(now, news));
+        messages.extend(self.first_contact_messages(now, update));
         messages
     }
 
     /// Makes first messages to hosts that were not heard yet.
-    pub fn meet(&mut self, now: Millis, news: &News) -> Vec<(SocketAddr, PeerMessage)> {
-        let unheard: Vec<SocketAddr> = self.unheard();
-        let at = self.turn % unheard.len().max(1);
-        let first = unheard.iter().cycle().skip(at).take(unheard.len().min(FANOUT));
-        let first = first.map(|address| {
-            let message = self.message(now, None, HINTS, news);
+    pub fn first_contact_messages(
+        &mut self,
+        now: Millis,
+        update: &PeerUpdate,
+    ) -> Vec<(SocketAddr, PeerMessage)> {
+        let unconfirmed: Vec<SocketAddr> = self.list_unconfirmed_addresses();
+        let offset = self.receiver_offset % unconfirmed.len().max(1);
+        let messages = unconfirmed.iter().cycle().skip(offset).take(unconfirmed.len().min(FANOUT));
+        let messages = messages.map(|address| {
+            let message = self.build_message(now, None, ADDRESSES_PER_MESSAGE, update);
             (*address, PeerMessage { wants_reply: true, ..message })
         });
-        let first = first.collect();
-        self.turn = self.turn.wrapping_add(FANOUT);
-        first
+        let messages = messages.collect();
+        self.receiver_offset = self.receiver_offset.wrapping_add(FANOUT);
+        messages
     }
 
     /// Gets a host that knows a kind up to a revision and can give it, but for one that could not: of the own failure
     /// domain and with a strong link where there is such a one, and not the same one for all that ask.
-    pub fn holder(
+    pub fn pick_holder(
         &mut self,
-        kind: Kind,
+        kind: FeedKind,
         revision: u64,
-        except: Option<SocketAddr>,
+        excluded: Option<SocketAddr>,
     ) -> Option<SocketAddr> {
-        let holds = |p: &&Peer| p.news.complete.get(kind) >= revision && Some(p.address) != except;
-        let rank = |p: &Peer| (self.is_near(&p.failure_domain), p.is_strong);
+        let holds = |p: &&Peer| {
+            p.update.complete_revisions.get(kind) >= revision && Some(p.address) != excluded
+        };
+        let rank = |p: &Peer| (self.is_local_domain(&p.failure_domain), p.is_well_connected);
         let best = self.peers.values().filter(holds).map(rank).max()?;
         let all: Vec<SocketAddr> = self
             .peers
@@ -241,85 +260,121 @@
             .filter(|p| holds(p) && rank(p) == best)
             .map(|p| p.address)
             .collect();
-        self.asked = self.asked.wrapping_add(1);
-        Some(all[self.asked % all.len()])
+        self.request_count = self.request_count.wrapping_add(1);
+        Some(all[self.request_count % all.len()])
     }
 
     /// Lists the addresses at which hosts may be that were not heard yet.
-    fn unheard(&self) -> Vec<SocketAddr> {
+    fn list_unconfirmed_addresses(&self) -> Vec<SocketAddr> {
         let is_known = |address: &SocketAddr| self.peers.values().any(|p| p.address == *address);
-        self.seeds.iter().chain(self.hinted.keys()).filter(|a| !is_known(a)).copied().collect()
+        self.seeds
+            .iter()
+            .chain(self.unconfirmed_addresses.keys())
+            .filter(|a| !is_known(a))
+            .copied()
+            .collect()
     }
 
     /// Gets the place of the next receiver among the hosts that are heard.
-    fn turn_at(&self) -> usize {
-        self.turn % self.peers.len().max(1)
+    fn receiver_index(&self) -> usize {
+        self.receiver_offset % self.peers.len().max(1)
     }
 
     /// Makes a message to a host whose last stamp was `echo_ms`.
-    fn message(&self, now: Millis, echo_ms: Option<u64>, hints: usize, news: &News) -> PeerMessage {
+    fn build_message(
+        &self,
+        now: Millis,
+        echo_ms: Option<u64>,
+        known_addresses: usize,
+        update: &PeerUpdate,
+    ) -> PeerMessage {
         let known = self.peers.values().map(|p| p.address);
-        let hints = hints.min(self.peers.len());
+        let known_addresses = known_addresses.min(self.peers.len());
         PeerMessage {
             from: self.host.clone(),
             incarnation: self.incarnation,
             address: self.address,
             failure_domain: self.failure_domain.clone(),
-            is_strong: self.is_strong,
+            is_well_connected: self.is_well_connected,
             wants_reply: false,
             stamp_ms: now.0,
             echo_ms,
-            hints: known.cycle().skip(self.turn_at()).take(hints).collect(),
-            news: news.clone(),
+            known_addresses: known
+                .cycle()
+                .skip(self.receiver_index())
+                .take(known_addresses)
+                .collect(),
+            update: update.clone(),
         }
     }
 
     /// Answers a question that came just now; a host's first one is answered with many hints, of them first hosts
     /// that can give it what they hold.
-    pub fn reply(&self, now: Millis, to: &Question, news: &News) -> PeerMessage {
-        let hints = if to.is_first { FIRST_HINTS } else { HINTS };
-        let mut reply = self.message(now, Some(to.stamp_ms), hints, news);
-        if to.is_first {
-            let strong = self.peers.values().filter(|p| p.is_strong).map(|p| p.address);
-            let others = reply.hints.iter().copied();
-            let first: Vec<SocketAddr> = strong.take(FIRST_HINTS / 2).chain(others).collect();
-            reply.hints = first;
-            reply.hints.truncate(FIRST_HINTS);
+    pub fn build_reply(
+        &self,
+        now: Millis,
+        request: &ReplyRequest,
+        update: &PeerUpdate,
+    ) -> PeerMessage {
+        let known_addresses =
+            if request.is_first_contact { ADDRESSES_IN_FIRST_REPLY } else { ADDRESSES_PER_MESSAGE };
+        let mut reply = self.build_message(now, Some(request.stamp_ms), known_addresses, update);
+        if request.is_first_contact {
+            let well_connected =
+                self.peers.values().filter(|p| p.is_well_connected).map(|p| p.address);
+            let others = reply.known_addresses.iter().copied();
+            let addresses: Vec<SocketAddr> =
+                well_connected.take(ADDRESSES_IN_FIRST_REPLY / 2).chain(others).collect();
+            reply.known_addresses = addresses;
+            reply.known_addresses.truncate(ADDRESSES_IN_FIRST_REPLY);
         }
         reply
     }
 
     /// Lists the other hosts that prove the configuration.
     fn provers(&self) -> Vec<&Peer> {
-        let mut provers: Vec<(Rank, &Peer)> =
-            self.peers.iter().map(|(host, p)| (prover_rank(p.is_strong, host), p)).collect();
+        let mut provers: Vec<(Rank, &Peer)> = self
+            .peers
+            .iter()
+            .map(|(host, p)| (prover_rank(p.is_well_connected, host), p))
+            .collect();
         provers.sort_by_key(|(rank, _)| std::cmp::Reverse(*rank));
-        provers.into_iter().take(PROVERS).map(|(_, peer)| peer).collect()
+        provers.into_iter().take(MAX_PROVERS).map(|(_, peer)| peer).collect()
     }
 
     /// Makes messages to the hosts that prove the configuration, beside a round: what a large fleet counts within a
     /// second is known to few hosts in time.
-    pub fn messages_to_provers(&self, now: Millis, news: &News) -> Vec<(SocketAddr, PeerMessage)> {
-        let message = |p: &Peer| (p.address, self.message(now, Some(p.stamp_ms), 0, news));
+    pub fn prover_messages(
+        &self,
+        now: Millis,
+        update: &PeerUpdate,
+    ) -> Vec<(SocketAddr, PeerMessage)> {
+        let message = |p: &Peer| (p.address, self.build_message(now, Some(p.stamp_ms), 0, update));
         self.provers().into_iter().map(message).collect()
     }
 
     /// Asks one of the hosts that prove the configuration, another one each time.
-    pub fn ask_prover(&mut self, now: Millis, news: &News) -> Option<(SocketAddr, PeerMessage)> {
+    pub fn proof_request(
+        &mut self,
+        now: Millis,
+        update: &PeerUpdate,
+    ) -> Option<(SocketAddr, PeerMessage)> {
         let provers = self.provers();
-        let peer = *provers.get(self.asked % provers.len().max(1))?;
-        let message =
-            PeerMessage { wants_reply: true, ..self.message(now, Some(peer.stamp_ms), 0, news) };
+        let peer = *provers.get(self.request_count % provers.len().max(1))?;
+        let message = PeerMessage {
+            wants_reply: true,
+            ..self.build_message(now, Some(peer.stamp_ms), 0, update)
+        };
         let address = peer.address;
-        self.asked = self.asked.wrapping_add(1);
+        self.request_count = self.request_count.wrapping_add(1);
         Some((address, message))
     }
 
     /// Sums the work that the other hosts have at endpoints.
     pub fn loads(&self, now: Millis) -> HashMap<EndpointKey, u64> {
         let mut loads = HashMap::new();
-        for peer in self.peers.values().filter(|p| now < p.heard_at + LOAD_KEPT) {
-            for (key, work) in &peer.news.loads {
+        for peer in self.peers.values().filter(|p| now < p.received_at + MAX_LOAD_AGE) {
+            for (key, work) in &peer.update.loads {
                 *loads.entry(*key).or_default() += u64::from(*work);
             }
         }
@@ -330,9 +385,9 @@
     pub fn results(&self, now: Millis) -> HashMap<EndpointKey, Results> {
         let mut results: HashMap<EndpointKey, Results> = HashMap::new();
         for peer in self.peers.values() {
-            for (key, told) in &peer.news.results {
+            for (key, report) in &peer.update.results {
                 let sum = results.entry(*key).or_default();
-                *sum = sum.plus(told.as_told(now - peer.heard_at));
+                *sum = sum.plus(report.as_told(now - peer.received_at));
             }
         }
         results
@@ -345,84 +400,88 @@
         service: &'a ServiceId,
         version: &'a VersionName,
     ) -> impl Iterator<Item = (Tally, Millis)> + 'a {
-        let all = self.told_of(service, version);
-        all.map(move |(told, heard_at)| (told.tally.clone(), now - heard_at))
+        let all = self.tally_reports(service, version);
+        all.map(move |(report, received_at)| (report.tally.clone(), now - received_at))
     }
 
     /// Lists what the other hosts hold for usual beside a version under roll-out.
-    pub fn usual<'a>(
+    pub fn baselines<'a>(
         &'a self,
         service: &'a ServiceId,
         version: &'a VersionName,
     ) -> impl Iterator<Item = &'a ToldUsual> + 'a {
-        self.told_of(service, version).map(|(told, _)| &told.usual)
+        self.tally_reports(service, version).map(|(report, _)| &report.baseline)
     }
 
     /// Lists what was told of a version under roll-out, and when; also by hosts that ended.
-    fn told_of<'a>(
+    fn tally_reports<'a>(
         &'a self,
         service: &'a ServiceId,
         version: &'a VersionName,
-    ) -> impl Iterator<Item = (&'a ToldTally, Millis)> + 'a {
-        let of_peers = self
+    ) -> impl Iterator<Item = (&'a TallyReport, Millis)> + 'a {
+        let current = self
             .peers
             .values()
-            .flat_map(|p| p.news.tallies.iter().map(move |told| (told, p.heard_at)));
-        let all = of_peers.chain(self.left.iter().map(|left| (&left.told, left.heard_at)));
-        all.filter(move |(told, _)| told.service == *service && told.version == *version)
+            .flat_map(|p| p.update.tallies.iter().map(move |report| (report, p.received_at)));
+        let all = current.chain(
+            self.departed_tallies.iter().map(|departed| (&departed.report, departed.received_at)),
+        );
+        all.filter(move |(report, _)| report.service == *service && report.version == *version)
     }
 
     /// Tells whether another host holds a version bad.
     pub fn is_barred(&self, service: &ServiceId, version: &VersionName) -> bool {
-        let names = |b: &Barred| b.service == *service && b.version == *version;
-        self.peers.values().any(|p| p.news.barred.iter().any(names))
+        let is_match = |b: &BarredVersion| b.service == *service && b.version == *version;
+        self.peers.values().any(|p| p.update.barred_versions.iter().any(is_match))
     }
 
     /// Tells whether this host is one of the few that prove the configuration themselves. Every host
     /// ranks those it hears alike; where they hear different ones, a few more or fewer prove, and a
     /// host without a relayed proof proves for itself.
     pub fn is_prover(&self) -> bool {
-        let own = prover_rank(self.is_strong, &self.host);
-        let before = self.peers.iter().filter(|(host, p)| prover_rank(p.is_strong, host) > own);
-        before.count() < PROVERS
+        let own_rank = prover_rank(self.is_well_connected, &self.host);
+        let higher_ranked =
+            self.peers.iter().filter(|(host, p)| prover_rank(p.is_well_connected, host) > own_rank);
+        higher_ranked.count() < MAX_PROVERS
     }
 
     /// Tells whether this host is one of the few of its failure domain that watch the store.
     pub fn is_watcher(&self) -> bool {
-        let own = watcher_rank(self.is_strong, &self.host);
-        self.watchers().filter(|(rank, _)| *rank > own).count() < WATCHERS
+        let own_rank = watcher_rank(self.is_well_connected, &self.host);
+        self.ranked_local_peers().filter(|(rank, _)| *rank > own_rank).count() < WATCHERS_PER_DOMAIN
     }
 
     /// Tells whether this host is one of the first so many for a job, those of a failure domain before others.
-    pub fn is_among_first(&self, job: &str, domain: &FailureDomain, count: usize) -> bool {
+    pub fn is_ranked_within(&self, job: &str, domain: &FailureDomain, count: usize) -> bool {
         let rank =
             |host: &HostId, of: &FailureDomain| (of == domain, rendezvous(job, host.as_str()));
-        let own = rank(&self.host, &self.failure_domain);
-        let before = self.peers.iter().filter(|(host, p)| rank(host, &p.failure_domain) > own);
-        before.take(count).count() < count
+        let own_rank = rank(&self.host, &self.failure_domain);
+        let higher_ranked =
+            self.peers.iter().filter(|(host, p)| rank(host, &p.failure_domain) > own_rank);
+        higher_ranked.take(count).count() < count
     }
 
     /// Ranks the other hosts of the failure domain for watching the store.
-    fn watchers(&self) -> impl Iterator<Item = (Rank, &Peer)> {
-        let near = self.peers.iter().filter(|(_, p)| self.is_near(&p.failure_domain));
-        near.map(|(host, p)| (watcher_rank(p.is_strong, host), p))
+    fn ranked_local_peers(&self) -> impl Iterator<Item = (Rank, &Peer)> {
+        let local = self.peers.iter().filter(|(_, p)| self.is_local_domain(&p.failure_domain));
+        local.map(|(host, p)| (watcher_rank(p.is_well_connected, host), p))
     }
 
     /// Tells whether a failure domain is this host's own.
-    pub fn is_near(&self, failure_domain: &FailureDomain) -> bool {
+    pub fn is_local_domain(&self, failure_domain: &FailureDomain) -> bool {
         *failure_domain == self.failure_domain
     }
 
     /// Gets the time in which a host has sent one message to each other.
-    pub fn turn_time(&self) -> Millis {
-        Millis(ROUND_EVERY.0 * self.peers.len().div_ceil(FANOUT) as u64)
+    pub fn cycle_time(&self) -> Millis {
+        Millis(ROUND_INTERVAL.0 * self.peers.len().div_ceil(FANOUT) as u64)
     }
 
     /// Gets the time within which news that hosts pass on has gone from one host to all others.
-    pub fn spread(&self) -> Millis {
+    pub fn propagation_time(&self) -> Millis {
         let hops = (self.peers.len().max(1) as f64).log(FANOUT as f64).ceil().max(1.0) as u64;
         // One round more, for a message may be lost.
-        Millis(ROUND_EVERY.0 * (hops + 1))
+        Millis(ROUND_INTERVAL.0 * (hops + 1))
     }
 
     /// Counts the other hosts that are heard.
@@ -440,11 +499,11 @@
 type Rank = (bool, u64);
 
 /// Ranks hosts for proving the configuration.
-fn prover_rank(is_strong: bool, host: &HostId) -> Rank {
-    (is_strong, rendezvous("prover", host.as_str()))
+fn prover_rank(is_well_connected: bool, host: &HostId) -> Rank {
+    (is_well_connected, rendezvous("prover", host.as_str()))
 }
 
 /// Ranks hosts for watching the store.
-fn watcher_rank(is_strong: bool, host: &HostId) -> Rank {
-    (is_strong, rendezvous("watch", host.as_str()))
+fn watcher_rank(is_well_connected: bool, host: &HostId) -> Rank {
+    (is_well_connected, rendezvous("watch", host.as_str()))
 }
--- a/crates/tidetrack-core/src/traffic/reachability.rs
+++ b/crates/tidetrack-core/src/traffic/reachability.rs
@@ -13,15 +13,15 @@
 
 /// Time within which connects that come to nothing have one cause: a full line stays full for some
 /// hundred milliseconds at least, and each connect is waited for 400 ms.
-const TOGETHER: Millis = Millis(1_000);
+const CORRELATION_WINDOW: Millis = Millis(1_000);
 
 /// Longest time in which a connection comes up, or an answer, on a way that is well. Within a region it
 /// takes a few milliseconds; on a full line each packet waits longer than this.
-pub const PROMPT: Millis = Millis(100);
+pub const MAX_PROMPT_LATENCY: Millis = Millis(100);
 
 /// A connect that gave no sign of life.
 #[derive(Clone, Debug)]
-pub struct Connect {
+pub struct FailedConnect {
     /// The endpoint.
     pub endpoint: EndpointId,
     /// Where it stands.
@@ -36,86 +36,94 @@
 
 /// One of the connects of late.
 #[derive(Debug)]
-struct Silent {
-    connect: Connect,
+struct RecentFailure {
+    connect: FailedConnect,
     /// How often the endpoint had failed in a row when it was left for this; `None` if it was not.
-    left_after: Option<u32>,
+    failures_before_ejection: Option<u32>,
 }
 
 /// What a silent connect speaks against.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Blame {
+pub enum FailureCause {
     /// The endpoint: it is left at once.
     Endpoint,
     /// The way, or nothing: it counts as one failure.
-    Way,
+    NetworkPath,
 }
 
-impl Blame {
+impl FailureCause {
     /// Gets the word for it in metrics.
     pub fn as_str(self) -> &'static str {
         match self {
-            Blame::Endpoint => "endpoint",
-            Blame::Way => "way",
+            FailureCause::Endpoint => "endpoint",
+            FailureCause::NetworkPath => "way",
         }
     }
 }
 
 /// Connects of late that gave no sign of life.
 #[derive(Debug)]
-pub struct Reach {
+pub struct ReachabilityTracker {
     /// Where this host stands.
-    own: FailureDomain,
-    silent: Vec<Silent>,
+    local_domain: FailureDomain,
+    recent_failures: Vec<RecentFailure>,
 }
 
-impl Reach {
+impl ReachabilityTracker {
     /// Starts without any, for a host of a failure domain.
-    pub fn new(own: FailureDomain) -> Reach {
-        Reach { own, silent: Vec::new() }
+    pub fn new(local_domain: FailureDomain) -> ReachabilityTracker {
+        ReachabilityTracker { local_domain, recent_failures: Vec::new() }
     }
 
     /// Takes in a connect that gave no sign of life, and lets it count against the endpoint.
     ///
-    /// `prompt_at` is when the last one began of those connects and answers that came promptly.
-    pub fn gave_no_sign(&mut self, connect: Connect, prompt_at: Option<Millis>) -> Blame {
+    /// `last_prompt_at` is when the last one began of those connects and answers that came promptly.
+    pub fn record_failed_connect(
+        &mut self,
+        connect: FailedConnect,
+        last_prompt_at: Option<Millis>,
+    ) -> FailureCause {
         let now = connect.ended;
-        self.silent.retain(|s| now < s.connect.ended + TOGETHER);
+        self.recent_failures.retain(|s| now < s.connect.ended + CORRELATION_WINDOW);
         // What the endpoint sends on other connections comes here: it is not without power.
         if connect.live.was_heard_since(connect.began) {
             connect.live.note_silent(now);
-            return Blame::Way;
+            return FailureCause::NetworkPath;
         }
-        if self.is_own_way(&connect, prompt_at) {
-            for silent in &mut self.silent {
-                silent.forgive();
+        if self.is_local_path_failure(&connect, last_prompt_at) {
+            for failure in &mut self.recent_failures {
+                failure.undo_ejection();
             }
             connect.live.note_silent(now);
-            self.silent.push(Silent { connect, left_after: None });
-            return Blame::Way;
+            self.recent_failures.push(RecentFailure { connect, failures_before_ejection: None });
+            return FailureCause::NetworkPath;
         }
-        let left_after = Some(connect.live.failures());
+        let failures_before_ejection = Some(connect.live.failures());
         connect.live.note_unreachable(now);
-        self.silent.push(Silent { connect, left_after });
-        Blame::Endpoint
+        self.recent_failures.push(RecentFailure { connect, failures_before_ejection });
+        FailureCause::Endpoint
     }
 
     /// Tells whether several endpoints give no sign of life while nothing comes promptly. Those of one
     /// other failure domain may be cut off with it.
-    fn is_own_way(&self, newest: &Connect, prompt_at: Option<Millis>) -> bool {
-        let before = || self.silent.iter().map(|s| &s.connect);
-        let is_shared = before().any(|c| c.endpoint != newest.endpoint);
-        let began = before().map(|c| c.began).min();
-        let is_elsewhere = newest.failure_domain != self.own
-            && before().all(|c| c.failure_domain == newest.failure_domain);
-        is_shared && prompt_at < began && !is_elsewhere
+    fn is_local_path_failure(
+        &self,
+        newest: &FailedConnect,
+        last_prompt_at: Option<Millis>,
+    ) -> bool {
+        let earlier = || self.recent_failures.iter().map(|s| &s.connect);
+        let is_other_endpoint_affected = earlier().any(|c| c.endpoint != newest.endpoint);
+        let began = earlier().map(|c| c.began).min();
+        let is_single_remote_domain = newest.failure_domain != self.local_domain
+            && earlier().all(|c| c.failure_domain == newest.failure_domain);
+        is_other_endpoint_affected && last_prompt_at < began && !is_single_remote_domain
     }
 }
 
-impl Silent {
+impl RecentFailure {
     /// Takes back that the endpoint was left for this; it counts as one failure.
-    fn forgive(&mut self) {
-        if let Some(failures) = self.left_after.take() {
+    fn undo_ejection(&mut self) {
+        if let Some(failures) = self.failures_before_ejection.take() {
             self.connect.live.forgive_unreachable(failures);
         }
     }
@@ -126,13 +134,13 @@
     use super::*;
 
     const NOW: Millis = Millis(10_000);
-    const WAITED: Millis = Millis(400);
+    const CONNECT_TIMEOUT: Millis = Millis(400);
 
-    const OWN: &str = "north";
-    const OTHER: &str = "south";
+    const LOCAL_DOMAIN: &str = "north";
+    const REMOTE_DOMAIN: &str = "south";
 
     struct Fixture {
-        reach: Reach,
+        tracker: ReachabilityTracker,
         /// Where the endpoints stand.
         domain: &'static str,
         endpoints: Vec<(EndpointId, Arc<EndpointLive>)>,
@@ -140,120 +148,125 @@
 
     fn fixture() -> Fixture {
         let endpoint = |n| (format!("e-{n}").parse().expect("a name"), Arc::default());
-        let reach = Reach::new(OWN.parse().expect("a name"));
-        Fixture { reach, domain: OWN, endpoints: (0..4).map(endpoint).collect() }
+        let tracker = ReachabilityTracker::new(LOCAL_DOMAIN.parse().expect("a name"));
+        Fixture { tracker, domain: LOCAL_DOMAIN, endpoints: (0..4).map(endpoint).collect() }
     }
 
     impl Fixture {
         /// Lets a connect to an endpoint come to nothing.
-        fn gives_no_sign(&mut self, now: Millis, n: usize, prompt_at: Option<Millis>) -> Blame {
+        fn fail_connect(
+            &mut self,
+            now: Millis,
+            n: usize,
+            last_prompt_at: Option<Millis>,
+        ) -> FailureCause {
             let (endpoint, live) = self.endpoints[n].clone();
             let failure_domain = self.domain.parse().expect("a name");
-            let began = Millis(now.0 - WAITED.0);
-            let connect = Connect { endpoint, failure_domain, live, began, ended: now };
-            self.reach.gave_no_sign(connect, prompt_at)
+            let began = Millis(now.0 - CONNECT_TIMEOUT.0);
+            let connect = FailedConnect { endpoint, failure_domain, live, began, ended: now };
+            self.tracker.record_failed_connect(connect, last_prompt_at)
         }
 
-        fn left(&self, now: Millis) -> Vec<usize> {
-            let is_left = |n: &usize| self.endpoints[*n].1.is_ejected(now);
-            (0..self.endpoints.len()).filter(is_left).collect()
+        fn ejected(&self, now: Millis) -> Vec<usize> {
+            let is_ejected = |n: &usize| self.endpoints[*n].1.is_ejected(now);
+            (0..self.endpoints.len()).filter(is_ejected).collect()
         }
     }
 
     #[test]
-    fn a_single_endpoint_that_gives_no_sign_is_left_at_once() {
+    fn a_single_unresponsive_endpoint_is_ejected_at_once() {
         let mut f = fixture();
 
-        let blame = f.gives_no_sign(NOW, 0, None);
+        let cause = f.fail_connect(NOW, 0, None);
 
-        assert_eq!((blame, f.left(NOW)), (Blame::Endpoint, vec![0]));
+        assert_eq!((cause, f.ejected(NOW)), (FailureCause::Endpoint, vec![0]));
     }
 
     #[test]
-    fn it_is_left_however_often_it_alone_gives_none() {
+    fn a_single_endpoint_stays_ejected_after_repeated_failures() {
         let mut f = fixture();
-        f.gives_no_sign(NOW, 0, None);
+        f.fail_connect(NOW, 0, None);
 
-        let blame = f.gives_no_sign(NOW + Millis(500), 0, None);
+        let cause = f.fail_connect(NOW + Millis(500), 0, None);
 
-        assert_eq!((blame, f.left(NOW + Millis(500))), (Blame::Endpoint, vec![0]));
+        assert_eq!((cause, f.ejected(NOW + Millis(500))), (FailureCause::Endpoint, vec![0]));
     }
 
     #[test]
-    fn several_at_once_speak_against_the_own_way() {
+    fn concurrent_failures_of_several_local_endpoints_are_a_path_failure() {
         let mut f = fixture();
-        f.gives_no_sign(NOW, 0, None);
+        f.fail_connect(NOW, 0, None);
 
-        let blame = f.gives_no_sign(NOW + WAITED, 1, Some(NOW - Millis(1_000)));
+        let cause = f.fail_connect(NOW + CONNECT_TIMEOUT, 1, Some(NOW - Millis(1_000)));
 
-        assert_eq!((blame, f.left(NOW + WAITED)), (Blame::Way, vec![]));
+        assert_eq!((cause, f.ejected(NOW + CONNECT_TIMEOUT)), (FailureCause::NetworkPath, vec![]));
         assert_eq!(f.endpoints[0].1.take_outcomes().failed, 0, "other hosts hear of it");
     }
 
     #[test]
-    fn several_at_once_are_left_where_something_came_promptly_meanwhile() {
+    fn several_endpoints_are_ejected_if_another_connection_was_prompt_meanwhile() {
         let mut f = fixture();
-        f.gives_no_sign(NOW, 0, None);
+        f.fail_connect(NOW, 0, None);
 
-        let blame = f.gives_no_sign(NOW + WAITED, 1, Some(NOW));
+        let cause = f.fail_connect(NOW + CONNECT_TIMEOUT, 1, Some(NOW));
 
-        assert_eq!((blame, f.left(NOW + WAITED)), (Blame::Endpoint, vec![0, 1]));
+        assert_eq!((cause, f.ejected(NOW + CONNECT_TIMEOUT)), (FailureCause::Endpoint, vec![0, 1]));
     }
 
     #[test]
-    fn several_of_one_other_domain_are_left() {
+    fn several_endpoints_of_one_remote_domain_are_ejected() {
         let mut f = fixture();
-        f.domain = OTHER;
-        f.gives_no_sign(NOW, 0, None);
+        f.domain = REMOTE_DOMAIN;
+        f.fail_connect(NOW, 0, None);
 
-        let blame = f.gives_no_sign(NOW + WAITED, 1, None);
+        let cause = f.fail_connect(NOW + CONNECT_TIMEOUT, 1, None);
 
-        assert_eq!((blame, f.left(NOW + WAITED)), (Blame::Endpoint, vec![0, 1]));
+        assert_eq!((cause, f.ejected(NOW + CONNECT_TIMEOUT)), (FailureCause::Endpoint, vec![0, 1]));
     }
 
     #[test]
-    fn several_of_different_domains_speak_against_the_own_way() {
+    fn concurrent_failures_in_several_domains_are_a_path_failure() {
         let mut f = fixture();
-        f.domain = OTHER;
-        f.gives_no_sign(NOW, 0, None);
+        f.domain = REMOTE_DOMAIN;
+        f.fail_connect(NOW, 0, None);
         f.domain = "west";
 
-        let blame = f.gives_no_sign(NOW + WAITED, 1, None);
+        let cause = f.fail_connect(NOW + CONNECT_TIMEOUT, 1, None);
 
-        assert_eq!((blame, f.left(NOW + WAITED)), (Blame::Way, vec![]));
+        assert_eq!((cause, f.ejected(NOW + CONNECT_TIMEOUT)), (FailureCause::NetworkPath, vec![]));
     }
 
     #[test]
-    fn several_far_apart_are_left() {
+    fn failures_outside_the_correlation_window_are_independent() {
         let mut f = fixture();
-        f.gives_no_sign(NOW, 0, None);
-        let later = NOW + TOGETHER;
+        f.fail_connect(NOW, 0, None);
+        let later = NOW + CORRELATION_WINDOW;
 
-        let blame = f.gives_no_sign(later, 1, None);
+        let cause = f.fail_connect(later, 1, None);
 
-        assert_eq!((blame, f.left(later)), (Blame::Endpoint, vec![1]));
+        assert_eq!((cause, f.ejected(later)), (FailureCause::Endpoint, vec![1]));
     }
 
     #[test]
-    fn one_that_never_gives_a_sign_is_left_in_the_end() {
+    fn endpoints_that_stay_unresponsive_are_ejected_eventually() {
         let mut f = fixture();
 
         for round in 0..3 {
             let now = NOW + Millis(round * 500);
-            f.gives_no_sign(now, 0, None);
-            f.gives_no_sign(now, 1, None);
+            f.fail_connect(now, 0, None);
+            f.fail_connect(now, 1, None);
         }
 
-        assert_eq!(f.left(NOW + Millis(1_000)), vec![0, 1]);
+        assert_eq!(f.ejected(NOW + Millis(1_000)), vec![0, 1]);
     }
 
     #[test]
-    fn an_endpoint_that_is_heard_meanwhile_is_not_left() {
+    fn an_endpoint_that_sent_data_meanwhile_is_not_ejected() {
         let mut f = fixture();
         f.endpoints[0].1.heard(NOW);
 
-        let blame = f.gives_no_sign(NOW + Millis(100), 0, None);
+        let cause = f.fail_connect(NOW + Millis(100), 0, None);
 
-        assert_eq!((blame, f.left(NOW + Millis(100))), (Blame::Way, vec![]));
+        assert_eq!((cause, f.ejected(NOW + Millis(100))), (FailureCause::NetworkPath, vec![]));
     }
 }
--- a/crates/tidetrack-core/src/traffic/stagger.rs
+++ b/crates/tidetrack-core/src/traffic/stagger.rs
@@ -7,14 +7,14 @@
 use crate::units::Millis;
 
 /// Time in which all hosts have had their turn.
-const ALL_WITHIN: Millis = Millis(900);
+const STAGGER_WINDOW: Millis = Millis(900);
 
 /// Gets how long one of so many hosts leaves a question to the others, by a draw from 0 up to 1.
-pub fn turn(draw: f64, hosts: usize) -> Millis {
+pub fn stagger_delay(hash_fraction: f64, hosts: usize) -> Millis {
     if hosts < 2 {
         return Millis(0);
     }
     let hosts = hosts as f64;
-    let place = 1.0 + draw.max(1.0 / hosts).ln() / hosts.ln();
-    Millis((ALL_WITHIN.0 as f64 * place) as u64)
+    let position = 1.0 + hash_fraction.max(1.0 / hosts).ln() / hosts.ln();
+    Millis((STAGGER_WINDOW.0 as f64 * position) as u64)
 }
--- a/crates/tidetrack-core/src/traffic/suspects/reports.rs
+++ b/crates/tidetrack-core/src/traffic/suspects/reports.rs
@@ -10,31 +10,34 @@
 
 /// The end of an endpoint under a request, as it is told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldCrash {
+pub struct CrashReport {
     /// The endpoint.
     pub endpoint: EndpointKey,
     /// Stands for its failure domain.
-    pub domain: u16,
+    #[serde(rename = "domain")]
+    pub domain_hash: u16,
     /// Milliseconds for which the request had been there.
-    pub ran_ms: u32,
+    #[serde(rename = "ran_ms")]
+    pub run_ms: u32,
     /// Milliseconds since.
-    pub ago_ms: u32,
+    #[serde(rename = "ago_ms")]
+    pub age_ms: u32,
 }
 
 /// A request under which endpoints crashed, as hosts tell each other.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldSuspect {
+pub struct SuspectReport {
     /// The request.
     pub fingerprint: Fingerprint,
     /// The newest crashes.
-    pub crashes: Vec<ToldCrash>,
+    pub crashes: Vec<CrashReport>,
     /// Milliseconds since a run came to its end, if one did.
     pub cleared_ms: Option<u32>,
 }
 
 /// What became of a request under suspicion, for the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Change {
+pub enum SuspectChange {
     /// It takes no more runs.
     Barred {
         /// The request.
@@ -46,23 +49,23 @@
     Cleared(Fingerprint),
 }
 
-impl Change {
+impl SuspectChange {
     /// Gets the event that it is logged as.
     pub fn event(&self) -> Event {
         match self {
-            Change::Barred { .. } => Event::RequestBarred,
-            Change::Cleared(_) => Event::RequestCleared,
+            SuspectChange::Barred { .. } => Event::RequestBarred,
+            SuspectChange::Cleared(_) => Event::RequestCleared,
         }
     }
 }
 
-impl fmt::Display for Change {
+impl fmt::Display for SuspectChange {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Change::Barred { fingerprint, crashes } => {
+            SuspectChange::Barred { fingerprint, crashes } => {
                 write!(f, "fingerprint={fingerprint} crashes={crashes}")
             }
-            Change::Cleared(fingerprint) => write!(f, "fingerprint={fingerprint}"),
+            SuspectChange::Cleared(fingerprint) => write!(f, "fingerprint={fingerprint}"),
         }
     }
 }
--- a/crates/tidetrack-core/tests/exposure.rs
+++ b/crates/tidetrack-core/tests/exposure.rs
@@ -3,10 +3,10 @@
 mod support;
 
 use tidetrack_core::traffic::control::{Action, Beliefs, Input};
-use tidetrack_core::traffic::feeds::{Kind, Source};
+use tidetrack_core::traffic::feeds::{FeedKind, FetchSource};
 use tidetrack_core::traffic::freshness::Freshness;
 use tidetrack_core::traffic::judge::Tally;
-use tidetrack_core::traffic::peers::{Barred, News, ToldTally};
+use tidetrack_core::traffic::peers::{BarredVersion, PeerUpdate, TallyReport};
 use tidetrack_core::traffic::trial::{RolloutOrder, RolloutState, Side};
 use tidetrack_core::traffic::view::FleetView;
 use tidetrack_core::units::Millis;
@@ -159,7 +159,7 @@
 }
 
 /// What another host tells of the version under roll-out.
-fn word_of(news: News) -> Input {
+fn word_of(news: PeerUpdate) -> Input {
     Input::Heard(Box::new(message_of(7, news)))
 }
 
@@ -171,13 +171,13 @@
 #[test]
 fn a_host_that_knows_no_roll_out_takes_no_unproven_version_for_proven() {
     let fresh = fresh_since(0);
-    let barred = || Barred { service: id("llm"), version: id("v2") };
-    let told = || ToldTally {
+    let barred = || BarredVersion { service: id("llm"), version: id("v2") };
+    let told = || TallyReport {
         service: id("llm"),
         version: id("v2"),
         age_ms: 4_000,
         tally: Tally::default(),
-        usual: Vec::new(),
+        baseline: Vec::new(),
     };
     let rolled_back = || order(2, Some(progress(RolloutState::RolledBack, 4_000)));
     let gone = || Input::RolloutGone(id("llm"));
@@ -203,19 +203,23 @@
         (
             "when the order could never be read",
             with_endpoints(2, &fresh),
-            vec![caught_up(Kind::Endpoints, 10), unreadable(), caught_up(Kind::Rollouts, 10)],
+            vec![
+                caught_up(FeedKind::Endpoints, 10),
+                unreadable(),
+                caught_up(FeedKind::Rollouts, 10),
+            ],
             both,
         ),
         (
             "when others hold the version bad",
             without_rollout(2, &fresh),
-            vec![word_of(News { barred: vec![barred()], ..News::default() })],
+            vec![word_of(PeerUpdate { barred_versions: vec![barred()], ..PeerUpdate::default() })],
             old,
         ),
         (
             "when others tell of its roll-out",
             without_rollout(2, &fresh),
-            vec![word_of(News { tallies: vec![told()], ..News::default() })],
+            vec![word_of(PeerUpdate { tallies: vec![told()], ..PeerUpdate::default() })],
             old,
         ),
     ];
@@ -242,16 +246,16 @@
     let mut beliefs = without_rollout(2, &fresh);
     let third = || record("x1", "v3");
     beliefs.take(Millis(1_000), Input::Endpoint(third()), &fresh);
-    beliefs.take(Millis(1_000), caught_up(Kind::Endpoints, 20), &fresh);
+    beliefs.take(Millis(1_000), caught_up(FeedKind::Endpoints, 20), &fresh);
     let held = proven(&view_after(&mut beliefs, 1_300, &fresh));
 
     let asked = beliefs.take(Millis(1_450), Input::Tick, &fresh);
-    beliefs.take(Millis(1_500), caught_up(Kind::Rollouts, 19), &fresh);
+    beliefs.take(Millis(1_500), caught_up(FeedKind::Rollouts, 19), &fresh);
     let older = proven(&view_after(&mut beliefs, 1_700, &fresh));
-    beliefs.take(Millis(1_800), caught_up(Kind::Rollouts, 21), &fresh);
+    beliefs.take(Millis(1_800), caught_up(FeedKind::Rollouts, 21), &fresh);
     let read = proven(&view_after(&mut beliefs, 2_000, &fresh));
 
-    let reads = |a: &&Action| matches!(a, Action::Catch(c) if c.kind == Kind::Rollouts && c.source == Source::Store);
+    let reads = |a: &&Action| matches!(a, Action::Catch(c) if c.kind == FeedKind::Rollouts && c.source == FetchSource::Store);
     assert_eq!(asked.iter().filter(reads).count(), 1);
     assert_eq!((held.len(), older.len()), (4, 4));
     assert_eq!(read, ["n1", "n2", "o1", "o2", "x1"]);
@@ -264,12 +268,12 @@
     let mut beliefs = without_rollout(2, &fresh);
     let rolled_back = order(11, Some(progress(RolloutState::RolledBack, 4_000)));
     beliefs.take(Millis(500), Input::Rollout(rolled_back), &fresh);
-    beliefs.take(Millis(500), caught_up(Kind::Rollouts, 11), &fresh);
+    beliefs.take(Millis(500), caught_up(FeedKind::Rollouts, 11), &fresh);
     beliefs.take(Millis(1_000), Input::Endpoint(record("x1", "v3")), &fresh);
-    beliefs.take(Millis(1_000), caught_up(Kind::Endpoints, 20), &fresh);
+    beliefs.take(Millis(1_000), caught_up(FeedKind::Endpoints, 20), &fresh);
 
     let held = proven(&view_after(&mut beliefs, 1_300, &fresh));
-    beliefs.take(Millis(1_500), caught_up(Kind::Rollouts, 21), &fresh);
+    beliefs.take(Millis(1_500), caught_up(FeedKind::Rollouts, 21), &fresh);
     let read = proven(&view_after(&mut beliefs, 1_700, &fresh));
 
     assert_eq!(held, ["o1", "o2"]);
@@ -282,7 +286,7 @@
     let fresh = fresh_since(0);
     let mut beliefs = without_rollout(2, &fresh);
     beliefs.take(Millis(1_000), Input::Endpoint(record("x1", "v3")), &fresh);
-    beliefs.take(Millis(1_000), caught_up(Kind::Endpoints, 20), &fresh);
+    beliefs.take(Millis(1_000), caught_up(FeedKind::Endpoints, 20), &fresh);
 
     let soon = proven(&view_after(&mut beliefs, 5_500, &fresh));
     let later = proven(&view_after(&mut beliefs, 6_500, &fresh));
@@ -296,14 +300,18 @@
     let fresh = fresh_since(0);
     let mut beliefs = without_rollout(2, &fresh);
     let tally = Tally::default();
-    let told = ToldTally {
+    let told = TallyReport {
         service: id("llm"),
         version: id("v2"),
         age_ms: 4_000,
         tally,
-        usual: Vec::new(),
+        baseline: Vec::new(),
     };
-    beliefs.take(Millis(100), word_of(News { tallies: vec![told], ..News::default() }), &fresh);
+    beliefs.take(
+        Millis(100),
+        word_of(PeerUpdate { tallies: vec![told], ..PeerUpdate::default() }),
+        &fresh,
+    );
 
     let soon = proven(&view_after(&mut beliefs, 2_500, &fresh));
     let later = proven(&view_after(&mut beliefs, 3_500, &fresh));
--- a/crates/tidetrack-core/tests/feeds.rs
+++ b/crates/tidetrack-core/tests/feeds.rs
@@ -8,9 +8,11 @@
 use tidetrack_core::ids::{EndpointId, ServiceId};
 use tidetrack_core::placement::draw;
 use tidetrack_core::traffic::control::{Action, Input};
-use tidetrack_core::traffic::feeds::{Catch, Feeds, Giving, Kind, Revisions, Source};
+use tidetrack_core::traffic::feeds::{
+    FeedKind, FeedTracker, Fetch, FetchSource, ReplyLimiter, Revisions,
+};
 use tidetrack_core::traffic::freshness::Freshness;
-use tidetrack_core::traffic::stagger::turn;
+use tidetrack_core::traffic::stagger::stagger_delay;
 use tidetrack_core::units::{Bandwidth, Millis};
 
 use support::{catalog, id, view_of, with_endpoints, without_rollout};
@@ -23,26 +25,28 @@
 }
 
 /// A host that knows all changes of the configuration up to revision 10.
-fn feeds() -> Feeds {
-    let mut feeds = Feeds::default();
-    feeds.caught_up(Millis(0), Kind::Catalog, 10, Some(10));
+fn feeds() -> FeedTracker {
+    let mut feeds = FeedTracker::default();
+    feeds.record_complete(Millis(0), FeedKind::Catalog, 10, Some(10));
     feeds
 }
 
 /// Lets hosts tell of revision 12 for a while; lists what is asked for and when.
 fn tell(
-    feeds: &mut Feeds,
+    feeds: &mut FeedTracker,
     from: u64,
     to: u64,
-    mut each: impl FnMut(&mut Feeds, u64),
-) -> Vec<(u64, Catch)> {
+    mut each: impl FnMut(&mut FeedTracker, u64),
+) -> Vec<(u64, Fetch)> {
     let mut told = Revisions::default();
-    told.raise(Kind::Catalog, 12);
+    told.raise(FeedKind::Catalog, 12);
     let mut asked = Vec::new();
     for now in (from..to).step_by(STEP as usize) {
         each(feeds, now);
-        let catches = feeds.told(Millis(now), &told, near_host(), true);
-        asked.extend(catches.into_iter().chain(feeds.due(Millis(now))).map(|c| (now, c)));
+        let catches = feeds.receive_revisions(Millis(now), &told, near_host(), true);
+        asked.extend(
+            catches.into_iter().chain(feeds.due_store_reads(Millis(now))).map(|c| (now, c)),
+        );
     }
     asked
 }
@@ -54,11 +58,12 @@
     // Of a large reply on a narrow link a part comes every 200 ms, for three seconds.
     let asked = tell(&mut feeds, 0, 3_000, |feeds, now| {
         if now > 0 && now % 200 == 0 {
-            feeds.coming(Millis(now), Kind::Catalog);
+            feeds.record_incoming(Millis(now), FeedKind::Catalog);
         }
     });
 
-    let first = Catch { kind: Kind::Catalog, after: 10, source: Source::Host(near_host()) };
+    let first =
+        Fetch { kind: FeedKind::Catalog, after: 10, source: FetchSource::Host(near_host()) };
     assert_eq!(asked, vec![(0, first)]);
 }
 
@@ -68,7 +73,7 @@
 
     let asked = tell(&mut feeds, 0, 3_000, |feeds, now| {
         if now == 200 || now == 400 {
-            feeds.coming(Millis(now), Kind::Catalog);
+            feeds.record_incoming(Millis(now), FeedKind::Catalog);
         }
     });
 
@@ -82,7 +87,7 @@
 
     let asked = tell(&mut feeds, 0, 2_000, |_, _| {});
 
-    let is_store: Vec<bool> = asked.iter().map(|(_, c)| c.source == Source::Store).collect();
+    let is_store: Vec<bool> = asked.iter().map(|(_, c)| c.source == FetchSource::Store).collect();
     assert_eq!(is_store, [false, false, true, false, true], "{asked:?}");
 }
 
@@ -96,28 +101,30 @@
 
     for now in (0..4_000).step_by(STEP as usize) {
         let mut told = Revisions::default();
-        told.raise(Kind::Catalog, 12 + now / STEP);
-        let catches = feeds.told(Millis(now), &told, near_host(), true);
-        asked.extend(catches.into_iter().chain(feeds.due(Millis(now))).map(|c| c.source));
+        told.raise(FeedKind::Catalog, 12 + now / STEP);
+        let catches = feeds.receive_revisions(Millis(now), &told, near_host(), true);
+        asked.extend(
+            catches.into_iter().chain(feeds.due_store_reads(Millis(now))).map(|c| c.source),
+        );
         // What is given a moment later lacks the changes of that moment.
         if now % 200 == 0 {
-            feeds.caught_up(Millis(now), Kind::Catalog, 11 + now / STEP, None);
+            feeds.record_complete(Millis(now), FeedKind::Catalog, 11 + now / STEP, None);
         }
     }
 
     assert!(asked.len() > 5, "{asked:?}");
-    assert!(!asked.contains(&Source::Store), "{asked:?}");
+    assert!(!asked.contains(&FetchSource::Store), "{asked:?}");
 }
 
 #[test]
 fn a_change_of_another_kind_does_not_wait_for_a_large_one() {
     let mut feeds = feeds();
-    feeds.caught_up(Millis(0), Kind::Endpoints, 10, Some(10));
-    feeds.coming(Millis(0), Kind::Catalog);
+    feeds.record_complete(Millis(0), FeedKind::Endpoints, 10, Some(10));
+    feeds.record_incoming(Millis(0), FeedKind::Catalog);
 
     let mut told = Revisions::default();
-    told.raise(Kind::Endpoints, 11);
-    let asked = feeds.told(Millis(50), &told, near_host(), true);
+    told.raise(FeedKind::Endpoints, 11);
+    let asked = feeds.receive_revisions(Millis(50), &told, near_host(), true);
 
     assert_eq!(asked.len(), 1, "{asked:?}");
 }
@@ -125,17 +132,17 @@
 #[test]
 fn endpoints_are_read_up_to_where_the_store_was_seen_unless_they_come_first() {
     let mut feeds = feeds();
-    feeds.caught_up(Millis(0), Kind::Endpoints, 10, Some(10));
-    feeds.store_seen(Millis(0), 12, true);
+    feeds.record_complete(Millis(0), FeedKind::Endpoints, 10, Some(10));
+    feeds.record_store_revision(Millis(0), 12, true);
     let mut other = feeds.clone();
-    let due = |feeds: &mut Feeds| -> Vec<(u64, Catch)> {
-        let due = |now| feeds.due(Millis(now)).into_iter().map(move |c| (now, c));
+    let due = |feeds: &mut FeedTracker| -> Vec<(u64, Fetch)> {
+        let due = |now| feeds.due_store_reads(Millis(now)).into_iter().map(move |c| (now, c));
         (0..1_000).step_by(STEP as usize).flat_map(due).collect()
     };
 
-    other.caught_up(Millis(100), Kind::Endpoints, 12, Some(11));
+    other.record_complete(Millis(100), FeedKind::Endpoints, 12, Some(11));
 
-    let read = Catch { kind: Kind::Endpoints, after: 10, source: Source::Store };
+    let read = Fetch { kind: FeedKind::Endpoints, after: 10, source: FetchSource::Store };
     assert_eq!(due(&mut feeds).first(), Some(&(400, read)));
     assert_eq!(due(&mut other), Vec::new());
 }
@@ -145,21 +152,23 @@
 /// if that one did not know yet.
 #[test]
 fn what_has_to_be_known_is_asked_of_hosts_that_know_it_and_read_in_turn() {
-    let mut feeds = Feeds::default();
-    feeds.caught_up(Millis(0), Kind::Rollouts, 10, Some(10));
-    feeds.wants(Millis(0), Kind::Rollouts, 12, Some(Millis(600)));
+    let mut feeds = FeedTracker::default();
+    feeds.record_complete(Millis(0), FeedKind::Rollouts, 10, Some(10));
+    feeds.request_revision(Millis(0), FeedKind::Rollouts, 12, Some(Millis(600)));
     let mut asked = Vec::new();
 
     for now in (0..2_000).step_by(STEP as usize) {
         let is_known = now >= 1_200;
         let holder = |_, revision| (is_known && revision == 12).then(near_host);
-        let of_hosts = feeds.due_of_host(Millis(now), holder);
-        asked.extend(of_hosts.into_iter().chain(feeds.due(Millis(now))).map(|c| (now, c.source)));
+        let of_hosts = feeds.due_host_queries(Millis(now), holder);
+        asked.extend(
+            of_hosts.into_iter().chain(feeds.due_store_reads(Millis(now))).map(|c| (now, c.source)),
+        );
     }
 
-    assert_eq!(asked[0].1, Source::Host(near_host()), "{asked:?}");
+    assert_eq!(asked[0].1, FetchSource::Host(near_host()), "{asked:?}");
     assert!((1_200..1_700).contains(&asked[0].0), "{asked:?}");
-    let of_store = asked.iter().find(|(_, source)| *source == Source::Store);
+    let of_store = asked.iter().find(|(_, source)| *source == FetchSource::Store);
     assert!(of_store.is_some_and(|(at, _)| *at >= 1_500), "{asked:?}");
 }
 
@@ -168,7 +177,7 @@
 fn of_many_hosts_few_ask_at_once() {
     for (hosts, at_first) in [(1, 1), (7, 7), (90, 18), (295, 29), (540, 54)] {
         let draws = (0..hosts).map(|n| draw("ask", &format!("host-{n}")));
-        let turns: Vec<Millis> = draws.map(|draw| turn(draw, hosts)).collect();
+        let turns: Vec<Millis> = draws.map(|draw| stagger_delay(draw, hosts)).collect();
 
         let first = turns.iter().filter(|turn| **turn <= Millis(450)).count();
         assert!((1..=at_first).contains(&first), "{hosts} hosts, {first} at first");
@@ -179,33 +188,33 @@
 #[test]
 fn a_store_that_was_seen_at_a_known_change_is_not_read() {
     let mut feeds = feeds();
-    feeds.caught_up(Millis(100), Kind::Endpoints, 12, Some(11));
+    feeds.record_complete(Millis(100), FeedKind::Endpoints, 12, Some(11));
 
-    feeds.store_seen(Millis(0), 12, true);
+    feeds.record_store_revision(Millis(0), 12, true);
 
-    assert_eq!(feeds.due(Millis(5_000)), Vec::new());
+    assert_eq!(feeds.due_store_reads(Millis(5_000)), Vec::new());
 }
 
 #[test]
 fn a_host_gives_no_more_at_once_than_its_link_soon_passes() {
-    let mut narrow = Giving::new(Bandwidth(10.0));
-    let mut wide = Giving::new(Bandwidth(200.0));
+    let mut narrow = ReplyLimiter::new(Bandwidth(10.0));
+    let mut wide = ReplyLimiter::new(Bandwidth(200.0));
     const LARGE: u64 = 1_000_000;
 
-    let of_narrow = (0..12).filter(|_| narrow.begin(LARGE)).count();
-    let of_wide = (0..12).filter(|_| wide.begin(LARGE)).count();
+    let of_narrow = (0..12).filter(|_| narrow.try_begin(LARGE)).count();
+    let of_wide = (0..12).filter(|_| wide.try_begin(LARGE)).count();
     narrow.end(LARGE);
 
     assert_eq!((of_narrow, of_wide), (1, 7));
-    assert!(narrow.begin(LARGE), "the first one is out");
+    assert!(narrow.try_begin(LARGE), "the first one is out");
 }
 
 #[test]
 fn small_changes_go_out_beside_a_large_one() {
-    let mut narrow = Giving::new(Bandwidth(10.0));
-    assert!(narrow.begin(1_000_000));
+    let mut narrow = ReplyLimiter::new(Bandwidth(10.0));
+    assert!(narrow.try_begin(1_000_000));
 
-    let begun = (0..60).filter(|_| narrow.begin(4_000)).count();
+    let begun = (0..60).filter(|_| narrow.try_begin(4_000)).count();
 
     assert_eq!(begun, 60);
 }
@@ -241,7 +250,7 @@
     // Something comes in every 20 ms.
     let mut shown = None;
     for now in (2_000..5_000).step_by(20) {
-        let actions = beliefs.take(Millis(now), Input::Coming(Kind::Rollouts), &fresh);
+        let actions = beliefs.take(Millis(now), Input::Coming(FeedKind::Rollouts), &fresh);
         shown = view_of(&actions).or(shown);
     }
 
--- a/crates/tidetrack-core/tests/lapsed_entries.rs
+++ b/crates/tidetrack-core/tests/lapsed_entries.rs
@@ -21,7 +21,7 @@
 use tidetrack_core::ids::{EndpointId, ServiceId};
 use tidetrack_core::traffic::control::{Beliefs, Input};
 use tidetrack_core::traffic::freshness::Freshness;
-use tidetrack_core::traffic::peers::{News, PeerMessage, ToldProof};
+use tidetrack_core::traffic::peers::{PeerMessage, PeerUpdate, ProofReport};
 use tidetrack_core::units::Millis;
 
 use support::{id, message_of, record, view_of, with_endpoints};
@@ -34,7 +34,8 @@
 
 /// Word of another host that read the configuration just now.
 fn word_of_a_read(now: u64) -> Input {
-    let news = News { proof: Some(ToldProof { version: 3, age_ms: 0 }), ..News::default() };
+    let news =
+        PeerUpdate { proof: Some(ProofReport { version: 3, age_ms: 0 }), ..PeerUpdate::default() };
     Input::Heard(Box::new(PeerMessage { echo_ms: Some(now), ..message_of(2, news) }))
 }
 
--- a/crates/tidetrack-core/tests/starts.rs
+++ b/crates/tidetrack-core/tests/starts.rs
@@ -4,9 +4,9 @@
 
 use std::sync::Arc;
 
-use tidetrack_core::traffic::bootstrap::held_for;
+use tidetrack_core::traffic::bootstrap::hold_time;
 use tidetrack_core::traffic::control::Input;
-use tidetrack_core::traffic::feeds::Kind;
+use tidetrack_core::traffic::feeds::FeedKind;
 use tidetrack_core::units::{Bandwidth, Millis};
 
 use support::fleet::{ColdStart, Fleet};
@@ -105,7 +105,7 @@
 
     assert!(fleet.known.iter().all(|known| *known > 0), "{:?}", fleet.known);
     assert!(fleet.known_catalog.iter().all(|known| *known > 0));
-    let kinds = [Kind::Catalog, Kind::Endpoints].len();
+    let kinds = [FeedKind::Catalog, FeedKind::Endpoints].len();
     assert!(fleet.calls >= 12 * kinds, "{}", fleet.calls);
 }
 
@@ -113,7 +113,7 @@
 /// about to know anything.
 #[test]
 fn a_request_is_held_at_a_start_for_a_part_of_its_time() {
-    let held = |since, left: Option<u64>| held_for(Millis(since), left.map(Millis)).0;
+    let held = |since, left: Option<u64>| hold_time(Millis(since), left.map(Millis)).0;
 
     let (call, stream, short) = (held(50, Some(1_500)), held(50, Some(20_000)), held(50, None));
     let (late, after) = (held(900, Some(20_000)), held(5_000, Some(20_000)));
@@ -132,9 +132,9 @@
     let list = vec![record("o1", "v1"), record("n1", "v2")];
 
     let listed = beliefs.take(Millis(10), Input::EndpointList(list), &fresh);
-    beliefs.take(Millis(11), caught_up(Kind::Endpoints, 10), &fresh);
+    beliefs.take(Millis(11), caught_up(FeedKind::Endpoints, 10), &fresh);
     beliefs.take(Millis(12), rollouts(Vec::new()), &fresh);
-    let read = beliefs.take(Millis(13), caught_up(Kind::Rollouts, 10), &fresh);
+    let read = beliefs.take(Millis(13), caught_up(FeedKind::Rollouts, 10), &fresh);
 
     let before = view_of(&listed).expect("a view");
     let after = view_of(&read).expect("a view");
--- a/crates/tidetrack-core/tests/support/fleet.rs
+++ b/crates/tidetrack-core/tests/support/fleet.rs
@@ -9,12 +9,12 @@
 
 use tidetrack_core::ids::ServiceId;
 use tidetrack_core::placement::draw;
-use tidetrack_core::traffic::bootstrap::{is_strong, Starter};
+use tidetrack_core::traffic::bootstrap::{is_well_connected, BootstrapInfo};
 use tidetrack_core::traffic::control::{Action, Beliefs, Input};
 use tidetrack_core::traffic::exposure::{ExposureBound, SessionDraw};
-use tidetrack_core::traffic::feeds::{Catch, Giving, Kind, Source};
+use tidetrack_core::traffic::feeds::{FeedKind, Fetch, FetchSource, ReplyLimiter};
 use tidetrack_core::traffic::freshness::Freshness;
-use tidetrack_core::traffic::peers::{PeerBook, PeerMessage};
+use tidetrack_core::traffic::peers::{PeerMessage, PeerTable};
 use tidetrack_core::traffic::trial::{ProgressWrite, RolloutOrder, Side, USUAL_BOUND};
 use tidetrack_core::traffic::view::FleetView;
 use tidetrack_core::units::{Bandwidth, Millis};
@@ -58,9 +58,9 @@
 #[derive(Clone, Debug)]
 pub enum Coming {
     /// What it asked for, up to where; `None` if that fails.
-    Caught(usize, Catch, Option<u64>),
+    Caught(usize, Fetch, Option<u64>),
     /// What the store shows a host that watches it.
-    Watched(usize, Kind, u64),
+    Watched(usize, FeedKind, u64),
 }
 
 /// Addresses of hosts that all know from the start.
@@ -107,7 +107,7 @@
     /// Replies with the newest configuration that each host began to get.
     pub copies: Vec<usize>,
     /// What each host gives to others.
-    pub giving: Vec<Giving>,
+    pub giving: Vec<ReplyLimiter>,
     /// The links, and the changes that are under way over them.
     pub links: Links<Coming>,
     /// Hosts that do not answer others.
@@ -143,7 +143,7 @@
     pub fn start_bounded(hosts: u32, seed: u64, bound: ExposureBound) -> Fleet {
         let start = |n| {
             let fresh = Freshness::default();
-            fresh.proved(Millis(0));
+            fresh.record_proof(Millis(0));
             let proves_at = u64::from(n) * 17 % PROVE_EVERY;
             let beliefs = with_endpoints(n, &fresh).bounded(bound);
             FleetHost { beliefs, fresh, proves_at, view: None }
@@ -157,7 +157,7 @@
             catalog: (10, 0),
             known_catalog: vec![10; hosts as usize],
             copies: vec![0; hosts as usize],
-            giving: vec![Giving::new(Bandwidth(f64::INFINITY)); hosts as usize],
+            giving: vec![ReplyLimiter::new(Bandwidth(f64::INFINITY)); hosts as usize],
             links: Links::wide(hosts as usize),
             deaf: Vec::new(),
             suspended: Vec::new(),
@@ -172,10 +172,10 @@
             sent: 0,
         };
         for i in 0..fleet.hosts.len() {
-            fleet.take(i, caught_up(Kind::Endpoints, 10));
-            fleet.take(i, caught_up(Kind::Catalog, 10));
+            fleet.take(i, caught_up(FeedKind::Endpoints, 10));
+            fleet.take(i, caught_up(FeedKind::Catalog, 10));
             fleet.take(i, rollouts(Vec::new()));
-            fleet.take(i, caught_up(Kind::Rollouts, 10));
+            fleet.take(i, caught_up(FeedKind::Rollouts, 10));
         }
         fleet
     }
@@ -186,12 +186,17 @@
         let hosts = starts.hosts;
         let start = |n: u32| {
             let link = starts.link_of(n);
-            let is_known = n <= SEEDS;
-            let starter = Starter { link, is_known, draw: draw("start", &format!("{n} {seed}")) };
+            let is_seed = n <= SEEDS;
+            let starter = BootstrapInfo {
+                link,
+                is_seed,
+                hash_fraction: draw("start", &format!("{n} {seed}")),
+            };
             let (name, address) = host(n);
             let seeds = (1..=SEEDS).map(|n| host(n).1).collect();
             let domain = id(&format!("hall-{}", n % starts.domains));
-            let book = PeerBook::new(name, address, domain, seeds).strong(is_strong(link));
+            let book = PeerTable::new(name, address, domain, seeds)
+                .with_well_connected(is_well_connected(link));
             let beliefs = Beliefs::new(host(n).0, book).starting(Millis(0), starter);
             FleetHost { beliefs, fresh: Freshness::default(), proves_at: PROVE_EVERY, view: None }
         };
@@ -223,7 +228,7 @@
         let links = (1..=hosts).map(|n| bytes_a_ms(starts.link_of(n))).collect();
         fleet.set_links(links, bytes_a_ms(STORE_LINK));
         // Of roll-outs there is none.
-        (0..all).for_each(|i| fleet.take(i, caught_up(Kind::Rollouts, 1)));
+        (0..all).for_each(|i| fleet.take(i, caught_up(FeedKind::Rollouts, 1)));
         fleet
     }
 
@@ -231,16 +236,16 @@
     pub fn restart(&mut self, i: usize) {
         let (n, incarnation) = (i as u32 + 1, self.now);
         let fresh = Freshness::default();
-        fresh.proved(Millis(self.now));
+        fresh.record_proof(Millis(self.now));
         let beliefs = with_endpoints_again(n, incarnation, &fresh);
         let proves_at = self.now + PROVE_EVERY;
         self.hosts[i] = FleetHost { beliefs, fresh, proves_at, view: None };
         self.told.retain(|(_, to, _)| *to != i);
-        self.take(i, caught_up(Kind::Endpoints, self.revision));
-        self.take(i, caught_up(Kind::Catalog, self.catalog.0));
+        self.take(i, caught_up(FeedKind::Endpoints, self.revision));
+        self.take(i, caught_up(FeedKind::Catalog, self.catalog.0));
         let orders = self.rollout.iter().cloned().collect();
         self.take(i, rollouts(orders));
-        self.take(i, caught_up(Kind::Rollouts, self.revision));
+        self.take(i, caught_up(FeedKind::Rollouts, self.revision));
     }
 
     /// Lets time pass to `until`; `look` is shown each host at each step.
@@ -265,7 +270,7 @@
     pub fn prove(&mut self, i: usize) {
         let host = &mut self.hosts[i];
         if host.beliefs.is_prover() && self.now >= host.proves_at {
-            host.fresh.proved(Millis(self.now));
+            host.fresh.record_proof(Millis(self.now));
             host.proves_at = self.now + PROVE_EVERY;
             self.take(i, Input::StoreSeen(self.revision));
         }
@@ -276,7 +281,7 @@
         if !self.hosts[i].beliefs.is_watcher() || self.are_watchers_blind {
             return;
         }
-        for kind in [Kind::Catalog, Kind::Endpoints] {
+        for kind in [FeedKind::Catalog, FeedKind::Endpoints] {
             let (known, newest) = (self.known(i, kind), self.newest(kind));
             let is_kind = |c: &&Coming| matches!(c, Coming::Watched(_, k, _) if *k == kind);
             if known >= newest || self.links.under_way_to(i).any(|c| is_kind(&c)) {
@@ -294,35 +299,35 @@
     }
 
     /// Gets what a host knows of a kind.
-    fn known(&self, i: usize, kind: Kind) -> u64 {
+    fn known(&self, i: usize, kind: FeedKind) -> u64 {
         match kind {
-            Kind::Catalog => self.known_catalog[i],
-            Kind::Endpoints => self.known[i],
-            Kind::Rollouts => unreachable!("hosts are told of roll-outs"),
+            FeedKind::Catalog => self.known_catalog[i],
+            FeedKind::Endpoints => self.known[i],
+            FeedKind::Rollouts => unreachable!("hosts are told of roll-outs"),
         }
     }
 
     /// Gets the store's newest revision of a kind.
-    fn newest(&self, kind: Kind) -> u64 {
+    fn newest(&self, kind: FeedKind) -> u64 {
         match kind {
-            Kind::Catalog => self.catalog.0,
-            Kind::Endpoints => self.revision,
-            Kind::Rollouts => unreachable!("hosts are told of roll-outs"),
+            FeedKind::Catalog => self.catalog.0,
+            FeedKind::Endpoints => self.revision,
+            FeedKind::Rollouts => unreachable!("hosts are told of roll-outs"),
         }
     }
 
     /// Takes note of a copy of the newest configuration that a host begins to get.
-    fn note_copy(&mut self, i: usize, kind: Kind, after: u64, to: Option<u64>) {
+    fn note_copy(&mut self, i: usize, kind: FeedKind, after: u64, to: Option<u64>) {
         let is_newest = to.is_some_and(|to| to > after && to == self.catalog.0);
-        self.copies[i] += usize::from(kind == Kind::Catalog && is_newest);
+        self.copies[i] += usize::from(kind == FeedKind::Catalog && is_newest);
     }
 
     /// Gets the bytes of the changes of a kind after a revision.
-    fn bytes_of(&self, kind: Kind, after: u64, to: u64) -> u64 {
+    fn bytes_of(&self, kind: FeedKind, after: u64, to: u64) -> u64 {
         match kind {
             // Only the newest is given.
-            Kind::Catalog => self.catalog.1 * u64::from(to > after),
-            Kind::Endpoints | Kind::Rollouts => ENDPOINT_BYTES * to.saturating_sub(after),
+            FeedKind::Catalog => self.catalog.1 * u64::from(to > after),
+            FeedKind::Endpoints | FeedKind::Rollouts => ENDPOINT_BYTES * to.saturating_sub(after),
         }
     }
 
@@ -330,15 +335,15 @@
     pub fn set_links(&mut self, links: Vec<f64>, store: f64) {
         const BITS_A_BYTE: f64 = 8.0;
         // Bytes a millisecond are thousands a second, and a link is told in millions of bits.
-        let giving = |link: &f64| Giving::new(Bandwidth(link * BITS_A_BYTE / 1e3));
+        let giving = |link: &f64| ReplyLimiter::new(Bandwidth(link * BITS_A_BYTE / 1e3));
         self.giving = links.iter().map(giving).collect();
         (self.links.hosts, self.links.store) = (links, store);
     }
 
-    pub fn caught_up(&mut self, i: usize, kind: Kind, to: u64) {
+    pub fn caught_up(&mut self, i: usize, kind: FeedKind, to: u64) {
         let known = match kind {
-            Kind::Catalog => &mut self.known_catalog[i],
-            Kind::Endpoints | Kind::Rollouts => &mut self.known[i],
+            FeedKind::Catalog => &mut self.known_catalog[i],
+            FeedKind::Endpoints | FeedKind::Rollouts => &mut self.known[i],
         };
         *known = (*known).max(to);
         let newest = *known;
@@ -371,19 +376,19 @@
         if self.now.is_multiple_of(WORD_EVERY) {
             let is_coming = |i: &usize| self.links.is_large_coming(*i);
             let told: Vec<usize> = (0..self.hosts.len()).filter(is_coming).collect();
-            told.into_iter().for_each(|i| self.take(i, Input::Coming(Kind::Catalog)));
+            told.into_iter().for_each(|i| self.take(i, Input::Coming(FeedKind::Catalog)));
         }
     }
 
     /// Asks for changes at once, where the plane waits for a large reply that is coming in: so what the
     /// decisions ask for too often is seen.
-    pub fn begin_to_catch(&mut self, i: usize, catch: Catch) {
+    pub fn begin_to_catch(&mut self, i: usize, catch: Fetch) {
         let (from, to) = match catch.source {
-            Source::Store => {
+            FetchSource::Store => {
                 self.calls += 1;
                 (End::Store, (!self.store_is_down).then_some(self.newest(catch.kind)))
             }
-            Source::Host(address) => {
+            FetchSource::Host(address) => {
                 let from = host_at(address).filter(|i| *i < self.hosts.len());
                 let from = from.expect("a host of the fleet");
                 let is_heard = !self.deaf.contains(&from);
@@ -393,7 +398,7 @@
         let mut to = to;
         let mut bytes = to.map_or(0, |to| self.bytes_of(catch.kind, catch.after, to));
         if let End::Host(from) = from {
-            if !self.giving[from].begin(bytes) {
+            if !self.giving[from].try_begin(bytes) {
                 // It declines, because its link has enough to do.
                 (to, bytes) = (None, 0);
             }
@@ -427,7 +432,7 @@
                     self.sent += messages.len();
                     self.on_the_way.extend(messages);
                 }
-                Action::Proved(began) => host.fresh.proved(began),
+                Action::Proved(began) => host.fresh.record_proof(began),
                 Action::Catch(catch) => wanted.push(catch),
                 Action::Publish(view) => host.view = Some(view),
                 Action::Write(write) => written.push(write),
--- a/crates/tidetrack-core/tests/support/mod.rs
+++ b/crates/tidetrack-core/tests/support/mod.rs
@@ -16,9 +16,9 @@
 };
 use tidetrack_core::traffic::control::{Action, Beliefs, Input};
 use tidetrack_core::traffic::endpoints::EndpointRecord;
-use tidetrack_core::traffic::feeds::Kind;
+use tidetrack_core::traffic::feeds::FeedKind;
 use tidetrack_core::traffic::freshness::Freshness;
-use tidetrack_core::traffic::peers::{News, PeerBook, PeerMessage};
+use tidetrack_core::traffic::peers::{PeerMessage, PeerTable, PeerUpdate};
 use tidetrack_core::traffic::trial::{Progress, RolloutOrder, RolloutState};
 use tidetrack_core::traffic::view::FleetView;
 use tidetrack_core::units::Millis;
@@ -63,7 +63,7 @@
 
 pub fn fresh_since(began: u64) -> Freshness {
     let fresh = Freshness::default();
-    fresh.proved(Millis(began));
+    fresh.record_proof(Millis(began));
     fresh
 }
 
@@ -112,8 +112,8 @@
 /// Beliefs of one of several starts of a host.
 pub fn beliefs_started_as(n: u32, incarnation: u64) -> Beliefs {
     let ((name, address), (_, seed)) = (host(n), host(1));
-    let book = PeerBook::new(name.clone(), address, id("hall"), vec![seed]);
-    Beliefs::new(name, book.started_as(incarnation))
+    let book = PeerTable::new(name.clone(), address, id("hall"), vec![seed]);
+    Beliefs::new(name, book.with_incarnation(incarnation))
 }
 
 /// Endpoints of two versions.
@@ -130,19 +130,19 @@
 }
 
 /// A message of a host that answers none of the receiver's.
-pub fn message_of(n: u32, news: News) -> PeerMessage {
+pub fn message_of(n: u32, update: PeerUpdate) -> PeerMessage {
     let (from, address) = host(n);
     PeerMessage {
         from,
         incarnation: 0,
         address,
         failure_domain: id("hall"),
-        is_strong: false,
+        is_well_connected: false,
         wants_reply: false,
         stamp_ms: 1,
         echo_ms: None,
-        hints: vec![],
-        news,
+        known_addresses: vec![],
+        update,
     }
 }
 
@@ -157,16 +157,16 @@
 }
 
 /// All changes of a kind are known up to a revision.
-pub fn caught_up(kind: Kind, complete: u64) -> Input {
+pub fn caught_up(kind: FeedKind, complete: u64) -> Input {
     Input::CaughtUp { kind, complete, changed: None }
 }
 
 /// Endpoints of two versions that no roll-out names.
 pub fn without_rollout(n: u32, fresh: &Freshness) -> Beliefs {
     let mut beliefs = with_endpoints(n, fresh);
-    beliefs.take(Millis(0), caught_up(Kind::Endpoints, 10), fresh);
+    beliefs.take(Millis(0), caught_up(FeedKind::Endpoints, 10), fresh);
     beliefs.take(Millis(0), rollouts(Vec::new()), fresh);
-    beliefs.take(Millis(0), caught_up(Kind::Rollouts, 10), fresh);
+    beliefs.take(Millis(0), caught_up(FeedKind::Rollouts, 10), fresh);
     beliefs
 }
 
--- a/crates/tidetrack-core/tests/suspects.rs
+++ b/crates/tidetrack-core/tests/suspects.rs
@@ -10,7 +10,9 @@
 use tidetrack_core::codes::Code;
 use tidetrack_core::ids::WorkspaceId;
 use tidetrack_core::traffic::fingerprint::{Fingerprint, Repeated};
-use tidetrack_core::traffic::suspects::{Change, SuspectOptions, Suspects, MOST_TOLD};
+use tidetrack_core::traffic::suspects::{
+    SuspectChange, SuspectOptions, Suspects, MAX_REPORTS_PER_MESSAGE,
+};
 use tidetrack_core::units::Millis;
 
 use support::fleet::{Fleet, STEP};
@@ -38,7 +40,7 @@
 
 fn crash(of: &Suspects, at: u64, print: Fingerprint, endpoint: &str, domain: &str) -> usize {
     let sent_at = Millis(at.saturating_sub(RUN_MS));
-    of.crashed(Millis(at), print, &id(endpoint), &id(domain), sent_at)
+    of.record_crash(Millis(at), print, &id(endpoint), &id(domain), sent_at)
 }
 
 /// Crashes endpoints under a request one after another, a second apart.
@@ -63,7 +65,7 @@
     assert!(suspects.check(Millis(4_000), deadly).is_err());
     assert_eq!(code_of(&suspects, 4_000, other), None);
     let changes = suspects.take_changes();
-    assert_eq!(changes, [Change::Barred { fingerprint: deadly, crashes: 3 }]);
+    assert_eq!(changes, [SuspectChange::Barred { fingerprint: deadly, crashes: 3 }]);
 }
 
 #[test]
@@ -84,10 +86,10 @@
     let suspects = Arc::new(Suspects::default());
     let (before, after) = (print_of("north", "before"), print_of("north", "after"));
 
-    suspects.ended_well(Millis(500), before);
+    suspects.record_completion(Millis(500), before);
     crash_times(&suspects, 1_000, before, 5);
     crash_times(&suspects, 1_000, after, 3);
-    suspects.ended_well(Millis(5_000), after);
+    suspects.record_completion(Millis(5_000), after);
 
     assert_eq!(code_of(&suspects, 6_000, before), None);
     assert_eq!(code_of(&suspects, 6_000, after), None);
@@ -126,7 +128,11 @@
 
 #[test]
 fn what_is_remembered_is_bounded_and_no_caller_drives_out_anothers() {
-    let opts = SuspectOptions { most: 64, most_of_caller: 16, ..SuspectOptions::default() };
+    let opts = SuspectOptions {
+        max_suspects: 64,
+        max_suspects_per_caller: 16,
+        ..SuspectOptions::default()
+    };
     let suspects = Arc::new(Suspects::new(opts));
     let barred = print_of("north", "deadly");
     crash_times(&suspects, 1_000, barred, 3);
@@ -143,7 +149,7 @@
     assert_eq!(of_south, 16);
     assert_eq!(suspects.len(), 64);
     assert_eq!(code_of(&suspects, 7_000, barred), Some(Code::CrashesEndpoints));
-    assert!(suspects.told(Millis(7_000)).len() <= MOST_TOLD);
+    assert!(suspects.reports_for_round(Millis(7_000)).len() <= MAX_REPORTS_PER_MESSAGE);
 }
 
 /// Guards against a bar that stays for ever though what made endpoints crash has been mended.
@@ -151,9 +157,9 @@
 fn a_barred_request_may_run_once_some_time_after_the_last_crash_and_is_barred_by_the_next() {
     let suspects = Arc::new(Suspects::default());
     let print = print_of("north", "deadly");
-    let SuspectOptions { barred_for, kept_for, .. } = SuspectOptions::default();
+    let SuspectOptions { bar_duration, retention, .. } = SuspectOptions::default();
     crash_times(&suspects, 1_000, print, 3);
-    let over = 3_000 + barred_for.0;
+    let over = 3_000 + bar_duration.0;
 
     let before = code_of(&suspects, over - 1, print);
     let running = suspects.admit(Millis(over), print).expect("it may run once");
@@ -161,7 +167,7 @@
     crash(&suspects, over + RUN_MS, print, "another", "hall");
     drop(running);
     let after = code_of(&suspects, over + 1_000, print);
-    suspects.told(Millis(over + RUN_MS + kept_for.0));
+    suspects.reports_for_round(Millis(over + RUN_MS + retention.0));
 
     assert_eq!(before, Some(Code::CrashesEndpoints));
     assert_eq!(beside, Some(Code::SuspectRuns));
@@ -259,7 +265,7 @@
         let (endpoint, domain) = (format!("e{host}"), format!("hall-{host}"));
         crash(fleet.hosts[host].beliefs.suspects(), now, print, &endpoint, &domain);
     }
-    fleet.hosts[40].beliefs.suspects().ended_well(Millis(fleet.now), print);
+    fleet.hosts[40].beliefs.suspects().record_completion(Millis(fleet.now), print);
 
     fleet.run(fleet.now + CONTACT_MS, |_, _| {});
 
--- a/crates/tidetrack-core/tests/traffic.rs
+++ b/crates/tidetrack-core/tests/traffic.rs
@@ -8,14 +8,14 @@
 use tidetrack_core::codes::Code;
 use tidetrack_core::ids::{EndpointId, ServiceId, VersionName};
 use tidetrack_core::placement::PoolView;
-use tidetrack_core::traffic::admission::{admit, Entry};
+use tidetrack_core::traffic::admission::{admit, AdmissionRequest};
 use tidetrack_core::traffic::budget::{SendAgain, SendBudget};
 use tidetrack_core::traffic::control::{Action, Beliefs, Input};
 use tidetrack_core::traffic::endpoints::{EndpointRecord, EndpointTable};
 use tidetrack_core::traffic::exposure::{Exposure, ExposureBound, SessionDraw, MOST_SAMPLED};
 use tidetrack_core::traffic::freshness::Freshness;
 use tidetrack_core::traffic::judge::{AttemptEnd, Observed};
-use tidetrack_core::traffic::peers::{News, PeerBook, PeerMessage, ToldProof};
+use tidetrack_core::traffic::peers::{PeerMessage, PeerTable, PeerUpdate, ProofReport};
 use tidetrack_core::traffic::trial::{Phase, RolloutOrder, RolloutState, Side, Trial, USUAL_BOUND};
 use tidetrack_core::units::{Millis, Share};
 
@@ -24,8 +24,8 @@
     with_rollout, writes, BOUND,
 };
 
-fn entry<'a>(path: &'a str, key: Option<&'a str>) -> Entry<'a> {
-    Entry { hostname: "shop.example:80", path, key }
+fn entry<'a>(path: &'a str, key: Option<&'a str>) -> AdmissionRequest<'a> {
+    AdmissionRequest { hostname: "shop.example:80", path, key }
 }
 
 #[test]
@@ -358,13 +358,16 @@
 
 #[test]
 fn a_proof_is_passed_on_and_never_looks_younger_than_it_is() {
-    let mut book = PeerBook::new(id("h1"), host(1).1, id("hall"), vec![]);
-    let news = News { proof: Some(ToldProof { version: 3, age_ms: 400 }), ..News::default() };
+    let mut book = PeerTable::new(id("h1"), host(1).1, id("hall"), vec![]);
+    let news = PeerUpdate {
+        proof: Some(ProofReport { version: 3, age_ms: 400 }),
+        ..PeerUpdate::default()
+    };
     let message = |echo_ms| PeerMessage { echo_ms, ..message_of(2, news.clone()) };
 
-    let without_echo = book.hear(Millis(9_000), message(None));
+    let without_echo = book.receive(Millis(9_000), message(None));
     // The other host answers a message that was sent at 8,000; on the way back its own was delayed.
-    let proof = book.hear(Millis(9_500), message(Some(8_000))).expect("a proof");
+    let proof = book.receive(Millis(9_500), message(Some(8_000))).expect("a proof");
 
     assert_eq!(without_echo, None);
     assert_eq!((proof.version, proof.began), (3, Millis(7_600)));
@@ -403,11 +406,11 @@
 #[test]
 fn a_host_sends_as_much_in_a_large_fleet_as_in_a_small_one() {
     let sent_per_round = |n: u32| {
-        let mut book = PeerBook::new(id("h0"), host(0).1, id("hall"), vec![]);
+        let mut book = PeerTable::new(id("h0"), host(0).1, id("hall"), vec![]);
         for i in 1..=n {
-            book.hear(Millis(0), message_of(i, News::default()));
+            book.receive(Millis(0), message_of(i, PeerUpdate::default()));
         }
-        book.round(Millis(1), &News::default()).len()
+        book.round_messages(Millis(1), &PeerUpdate::default()).len()
     };
 
     assert_eq!((sent_per_round(8), sent_per_round(539)), (8, 8));
@@ -487,7 +490,7 @@
             Action::Send(messages) => messages.first(),
             _ => None,
         });
-        sent.expect("a message to another host").1.news.barred.len()
+        sent.expect("a message to another host").1.update.barred_versions.len()
     };
 
     let while_they_run = told(&mut beliefs, 70_000);
--- a/crates/tidetrack-plane/src/call.rs
+++ b/crates/tidetrack-plane/src/call.rs
@@ -13,7 +13,7 @@
 use tidetrack_core::broke::with_causes;
 use tidetrack_core::codes::{Code, Ran};
 use tidetrack_core::errors::{Error, Result};
-use tidetrack_core::traffic::feeds::LARGE_REPLY;
+use tidetrack_core::traffic::feeds::LARGE_REPLY_BYTES;
 
 use crate::pool::Pool;
 
@@ -213,7 +213,9 @@
     let mut before = 0;
     let mut told_at = Instant::now();
     loop {
-        if let Some(gate) = gate.filter(|_| turn.is_none() && all.len().max(least) >= LARGE_REPLY) {
+        if let Some(gate) =
+            gate.filter(|_| turn.is_none() && all.len().max(least) >= LARGE_REPLY_BYTES)
+        {
             turn = Some(gate.turns.turn().await);
             before = all.len();
             if (gate.is_needless)() {
--- a/crates/tidetrack-plane/src/choose.rs
+++ b/crates/tidetrack-plane/src/choose.rs
@@ -43,8 +43,8 @@
     shared.suspects.check(now, job.fingerprint)?;
     let bound = shared.settings.bounds.revoke_within;
     let needs_proof = tries.sent == 0 && job.admitted.holder.is_some();
-    if needs_proof && bound.is_some_and(|bound| !shared.fresh.holds(now, bound)) {
-        return Err(admission::stale());
+    if needs_proof && bound.is_some_and(|bound| !shared.fresh.permits_keyed_requests(now, bound)) {
+        return Err(admission::stale_config_error());
     }
     if tries.sent == 0 {
         if tries.unreached == 0 {
--- a/crates/tidetrack-plane/src/control.rs
+++ b/crates/tidetrack-plane/src/control.rs
@@ -10,13 +10,13 @@
 
 use tidetrack_core::codes::Code;
 use tidetrack_core::events::Event;
-use tidetrack_core::traffic::bootstrap::{is_strong, Starter};
+use tidetrack_core::traffic::bootstrap::{is_well_connected, BootstrapInfo};
 use tidetrack_core::traffic::control::{Action, Beliefs, Duties, Input};
-use tidetrack_core::traffic::peers::PeerBook;
+use tidetrack_core::traffic::peers::PeerTable;
 use tidetrack_core::traffic::trial::ProgressWrite;
 
 use crate::clock::{Moment, Suspensions};
-use crate::dialect::{Age, Kind};
+use crate::dialect::{Age, FeedKind};
 use crate::peers::Peers;
 use crate::shared::SharedRef;
 use crate::store::{Cause, Purpose, Store};
@@ -34,19 +34,19 @@
         let watches = Watches::start(shared.clone(), store.clone(), duties_seen);
         let settings = &shared.settings;
         let (host, address) = (settings.host.clone(), settings.peer_address);
-        let book = PeerBook::new(
+        let book = PeerTable::new(
             host.clone(),
             address,
             settings.failure_domain.clone(),
             settings.seeds.clone(),
         )
-        .started_as(rand::random())
-        .strong(is_strong(settings.link));
+        .with_incarnation(rand::random())
+        .with_well_connected(is_well_connected(settings.link));
         let peers = Peers::start(shared.clone()).await;
-        let starter = Starter {
+        let starter = BootstrapInfo {
             link: settings.link,
-            is_known: settings.seeds.is_empty() || settings.seeds.contains(&address),
-            draw: rand::random(),
+            is_seed: settings.seeds.is_empty() || settings.seeds.contains(&address),
+            hash_fraction: rand::random(),
         };
         let mut beliefs = Beliefs::new(host, book)
             .bounded(settings.bounds.new_version)
@@ -94,7 +94,7 @@
         let shared = &self.shared;
         match action {
             Action::Publish(view) => shared.view.store(view),
-            Action::Proved(began) => shared.fresh.proved(began),
+            Action::Proved(began) => shared.fresh.record_proof(began),
             Action::Send(messages) => {
                 if let Some(peers) = &self.peers {
                     peers.send(&messages);
@@ -114,7 +114,7 @@
 /// Writes a roll-out's progress. The watch tells what came of it; another host may have been first.
 async fn write_progress(shared: SharedRef, store: Rc<Store>, write: ProgressWrite) {
     let call = (shared.dialect.store.write_progress)(&write);
-    let purpose = Purpose { kind: Kind::Rollouts, cause: Cause::Write, age: Age::Newest };
+    let purpose = Purpose { kind: FeedKind::Rollouts, cause: Cause::Write, age: Age::Newest };
     let result = store.call(&call, purpose, Duration::ZERO, None).await;
     let state = format!("{:?}", write.progress.state);
     let fields: [(&'static str, &dyn std::fmt::Display); 4] = [
--- a/crates/tidetrack-plane/src/dialect.rs
+++ b/crates/tidetrack-plane/src/dialect.rs
@@ -15,7 +15,7 @@
 use tidetrack_core::traffic::cascade::GenerationSize;
 use tidetrack_core::traffic::catalog::Catalog;
 use tidetrack_core::traffic::endpoints::EndpointRecord;
-pub use tidetrack_core::traffic::feeds::Kind;
+pub use tidetrack_core::traffic::feeds::FeedKind;
 use tidetrack_core::traffic::trial::{ProgressWrite, RolloutOrder};
 use tidetrack_core::units::{Millis, Rate, Tokens};
 
@@ -136,7 +136,7 @@
 impl Unreadable {
     /// Takes note of an object by its name and of what is wrong with it. A writer that goes wrong may write a
     /// megabyte into either, and each host keeps and logs them.
-    pub fn of(kind: Kind, name: &str, why: &dyn fmt::Display) -> Unreadable {
+    pub fn of(kind: FeedKind, name: &str, why: &dyn fmt::Display) -> Unreadable {
         let name = beginning(name);
         let why = beginning(&why.to_string());
         let why = Error::new(Code::BadDeclaration, format!("{kind:?}/{name}: {why}"));
@@ -206,13 +206,13 @@
 #[derive(Clone, Copy)]
 pub struct StoreDialect {
     /// Lists a kind, from the start or after a name, as it is now or, cheaper, as it was of late.
-    pub list: fn(Kind, Option<&str>, Age) -> StoreCall,
+    pub list: fn(FeedKind, Option<&str>, Age) -> StoreCall,
     /// Waits for changes of a kind after a revision.
-    pub watch: fn(Kind, u64, Millis) -> StoreCall,
+    pub watch: fn(FeedKind, u64, Millis) -> StoreCall,
     /// Reads a page.
-    pub read_page: fn(Kind, &[u8]) -> Result<Page>,
+    pub read_page: fn(FeedKind, &[u8]) -> Result<Page>,
     /// Reads what a watch gave.
-    pub read_changes: fn(Kind, &[u8]) -> Result<Changes>,
+    pub read_changes: fn(FeedKind, &[u8]) -> Result<Changes>,
     /// Leaves of what a watch gave the last change only.
     pub last_change: fn(&[u8]) -> Result<Vec<u8>>,
     /// Writes a roll-out's progress.
--- a/crates/tidetrack-plane/src/exchange.rs
+++ b/crates/tidetrack-plane/src/exchange.rs
@@ -19,7 +19,7 @@
 use tidetrack_core::placement::draw;
 use tidetrack_core::retry::{may_retry, Failed};
 use tidetrack_core::traffic::admission;
-use tidetrack_core::traffic::bootstrap::held_for;
+use tidetrack_core::traffic::bootstrap::hold_time;
 use tidetrack_core::traffic::cascade;
 use tidetrack_core::traffic::fingerprint::{Fingerprint, Repeated};
 use tidetrack_core::traffic::judge::AttemptEnd;
@@ -141,7 +141,7 @@
     let (head, body) = req.into_parts();
     let facts = facts?;
     let hostname = head.headers.get(http::header::HOST).and_then(|h| h.to_str().ok());
-    let entry = admission::Entry {
+    let entry = admission::AdmissionRequest {
         hostname: hostname.or(head.uri.host()).unwrap_or_default(),
         path: head.uri.path(),
         key: facts.key.as_deref(),
@@ -204,7 +204,7 @@
 async fn wait_for_start(traffic: &Traffic, time_left: Option<Millis>) {
     let shared = &traffic.shared;
     let since_start = shared.clock.since_start();
-    let until = since_start + held_for(since_start, time_left);
+    let until = since_start + hold_time(since_start, time_left);
     while !shared.can_serve() && shared.clock.since_start() < until {
         tokio::time::sleep(START_LOOK).await;
     }
@@ -411,7 +411,7 @@
     let (body, lease) = collected.await.map_err(late)??;
     traffic.pool.keep(chosen.id.as_str(), lease, facts.idle_time);
     if shows_good_end {
-        traffic.shared.suspects.ended_well(traffic.shared.now(), job.fingerprint);
+        traffic.shared.suspects.record_completion(traffic.shared.now(), job.fingerprint);
     }
     answered_line(traffic, job, chosen, model, head.status.as_u16());
     let mut resp = Response::new(AnswerBody::whole(body));
--- a/crates/tidetrack-plane/src/feed.rs
+++ b/crates/tidetrack-plane/src/feed.rs
@@ -21,7 +21,7 @@
 
 use tidetrack_core::errors::Result;
 use tidetrack_core::events::Event;
-use tidetrack_core::traffic::feeds::{Giving, Kind};
+use tidetrack_core::traffic::feeds::{FeedKind, ReplyLimiter};
 use tidetrack_core::units::Millis;
 
 use crate::call::{call, down, Gate, Patience, Reply};
@@ -74,8 +74,8 @@
 
 impl FeedLog {
     /// Makes the log of a kind of which nothing is known.
-    pub fn of(kind: Kind) -> FeedLog {
-        FeedLog { is_one_object: kind.is_one_object(), ..FeedLog::default() }
+    pub fn of(kind: FeedKind) -> FeedLog {
+        FeedLog { is_one_object: kind.is_single_object(), ..FeedLog::default() }
     }
 
     /// Gets the revision up to which all changes are known; 0 if the kind was never listed.
@@ -149,7 +149,7 @@
 pub async fn ask(
     pool: &Pool,
     address: SocketAddr,
-    kind: Kind,
+    kind: FeedKind,
     after: u64,
     gate: &Gate<'_>,
 ) -> Result<(Told, Reply)> {
@@ -170,7 +170,7 @@
 pub async fn serve(
     shared: SharedRef,
     address: SocketAddr,
-    told: impl Fn(Kind, u64) -> Option<Told> + 'static,
+    told: impl Fn(FeedKind, u64) -> Option<Told> + 'static,
 ) {
     let listener = match listen(address) {
         Ok(listener) => listener,
@@ -179,23 +179,23 @@
             return;
         }
     };
-    let giving = Rc::new(RefCell::new(Giving::new(shared.settings.link)));
+    let giving = Rc::new(RefCell::new(ReplyLimiter::new(shared.settings.link)));
     let answering = shared.clone();
     serve_pages(shared, listener, move |req| answer(&answering, &giving, req, &told)).await;
 }
 
 fn answer(
     shared: &Shared,
-    giving: &Rc<RefCell<Giving>>,
+    giving: &Rc<RefCell<ReplyLimiter>>,
     req: &Request<Incoming>,
-    told: &impl Fn(Kind, u64) -> Option<Told>,
+    told: &impl Fn(FeedKind, u64) -> Option<Told>,
 ) -> Response<GivenBody> {
     let asked = question(req.uri().path());
     let found = asked.and_then(|(kind, after)| Some((kind, told(kind, after)?)));
     let bytes = found.and_then(|(kind, told)| Some((kind, postcard::to_allocvec(&told).ok()?)));
     let Some((kind, bytes)) = bytes else { return refusal(StatusCode::NOT_FOUND) };
     let len = bytes.len() as u64;
-    if !giving.borrow_mut().begin(len) {
+    if !giving.borrow_mut().try_begin(len) {
         shared.metrics.feed_given(kind.as_str(), "declined", len);
         return refusal(StatusCode::SERVICE_UNAVAILABLE);
     }
@@ -212,7 +212,7 @@
 
 /// A reply's part in what the host gives, until dropped.
 struct Share {
-    giving: Rc<RefCell<Giving>>,
+    giving: Rc<RefCell<ReplyLimiter>>,
     bytes: u64,
 }
 
@@ -251,8 +251,8 @@
 }
 
 /// Reads which changes are asked for.
-pub fn question(path: &str) -> Option<(Kind, u64)> {
+pub fn question(path: &str) -> Option<(FeedKind, u64)> {
     let (kind, after) = path.strip_prefix("/changes/")?.split_once('/')?;
-    let kind = Kind::ALL.into_iter().find(|k| format!("{k:?}") == kind)?;
+    let kind = FeedKind::ALL.into_iter().find(|k| format!("{k:?}") == kind)?;
     Some((kind, after.parse().ok()?))
 }
--- a/crates/tidetrack-plane/src/job.rs
+++ b/crates/tidetrack-plane/src/job.rs
@@ -15,14 +15,14 @@
 use tidetrack_core::codes::Ran;
 use tidetrack_core::ids::{EndpointId, FailureDomain, ModelId, ServiceId, VersionName};
 use tidetrack_core::placement::{work_of, EndpointLive};
-use tidetrack_core::traffic::admission::Admitted;
+use tidetrack_core::traffic::admission::AdmittedRequest;
 use tidetrack_core::traffic::budget::SendBudget;
 use tidetrack_core::traffic::exposure::SessionDraw;
 use tidetrack_core::traffic::fingerprint::Fingerprint;
 use tidetrack_core::traffic::outlook::Outlook;
 use tidetrack_core::traffic::prefixes::PartKey;
-use tidetrack_core::traffic::reachability::Reach;
-use tidetrack_core::traffic::suspects::Running;
+use tidetrack_core::traffic::reachability::ReachabilityTracker;
+use tidetrack_core::traffic::suspects::RunningRequest;
 use tidetrack_core::units::{Millis, Tokens};
 
 use crate::clock::Moment;
@@ -51,7 +51,7 @@
     /// What is expected of second runs.
     pub outlook: RefCell<Outlook>,
     /// Connects of late that gave no sign of life.
-    pub reach: RefCell<Reach>,
+    pub reach: RefCell<ReachabilityTracker>,
     /// Whether endpoints ended whose connections broke.
     pub looks: Looks,
     /// Requests that are not answered in full yet.
@@ -64,7 +64,7 @@
 impl Traffic {
     /// Makes the state of the traffic thread.
     pub fn new(shared: SharedRef) -> Traffic {
-        let reach = RefCell::new(Reach::new(shared.settings.failure_domain.clone()));
+        let reach = RefCell::new(ReachabilityTracker::new(shared.settings.failure_domain.clone()));
         Traffic {
             reach,
             shared,
@@ -117,7 +117,7 @@
     /// What its head says.
     pub facts: RequestFacts,
     /// Its route and workspace.
-    pub admitted: Admitted,
+    pub admitted: AdmittedRequest,
     /// Method of the request.
     pub method: Method,
     /// Whether an endpoint failed for it.
@@ -127,7 +127,7 @@
     /// What stays the same when the caller sends it again.
     pub fingerprint: Fingerprint,
     /// Its place among the requests that are being served.
-    pub running: Running,
+    pub running: RunningRequest,
     /// The caller's head.
     pub head: HeaderMap,
     /// The whole body.
--- a/crates/tidetrack-plane/src/pool.rs
+++ b/crates/tidetrack-plane/src/pool.rs
@@ -18,7 +18,7 @@
 use tidetrack_core::broke::{with_causes, Broke};
 use tidetrack_core::codes::{Code, Ran};
 use tidetrack_core::errors::{Error, Result};
-use tidetrack_core::traffic::reachability::PROMPT;
+use tidetrack_core::traffic::reachability::MAX_PROMPT_LATENCY;
 
 use crate::clock::Moment;
 use crate::way::{Ends, Waits, Way};
@@ -143,7 +143,7 @@
 
     /// Takes note that something came that was asked for at an instant.
     pub fn came(&self, began: Instant) {
-        if began.elapsed().as_millis() <= u128::from(PROMPT.0) {
+        if began.elapsed().as_millis() <= u128::from(MAX_PROMPT_LATENCY.0) {
             self.prompt_at.set(Some(began));
         }
     }
--- a/crates/tidetrack-plane/src/relay.rs
+++ b/crates/tidetrack-plane/src/relay.rs
@@ -331,7 +331,7 @@
         self.observe(AttemptEnd::Whole);
         if self.source.shows_good_end {
             let shared = &self.traffic.shared;
-            shared.suspects.ended_well(shared.now(), self.job.fingerprint);
+            shared.suspects.record_completion(shared.now(), self.job.fingerprint);
         }
         let Stream { traffic, source, .. } = self;
         source.chosen.live.note(traffic.shared.now(), true);
--- a/crates/tidetrack-plane/src/report.rs
+++ b/crates/tidetrack-plane/src/report.rs
@@ -9,7 +9,7 @@
 use tidetrack_core::ids::ModelId;
 use tidetrack_core::traffic::control::Input;
 use tidetrack_core::traffic::judge::{AttemptEnd, Observed};
-use tidetrack_core::traffic::reachability::{Blame, Connect};
+use tidetrack_core::traffic::reachability::{FailedConnect, FailureCause};
 use tidetrack_core::units::Millis;
 
 use crate::job::{Chosen, Job, Traffic};
@@ -79,16 +79,16 @@
     let now = traffic.shared.now();
     let ago = |time: Duration| Millis(now.0.saturating_sub(time.as_millis() as u64));
     let prompt_at = traffic.pool.prompt_at().map(|at| ago(at.elapsed()));
-    let connect = Connect {
+    let connect = FailedConnect {
         endpoint: chosen.id.clone(),
         failure_domain: chosen.failure_domain.clone(),
         live: chosen.live.clone(),
         began: ago(took),
         ended: now,
     };
-    let blame = traffic.reach.borrow_mut().gave_no_sign(connect, prompt_at);
+    let blame = traffic.reach.borrow_mut().record_failed_connect(connect, prompt_at);
     traffic.shared.metrics.no_sign(blame.as_str());
-    if blame == Blame::Endpoint {
+    if blame == FailureCause::Endpoint {
         traffic.pool.forget(chosen.id.as_str());
     }
 }
--- a/crates/tidetrack-plane/src/shared.rs
+++ b/crates/tidetrack-plane/src/shared.rs
@@ -67,7 +67,7 @@
     pub fn can_serve(&self) -> bool {
         let view = self.view.load();
         let bound = self.settings.bounds.revoke_within;
-        let fresh = bound.is_none_or(|bound| self.fresh.holds(self.now(), bound));
+        let fresh = bound.is_none_or(|bound| self.fresh.permits_keyed_requests(self.now(), bound));
         view.catalog.is_some() && view.has_endpoints && fresh
     }
 }
--- a/crates/tidetrack-plane/src/store.rs
+++ b/crates/tidetrack-plane/src/store.rs
@@ -16,7 +16,7 @@
 use tidetrack_core::units::Millis;
 
 use crate::call::{self, down, Gate, Patience, Reply};
-use crate::dialect::{Age, Kind, Page, StoreCall, Stored, Unreadable};
+use crate::dialect::{Age, FeedKind, Page, StoreCall, Stored, Unreadable};
 use crate::pool::Pool;
 use crate::shared::SharedRef;
 
@@ -68,7 +68,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Purpose {
     /// The kind it is about.
-    pub kind: Kind,
+    pub kind: FeedKind,
     /// Why it is made.
     pub cause: Cause,
     /// How old the reply may be.
--- a/crates/tidetrack-plane/src/watch/catch.rs
+++ b/crates/tidetrack-plane/src/watch/catch.rs
@@ -7,11 +7,11 @@
 use tidetrack_core::errors::Result;
 use tidetrack_core::events::Event;
 use tidetrack_core::traffic::control::Input;
-use tidetrack_core::traffic::feeds::{Catch, Source};
+use tidetrack_core::traffic::feeds::{Fetch, FetchSource};
 use tidetrack_core::units::Millis;
 
 use crate::call::needless;
-use crate::dialect::Kind;
+use crate::dialect::FeedKind;
 use crate::feed;
 use crate::store::Cause;
 
@@ -21,9 +21,9 @@
 
 impl Watches {
     /// Gets changes that another host told of.
-    pub async fn catch(self: Rc<Self>, catch: Catch) {
+    pub async fn catch(self: Rc<Self>, catch: Fetch) {
         let (kind, after) = (catch.kind, catch.after);
-        let lists = after == 0 && catch.source == Source::Store;
+        let lists = after == 0 && catch.source == FetchSource::Store;
         // A first list takes seconds on a narrow link, and begun again it would take as long again.
         if lists && std::mem::replace(&mut self.is_listing.borrow_mut()[kind as usize], true) {
             return;
@@ -34,7 +34,7 @@
         }
     }
 
-    async fn get(&self, catch: Catch) {
+    async fn get(&self, catch: Fetch) {
         let (kind, after) = (catch.kind, catch.after);
         // What is coming in already may bring it, to one that waits as to several.
         if std::mem::replace(&mut self.is_waiting.borrow_mut()[kind as usize], true) {
@@ -44,27 +44,27 @@
         self.is_waiting.borrow_mut()[kind as usize] = false;
         let result = match catch.source {
             _ if self.newest(kind) > after => Err(needless()),
-            Source::Host(address) => self.ask_host(kind, after, address).await,
+            FetchSource::Host(address) => self.ask_host(kind, after, address).await,
             // Of several versions only the newest is wanted, and who knows nothing wants all.
-            Source::Store if kind.is_one_object() || after == 0 => {
+            FetchSource::Store if kind.is_single_object() || after == 0 => {
                 let cause = if after == 0 { Cause::Start } else { Cause::Told };
                 self.read_all(kind, Some(after), cause).await
             }
-            Source::Store => self.read_store(kind, after, Millis(0), Cause::Told).await,
+            FetchSource::Store => self.read_store(kind, after, Millis(0), Cause::Told).await,
         };
         // A slow reply that was given up for another one brought nothing: the next try is elsewhere.
         let is_known = self.newest(kind) > after;
         self.shared.metrics.feed_call(match (&result, catch.source) {
             (Err(e), _) if e.code == Code::ReplyNotNeeded && is_known => "known",
-            (Ok(()), Source::Host(_)) => "host",
-            (Err(_), Source::Host(_)) => "host_failed",
-            (Ok(()), Source::Store) => "store",
-            (Err(_), Source::Store) => "store_failed",
+            (Ok(()), FetchSource::Host(_)) => "host",
+            (Err(_), FetchSource::Host(_)) => "host_failed",
+            (Ok(()), FetchSource::Store) => "store",
+            (Err(_), FetchSource::Store) => "store_failed",
         });
         if let Err(e) = result.or_else(|e| if is_known { unless_needless(e) } else { Err(e) }) {
             let source = match catch.source {
-                Source::Host(address) => address.to_string(),
-                Source::Store => "store".into(),
+                FetchSource::Host(address) => address.to_string(),
+                FetchSource::Store => "store".into(),
             };
             let kind_name = format!("{kind:?}");
             self.shared.journal.routine(
@@ -72,13 +72,13 @@
                 &[("kind", &kind_name), ("after", &after), ("source", &source), ("why", &e)],
             );
             self.shared.tell(Input::CatchFailed(catch));
-            if after == 0 && catch.source == Source::Store {
+            if after == 0 && catch.source == FetchSource::Store {
                 self.lost(kind, &e);
             }
         }
     }
 
-    async fn ask_host(&self, kind: Kind, after: u64, address: SocketAddr) -> Result<()> {
+    async fn ask_host(&self, kind: FeedKind, after: u64, address: SocketAddr) -> Result<()> {
         let gate = self.gate(kind, Some(after));
         let asked_at = self.shared.now();
         let (told, reply) = feed::ask(&self.hosts, address, kind, after, &gate).await?;
--- a/crates/tidetrack-plane/src/watch/follow.rs
+++ b/crates/tidetrack-plane/src/watch/follow.rs
@@ -7,10 +7,10 @@
 
 use tidetrack_core::codes::Code;
 use tidetrack_core::errors::Error;
-use tidetrack_core::traffic::bootstrap::MEETING_TIME;
+use tidetrack_core::traffic::bootstrap::DISCOVERY_TIME;
 use tidetrack_core::units::Millis;
 
-use crate::dialect::Kind;
+use crate::dialect::FeedKind;
 use crate::store::Cause;
 
 use super::read::unless_needless;
@@ -34,14 +34,14 @@
 
 impl Watches {
     /// Keeps one kind for as long as the process runs.
-    pub(super) async fn keep(self: Rc<Self>, kind: Kind) {
+    pub(super) async fn keep(self: Rc<Self>, kind: FeedKind) {
         let mut returns = self.returns.subscribe();
         let mut pause = FIRST_PAUSE;
         loop {
             returns.mark_unchanged();
             let e = tokio::select! {
                 e = self.follow(kind) => e,
-                () = self.is_to_go_on(&mut returns), if kind != Kind::Catalog => continue,
+                () = self.is_to_go_on(&mut returns), if kind != FeedKind::Catalog => continue,
             };
             if e.code == Code::ReplyNotNeeded {
                 // The store answers; a list of it came too slowly beside another reply.
@@ -69,7 +69,7 @@
 
     /// Gets the longest pause after failed calls: hosts that others rely on, or that know nothing yet,
     /// try more often.
-    pub(super) fn longest_pause(&self, kind: Kind) -> Duration {
+    pub(super) fn longest_pause(&self, kind: FeedKind) -> Duration {
         let duties = *self.duties.borrow();
         if duties.proves || duties.watches || self.position(kind) == 0 {
             LONGEST_PAUSE
@@ -79,14 +79,14 @@
     }
 
     /// Brings a kind to the store's state and follows its changes until a call fails.
-    async fn follow(&self, kind: Kind) -> Error {
+    async fn follow(&self, kind: FeedKind) -> Error {
         let brought = match self.position(kind) {
             0 => {
                 self.is_brought(kind).await;
                 Ok(())
             }
             // The changes since would tell each version, and ten of them are more than a reply may have.
-            _ if kind.is_one_object() => self.read_all(kind, None, Cause::Return).await,
+            _ if kind.is_single_object() => self.read_all(kind, None, Cause::Return).await,
             // A list would be hundreds of times as large, for this host and all that hear from it.
             after => {
                 let read = self.read_store(kind, after, Millis(0), Cause::Return);
@@ -115,7 +115,7 @@
     }
 
     /// Waits until a kind is known at all: a host that starts is given it, or reads it when its time has come.
-    async fn is_brought(&self, kind: Kind) {
+    async fn is_brought(&self, kind: FeedKind) {
         let mut brought = self.brought.subscribe();
         // The sender lives as long as this does.
         let _ = brought.wait_for(|()| self.position(kind) > 0).await;
@@ -127,16 +127,16 @@
             Duration::ZERO
         } else {
             // By then few think that they are to watch.
-            Duration::from_millis(MEETING_TIME.0)
+            Duration::from_millis(DISCOVERY_TIME.0)
         }
     }
 }
 
 /// Gets how long changes gather before the next watch begins.
-fn settle_time(kind: Kind) -> Duration {
+fn settle_time(kind: FeedKind) -> Duration {
     match kind {
-        Kind::Endpoints => ENDPOINTS_SETTLE,
-        Kind::Catalog | Kind::Rollouts => Duration::ZERO,
+        FeedKind::Endpoints => ENDPOINTS_SETTLE,
+        FeedKind::Catalog | FeedKind::Rollouts => Duration::ZERO,
     }
 }
 
--- a/crates/tidetrack-plane/src/watch/intake.rs
+++ b/crates/tidetrack-plane/src/watch/intake.rs
@@ -5,9 +5,9 @@
 
 use tidetrack_core::events::Event;
 use tidetrack_core::traffic::control::Input;
-use tidetrack_core::traffic::feeds::LARGE_REPLY;
+use tidetrack_core::traffic::feeds::LARGE_REPLY_BYTES;
 
-use crate::dialect::{Change, Changes, Kind, Stored, Unreadable};
+use crate::dialect::{Change, Changes, FeedKind, Stored, Unreadable};
 use crate::feed::{Chunk, ListChunk};
 
 use super::Watches;
@@ -24,14 +24,14 @@
     /// Counts a reply with changes, and logs it if it was large or slow.
     pub(super) fn note_reply(
         &self,
-        kind: Kind,
+        kind: FeedKind,
         source: &'static str,
         bytes: usize,
         body_time: Duration,
         is_new: bool,
     ) {
         self.shared.metrics.feed_bytes(kind.as_str(), source, is_new, bytes);
-        if bytes < LARGE_REPLY && body_time < SLOW_REPLY {
+        if bytes < LARGE_REPLY_BYTES && body_time < SLOW_REPLY {
             return;
         }
         let ms = body_time.as_millis();
@@ -48,7 +48,7 @@
     }
 
     /// Applies changes that are new, and keeps them for other hosts.
-    pub(super) fn take(&self, kind: Kind, changes: Changes, chunk: Chunk) {
+    pub(super) fn take(&self, kind: FeedKind, changes: Changes, chunk: Chunk) {
         let newest = changes.newest.unwrap_or(chunk.to);
         // A reply may be of a later state than what is known, and yet hold known changes only.
         if newest <= self.position(kind) || !self.log(kind, |log| log.push(chunk)) {
@@ -58,7 +58,7 @@
         // Of several states of one object the last one counts; the others must not be in force, not even
         // for a moment.
         let last = changes.changes.len().saturating_sub(1);
-        let skipped = if kind.is_one_object() { last } else { 0 };
+        let skipped = if kind.is_single_object() { last } else { 0 };
         for change in changes.changes.into_iter().skip(skipped) {
             match change {
                 Change::Put(Stored::Catalog(c)) => self.shared.tell(Input::Catalog(Arc::new(c))),
@@ -76,7 +76,7 @@
     /// the newest change of a listed object.
     pub(super) fn take_list(
         &self,
-        kind: Kind,
+        kind: FeedKind,
         objects: Vec<Stored>,
         unreadable: &[String],
         list: ListChunk,
@@ -85,7 +85,7 @@
         // What was removed is not listed, so a list is news up to the revision it was taken at. A kind
         // with one object is only news if that was changed: hosts told otherwise would each get another
         // copy of a configuration they know.
-        let newest = if kind.is_one_object() { newest } else { list.at };
+        let newest = if kind.is_single_object() { newest } else { list.at };
         if !self.log(kind, |log| log.listed(list)) {
             return false;
         }
@@ -100,9 +100,9 @@
             }
         }
         match kind {
-            Kind::Catalog => {}
-            Kind::Endpoints => self.shared.tell(Input::EndpointList(endpoints)),
-            Kind::Rollouts => {
+            FeedKind::Catalog => {}
+            FeedKind::Endpoints => self.shared.tell(Input::EndpointList(endpoints)),
+            FeedKind::Rollouts => {
                 let unreadable = unreadable.iter().filter_map(|name| name.parse().ok()).collect();
                 self.shared.tell(Input::RolloutList { orders: rollouts, unreadable });
             }
@@ -112,20 +112,20 @@
     }
 
     /// Takes note of a change to a state that cannot be read.
-    fn unreadable(&self, kind: Kind, object: Unreadable) {
+    fn unreadable(&self, kind: FeedKind, object: Unreadable) {
         self.store.note_unreadable(std::slice::from_ref(&object));
         let input = match kind {
             // The last good configuration stays in force.
-            Kind::Catalog => None,
+            FeedKind::Catalog => None,
             // What it was before says nothing of what it is now.
-            Kind::Endpoints => object.name.parse().ok().map(Input::EndpointUnreadable),
-            Kind::Rollouts => object.name.parse().ok().map(Input::RolloutUnreadable),
+            FeedKind::Endpoints => object.name.parse().ok().map(Input::EndpointUnreadable),
+            FeedKind::Rollouts => object.name.parse().ok().map(Input::RolloutUnreadable),
         };
         // A name that is none of ours belongs to nothing that is known.
         input.into_iter().for_each(|input| self.shared.tell(input));
     }
 
-    pub(super) fn caught_up(&self, kind: Kind, changed: Option<u64>) {
+    pub(super) fn caught_up(&self, kind: FeedKind, changed: Option<u64>) {
         let complete = self.position(kind);
         self.brought.send_replace(());
         self.shared.tell(Input::CaughtUp { kind, complete, changed });
--- a/crates/tidetrack-plane/src/watch/mod.rs
+++ b/crates/tidetrack-plane/src/watch/mod.rs
@@ -22,7 +22,7 @@
 use tidetrack_core::traffic::feeds::Revisions;
 
 use crate::call::{Gate, OneAtATime};
-use crate::dialect::Kind;
+use crate::dialect::FeedKind;
 use crate::feed::{self, FeedLog, Told};
 use crate::pool::Pool;
 use crate::shared::SharedRef;
@@ -73,7 +73,7 @@
             shared: shared.clone(),
             store,
             hosts: Pool::default(),
-            logs: RefCell::new(Kind::ALL.map(FeedLog::of)),
+            logs: RefCell::new(FeedKind::ALL.map(FeedLog::of)),
             newest: RefCell::default(),
             large: Default::default(),
             is_waiting: RefCell::default(),
@@ -85,7 +85,7 @@
             started: Instant::now(),
         });
         tokio::task::spawn_local(watches.clone().keep_proof());
-        for kind in Kind::ALL {
+        for kind in FeedKind::ALL {
             tokio::task::spawn_local(watches.clone().keep(kind));
         }
         let told = watches.clone();
@@ -97,30 +97,30 @@
         watches
     }
 
-    fn log<T>(&self, kind: Kind, f: impl FnOnce(&mut FeedLog) -> T) -> T {
+    fn log<T>(&self, kind: FeedKind, f: impl FnOnce(&mut FeedLog) -> T) -> T {
         f(&mut self.logs.borrow_mut()[kind as usize])
     }
 
     /// Gets what brings another host from a revision to the newest one. With the configuration goes the proof of it,
     /// or a host that starts would have to ask for one next.
-    fn told(&self, kind: Kind, after: u64) -> Option<Told> {
+    fn told(&self, kind: FeedKind, after: u64) -> Option<Told> {
         let told = self.log(kind, |log| log.after(after))?;
         let age = self.shared.fresh.age(self.shared.now());
-        Some(Told { proof_age: age.filter(|_| kind == Kind::Catalog), ..told })
+        Some(Told { proof_age: age.filter(|_| kind == FeedKind::Catalog), ..told })
     }
 
-    fn position(&self, kind: Kind) -> u64 {
+    fn position(&self, kind: FeedKind) -> u64 {
         self.log(kind, |log| log.position())
     }
 
     /// Gets the revision of the newest known change of a kind.
-    fn newest(&self, kind: Kind) -> u64 {
+    fn newest(&self, kind: FeedKind) -> u64 {
         self.newest.borrow().get(kind)
     }
 
     /// Lets a large reply in that was asked for after a revision, unless the next changes came otherwise
     /// while it waited; a list is always needed.
-    fn gate(&self, kind: Kind, after: Option<u64>) -> Gate<'_> {
+    fn gate(&self, kind: FeedKind, after: Option<u64>) -> Gate<'_> {
         Gate {
             turns: &self.large[kind as usize],
             is_needless: Box::new(move || after.is_some_and(|after| self.newest(kind) > after)),
@@ -128,12 +128,12 @@
         }
     }
 
-    fn is_lost(&self, kind: Kind) -> bool {
+    fn is_lost(&self, kind: FeedKind) -> bool {
         self.is_lost.borrow()[kind as usize]
     }
 
     /// Takes note that a kind could not be read; tells whether that is news.
-    fn lost(&self, kind: Kind, e: &Error) -> bool {
+    fn lost(&self, kind: FeedKind, e: &Error) -> bool {
         let before = *self.is_lost.borrow();
         if before[kind as usize] {
             return false;
@@ -148,7 +148,7 @@
     }
 
     /// Takes note that a kind was read.
-    fn back(&self, kind: Kind) {
+    fn back(&self, kind: FeedKind) {
         if !std::mem::take(&mut self.is_lost.borrow_mut()[kind as usize]) {
             return;
         }
@@ -156,7 +156,7 @@
         if *self.is_lost.borrow() == [false; 3] {
             self.shared.tell(Input::StoreBack);
         }
-        if kind == Kind::Catalog {
+        if kind == FeedKind::Catalog {
             self.returns.send_modify(|n| *n += 1);
         }
     }
--- a/crates/tidetrack-plane/src/watch/proof.rs
+++ b/crates/tidetrack-plane/src/watch/proof.rs
@@ -4,10 +4,10 @@
 use std::time::Duration;
 
 use tidetrack_core::traffic::control::Input;
-use tidetrack_core::traffic::stagger::turn;
+use tidetrack_core::traffic::stagger::stagger_delay;
 use tidetrack_core::units::Millis;
 
-use crate::dialect::Kind;
+use crate::dialect::FeedKind;
 use crate::store::Cause;
 
 use super::follow::{jittered, FIRST_PAUSE, LONGEST_PAUSE_OF_MANY};
@@ -35,33 +35,33 @@
             let duties = *self.duties.borrow();
             let wanted = match duties.proves {
                 true => PROVE_EVERY,
-                false => PROOF_WANTED + turn(draw, duties.hosts),
+                false => PROOF_WANTED + stagger_delay(draw, duties.hosts),
             };
-            let after = self.position(Kind::Catalog);
+            let after = self.position(FeedKind::Catalog);
             let age = self.shared.fresh.age(self.shared.now());
             let Some(age) = age.filter(|_| after > 0) else { continue };
             // After a loss, a young proof of another host says that the store answers again. Whether it answers this
             // one matters only where others rely on it.
-            let mut is_back = self.is_lost(Kind::Catalog) && age < PROVE_EVERY;
+            let mut is_back = self.is_lost(FeedKind::Catalog) && age < PROVE_EVERY;
             if is_back && !duties.proves && !duties.watches {
-                self.back(Kind::Catalog);
+                self.back(FeedKind::Catalog);
                 is_back = false;
             }
             // A configuration that is coming in is not the newest until it has come, and neither is ours.
-            let is_coming = self.large[Kind::Catalog as usize].is_taken();
+            let is_coming = self.large[FeedKind::Catalog as usize].is_taken();
             if (age < wanted && !is_back) || is_coming {
                 continue;
             }
             draw = rand::random();
-            let read = self.read_store(Kind::Catalog, after, Millis(0), Cause::Proof);
+            let read = self.read_store(FeedKind::Catalog, after, Millis(0), Cause::Proof);
             match read.await.or_else(unless_needless) {
                 Ok(()) => {
                     pause = FIRST_PAUSE;
-                    self.shared.tell(Input::StoreSeen(self.position(Kind::Catalog)));
+                    self.shared.tell(Input::StoreSeen(self.position(FeedKind::Catalog)));
                 }
                 Err(e) => {
-                    self.lost(Kind::Catalog, &e);
-                    let longest = self.longest_pause(Kind::Catalog);
+                    self.lost(FeedKind::Catalog, &e);
+                    let longest = self.longest_pause(FeedKind::Catalog);
                     // Those that others rely on find out when the store is back, and tell.
                     pause = if longest == LONGEST_PAUSE_OF_MANY { longest } else { pause };
                     tokio::time::sleep(jittered(pause)).await;
@@ -76,6 +76,6 @@
         // Not taken note of here: what was read may wait to be put in force, and a proof that holds
         // before that would be one of the configuration before.
         self.shared.tell(Input::Proved(began));
-        self.back(Kind::Catalog);
+        self.back(FeedKind::Catalog);
     }
 }
--- a/crates/tidetrack-plane/src/watch/read.rs
+++ b/crates/tidetrack-plane/src/watch/read.rs
@@ -7,7 +7,7 @@
 use tidetrack_core::events::Event;
 use tidetrack_core::units::Millis;
 
-use crate::dialect::{Age, Kind};
+use crate::dialect::{Age, FeedKind};
 use crate::feed::{Chunk, ListChunk};
 use crate::store::{Cause, Purpose};
 
@@ -19,7 +19,7 @@
     /// are forgotten, or more than a reply may have: each try would end there.
     pub(super) async fn read_store(
         &self,
-        kind: Kind,
+        kind: FeedKind,
         after: u64,
         wait: Millis,
         cause: Cause,
@@ -42,12 +42,12 @@
     /// that is not.
     pub(super) async fn read_all(
         &self,
-        kind: Kind,
+        kind: FeedKind,
         after: Option<u64>,
         cause: Cause,
     ) -> Result<()> {
         let is_first = self.position(kind) == 0;
-        let age = if is_first && kind != Kind::Catalog { Age::OfLate } else { Age::Newest };
+        let age = if is_first && kind != FeedKind::Catalog { Age::OfLate } else { Age::Newest };
         let purpose = Purpose { kind, cause, age };
         let newest_listed = loop {
             let listed = self.store.list(purpose, &self.gate(kind, after)).await?;
@@ -59,11 +59,11 @@
             let is_taken = self.take_list(kind, listed.objects, &listed.unreadable, list, newest);
             let is_new = is_taken && self.newest(kind) > before;
             self.note_reply(kind, FROM_STORE, bytes, listed.body_time, is_new);
-            if kind == Kind::Catalog {
+            if kind == FeedKind::Catalog {
                 self.catalog_read(listed.began);
             }
             // A list that is older than what is known has nothing new; of one object nothing is missing.
-            if is_taken || kind.is_one_object() {
+            if is_taken || kind.is_single_object() {
                 break newest;
             }
         };
@@ -80,7 +80,7 @@
     /// Reads the changes of a kind after a revision; the store may wait for one.
     pub(super) async fn read_changes(
         &self,
-        kind: Kind,
+        kind: FeedKind,
         after: u64,
         wait: Millis,
         cause: Cause,
@@ -98,7 +98,7 @@
         let is_new = changes.newest.is_some_and(|newest| newest > self.position(kind));
         if is_new {
             // Other hosts have no use for the states before the newest, each of which may be a megabyte.
-            let is_cut = kind.is_one_object() && changes.changes.len() > 1;
+            let is_cut = kind.is_single_object() && changes.changes.len() > 1;
             let bytes = match is_cut {
                 true => (dialect.last_change)(&reply.body)?,
                 false => reply.body.to_vec(),
@@ -108,7 +108,7 @@
         self.note_reply(kind, FROM_STORE, reply.body.len(), reply.body_time, is_new);
         self.log(kind, |log| log.advance(to));
         self.caught_up(kind, None);
-        if kind == Kind::Catalog {
+        if kind == FeedKind::Catalog {
             self.catalog_read(began);
         }
         Ok(())
--- a/crates/tidetrack-plane/tests/call.rs
+++ b/crates/tidetrack-plane/tests/call.rs
@@ -5,7 +5,7 @@
 use std::net::{SocketAddr, TcpListener};
 use std::time::{Duration, Instant};
 
-use tidetrack_core::traffic::feeds::{Catch, Feeds, Kind, Revisions, Source};
+use tidetrack_core::traffic::feeds::{FeedKind, FeedTracker, Fetch, FetchSource, Revisions};
 use tidetrack_core::units::Millis;
 use tidetrack_plane::call::{Gate, OneAtATime};
 use tidetrack_plane::feed;
@@ -53,18 +53,18 @@
 
 /// Asks a host for changes of the endpoints, while hosts go on telling of them; lists what else was asked
 /// for, and when.
-async fn ask_host(address: SocketAddr, within: Duration) -> Vec<(Duration, Catch)> {
-    let feeds = RefCell::new(Feeds::default());
-    feeds.borrow_mut().caught_up(Millis(0), Kind::Endpoints, KNOWN, Some(KNOWN));
+async fn ask_host(address: SocketAddr, within: Duration) -> Vec<(Duration, Fetch)> {
+    let feeds = RefCell::new(FeedTracker::default());
+    feeds.borrow_mut().record_complete(Millis(0), FeedKind::Endpoints, KNOWN, Some(KNOWN));
     let mut told = Revisions::default();
-    told.raise(Kind::Endpoints, TOLD);
+    told.raise(FeedKind::Endpoints, TOLD);
     let began = Instant::now();
-    feeds.borrow_mut().told(at(began), &told, address, true);
+    feeds.borrow_mut().receive_revisions(at(began), &told, address, true);
     let turns = OneAtATime::default();
     let gate = Gate {
         turns: &turns,
         is_needless: Box::new(|| false),
-        is_coming: Box::new(|| feeds.borrow_mut().coming(at(began), Kind::Endpoints)),
+        is_coming: Box::new(|| feeds.borrow_mut().record_incoming(at(began), FeedKind::Endpoints)),
     };
     let pool = Pool::default();
     let mut asked = Vec::new();
@@ -72,13 +72,13 @@
         while began.elapsed() < within {
             tokio::time::sleep(TOLD_EVERY).await;
             let mut feeds = feeds.borrow_mut();
-            let catches = feeds.told(at(began), &told, address, true);
-            let catches = catches.into_iter().chain(feeds.due(at(began)));
+            let catches = feeds.receive_revisions(at(began), &told, address, true);
+            let catches = catches.into_iter().chain(feeds.due_store_reads(at(began)));
             asked.extend(catches.map(|c| (began.elapsed(), c)));
         }
     };
     tokio::select! {
-        result = feed::ask(&pool, address, Kind::Endpoints, KNOWN, &gate) => {
+        result = feed::ask(&pool, address, FeedKind::Endpoints, KNOWN, &gate) => {
             panic!("the reply has ended: {:?}", result.err());
         }
         () = telling => asked,
@@ -87,7 +87,7 @@
 
 /// A host's entries of endpoints were seven seconds old, with bounds of two and three on them: the host
 /// that it had asked for the news sent 800 bytes a second, and each piece kept the try from counting as
-/// failed, so nobody else was asked, not even the store. Evidence: `Feeds::coming` came each 200 ms for a
+/// failed, so nobody else was asked, not even the store. Evidence: `FeedTracker::coming` came each 200 ms for a
 /// reply of 4 KB, at any rate.
 #[test]
 fn a_small_reply_that_drips_is_got_elsewhere() {
@@ -97,5 +97,5 @@
 
     let asked = LocalSet::new().block_on(&rt, ask_host(address, ELSEWHERE_WITHIN));
 
-    assert!(asked.iter().any(|(_, catch)| catch.source == Source::Store), "{asked:?}");
+    assert!(asked.iter().any(|(_, catch)| catch.source == FetchSource::Store), "{asked:?}");
 }
--- a/crates/tidetrack-plane/tests/clock.rs
+++ b/crates/tidetrack-plane/tests/clock.rs
@@ -10,7 +10,7 @@
     let fresh = Freshness::default();
 
     // Another host read 4 s ago, when this process did not run yet.
-    fresh.proved(clock.now() - Millis(4_000));
+    fresh.record_proof(clock.now() - Millis(4_000));
 
-    assert!(!fresh.holds(clock.now(), Millis(5_000)));
+    assert!(!fresh.permits_keyed_requests(clock.now(), Millis(5_000)));
 }
--- a/crates/tidetrack-plane/tests/feed.rs
+++ b/crates/tidetrack-plane/tests/feed.rs
@@ -1,6 +1,6 @@
 //! Changes that a host keeps for others.
 
-use tidetrack_core::traffic::feeds::Kind;
+use tidetrack_core::traffic::feeds::FeedKind;
 use tidetrack_plane::feed::{question, Chunk, FeedLog, ListChunk};
 
 fn chunk(to: u64) -> Chunk {
@@ -73,7 +73,7 @@
 
 #[test]
 fn only_well_formed_questions_are_understood() {
-    assert_eq!(question("/changes/Endpoints/17"), Some((Kind::Endpoints, 17)));
+    assert_eq!(question("/changes/Endpoints/17"), Some((FeedKind::Endpoints, 17)));
     for path in ["/changes/Endpoints/", "/changes/Other/17", "/changes/Endpoints/-1", "/", "/x/1"] {
         assert_eq!(question(path), None, "{path}");
     }
@@ -81,7 +81,7 @@
 
 #[test]
 fn of_a_kind_with_one_object_only_the_newest_state_is_given() {
-    let mut log = FeedLog::of(Kind::Catalog);
+    let mut log = FeedLog::of(FeedKind::Catalog);
     log.listed(list(10));
     log.push(chunk(20));
     log.push(chunk(30));
--- a/crates/tidetrack-plane/tests/messages.rs
+++ b/crates/tidetrack-plane/tests/messages.rs
@@ -2,7 +2,7 @@
 
 use tidetrack_core::ids::{EndpointId, EndpointKey};
 use tidetrack_core::traffic::judge::{AttemptEnd, Judge, Observed, Tally};
-use tidetrack_core::traffic::peers::{News, PeerMessage, ToldProof, ToldTally};
+use tidetrack_core::traffic::peers::{PeerMessage, PeerUpdate, ProofReport, TallyReport};
 use tidetrack_core::traffic::prefixes::{PartKey, Prefixes};
 use tidetrack_core::traffic::usual::Usual;
 use tidetrack_core::units::Millis;
@@ -21,28 +21,28 @@
 
 fn message(endpoints: usize) -> PeerMessage {
     let key = |i| EndpointKey::from(&format!("i-{i:010}").parse::<EndpointId>().expect("a name"));
-    let tally = ToldTally {
+    let tally = TallyReport {
         service: "model-service".parse().expect("a name"),
         version: "v2".parse().expect("a name"),
         age_ms: 4_000,
         tally: Tally::default(),
-        usual: Vec::new(),
+        baseline: Vec::new(),
     };
     PeerMessage {
         from: "edge-some-hall-1".parse().expect("a name"),
         incarnation: 0,
         address: "10.1.0.40:8229".parse().expect("an address"),
         failure_domain: "some-hall".parse().expect("a name"),
-        is_strong: false,
+        is_well_connected: false,
         wants_reply: true,
         stamp_ms: 604_800_000,
         echo_ms: Some(604_800_000),
-        hints: vec!["10.1.0.41:8229".parse().expect("an address"); 6],
-        news: News {
-            proof: Some(ToldProof { version: 1_000, age_ms: 900 }),
+        known_addresses: vec!["10.1.0.41:8229".parse().expect("an address"); 6],
+        update: PeerUpdate {
+            proof: Some(ProofReport { version: 1_000, age_ms: 900 }),
             loads: (0..endpoints).map(|i| (key(i), 2_000)).collect(),
             tallies: vec![tally],
-            ..News::default()
+            ..PeerUpdate::default()
         },
     }
 }
--- a/crates/tidetrack-plane/tests/suspension.rs
+++ b/crates/tidetrack-plane/tests/suspension.rs
@@ -20,13 +20,13 @@
     let bound = Millis(5_000);
     let clock = Clock::reading(now);
     let fresh = Freshness::default();
-    fresh.proved(clock.now());
-    let was_fresh = fresh.holds(clock.now(), bound);
+    fresh.record_proof(clock.now());
+    let was_fresh = fresh.permits_keyed_requests(clock.now(), bound);
 
     NOW_MS.fetch_add(4_000, Ordering::Relaxed);
 
     assert!(was_fresh);
-    assert!(!fresh.holds(clock.now(), bound));
+    assert!(!fresh.permits_keyed_requests(clock.now(), bound));
     assert_eq!(clock.since_start(), Millis(4_000));
 }
 
--- a/crates/tidetrack-plane/tests/told_sizes.rs
+++ b/crates/tidetrack-plane/tests/told_sizes.rs
@@ -34,11 +34,11 @@
             let endpoint: EndpointId = format!("e-{n}-{crash}").parse().expect("a name");
             let at = NOW + Millis(crash * 1_000);
             let domain = "hall".parse().expect("a name");
-            suspects.crashed(at, fingerprint(n), &endpoint, &domain, at);
+            suspects.record_crash(at, fingerprint(n), &endpoint, &domain, at);
         }
     }
 
-    let told = suspects.told(NOW + Millis(8_000));
+    let told = suspects.reports_for_round(NOW + Millis(8_000));
 
     let size = bytes(&told);
     println!("{} barred requests told of {}: {size} bytes", told.len(), suspects.len());
@@ -51,10 +51,10 @@
     let mut limits = EndpointLimits::default();
     for n in 0..4_200 {
         let id: EndpointId = format!("e-{n}").parse().expect("a name");
-        limits.answered(NOW, EndpointKey::from(&id), Some(Rate(1.6)));
+        limits.record_response(NOW, EndpointKey::from(&id), Some(Rate(1.6)));
     }
 
-    let told = limits.told(NOW + Millis(100));
+    let told = limits.reports_for_round(NOW + Millis(100));
 
     let size = bytes(&told);
     println!("{} limits told of 4200: {size} bytes", told.len());
--- a/crates/tidetrack-router/src/settings.rs
+++ b/crates/tidetrack-router/src/settings.rs
@@ -162,10 +162,10 @@
         if self.limits.threads == 0 {
             say("limits.threads: none would carry a request".to_string());
         }
-        if self.suspects.barred_from == 0 {
+        if self.suspects.bar_threshold == 0 {
             say("suspects.barred_from: every request would be barred".to_string());
         }
-        if self.suspects.most == 0 || self.suspects.most_of_caller == 0 {
+        if self.suspects.max_suspects == 0 || self.suspects.max_suspects_per_caller == 0 {
             say("suspects.most, suspects.most_of_caller: none would be remembered".to_string());
         }
         if !crate::logging::LEVELS.contains(&self.log_level.as_str()) {
@@ -197,7 +197,7 @@
         let good = with("[suspects]\nbarred_from = 5\nbarred_for = 60000\n").expect("settings");
         let none = with("[suspects]\nbarred_from = 0\nmost = 0\n").expect_err("faults");
 
-        assert_eq!(good.suspects.barred_from, 5);
+        assert_eq!(good.suspects.bar_threshold, 5);
         assert!(none.message.contains("barred_from") && none.message.contains("most"), "{none}");
     }
 }
--- a/crates/tidetrack-router/src/upstream.rs
+++ b/crates/tidetrack-router/src/upstream.rs
@@ -264,7 +264,7 @@
         let PoolEndpoint { id, failure_domain, live, .. } = &self.endpoint;
         live.note_unreachable(now);
         let suspects = &self.shared.suspects;
-        let crashes = suspects.crashed(now, self.fingerprint, id, failure_domain, sent_at);
+        let crashes = suspects.record_crash(now, self.fingerprint, id, failure_domain, sent_at);
         self.shared.metrics.event("endpoint_crashed");
         let text = format!("{} {id} fingerprint={} crashes={crashes}", self.id, self.fingerprint);
         self.shared.log(Event::EndpointCrashed, &text);
@@ -274,7 +274,7 @@
     pub fn succeeded(&mut self) {
         // An endpoint may fail a request before running it.
         if !self.is_failure {
-            self.shared.suspects.ended_well(self.shared.now(), self.fingerprint);
+            self.shared.suspects.record_completion(self.shared.now(), self.fingerprint);
         }
         self.endpoint.live.note(self.shared.now(), true);
         self.endpoint.live.took(self.work, self.began.elapsed().as_micros() as u64);
