--- a/crates/tidetrack-core/src/traffic/control/rounds.rs
+++ b/crates/tidetrack-core/src/traffic/control/rounds.rs
@@ -42,7 +42,7 @@
             hosts: self.hosts(),
         };
         let trials = &self.trials;
-        self.peers.remove_tallies(|told| {
+        self.peers.remove_departed_tallies(|told| {
             trials.get(&told.service).is_none_or(|t| t.order.version != told.version || t.is_over())
         });
         for host in self.peers.remove_silent_peers(now) {
--- a/crates/tidetrack-core/src/traffic/peers/messages.rs
+++ b/crates/tidetrack-core/src/traffic/peers/messages.rs
@@ -1,4 +1,4 @@
-//! The messages in which hosts tell each other what they know.
+//! The messages in which hosts exchange their state.
 
 use std::net::SocketAddr;
 
@@ -15,104 +15,102 @@
 use crate::traffic::usual::ToldUsual;
 use crate::units::Millis;
 
-/// A proof of the configuration, as it is told.
+/// A proof of the configuration, as a host reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProofReport {
-    /// The version that was the newest.
+    /// The configuration version that the read confirmed as the newest.
     pub version: u64,
-    /// Milliseconds since the proving read began.
+    /// Milliseconds since the read began.
     pub age_ms: u64,
 }
 
-/// A version that its teller holds bad.
+/// A version that the reporting host bars.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct BarredVersion {
-    /// The service.
     pub service: ServiceId,
-    /// The version.
     pub version: VersionName,
 }
 
-/// Counts of a version under roll-out.
+/// One host's tally of a version under roll-out.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TallyReport {
-    /// The service.
     pub service: ServiceId,
     /// The version under roll-out.
     pub version: VersionName,
-    /// Milliseconds since the order, as the teller knows it.
+    /// Milliseconds since the roll-out was ordered, as known to the sender.
     pub age_ms: u64,
-    /// The counts.
+    /// The sender's decaying counts of successful, failed and slow responses.
     pub tally: Tally,
-    /// What is usual on the proven versions.
+    /// The sender's baseline, measured on the stable versions.
     pub baseline: ToldUsual,
 }
 
-/// What a host tells of itself, the same for all receivers.
+/// The state that a host reports about itself. It is the same for all receivers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PeerUpdate {
-    /// Its proof of the configuration.
+    /// The sender's proof of the configuration; `None` if it has none.
     pub proof: Option<ProofReport>,
-    /// Work it has at endpoints.
+    /// The sender's outstanding work at each endpoint.
     pub loads: Vec<(EndpointKey, u32)>,
-    /// How its requests went at endpoints that some host saw fail.
+    /// Results of the sender's requests at endpoints where some host has seen failures.
     pub results: Vec<(EndpointKey, Results)>,
-    /// Its counts of roll-outs.
+    /// The sender's tallies of versions under roll-out.
     pub tallies: Vec<TallyReport>,
-    /// Versions it holds bad.
+    /// Versions that the sender bars.
     pub barred_versions: Vec<BarredVersion>,
-    /// The newest changes of the store it knows.
+    /// For each feed, the revision of the newest change known to the sender.
     pub newest_changes: Revisions,
-    /// Up to where it knows the store.
+    /// For each feed, the revision up to which the sender knows every change.
     pub complete_revisions: Revisions,
-    /// Sessions at work on proven versions of services under roll-out.
+    /// Active sessions on stable versions of services under roll-out.
     pub sessions: Vec<(ServiceId, Vec<ToldSession>)>,
-    /// Where it had shared parts read of late.
+    /// Endpoints that recently processed prompt prefixes shared by several requests.
     pub prefix_reads: Vec<(ServiceId, Vec<ToldRead>)>,
-    /// Requests under which endpoints crashed.
+    /// Requests that may have crashed endpoints.
     pub suspects: Vec<SuspectReport>,
-    /// Limits that endpoints named.
+    /// Rate limits that endpoints have declared.
     pub limits: Vec<LimitReport>,
 }
 
-/// One message.
+/// A message from one host to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PeerMessage {
-    /// The sender.
+    /// The host that sends the message.
     pub from: HostId,
-    /// Tells two starts of the sender apart.
+    /// Identifies the run of the sender's process; changes with each start.
     pub incarnation: u64,
-    /// Where the sender hears messages.
+    /// The address at which the sender receives messages.
     pub address: SocketAddr,
-    /// Where the sender stands.
+    /// The failure domain that the sender runs in.
     pub failure_domain: FailureDomain,
-    /// Whether the sender has a link to give many others what it holds.
+    /// Whether the sender's link is fast enough to serve many other hosts.
     pub is_well_connected: bool,
-    /// Whether the sender waits for an answer.
+    /// Whether the sender expects a reply at once.
     pub wants_reply: bool,
-    /// The sender's clock, in milliseconds. Only the sender makes sense of it.
+    /// The sender's clock in milliseconds. Only the sender may interpret it.
     pub stamp_ms: u64,
-    /// The stamp of the last message that the sender had from the receiver.
+    /// The timestamp of the last message that the sender received from the receiver; `None` if it
+    /// has received none.
     pub echo_ms: Option<u64>,
-    /// Other hosts that the sender hears.
+    /// Addresses of other hosts from which the sender receives messages.
     pub known_addresses: Vec<SocketAddr>,
-    /// What the sender tells.
+    /// The sender's reported state.
     pub update: PeerUpdate,
 }
 
-/// A message that its sender wants answered.
+/// A request for a reply to a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReplyRequest {
-    /// Where the answer goes.
+    /// The address that the reply is sent to.
     pub address: SocketAddr,
-    /// The sender's stamp.
+    /// The timestamp of the message, which the reply echoes.
     pub stamp_ms: u64,
-    /// Whether the sender had not heard this host before.
+    /// Whether the sender had received no message from this host before.
     pub is_first_contact: bool,
 }
 
 impl ReplyRequest {
-    /// Gets the question that a message asks, if any.
+    /// Returns the reply request in a message; `None` if the sender expects no reply.
     pub fn from_message(msg: &PeerMessage) -> Option<ReplyRequest> {
         let is_first_contact = msg.echo_ms.is_none();
         let request =
@@ -121,12 +119,12 @@
     }
 }
 
-/// What a message proves to its receiver.
+/// A proof of the configuration that another host relayed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RelayedProof {
-    /// The version that was the newest.
+    /// The configuration version that the read confirmed as the newest.
     pub version: u64,
-    /// The latest instant, by the receiver's clock, at which the proving read can be relied on to
-    /// have begun.
+    /// An instant on the receiver's clock that the read did not begin before. It is the echoed
+    /// timestamp minus the reported age.
     pub began: Millis,
 }
--- a/crates/tidetrack-core/src/traffic/peers/mod.rs
+++ b/crates/tidetrack-core/src/traffic/peers/mod.rs
@@ -1,17 +1,20 @@
-//! What hosts tell each other, and what one host makes of it.
+//! State exchanged between hosts, and one host's view of the others.
 //!
-//! Every few hundred milliseconds a host sends a small message to a few others, in turn. Lost ones
-//! don't matter, for each tells the present state: the host's own load on endpoints, its counts of a
-//! roll-out, versions it holds bad, and how old its proof of the configuration is. The number of
-//! messages a host sends doesn't grow with the fleet; what it hears of each other host is older then.
+//! Every few hundred milliseconds a host sends a small message to a few other hosts, in rotation. A
+//! lost message does no harm, because each one carries the complete current state: the host's own
+//! load on endpoints, its tallies of a roll-out, the versions that it bars, and the age of its
+//! proof of the configuration. The number of messages that a host sends does not grow with the
+//! fleet; in a larger fleet the information about each other host is older instead.
 //!
-//! A proof can be passed on without comparing clocks: a host's message repeats the sender's stamp of
-//! the last message it got from the receiver. The receiver knows that its stamp was made before the
-//! answer, so the proof began no later than its own stamp less the age that was told.
+//! A proof is a read of the configuration that confirmed its newest version, with the age of that
+//! read. It can be relayed without comparing clocks: each message echoes the timestamp of the last
+//! message that its sender received from its receiver. The receiver knows that it made this
+//! timestamp before the sender replied, so the read began no earlier than the echoed timestamp
+//! minus the reported age.
 //!
-//! In a large fleet the last message of most hosts is seconds old, and so is what it proves. A host
-//! whose proof grows old therefore asks one of those that prove the configuration, which answers at
-//! once.
+//! In a large fleet the last message from most hosts is seconds old, and so is the proof in it. A
+//! host whose proof becomes old therefore queries one of the provers, the hosts that read the
+//! configuration for others, and receives a reply at once.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -32,36 +35,39 @@
     BarredVersion, PeerMessage, PeerUpdate, ProofReport, RelayedProof, ReplyRequest, TallyReport,
 };
 
-/// Hosts that one round of messages goes to.
+/// Number of hosts that receive the messages of one round.
 const FANOUT: usize = 8;
 
-/// A host that was not heard for this time is gone, in a fleet in which a round reaches all.
+/// Time without a message after which a host is removed, in a fleet small enough for one round to
+/// reach all hosts.
 const PEER_TIMEOUT: Millis = Millis(3_000);
 
-/// Rounds come this often.
+/// Interval between rounds of messages.
 pub const ROUND_INTERVAL: Millis = Millis(250);
 
-/// In a large fleet a host is gone when so many turns of its passed in silence: two messages in a row
-/// may be lost by chance, on links that lose a few in a hundred.
+/// Number of silent cycles after which a host is removed in a large fleet. Two consecutive messages
+/// may be lost by chance on links that lose a few percent of their packets.
 const MAX_MISSED_CYCLES: u64 = 3;
 
-/// Loads older than this are not counted any more.
+/// Age from which a reported load is ignored.
 const MAX_LOAD_AGE: Millis = Millis(1_500);
 
-/// Addresses of other hosts that a message names.
+/// Maximum number of other hosts' addresses in a message.
 const ADDRESSES_PER_MESSAGE: usize = 6;
 
-/// Addresses that the answer to a host's first message names: enough that a host which starts knows
-/// most of some hundred others after a few answers.
+/// Maximum number of addresses in the reply to a host's first message. With this many, a starting
+/// host knows most of a hundred other hosts after a few replies.
 const ADDRESSES_IN_FIRST_REPLY: usize = 48;
 
-/// Hosts of a failure domain that watch the store. Two, for one may be cut off from it unnoticed.
+/// Number of hosts per failure domain that watch the store. There are two because one may lose its
+/// connection to the store without noticing.
 const WATCHERS_PER_DOMAIN: usize = 2;
 
-/// Hosts of a fleet that prove the configuration themselves at short intervals.
+/// Number of hosts in the fleet that read the configuration at short intervals to prove it for
+/// others.
 const MAX_PROVERS: usize = 3;
 
-/// Another host, as far as it is known.
+/// The last known state of another host.
 #[derive(Clone, Debug)]
 struct Peer {
     incarnation: u64,
@@ -73,8 +79,9 @@
     update: PeerUpdate,
 }
 
-/// The last word of a host that ended on a roll-out. A fleet whose hosts are replaced one after another
-/// would know a version by the answers of the last seconds only.
+/// The last tally that a departed host reported for a roll-out. Without it, in a fleet whose hosts
+/// are replaced one after another, a version would be judged only by the responses of the last few
+/// seconds.
 #[derive(Clone, Debug)]
 struct DepartedTally {
     from: HostId,
@@ -83,7 +90,7 @@
     report: TallyReport,
 }
 
-/// All other hosts.
+/// The other hosts of the fleet and the state that they last reported.
 #[derive(Clone, Debug)]
 pub struct PeerTable {
     host: HostId,
@@ -93,16 +100,16 @@
     is_well_connected: bool,
     seeds: Vec<SocketAddr>,
     peers: BTreeMap<HostId, Peer>,
-    /// What hosts that ended counted of roll-outs.
+    /// Roll-out tallies of hosts that stopped or restarted.
     departed_tallies: Vec<DepartedTally>,
     unconfirmed_addresses: BTreeMap<SocketAddr, Millis>,
     receiver_offset: usize,
-    /// Counts the questions for a proof, to ask another host each time.
+    /// Counts queries for proofs and changes, so that each goes to another host.
     request_count: usize,
 }
 
 impl PeerTable {
-    /// Makes a book of a host that knows only where some others may be.
+    /// Creates a table that contains no other host yet, only the seed addresses to contact.
     pub fn new(
         host: HostId,
         address: SocketAddr,
@@ -110,7 +117,8 @@
         seeds: Vec<SocketAddr>,
     ) -> PeerTable {
         let seeds = seeds.into_iter().filter(|s| *s != address).collect();
-        // Hosts begin at different places: what several know must not go to the same few at once.
+        // Each host starts its rotation at another position. Otherwise all hosts that know the same
+        // peers would send to the same few at once.
         let start = xxh3_64(host.as_str().as_bytes()) as usize;
         PeerTable {
             host,
@@ -127,17 +135,18 @@
         }
     }
 
-    /// Names this start of the host.
+    /// Sets the incarnation, which identifies this run of the host's process.
     pub fn with_incarnation(self, incarnation: u64) -> PeerTable {
         PeerTable { incarnation, ..self }
     }
 
-    /// Tells whether this host has a link to give many others what it holds.
+    /// Sets whether this host's link is fast enough to serve many other hosts.
     pub fn with_well_connected(self, is_well_connected: bool) -> PeerTable {
         PeerTable { is_well_connected, ..self }
     }
 
-    /// Takes a message; gives back the proof it carries, if it is one for this host.
+    /// Stores the state in a message and returns the proof that it relays, if it echoes a timestamp
+    /// of this host.
     pub fn receive(&mut self, now: Millis, msg: PeerMessage) -> Option<RelayedProof> {
         if msg.from == self.host {
             return None;
@@ -157,9 +166,10 @@
         let previous_incarnation =
             self.peers.get(&msg.from).filter(|p| p.incarnation != msg.incarnation);
         if let Some(previous) = previous_incarnation.cloned() {
-            self.retain_tallies(&msg.from, previous);
+            self.store_departed_tallies(&msg.from, previous);
         }
-        // It had only fallen silent.
+        // A host that is heard again under the same incarnation was only silent, so its tallies are
+        // no longer those of a departed host.
         self.departed_tallies.retain(|departed| {
             departed.from != msg.from || departed.incarnation != msg.incarnation
         });
@@ -176,7 +186,7 @@
         proof
     }
 
-    /// Forgets hosts that fell silent; lists them.
+    /// Removes hosts that have been silent for too long and returns them.
     pub fn remove_silent_peers(&mut self, now: Millis) -> Vec<HostId> {
         self.unconfirmed_addresses.retain(|_, since| now < *since + PEER_TIMEOUT);
         let gone_after = Millis(PEER_TIMEOUT.0.max(self.cycle_time().0 * MAX_MISSED_CYCLES));
@@ -185,26 +195,26 @@
             self.peers.iter().filter(|(_, p)| is_gone(p)).map(|(h, _)| h.clone()).collect();
         for host in &gone {
             if let Some(peer) = self.peers.remove(host) {
-                self.retain_tallies(host, peer);
+                self.store_departed_tallies(host, peer);
             }
         }
         gone
     }
 
-    /// Keeps what a host counted of roll-outs that has ended.
-    fn retain_tallies(&mut self, from: &HostId, peer: Peer) {
+    /// Keeps the roll-out tallies of a host that stopped or restarted.
+    fn store_departed_tallies(&mut self, from: &HostId, peer: Peer) {
         let Peer { incarnation, received_at, update, .. } = peer;
         let departed =
             |report| DepartedTally { from: from.clone(), incarnation, received_at, report };
         self.departed_tallies.extend(update.tallies.into_iter().map(departed));
     }
 
-    /// Forgets what ended hosts counted of roll-outs that are over.
-    pub fn remove_tallies(&mut self, is_over: impl Fn(&TallyReport) -> bool) {
-        self.departed_tallies.retain(|departed| !is_over(&departed.report));
+    /// Removes the tallies of departed hosts for roll-outs that are finished.
+    pub fn remove_departed_tallies(&mut self, is_finished: impl Fn(&TallyReport) -> bool) {
+        self.departed_tallies.retain(|departed| !is_finished(&departed.report));
     }
 
-    /// Makes the messages of one round, with their receivers.
+    /// Builds the messages of one round, each with the address of its receiver.
     pub fn round_messages(
         &mut self,
         now: Millis,
@@ -223,7 +233,7 @@
         messages
     }
 
-    /// Makes first messages to hosts that were not heard yet.
+    /// Builds first messages to addresses from which no message has been received yet.
     pub fn first_contact_messages(
         &mut self,
         now: Millis,
@@ -241,8 +251,9 @@
         messages
     }
 
-    /// Gets a host that knows a kind up to a revision and can give it, but for one that could not: of the own failure
-    /// domain and with a strong link where there is such a one, and not the same one for all that ask.
+    /// Selects a host that has every change of a kind up to `revision`, other than `excluded`.
+    /// Prefers hosts in the local failure domain, then well-connected ones, and rotates among
+    /// equals so that not all queries go to the same host.
     pub fn pick_holder(
         &mut self,
         kind: FeedKind,
@@ -264,7 +275,7 @@
         Some(all[self.request_count % all.len()])
     }
 
-    /// Lists the addresses at which hosts may be that were not heard yet.
+    /// Returns the seed and learned addresses from which no message has been received yet.
     fn list_unconfirmed_addresses(&self) -> Vec<SocketAddr> {
         let is_known = |address: &SocketAddr| self.peers.values().any(|p| p.address == *address);
         self.seeds
@@ -275,21 +286,22 @@
             .collect()
     }
 
-    /// Gets the place of the next receiver among the hosts that are heard.
+    /// Returns the index of the next receiver among the known hosts.
     fn receiver_index(&self) -> usize {
         self.receiver_offset % self.peers.len().max(1)
     }
 
-    /// Makes a message to a host whose last stamp was `echo_ms`.
+    /// Builds a message to a host whose last timestamp was `echo_ms`, with up to `address_count`
+    /// addresses of other hosts.
     fn build_message(
         &self,
         now: Millis,
         echo_ms: Option<u64>,
-        known_addresses: usize,
+        address_count: usize,
         update: &PeerUpdate,
     ) -> PeerMessage {
         let known = self.peers.values().map(|p| p.address);
-        let known_addresses = known_addresses.min(self.peers.len());
+        let address_count = address_count.min(self.peers.len());
         PeerMessage {
             from: self.host.clone(),
             incarnation: self.incarnation,
@@ -302,23 +314,24 @@
             known_addresses: known
                 .cycle()
                 .skip(self.receiver_index())
-                .take(known_addresses)
+                .take(address_count)
                 .collect(),
             update: update.clone(),
         }
     }
 
-    /// Answers a question that came just now; a host's first one is answered with many hints, of them first hosts
-    /// that can give it what they hold.
+    /// Builds the reply to a request that has just been received. The reply to a host's first
+    /// message contains many addresses, beginning with well-connected hosts, which can serve it the
+    /// state that it lacks.
     pub fn build_reply(
         &self,
         now: Millis,
         request: &ReplyRequest,
         update: &PeerUpdate,
     ) -> PeerMessage {
-        let known_addresses =
+        let address_count =
             if request.is_first_contact { ADDRESSES_IN_FIRST_REPLY } else { ADDRESSES_PER_MESSAGE };
-        let mut reply = self.build_message(now, Some(request.stamp_ms), known_addresses, update);
+        let mut reply = self.build_message(now, Some(request.stamp_ms), address_count, update);
         if request.is_first_contact {
             let well_connected =
                 self.peers.values().filter(|p| p.is_well_connected).map(|p| p.address);
@@ -331,7 +344,7 @@
         reply
     }
 
-    /// Lists the other hosts that prove the configuration.
+    /// Returns the other hosts that read the configuration to prove it.
     fn provers(&self) -> Vec<&Peer> {
         let mut provers: Vec<(Rank, &Peer)> = self
             .peers
@@ -342,8 +355,8 @@
         provers.into_iter().take(MAX_PROVERS).map(|(_, peer)| peer).collect()
     }
 
-    /// Makes messages to the hosts that prove the configuration, beside a round: what a large fleet counts within a
-    /// second is known to few hosts in time.
+    /// Builds messages to the provers, in addition to those of a round. In a large fleet, tallies
+    /// that change within a second would otherwise reach few hosts in time.
     pub fn prover_messages(
         &self,
         now: Millis,
@@ -353,7 +366,7 @@
         self.provers().into_iter().map(message).collect()
     }
 
-    /// Asks one of the hosts that prove the configuration, another one each time.
+    /// Builds a query for a fresh proof to one of the provers, to another one with each call.
     pub fn proof_request(
         &mut self,
         now: Millis,
@@ -370,7 +383,7 @@
         Some((address, message))
     }
 
-    /// Sums the work that the other hosts have at endpoints.
+    /// Sums the outstanding work of the other hosts at each endpoint.
     pub fn loads(&self, now: Millis) -> HashMap<EndpointKey, u64> {
         let mut loads = HashMap::new();
         for peer in self.peers.values().filter(|p| now < p.received_at + MAX_LOAD_AGE) {
@@ -381,7 +394,7 @@
         loads
     }
 
-    /// Sums how the other hosts' requests went at endpoints that some host saw fail.
+    /// Sums the other hosts' results at endpoints where some host has seen failures.
     pub fn results(&self, now: Millis) -> HashMap<EndpointKey, Results> {
         let mut results: HashMap<EndpointKey, Results> = HashMap::new();
         for peer in self.peers.values() {
@@ -393,7 +406,8 @@
         results
     }
 
-    /// Lists the other hosts' counts of a roll-out, with their ages; those of hosts that ended too.
+    /// Returns the tallies that other hosts reported for a version under roll-out, with their ages.
+    /// Tallies of departed hosts are included.
     pub fn tallies<'a>(
         &'a self,
         now: Millis,
@@ -404,7 +418,8 @@
         all.map(move |(report, received_at)| (report.tally.clone(), now - received_at))
     }
 
-    /// Lists what the other hosts hold for usual beside a version under roll-out.
+    /// Returns the baselines that other hosts reported with their tallies of a version under
+    /// roll-out.
     pub fn baselines<'a>(
         &'a self,
         service: &'a ServiceId,
@@ -413,7 +428,8 @@
         self.tally_reports(service, version).map(|(report, _)| &report.baseline)
     }
 
-    /// Lists what was told of a version under roll-out, and when; also by hosts that ended.
+    /// Returns the reports for a version under roll-out with the times at which they were received.
+    /// Reports of departed hosts are included.
     fn tally_reports<'a>(
         &'a self,
         service: &'a ServiceId,
@@ -429,15 +445,15 @@
         all.filter(move |(report, _)| report.service == *service && report.version == *version)
     }
 
-    /// Tells whether another host holds a version bad.
+    /// Reports whether another host bars a version.
     pub fn is_barred(&self, service: &ServiceId, version: &VersionName) -> bool {
         let is_match = |b: &BarredVersion| b.service == *service && b.version == *version;
         self.peers.values().any(|p| p.update.barred_versions.iter().any(is_match))
     }
 
-    /// Tells whether this host is one of the few that prove the configuration themselves. Every host
-    /// ranks those it hears alike; where they hear different ones, a few more or fewer prove, and a
-    /// host without a relayed proof proves for itself.
+    /// Reports whether this host is one of the few that read the configuration to prove it. All
+    /// hosts use the same ranking. Where they know different peers, there are a few more or fewer
+    /// provers; a host that receives no relayed proof reads the configuration itself.
     pub fn is_prover(&self) -> bool {
         let own_rank = prover_rank(self.is_well_connected, &self.host);
         let higher_ranked =
@@ -445,13 +461,14 @@
         higher_ranked.count() < MAX_PROVERS
     }
 
-    /// Tells whether this host is one of the few of its failure domain that watch the store.
+    /// Reports whether this host is one of the few in its failure domain that watch the store.
     pub fn is_watcher(&self) -> bool {
         let own_rank = watcher_rank(self.is_well_connected, &self.host);
         self.ranked_local_peers().filter(|(rank, _)| *rank > own_rank).count() < WATCHERS_PER_DOMAIN
     }
 
-    /// Tells whether this host is one of the first so many for a job, those of a failure domain before others.
+    /// Reports whether this host ranks among the first `count` for a job. Hosts in the given
+    /// failure domain rank before all others.
     pub fn is_ranked_within(&self, job: &str, domain: &FailureDomain, count: usize) -> bool {
         let rank =
             |host: &HostId, of: &FailureDomain| (of == domain, rendezvous(job, host.as_str()));
@@ -461,49 +478,49 @@
         higher_ranked.take(count).count() < count
     }
 
-    /// Ranks the other hosts of the failure domain for watching the store.
+    /// Returns the other hosts of the local failure domain with their ranks for watching the store.
     fn ranked_local_peers(&self) -> impl Iterator<Item = (Rank, &Peer)> {
         let local = self.peers.iter().filter(|(_, p)| self.is_local_domain(&p.failure_domain));
         local.map(|(host, p)| (watcher_rank(p.is_well_connected, host), p))
     }
 
-    /// Tells whether a failure domain is this host's own.
+    /// Reports whether a failure domain is the one that this host runs in.
     pub fn is_local_domain(&self, failure_domain: &FailureDomain) -> bool {
         *failure_domain == self.failure_domain
     }
 
-    /// Gets the time in which a host has sent one message to each other.
+    /// Returns the time in which a host sends one message to each other host.
     pub fn cycle_time(&self) -> Millis {
         Millis(ROUND_INTERVAL.0 * self.peers.len().div_ceil(FANOUT) as u64)
     }
 
-    /// Gets the time within which news that hosts pass on has gone from one host to all others.
+    /// Returns the time in which an update that hosts pass on reaches all hosts.
     pub fn propagation_time(&self) -> Millis {
         let hops = (self.peers.len().max(1) as f64).log(FANOUT as f64).ceil().max(1.0) as u64;
-        // One round more, for a message may be lost.
+        // One extra round allows for a lost message.
         Millis(ROUND_INTERVAL.0 * (hops + 1))
     }
 
-    /// Counts the other hosts that are heard.
+    /// Returns the number of other hosts that are known.
     pub fn len(&self) -> usize {
         self.peers.len()
     }
 
-    /// Tells whether no other host is heard.
+    /// Reports whether no other host is known.
     pub fn is_empty(&self) -> bool {
         self.peers.is_empty()
     }
 }
 
-/// A host's place among those that may do something for others: strong ones go first.
+/// A host's rank for a task that it performs for others. Well-connected hosts rank first.
 type Rank = (bool, u64);
 
-/// Ranks hosts for proving the configuration.
+/// Returns a host's rank for reading the configuration to prove it.
 fn prover_rank(is_well_connected: bool, host: &HostId) -> Rank {
     (is_well_connected, rendezvous("prover", host.as_str()))
 }
 
-/// Ranks hosts for watching the store.
+/// Returns a host's rank for watching the store.
 fn watcher_rank(is_well_connected: bool, host: &HostId) -> Rank {
     (is_well_connected, rendezvous("watch", host.as_str()))
 }
