--- a/crates/tidetrack-core/src/traffic/feeds.rs
+++ b/crates/tidetrack-core/src/traffic/feeds.rs
@@ -1,9 +1,12 @@
-//! What this host knows of the store's changes, and where it gets what it lacks.
+//! Tracks how far this host has followed the store's changes, and where it fetches those that it
+//! lacks.
 //!
-//! A few hosts of each failure domain watch the store; the others hear from them, and from each
-//! other, up to which change somebody knows each kind. A host that hears of a change it lacks gets it
-//! from the host that told it. Where that fails, or takes too long, it reads the store itself, so a
-//! host depends on no single other one. A host that starts lacks everything, and gets it the same way.
+//! A feed is the sequence of store changes of one kind, which hosts relay to each other. A few
+//! hosts in each failure domain, the watchers, watch the store. The others learn from them, and
+//! from each other, up to which revision some host knows each kind. A host that lacks a change
+//! fetches it from the host that reported it. If that fails or takes too long, it reads the store
+//! itself, so that no host depends on any single other one. A starting host lacks everything and
+//! fetches it in the same way.
 
 use std::net::SocketAddr;
 
@@ -11,54 +14,57 @@
 
 use crate::units::{Bandwidth, Millis};
 
-/// How long a change is left to hosts of the own failure domain to be told, before it is got from
-/// another one: bytes between failure domains cost.
+/// How long to wait for a host in the local failure domain to report a change before it is fetched
+/// from another domain, since traffic between failure domains costs money.
 const REMOTE_DOMAIN_DELAY: Millis = Millis(200);
 
-/// How long after the first word of a change the store is read for it.
+/// Delay from the first report of a change until the store is read for it.
 const STORE_READ_DELAY: Millis = Millis(700);
 
-/// How long after a read of the configuration told of a later revision of the store the endpoints are read
-/// up to there. Mostly those that watch bring the change before: they let changes gather for 0.6 s, at
-/// different times, and it goes round in 0.3 s. The configuration is read every 1.5 s at the latest, and
-/// the users' bound on requests at endpoints that leave is 3 s.
+/// Delay from learning of a later store revision, by a read of the configuration, until the
+/// endpoints are read up to that revision. Usually the watchers deliver the change earlier: they
+/// collect changes for 0.6 s, each at different times, and relaying takes 0.3 s. The configuration
+/// is read at least every 1.5 s, and the users' limit for requests to endpoints that are leaving is
+/// 3 s.
 const REQUIRED_REVISION_DELAY: Millis = Millis(400);
 
-/// How much longer a host that does not watch the store leaves a read up to a revision to those that do, which it
-/// asks then.
+/// Additional time that a host which does not watch the store gives the watchers to read a required
+/// revision before it queries them for it.
 const WATCHER_READ_ALLOWANCE: Millis = Millis(500);
 
-/// Pause between looks for a host that knows what is wanted: a try has failed by then, or brought too little.
+/// Interval between queries to hosts for a required revision. By then the previous attempt has
+/// failed or returned too little.
 const QUERY_INTERVAL: Millis = Millis(400);
 
-/// Pause after a failed read of the store, beside the time of a try.
+/// Delay after a failed read of the store, in addition to the timeout of an attempt.
 const STORE_RETRY_DELAY: Millis = Millis(600);
 
-/// Time after which a try counts as failed if nothing is coming in. A large reply takes longer than that
-/// on a narrow link, and a second one beside it only makes both slower.
+/// Time without incoming data after which an attempt counts as failed. A large reply takes longer
+/// than this on a narrow link, and a second one in parallel would only slow down both.
 const FETCH_TIMEOUT: Millis = Millis(400);
 
-/// A kind of objects that hosts follow in the store.
+/// A kind of objects whose changes hosts follow in the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum FeedKind {
-    /// The configuration.
+    /// The configuration, a single object.
     Catalog,
-    /// The endpoints.
+    /// The registered endpoints.
     Endpoints,
-    /// The roll-outs.
+    /// The roll-out orders and their progress.
     Rollouts,
 }
 
 impl FeedKind {
-    /// All kinds.
+    /// All kinds, in the order of their discriminants.
     pub const ALL: [FeedKind; 3] = [FeedKind::Catalog, FeedKind::Endpoints, FeedKind::Rollouts];
 
-    /// Tells whether the kind has a single object, so that its newest state is all there is to know.
+    /// Reports whether the kind has a single object, so that its newest state replaces all earlier
+    /// changes.
     pub fn is_single_object(self) -> bool {
         self == FeedKind::Catalog
     }
 
-    /// Gets the word for it in logs and metrics.
+    /// Returns the name used in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             FeedKind::Catalog => "Catalog",
@@ -68,47 +74,50 @@
     }
 }
 
-/// A revision of the store for each kind.
+/// A store revision for each kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Revisions([u64; 3]);
 
 impl Revisions {
-    /// Gets a kind's revision.
+    /// Returns the revision of a kind.
     pub fn get(&self, kind: FeedKind) -> u64 {
         self.0[kind as usize]
     }
 
-    /// Raises a kind's revision; it never falls.
+    /// Raises the revision of a kind to at least `to`. It never decreases.
     pub fn raise(&mut self, kind: FeedKind, to: u64) {
         let at = &mut self.0[kind as usize];
         *at = (*at).max(to);
     }
 }
 
-/// Time in which a host's link passes what it gives to other hosts at once. Twelve hosts that ask a host
-/// with a link of 10 Mbit/s for 1 MB each would wait ten seconds and hold its callers' answers up; the
-/// store gives it to them in a tenth of one.
+/// Time in which a host's link has to be able to send all its concurrent large replies. If twelve
+/// hosts each requested 1 MB from a host with a link of 10 Mbit/s, they would wait ten seconds and
+/// delay the responses to that host's callers; the store delivers the same data in a tenth of a
+/// second.
 const LARGE_REPLY_TIME_BUDGET: Millis = Millis(300);
 
-/// Size from which a reply with changes counts as large, in bytes: at 10 Mbit/s it takes 50 ms. News of
-/// endpoints, a few hundred bytes each, is smaller and does not wait for a configuration.
+/// Size in bytes from which a reply with changes counts as large; at 10 Mbit/s it takes 50 ms to
+/// send. Updates of endpoints take a few hundred bytes each, so they stay below this and do not
+/// wait for configurations.
 pub const LARGE_REPLY_BYTES: usize = 64 << 10;
 
-/// What a host gives to others at present.
+/// Limits the large replies that a host sends to other hosts at the same time.
 #[derive(Clone, Debug)]
 pub struct ReplyLimiter {
     max_bytes: u64,
-    /// Sizes of the large replies under way.
+    /// Sizes in bytes of the large replies being sent.
     active_sizes: Vec<u64>,
 }
 
 impl ReplyLimiter {
-    /// Makes the state of a host that gives nothing yet.
+    /// Creates a limiter for a host with the given link bandwidth.
     pub fn new(link: Bandwidth) -> ReplyLimiter {
         ReplyLimiter { max_bytes: link.bytes_in(LARGE_REPLY_TIME_BUDGET), active_sizes: Vec::new() }
     }
 
-    /// Begins a reply; `false` if the link has enough to do with others. One large reply may always go out.
+    /// Starts a reply of the given size. Returns false if the link is busy with other large
+    /// replies. One large reply is always admitted.
     pub fn try_begin(&mut self, bytes: u64) -> bool {
         if bytes <= LARGE_REPLY_BYTES as u64 {
             return true;
@@ -121,7 +130,7 @@
         can_begin
     }
 
-    /// Takes note that a reply is out, or given up.
+    /// Records that a reply was sent or aborted.
     pub fn end(&mut self, bytes: u64) {
         if let Some(at) = self.active_sizes.iter().position(|size| *size == bytes) {
             self.active_sizes.swap_remove(at);
@@ -129,42 +138,43 @@
     }
 }
 
-/// Where changes are got from.
+/// Where changes are fetched from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FetchSource {
-    /// Another host.
+    /// Another host, by its peer address.
     Host(SocketAddr),
-    /// The store.
+    /// The store itself.
     Store,
 }
 
-/// Changes that are to be got now.
+/// A fetch of changes that is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fetch {
-    /// Of this kind.
+    /// The kind of the changes.
     pub kind: FeedKind,
-    /// After this revision.
+    /// Fetches changes after this revision; 0 fetches the complete state.
     pub after: u64,
-    /// From there.
+    /// Where the changes are fetched from.
     pub source: FetchSource,
 }
 
-/// A change that somebody told of and this host lacks.
+/// A revision that this host lacks, and the state of its attempts to fetch it.
 #[derive(Clone, Copy, Debug)]
 struct MissingRevision {
-    /// When another host first told of it; `None` if only the store did.
+    /// When another host first reported the revision; `None` if only the store has.
     reported_at: Option<Millis>,
     /// When the store is read for it.
     store_read_at: Millis,
     reported_revision: u64,
-    /// The revision up to which it is wanted, whoever tells of changes.
+    /// The revision that has to be reached regardless of what other hosts report; 0 if none.
     required_revision: u64,
     last_attempt_at: Option<Millis>,
-    /// Whether that was at the store.
+    /// Whether the last attempt was a read of the store.
     was_store_tried_last: bool,
-    /// Whether hosts could not give it.
-    has_host_failed: bool,
-    /// When a host that may know it is asked next, before the store is.
+    /// Whether the last attempt failed, so that the store is read without waiting for
+    /// `store_read_at`.
+    has_attempt_failed: bool,
+    /// When to query another host next, before the store is read; `None` if hosts are not queried.
     next_query_at: Option<Millis>,
 }
 
@@ -177,36 +187,37 @@
             required_revision: 0,
             last_attempt_at: None,
             was_store_tried_last: false,
-            has_host_failed: false,
+            has_attempt_failed: false,
             next_query_at: None,
         }
     }
 }
 
-/// How far this host follows each kind.
+/// Tracks for each kind which revisions this host knows, lacks and fetches.
 #[derive(Clone, Debug, Default)]
 pub struct FeedTracker {
-    /// Every change up to here is known; 0 if the kind was never listed.
+    /// The revision up to which every change is known; 0 if the kind has never been listed.
     complete: Revisions,
-    /// The newest change that is known; this is what other hosts are told.
+    /// The newest known change, as reported to other hosts.
     newest_changes: Revisions,
     missing_revisions: [Option<MissingRevision>; 3],
 }
 
 impl FeedTracker {
-    /// Lacks all kinds from now on, and reads the store for them at `store_read_at` unless hosts gave them before.
+    /// Marks all kinds as missing. Reads the store at `store_read_at` for those that no host has
+    /// delivered by then.
     pub fn start_bootstrap(&mut self, store_read_at: Millis) {
         self.missing_revisions =
             FeedKind::ALL.map(|_| Some(MissingRevision::new(1, store_read_at)));
     }
 
-    /// Gets the newest known changes.
+    /// Returns the newest known change of each kind.
     pub fn newest_changes(&self) -> Revisions {
         self.newest_changes
     }
 
-    /// Takes note that every change up to `complete` is known, the newest of them `changed`; tells
-    /// whether that is news for other hosts.
+    /// Records that every change up to `complete` is known, the newest of them at `changed`, if
+    /// there was one. Returns whether that is a newer change to report to other hosts.
     pub fn record_complete(
         &mut self,
         now: Millis,
@@ -221,8 +232,9 @@
         let complete = self.complete.get(kind);
         let missing = &mut self.missing_revisions[kind as usize];
         *missing = missing.filter(|l| l.reported_revision > complete);
-        // While changes come one after another some are always lacked, but others give them: what is lacked now was
-        // told of later than what just came.
+        // During a series of changes there is always a missing revision, although other hosts
+        // deliver each one. What is still missing was reported later than the changes that just
+        // arrived, so its delay restarts.
         if let Some(missing) =
             missing.as_mut().filter(|l| has_advanced && l.required_revision <= complete)
         {
@@ -234,37 +246,40 @@
         self.newest_changes.get(kind) > previous
     }
 
-    /// Takes note that a reply with changes of a kind is coming in: what is lacked may be in it.
+    /// Records that data of a reply with changes of a kind is arriving. The reply may contain the
+    /// missing revision, so the attempt does not time out.
     pub fn record_incoming(&mut self, now: Millis, kind: FeedKind) {
         if let Some(missing) = &mut self.missing_revisions[kind as usize] {
             missing.last_attempt_at = Some(now);
         }
     }
 
-    /// Takes note that a try failed: the store is next, at once after a host, and after a pause if it
-    /// was the store that failed.
+    /// Records that an attempt failed. The store is read next: at once if a host failed, after a
+    /// delay if the store did.
     pub fn record_failure(&mut self, now: Millis, fetch: &Fetch) {
         if let Some(missing) = &mut self.missing_revisions[fetch.kind as usize] {
             missing.last_attempt_at =
                 (fetch.source == FetchSource::Store).then_some(now + STORE_RETRY_DELAY);
-            // While many hosts start, one that has enough to do with others declines.
-            missing.has_host_failed = fetch.after > 0;
+            // During a bootstrap, hosts decline requests while they are busy, so a failure there
+            // does not make this host read the store early.
+            missing.has_attempt_failed = fetch.after > 0;
         }
     }
 
-    /// Takes note that the store was at a revision when the configuration was read there. Those that watch
-    /// for this host may be away from the store and not know it, so a revision beyond the known ones is
-    /// word of a change of the endpoints, unless it is accounted for soon. It may be one of another kind;
-    /// the read is short then. A host that relies on others' proofs and had to read has not heard them, so
-    /// it does not wait for their news either.
+    /// Records the store's revision at a read of the configuration. Watchers may be disconnected
+    /// from the store without noticing, so a revision beyond the known ones is taken as a change of
+    /// the endpoints unless it is accounted for soon. If it belongs to another kind, the read
+    /// returns little. A host that is not a prover reads the configuration only if it has received
+    /// no relayed proofs, so it does not wait for relayed changes either.
     pub fn record_store_revision(&mut self, now: Millis, revision: u64, is_prover: bool) {
         let store_read_at = if is_prover { now + REQUIRED_REVISION_DELAY } else { now };
         self.add_requirement(FeedKind::Endpoints, revision, store_read_at);
     }
 
-    /// Takes note that a kind has to be known up to a revision: it is read unless others bring it soon. One read
-    /// by those that watch for others is enough for all, so a host that does not, `stagger_delay` being given, asks hosts for
-    /// it, and the store once its turn has come.
+    /// Records that a kind has to be known up to a revision. The store is read unless other hosts
+    /// deliver the revision soon. One read by a watcher serves all hosts. A host that is not a
+    /// watcher therefore first queries other hosts, and reads the store only after its
+    /// `stagger_delay`, which is `None` for watchers.
     pub fn request_revision(
         &mut self,
         now: Millis,
@@ -288,8 +303,8 @@
         }
     }
 
-    /// Gets what is to be asked of hosts before the store: of one that `holder` names as knowing a kind up to a
-    /// revision.
+    /// Returns the queries to other hosts that are due before the store is read. `holder` returns a
+    /// host that knows a kind up to a revision.
     pub fn due_host_queries(
         &mut self,
         now: Millis,
@@ -299,7 +314,7 @@
         for kind in FeedKind::ALL {
             let after = self.complete.get(kind);
             let Some(missing) = &mut self.missing_revisions[kind as usize] else { continue };
-            // Or hosts that do not know enough would be asked for ever.
+            // Without this check, hosts that lack the revision would be queried forever.
             let is_store_next = now >= missing.store_read_at && !missing.was_store_tried_last;
             if is_store_next || missing.next_query_at.is_none_or(|at| now < at) {
                 continue;
@@ -316,7 +331,7 @@
 
     fn add_requirement(&mut self, kind: FeedKind, revision: u64, store_read_at: Millis) {
         let after = self.complete.get(kind);
-        // A kind that was never listed is being listed.
+        // A kind that has never been listed is being listed already.
         if after == 0 || revision <= after {
             return;
         }
@@ -327,12 +342,14 @@
         missing.store_read_at = missing.store_read_at.min(store_read_at);
     }
 
-    /// Gets the revision up to which every change of a kind is known; 0 if it was never listed.
+    /// Returns the revision up to which every change of a kind is known; 0 if it has never been
+    /// listed.
     pub fn complete(&self, kind: FeedKind) -> u64 {
         self.complete.get(kind)
     }
 
-    /// Takes what another host knows; gets what is to be got from it.
+    /// Processes the newest changes that another host reports. Returns the fetches from that host
+    /// that are due.
     pub fn receive_revisions(
         &mut self,
         now: Millis,
@@ -347,13 +364,13 @@
             .collect()
     }
 
-    /// Tells whether this host knows nothing of some kind since its start.
+    /// Reports whether this host has not yet received the initial state of some kind.
     pub fn is_bootstrapping(&self) -> bool {
         FeedKind::ALL.into_iter().any(|k| self.complete.get(k) == 0)
     }
 
-    /// Lists the kinds of which this host knows nothing since its start, and another one does. Nothing may have
-    /// changed for long, so that no change is told.
+    /// Returns the kinds whose initial state this host lacks and the reporting host has. This
+    /// covers kinds without recent changes, for which no change is reported.
     pub fn bootstrap_kinds(&self, reported: &Revisions) -> Vec<FeedKind> {
         let is_missing = |k: &FeedKind| {
             self.complete.get(*k) == 0 && self.missing_revisions[*k as usize].is_some()
@@ -361,7 +378,8 @@
         FeedKind::ALL.into_iter().filter(|k| is_missing(k) && reported.get(*k) > 0).collect()
     }
 
-    /// Gets a kind of which this host knows nothing from a host that holds it, unless it is being got.
+    /// Returns a fetch of a kind's initial state from a host that has it, unless an attempt is in
+    /// progress or the store is next.
     pub fn retry_bootstrap(
         &mut self,
         now: Millis,
@@ -372,7 +390,7 @@
             .as_mut()
             .filter(|_| self.complete.0[kind as usize] == 0)?;
         let is_attempt_active = missing.last_attempt_at.is_some_and(|at| now < at + FETCH_TIMEOUT);
-        // From then on the store and hosts take turns.
+        // Once the store read is due, attempts alternate between the store and other hosts.
         let is_store_next = now >= missing.store_read_at && !missing.was_store_tried_last;
         if is_attempt_active || is_store_next {
             return None;
@@ -382,7 +400,7 @@
         Some(Fetch { kind, after: 0, source: FetchSource::Host(holder) })
     }
 
-    /// Gets up to where each kind is known.
+    /// Returns the revision up to which each kind is completely known.
     pub fn complete_revisions(&self) -> Revisions {
         self.complete
     }
@@ -396,7 +414,7 @@
         is_local_domain: bool,
     ) -> Option<Fetch> {
         let after = self.complete.get(kind);
-        // A kind that was never listed is being got.
+        // A kind that has never been listed is being fetched already.
         if after == 0 || reported_revision <= after {
             return None;
         }
@@ -406,13 +424,13 @@
         missing.reported_revision = missing.reported_revision.max(reported_revision);
         let is_attempt_active = missing.last_attempt_at.is_some_and(|at| now < at + FETCH_TIMEOUT);
         if is_attempt_active
-            || missing.has_host_failed
+            || missing.has_attempt_failed
             || !(is_local_domain || now >= reported_at + REMOTE_DOMAIN_DELAY)
         {
             return None;
         }
-        // Word comes from many hosts and at any time: each of their tries would be the next one, and the
-        // store never asked.
+        // Reports arrive from many hosts at any time. Without this check each one would start the
+        // next attempt, and the store would never be read.
         if now >= missing.store_read_at && !missing.was_store_tried_last {
             return None;
         }
@@ -421,17 +439,17 @@
         Some(Fetch { kind, after, source })
     }
 
-    /// Gets what is to be read from the store, because hosts did not give it.
+    /// Returns the store reads that are due because no host delivered the missing revision.
     pub fn due_store_reads(&mut self, now: Millis) -> Vec<Fetch> {
         let mut due = Vec::new();
         for kind in FeedKind::ALL {
             let Some(missing) = &mut self.missing_revisions[kind as usize] else { continue };
             let is_attempt_active =
                 missing.last_attempt_at.is_some_and(|at| now < at + FETCH_TIMEOUT);
-            if !is_attempt_active && (missing.has_host_failed || now >= missing.store_read_at) {
+            if !is_attempt_active && (missing.has_attempt_failed || now >= missing.store_read_at) {
                 missing.last_attempt_at = Some(now);
                 missing.was_store_tried_last = true;
-                missing.has_host_failed = false;
+                missing.has_attempt_failed = false;
                 let after = self.complete.get(kind);
                 due.push(Fetch { kind, after, source: FetchSource::Store });
             }
--- a/crates/tidetrack-core/src/traffic/suspects/mod.rs
+++ b/crates/tidetrack-core/src/traffic/suspects/mod.rs
@@ -1,15 +1,18 @@
-//! Requests under which endpoints crash.
+//! Detection of requests that crash endpoints.
 //!
-//! Some requests crash every endpoint that begins to run them, and come again at any host. A bound on the retries
-//! of one request at one host does not hold them: what has to be known is how many endpoints ended under a request
-//! in all, at all hosts together. So hosts tell each other which endpoints ended under which fingerprint, and a
-//! request takes no more runs anywhere once a few have.
+//! Some requests crash every endpoint that runs them, and callers send them again to any host.
+//! Limiting the retries of one request on one host does not contain them; what counts is how many
+//! endpoints have crashed while running the request, over all hosts. Hosts therefore report to each
+//! other which endpoints crashed under which request fingerprint, and after a few crashes the
+//! request is barred on all hosts. A suspect is a request that may have crashed an endpoint.
 //!
-//! Requests that merely ran beside such a one must not be refused for it, and endpoints crash for other reasons
-//! too. A run that comes to its end clears a request, here and at all hosts; crashes that a barred request explains
-//! count against no other; and endpoints of one failure domain that end at the same moment count as one.
+//! A request that merely ran beside such a request must not be barred, and endpoints also crash for
+//! other reasons. An execution that completes therefore clears a request on all hosts, crashes that
+//! a barred request explains do not count against other requests, and simultaneous crashes of
+//! endpoints in one failure domain count as one.
 //!
-//! The room is fixed, each caller has a part of it, and everything is forgotten after a time.
+//! The number of suspects is bounded, in total and per caller, and each suspect expires after a
+//! time.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -29,54 +32,59 @@
 
 pub use reports::{CrashReport, SuspectChange, SuspectReport};
 
-/// Crashes from which a request runs at one place at a time on a host.
+/// Number of crashes from which a host runs at most one copy of a request at a time.
 const EXCLUSIVE_FROM_CRASHES: usize = 2;
 
-/// When to come back for a request that is under suspicion and runs already, in milliseconds.
+/// Retry delay, in milliseconds, for a suspect that may run only one copy at a time and is already
+/// running.
 const EXCLUSIVE_RETRY_AFTER_MS: u64 = 1_000;
 
-/// Crashes of one endpoint within this time are one crash that several hosts saw: what is told ages on its way.
+/// Crashes of one endpoint within this time count as one crash that several hosts observed.
+/// Reported ages do not include the transmission delay, so hosts date the same crash differently.
 const DUPLICATE_CRASH_WINDOW: Millis = Millis(2_000);
 
-/// Endpoints of a failure domain that end within this time have a cause in common.
+/// Endpoints of one failure domain that crash within this time are assumed to have a common cause.
 const COMMON_CAUSE_WINDOW: Millis = Millis(300);
 
-/// Crashes that are remembered of one request.
+/// Maximum number of crashes stored per suspect.
 const MAX_CRASHES_PER_SUSPECT: usize = 16;
 
-/// Crashes that are told of one request.
+/// Maximum number of crashes in one suspect's report.
 const MAX_CRASHES_PER_REPORT: usize = 6;
 
-/// Requests that one message tells at most.
+/// Maximum number of suspects reported in one message.
 pub const MAX_REPORTS_PER_MESSAGE: usize = 16;
 
-/// Requests that the answer to a host's first message tells at most: it has to know them before it sends.
+/// Maximum number of suspects in the reply to a host's first message. The host has to know them
+/// before it sends requests to endpoints.
 pub const MAX_REPORTS_IN_FIRST_REPLY: usize = 24;
 
-/// Fingerprints of runs that ended well, in each of two halves that take turns.
+/// Maximum number of fingerprints in each of the two sets of recently completed requests. When the
+/// current set is full, it replaces the older one.
 const MAX_COMPLETED_PER_HALF: usize = 2_048;
 
-/// How suspicion is handled. Times are in milliseconds.
+/// Settings for barring requests that crash endpoints. Times are in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct SuspectOptions {
-    /// Crashes from which a request is barred.
+    /// Number of crashes from which a request is barred.
     #[serde(rename = "barred_from")]
     pub bar_threshold: usize,
-    /// How long it is barred after the last crash. What made endpoints crash may have been mended by then, so one copy
-    /// at a time runs again; the next crash bars it anew.
+    /// How long a request stays barred after its last crash. Afterwards one copy at a time runs
+    /// again, since the fault that made endpoints crash may have been fixed; the next crash bars
+    /// the request again.
     #[serde(rename = "barred_for")]
     pub bar_duration: Millis,
-    /// How long a request is remembered after the last crash.
+    /// How long a suspect is stored after its last crash.
     #[serde(rename = "kept_for")]
     pub retention: Millis,
-    /// How long a cleared request is under no new suspicion.
+    /// How long crashes do not count against a request after it was cleared.
     #[serde(rename = "cleared_for")]
     pub clear_duration: Millis,
-    /// Requests that are remembered.
+    /// Maximum number of suspects stored.
     #[serde(rename = "most")]
     pub max_suspects: usize,
-    /// Those of one caller.
+    /// Maximum number of suspects stored per caller.
     #[serde(rename = "most_of_caller")]
     pub max_suspects_per_caller: usize,
 }
@@ -98,7 +106,7 @@
 struct Crash {
     endpoint: EndpointKey,
     domain_hash: u16,
-    /// When the request had been sent there.
+    /// When the request was sent to the endpoint.
     sent_at: Millis,
     crashed_at: Millis,
 }
@@ -109,11 +117,13 @@
             && time_between(self.crashed_at, other.crashed_at) <= DUPLICATE_CRASH_WINDOW
     }
 
-    /// Tells whether both endpoints may have ended for one reason beside the request. A send that followed the first
-    /// end speaks against that.
+    /// Reports whether both crashes may have a common cause other than the request: the endpoints
+    /// are in one failure domain, crashed almost together, and ran the request at the same time. If
+    /// the request was sent to one endpoint only after the other had crashed, both crashes count
+    /// against it.
     fn has_common_cause(&self, other: &Crash) -> bool {
-        let overlap = self.sent_at < other.crashed_at && other.sent_at < self.crashed_at;
-        overlap
+        let has_overlap = self.sent_at < other.crashed_at && other.sent_at < self.crashed_at;
+        has_overlap
             && self.domain_hash == other.domain_hash
             && time_between(self.crashed_at, other.crashed_at) <= COMMON_CAUSE_WINDOW
     }
@@ -129,18 +139,19 @@
 
 #[derive(Clone, Debug, Default)]
 struct Suspect {
-    /// In the order in which they became known.
+    /// Crashes in the order in which this host learned of them.
     crashes: Vec<Crash>,
     cleared_at: Option<Millis>,
-    /// When this host learned something new of it.
+    /// When this host last learned something new about the suspect.
     changed_at: Millis,
-    /// Whether so many crashes count against it that it is barred for a time after the last one.
+    /// Whether the number of crashes reaches `bar_threshold`. The bar ends `bar_duration` after the
+    /// last crash, but this flag stays set.
     is_barred: bool,
 }
 
 impl Suspect {
-    /// Adds a crash; tells whether it was not known.
-    fn record_crash(&mut self, crash: Crash) -> bool {
+    /// Adds a crash. Returns false if it is a duplicate of a known one.
+    fn add_crash(&mut self, crash: Crash) -> bool {
         if self.crashes.iter().any(|known| known.is_duplicate_of(&crash)) {
             return false;
         }
@@ -151,12 +162,12 @@
         true
     }
 
-    /// Gets when an endpoint last ended under it.
+    /// Returns the time of the last crash.
     fn last_crash_at(&self) -> Millis {
         self.crashes.iter().map(|c| c.crashed_at).max().unwrap_or_default()
     }
 
-    /// Gets what may be told of it at `now`.
+    /// Returns the suspect's report to other hosts, with ages relative to `now`.
     fn to_report(&self, now: Millis, fingerprint: Fingerprint) -> SuspectReport {
         let newest = self.crashes.iter().rev().take(MAX_CRASHES_PER_REPORT);
         let crash_report = |c: &Crash| CrashReport {
@@ -176,16 +187,17 @@
 #[derive(Debug, Default)]
 struct State {
     suspects: HashMap<Fingerprint, Suspect>,
-    /// Requests that are being served, and how many copies of each.
+    /// The number of running copies of each request on this host.
     running_copies: HashMap<Fingerprint, u32>,
-    /// Requests of which a run came to its end of late, in two halves.
+    /// Requests of which an execution recently completed: the current set, then the previous one.
     recently_completed: [HashSet<Fingerprint>; 2],
     changes: Vec<SuspectChange>,
-    /// Place of the next barred request to be told again.
+    /// Index of the next barred suspect to repeat in reports.
     next_barred: usize,
 }
 
-/// What a host knows of requests under which endpoints crashed, its own and what others tell.
+/// Requests that may have crashed endpoints, from this host's observations and other hosts'
+/// reports.
 #[derive(Debug, Default)]
 pub struct Suspects {
     opts: SuspectOptions,
@@ -193,7 +205,7 @@
     has_unreported: AtomicBool,
 }
 
-/// A request that is being served, until dropped.
+/// Counts a copy of a request as running until dropped.
 #[derive(Debug)]
 pub struct RunningRequest {
     suspects: Arc<Suspects>,
@@ -213,7 +225,7 @@
 }
 
 impl Suspects {
-    /// Makes a memory with other options.
+    /// Creates an empty set of suspects with the given options.
     pub fn new(opts: SuspectOptions) -> Suspects {
         Suspects { opts, ..Suspects::default() }
     }
@@ -222,7 +234,10 @@
         self.state.lock().expect("no holder of the lock panics")
     }
 
-    /// Admits a request unless it is barred, or runs here already and is close to that.
+    /// Admits a request.
+    ///
+    /// Returns an error if the request is barred, or if it has crashed several endpoints and
+    /// already runs on this host.
     pub fn admit(
         self: &Arc<Self>,
         now: Millis,
@@ -233,7 +248,7 @@
         let copies = state.running_copies.entry(fingerprint).or_default();
         if crashes >= EXCLUSIVE_FROM_CRASHES && *copies > 0 {
             let message = format!(
-                "endpoints crashed {crashes} times while they ran request {fingerprint}, and it runs already"
+                "request {fingerprint} is already running on this host and may run only one copy at a time: endpoints crashed {crashes} times while running it"
             );
             return Err(
                 Error::new(Code::SuspectRuns, message).with_retry_after(EXCLUSIVE_RETRY_AFTER_MS)
@@ -243,12 +258,13 @@
         Ok(RunningRequest { suspects: self.clone(), fingerprint })
     }
 
-    /// Checks, before each send, that a request is not barred.
+    /// Returns an error if a request is barred. Called before each attempt.
     pub fn check(&self, now: Millis, fingerprint: Fingerprint) -> Result<()> {
         self.check_locked(&self.state(), now, fingerprint).map(drop)
     }
 
-    /// Checks the same; gets the crashes that count against the request.
+    /// Performs `check` with the lock held. Returns the number of crashes that count against the
+    /// request.
     fn check_locked(&self, state: &State, now: Millis, fingerprint: Fingerprint) -> Result<usize> {
         let Some(suspect) = state.suspects.get(&fingerprint) else { return Ok(0) };
         let crashes = self.count_crashes(state, now, fingerprint);
@@ -258,13 +274,13 @@
             return Ok(crashes);
         }
         let message = format!(
-            "endpoints crashed {crashes} times while they ran request {fingerprint}; it is not run any more"
+            "request {fingerprint} is barred: endpoints crashed {crashes} times while running it"
         );
         Err(Error::new(Code::CrashesEndpoints, message))
     }
 
-    /// Takes note that an endpoint ended while it ran a request that was sent there at `sent_at`; gets the crashes
-    /// that count against the request.
+    /// Records that an endpoint crashed while running a request that was sent to it at `sent_at`.
+    /// Returns the number of crashes that count against the request.
     pub fn record_crash(
         &self,
         now: Millis,
@@ -281,7 +297,7 @@
             return 0;
         }
         let suspect = self.entry_or_evict(&mut state, fingerprint);
-        if suspect.record_crash(crash) {
+        if suspect.add_crash(crash) {
             suspect.changed_at = now;
             self.has_unreported.store(true, Ordering::Relaxed);
         }
@@ -289,7 +305,7 @@
         self.count_crashes(&state, now, fingerprint)
     }
 
-    /// Takes note that a run of a request came to its end.
+    /// Records that an execution of a request completed, and clears the request if it is a suspect.
     pub fn record_completion(&self, now: Millis, fingerprint: Fingerprint) {
         let mut state = self.state();
         if state.recently_completed[0].len() >= MAX_COMPLETED_PER_HALF {
@@ -302,7 +318,7 @@
         }
     }
 
-    /// Clears a request that is remembered, as of `at`.
+    /// Marks a suspect as cleared since `at`.
     fn clear(&self, state: &mut State, now: Millis, at: Millis, fingerprint: Fingerprint) {
         let Some(suspect) = state.suspects.get_mut(&fingerprint) else { return };
         if suspect.cleared_at.is_some() {
@@ -315,7 +331,7 @@
         self.has_unreported.store(true, Ordering::Relaxed);
     }
 
-    /// Takes what another host tells.
+    /// Adds the suspects and crashes that another host reports.
     pub fn receive_reports(&self, now: Millis, reports: &[SuspectReport]) {
         if reports.is_empty() {
             return;
@@ -344,7 +360,7 @@
             );
             let sent_at = Millis(crashed_at.0.saturating_sub(u64::from(crash_report.run_ms)));
             has_new_crash |=
-                suspect.record_crash(Crash { endpoint, domain_hash, sent_at, crashed_at });
+                suspect.add_crash(Crash { endpoint, domain_hash, sent_at, crashed_at });
         }
         if has_new_crash {
             suspect.changed_at = now;
@@ -359,25 +375,26 @@
         }
     }
 
-    /// Tells whether something is known here that no other host was told of.
+    /// Reports whether there are changes that have not been reported to any host.
     pub fn has_unreported(&self) -> bool {
         self.has_unreported.load(Ordering::Relaxed)
     }
 
-    /// Tells whether something became known here of late that others may not know.
+    /// Reports whether there are recent changes that other hosts may not know yet.
     pub fn has_recent_changes(&self, now: Millis) -> bool {
         self.state().suspects.values().any(|s| is_recent_change(now, s.changed_at))
     }
 
-    /// Lists what to tell other hosts in a round: what is new, and now and then what is barred, for hosts that missed
-    /// it.
+    /// Returns the reports for one round of messages: recent changes, and at intervals the barred
+    /// suspects, for hosts that missed earlier reports.
     pub fn reports_for_round(&self, now: Millis) -> Vec<SuspectReport> {
         self.build_reports(now, MAX_REPORTS_PER_MESSAGE, |fingerprint| {
             is_repeat_due(now, fingerprint.hash_start())
         })
     }
 
-    /// Lists up to `max_reports` requests to tell one other host: what is new, then barred ones in turn.
+    /// Returns up to `max_reports` reports for one host: recent changes, then barred suspects in
+    /// rotation.
     pub fn reports_for_host(&self, now: Millis, max_reports: usize) -> Vec<SuspectReport> {
         self.build_reports(now, max_reports, |_| true)
     }
@@ -411,22 +428,23 @@
         reports
     }
 
-    /// Gets what changed since the last call, for the log.
+    /// Returns the changes since the last call, for the log.
     pub fn take_changes(&self) -> Vec<SuspectChange> {
         std::mem::take(&mut self.state().changes)
     }
 
-    /// Counts the requests that are remembered.
+    /// Returns the number of suspects.
     pub fn len(&self) -> usize {
         self.state().suspects.len()
     }
 
-    /// Tells whether no request is remembered.
+    /// Reports whether there are no suspects.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Gets the entry of a request, in the place of another one if there is no room.
+    /// Returns the entry of a request, creating it if necessary. If a limit is reached, another
+    /// entry is evicted first.
     fn entry_or_evict<'a>(
         &self,
         state: &'a mut State,
@@ -439,7 +457,7 @@
             if own >= self.opts.max_suspects_per_caller {
                 state.evict(is_own);
             } else if state.suspects.len() >= self.opts.max_suspects {
-                // Whoever has most of the room gives way.
+                // Evicts an entry of the caller that has the most entries.
                 let mut entries_per_caller: HashMap<u32, usize> = HashMap::new();
                 for f in state.suspects.keys() {
                     *entries_per_caller.entry(f.caller()).or_default() += 1;
@@ -453,17 +471,19 @@
         state.suspects.entry(fingerprint).or_default()
     }
 
-    /// Counts the crashes that speak against a request.
+    /// Counts the crashes that count against a request.
     fn count_crashes(&self, state: &State, now: Millis, fingerprint: Fingerprint) -> usize {
         let Some(suspect) = state.suspects.get(&fingerprint) else { return 0 };
         if self.is_expired(suspect, now) || suspect.cleared_at.is_some() {
             return 0;
         }
-        // A single crash bars nothing, so what else explains it does not matter.
+        // A single crash never restricts a request, so there is no need to look for other
+        // explanations.
         if suspect.crashes.len() < EXCLUSIVE_FROM_CRASHES {
             return suspect.crashes.len();
         }
-        // One that ran beside a barred request saw a part of what that one did.
+        // A request that ran beside a barred one shares only some of its crashes, so a barred
+        // request with more crashes explains them.
         let is_larger_barred =
             |other: &&Suspect| other.is_barred && other.crashes.len() > suspect.crashes.len();
         let others: Vec<&Suspect> = state.suspects.values().filter(is_larger_barred).collect();
@@ -483,7 +503,7 @@
         now >= suspect.last_crash_at() + self.opts.retention
     }
 
-    /// Finds requests that are barred by what is known now, and those that no longer are.
+    /// Updates which suspects are barred after crashes were added, and records the changes.
     fn reevaluate(&self, state: &mut State, now: Millis) {
         let may_change = |s: &Suspect| s.is_barred || s.crashes.len() >= self.opts.bar_threshold;
         let all = state.suspects.iter().filter(|(_, s)| may_change(s));
@@ -514,7 +534,8 @@
         self.recently_completed.iter().any(|half| half.contains(fingerprint))
     }
 
-    /// Forgets the entry that matters least of some.
+    /// Evicts the least important of the candidates: those that are not barred first, then those
+    /// with the fewest and oldest crashes.
     fn evict(&mut self, is_candidate: impl Fn(&Fingerprint) -> bool) {
         let candidates = self.suspects.iter().filter(|(f, _)| is_candidate(f));
         let least_important =
--- a/crates/tidetrack-core/src/traffic/suspects/reports.rs
+++ b/crates/tidetrack-core/src/traffic/suspects/reports.rs
@@ -1,4 +1,4 @@
-//! What hosts tell each other of requests under which endpoints crashed, and what is logged of them.
+//! Reports of suspects between hosts, and the changes that are logged about them.
 
 use std::fmt;
 
@@ -8,49 +8,49 @@
 use crate::ids::EndpointKey;
 use crate::traffic::fingerprint::Fingerprint;
 
-/// The end of an endpoint under a request, as it is told.
+/// A crash of an endpoint while it ran a suspect request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashReport {
-    /// The endpoint.
+    /// The endpoint that crashed.
     pub endpoint: EndpointKey,
-    /// Stands for its failure domain.
+    /// Hash of the endpoint's failure domain.
     #[serde(rename = "domain")]
     pub domain_hash: u16,
-    /// Milliseconds for which the request had been there.
+    /// Milliseconds between sending the request to the endpoint and the crash.
     #[serde(rename = "ran_ms")]
     pub run_ms: u32,
-    /// Milliseconds since.
+    /// Milliseconds since the crash.
     #[serde(rename = "ago_ms")]
     pub age_ms: u32,
 }
 
-/// A request under which endpoints crashed, as hosts tell each other.
+/// A request that may have crashed endpoints, as hosts report it to each other.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectReport {
-    /// The request.
+    /// Fingerprint of the request.
     pub fingerprint: Fingerprint,
-    /// The newest crashes.
+    /// The newest crashes, newest first.
     pub crashes: Vec<CrashReport>,
-    /// Milliseconds since a run came to its end, if one did.
+    /// Milliseconds since an execution of the request completed; `None` if none has.
     pub cleared_ms: Option<u32>,
 }
 
-/// What became of a request under suspicion, for the log.
+/// A change of a suspect's state, for the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SuspectChange {
-    /// It takes no more runs.
+    /// The request is barred and gets no more attempts.
     Barred {
-        /// The request.
+        /// Fingerprint of the request.
         fingerprint: Fingerprint,
-        /// Crashes that count against it.
+        /// Number of crashes that count against the request.
         crashes: usize,
     },
-    /// It is under no suspicion any more.
+    /// The request is no longer barred, or an execution of it completed.
     Cleared(Fingerprint),
 }
 
 impl SuspectChange {
-    /// Gets the event that it is logged as.
+    /// Returns the event under which the change is logged.
     pub fn event(&self) -> Event {
         match self {
             SuspectChange::Barred { .. } => Event::RequestBarred,
