--- a/crates/tidetrack-core/src/traffic/admission.rs
+++ b/crates/tidetrack-core/src/traffic/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: whether a request may be passed on at all, from what this host knows.
+//! Admission: decides whether a request may be passed on, given this host's configuration.
 
 use std::sync::Arc;
 
@@ -8,45 +8,53 @@
 use crate::traffic::freshness::Freshness;
 use crate::units::Millis;
 
-/// When to come back to a host that has no configuration yet or no fresh one, in milliseconds: by
-/// then a balancer sends new connections to another host, or a read of the store was answered.
+/// Retry delay, in milliseconds, for a host without a configuration or without a recent proof of
+/// it. By then a load balancer sends new connections to another host, or a read of the store has
+/// completed.
 const NOT_READY_RETRY_AFTER_MS: u64 = 500;
 
-/// Makes the refusal of a host whose configuration was not confirmed for too long.
+/// Returns the error for a host whose configuration has not been confirmed for too long.
 pub fn stale_config_error() -> Error {
-    Error::new(Code::Stale, "the configuration was not confirmed for too long")
+    Error::new(Code::Stale, "the configuration has not been confirmed as the newest for too long")
         .with_retry_after(NOT_READY_RETRY_AFTER_MS)
 }
 
-/// What is asked at the gate.
+/// The parts of a request that admission depends on.
 #[derive(Clone, Copy, Debug)]
 pub struct AdmissionRequest<'a> {
-    /// The `Host` header.
+    /// The value of the `Host` header.
     pub hostname: &'a str,
-    /// The path.
+    /// The request path.
     pub path: &'a str,
-    /// The key, if one was sent.
+    /// The key in the request; `None` if it has none.
     pub key: Option<&'a str>,
 }
 
-/// A request that may pass.
+/// A request that may be passed on.
 #[derive(Clone, Debug)]
 pub struct AdmittedRequest {
-    /// Its route.
+    /// The route that the request matched.
     pub route: Arc<Route>,
-    /// The workspace whose key it carried.
+    /// The workspace that the request's key belongs to; `None` for a request without a known key
+    /// on a route that needs none.
     pub holder: Option<KeyHolder>,
 }
 
 impl AdmittedRequest {
-    /// Gets the request's urgency: the workspace's goes before the route's.
+    /// Returns the priority rank of the request: that of the workspace if it has one, otherwise
+    /// that of the route.
     pub fn rank(&self) -> u8 {
         let workspace_rank = self.holder.as_ref().and_then(|h| h.rank);
         workspace_rank.unwrap_or(self.route.rank)
     }
 }
 
-/// Decides whether a request may pass.
+/// Decides whether a request may be passed on.
+///
+/// Without a `revocation_bound`, the configuration needs no recent proof.
+///
+/// Returns an error if the host has no configuration, if the configuration has not been confirmed
+/// for too long, if no route matches, or if the key belongs to no workspace.
 pub fn admit(
     catalog: Option<&Catalog>,
     freshness: &Freshness,
@@ -55,16 +63,16 @@
     request: AdmissionRequest<'_>,
 ) -> Result<AdmittedRequest> {
     let not_ready = || {
-        Error::new(Code::NotReady, "no configuration yet")
+        Error::new(Code::NotReady, "this host has not received a configuration yet")
             .with_retry_after(NOT_READY_RETRY_AFTER_MS)
     };
     let catalog = catalog.ok_or_else(not_ready)?;
     let is_fresh =
         revocation_bound.is_none_or(|max_age| freshness.permits_keyed_requests(now, max_age));
     let Some(route) = catalog.route(request.hostname, request.path) else {
-        // A host with an old configuration can't tell an unknown route from a new one.
+        // A host with an outdated configuration cannot tell an unknown route from a new one.
         return Err(if is_fresh {
-            Error::new(Code::UnknownRoute, "no such route")
+            Error::new(Code::UnknownRoute, "no route matches the host name and path")
         } else {
             stale_config_error()
         });
@@ -75,6 +83,9 @@
         Identity::Holder(holder) => {
             Ok(AdmittedRequest { route: route.clone(), holder: Some(holder) })
         }
-        Identity::Unknown => Err(Error::new(Code::NoKey, "no workspace holds this key")),
+        Identity::Unknown => Err(Error::new(
+            Code::NoKey,
+            "the request has no key, or one that belongs to no workspace",
+        )),
     }
 }
--- a/crates/tidetrack-core/src/traffic/bootstrap.rs
+++ b/crates/tidetrack-core/src/traffic/bootstrap.rs
@@ -1,72 +1,79 @@
-//! Who reads the store when hosts start, and who leaves that to others.
+//! Decides when a starting host reads the store, and when it waits for other hosts to read it.
 //!
-//! A fleet may start as a whole, and then every host asks the store the same. So hosts whose links can pass
-//! copies on to many others read it at once, and those that the others know from the start; the rest wait for
-//! a while, meet these, and are given what they hold. Nobody depends on that: a host that was given nothing
-//! reads the store after all, at a time of its own, so that a few which do so first serve the others.
+//! If a whole fleet starts at once, every host needs the same data from the store. Well-connected
+//! hosts, which can pass copies on to many others, therefore read the store at once, as do the
+//! seeds, which the other hosts contact first. The rest wait for a while, discover these hosts and
+//! receive their state from them. No host depends on that: one that has received nothing reads the
+//! store itself, at a random time, so that the first few of these can serve the others.
 //!
-//! Callers reach such hosts meanwhile, where a whole failure domain starts. What they ask for can be served in a
-//! moment, so it is held for a part of the time that they leave, instead of being sent to the next host that
-//! knows as little. This answers the load of the second after a whole fleet was killed, and no other: a host
-//! that has not come to know anything in its first second refuses at once.
+//! If a whole failure domain starts, callers reach such hosts meanwhile. Their requests can be
+//! served within a moment, so each is held for a part of the time until its deadline rather than
+//! sent on to another host that has no configuration either. This covers only the load in the first
+//! second after a whole fleet was killed: a host that has received no configuration by then rejects
+//! requests at once.
 
 use crate::units::{Bandwidth, Millis};
 
-/// A link that passes a dozen copies of a configuration of some hundred KB in a third of a second.
+/// Link bandwidth from which a host is well-connected. Such a link sends a dozen copies of a
+/// configuration of some hundred KB in a third of a second.
 const WELL_CONNECTED_BANDWIDTH: Bandwidth = Bandwidth(100.0);
 
-/// How long a host at least leaves the store to others: they have read it by then, and it has met some of them.
+/// Minimum time that a host waits for others to read the store. By then they have read it, and this
+/// host has discovered some of them.
 const MIN_STORE_READ_DELAY: Millis = Millis(400);
 
-/// Time in which hosts that were given nothing read the store, in milliseconds.
+/// Time, in milliseconds, over which hosts that received nothing spread their reads of the store.
 const STORE_READ_STAGGER_MS: f64 = 1_000.0;
 
-/// Time from the start in which hosts of a large fleet have met.
+/// Time after the start in which the hosts of a large fleet discover each other.
 pub const DISCOVERY_TIME: Millis = Millis(1_500);
 
-/// Pause between first messages to others until then.
+/// Interval between first messages to other hosts during discovery.
 pub const DISCOVERY_ROUND_INTERVAL: Millis = Millis(100);
 
-/// Time after a start in which a host comes to know what it serves by.
+/// Time after the start in which a host normally receives the configuration that it needs to serve
+/// requests.
 const MAX_BOOTSTRAP_TIME: Millis = Millis(1_000);
 
-/// One in so many parts of the time that a caller leaves is what it may be held for: callers leave some ten times
-/// of what they aim at.
+/// A request is held for at most the time until its deadline divided by this. Callers' deadlines
+/// are about ten times their target latency.
 const HOLD_DIVISOR: u64 = 16;
 
-/// Longest that a request is held.
+/// Maximum time that a request is held.
 const MAX_HOLD_TIME: Millis = Millis(500);
 
-/// Gets how long a request may be held by a host that started some time ago and cannot serve yet.
+/// Returns how long a host that cannot serve yet may hold a request. Returns zero if the request
+/// has no deadline.
 pub fn hold_time(time_since_start: Millis, time_to_deadline: Option<Millis>) -> Millis {
-    let fraction = Millis(time_to_deadline.unwrap_or_default().0 / HOLD_DIVISOR);
-    (MAX_BOOTSTRAP_TIME - time_since_start).min(fraction).min(MAX_HOLD_TIME)
+    let deadline_share = Millis(time_to_deadline.unwrap_or_default().0 / HOLD_DIVISOR);
+    (MAX_BOOTSTRAP_TIME - time_since_start).min(deadline_share).min(MAX_HOLD_TIME)
 }
 
-/// What a host knows of itself when it starts.
+/// What a host knows about itself when it starts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BootstrapInfo {
-    /// What its link passes.
+    /// The bandwidth of the host's link.
     pub link: Bandwidth,
-    /// Whether the others know it from the start, or it knows of no others.
+    /// Whether the host is a seed, which the other hosts contact first, or has no seeds to contact.
     pub is_seed: bool,
-    /// Drawn for it, from 0 up to 1.
-    pub hash_fraction: f64,
+    /// A random number in [0, 1) that spreads the hosts' reads of the store.
+    pub random_fraction: f64,
 }
 
 impl BootstrapInfo {
-    /// Gets how long it leaves the store to others.
+    /// Returns how long the host waits for others before it reads the store.
     pub fn store_read_delay(&self) -> Millis {
         match self.is_seed || is_well_connected(self.link) {
             true => Millis(0),
             false => {
-                MIN_STORE_READ_DELAY + Millis((self.hash_fraction * STORE_READ_STAGGER_MS) as u64)
+                MIN_STORE_READ_DELAY + Millis((self.random_fraction * STORE_READ_STAGGER_MS) as u64)
             }
         }
     }
 }
 
-/// Tells whether a host with such a link reads, follows and proves for others before one that has less.
+/// Reports whether a host with this link bandwidth is well-connected. Such hosts are preferred for
+/// reading the store, watching it and proving the configuration for others.
 pub fn is_well_connected(link: Bandwidth) -> bool {
     link >= WELL_CONNECTED_BANDWIDTH
 }
--- a/crates/tidetrack-core/src/traffic/endpoint_limits.rs
+++ b/crates/tidetrack-core/src/traffic/endpoint_limits.rs
@@ -1,12 +1,15 @@
-//! Limits that endpoints name on what they take from all hosts together.
+//! Rate limits that endpoints declare for the requests of all hosts together.
 //!
-//! An endpoint in need tells with its answers how many requests a second it takes, and the sum over all hosts has to
-//! keep to that. Hosts tell each other what an endpoint named last. As many hosts as it takes requests in a second
-//! hold an equal share each, ranked alike at every host, those of its failure domain first; for the others it takes
-//! nothing. An equal share for every host would be less than one request in minutes in a fleet of hundreds, and
-//! one request of each, sent at once, many times the limit.
+//! An overloaded endpoint declares in its responses how many requests per second it accepts, and
+//! the hosts together have to stay below that. Hosts report to each other what each endpoint
+//! declared last. As many hosts as the endpoint accepts requests per second hold an equal share
+//! each; all hosts use the same ranking, in which those in the endpoint's failure domain come
+//! first. The other hosts send it nothing. With an equal share for every host, a host in a fleet of
+//! hundreds would be allowed less than one request in minutes, and if each host sent one request at
+//! once, they would exceed the limit many times.
 //!
-//! The newest answer counts, whichever host it came to. A limit ends when an answer names none.
+//! The newest response counts, whichever host received it. A limit ends when a response declares
+//! none.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,57 +19,59 @@
 use crate::traffic::gossip::{is_recent_change, is_repeat_due, select_reports};
 use crate::units::{Millis, Rate};
 
-/// Limits that one message tells at most.
+/// Maximum number of limits reported in one message.
 const MAX_REPORTS_PER_MESSAGE: usize = 32;
 
-/// How long it is told that a limit ended.
+/// How long the end of a limit is stored and reported.
 const ENDED_LIMIT_RETENTION: Millis = Millis(10_000);
 
-/// Least rate that is shared out: an endpoint that gets nothing could never tell that its limit ended.
+/// Minimum rate that is shared out. An endpoint that received no requests could never declare that
+/// its limit has ended.
 const MIN_RATE: Rate = Rate(0.1);
 
-/// Steps of a rate in messages, a second.
+/// Units per request in the rates of reports, which are in thousandths of a request per second.
 const RATE_UNITS_PER_REQUEST: f64 = 1_000.0;
 
-/// What an endpoint named last, as it is told.
+/// The limit that an endpoint declared last, as hosts report it to each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitReport {
-    /// The endpoint.
+    /// The endpoint that declared the limit.
     pub endpoint: EndpointKey,
-    /// Requests a second, in thousandths; `None` after the limit's end.
+    /// Thousandths of a request per second; `None` if the limit has ended.
     pub rate: Option<u32>,
-    /// Milliseconds since the answer.
+    /// Milliseconds since the response that declared it.
     pub age_ms: u32,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct KnownLimit {
     rate: Option<Rate>,
-    /// When the answer came.
+    /// When the response arrived.
     responded_at: Millis,
-    /// When this host learned of it.
+    /// When this host learned of the limit.
     learned_at: Millis,
 }
 
-/// What endpoints named, as one host knows it.
+/// The limits that endpoints declared, as known to one host.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointLimits {
     limits: BTreeMap<EndpointKey, KnownLimit>,
     has_unreported: bool,
-    /// Endpoints whose shares are to be worked out anew.
+    /// Endpoints whose shares have to be recomputed.
     changed_endpoints: BTreeSet<EndpointKey>,
     next_repeat: usize,
 }
 
 impl EndpointLimits {
-    /// Takes what an endpoint named in an answer that has just come.
+    /// Records the limit that an endpoint declared in a response that has just arrived; `None` if
+    /// it declared none.
     pub fn record_response(&mut self, now: Millis, endpoint: EndpointKey, rate: Option<Rate>) {
         if rate.is_some() || self.limits.contains_key(&endpoint) {
             self.insert(endpoint, KnownLimit { rate, responded_at: now, learned_at: now });
         }
     }
 
-    /// Takes what another host tells.
+    /// Adds the limits that another host reports, where they are newer than the known ones.
     pub fn receive_reports(&mut self, now: Millis, reports: &[LimitReport]) {
         for report in reports {
             let responded_at = Millis(now.0.saturating_sub(u64::from(report.age_ms)));
@@ -87,32 +92,35 @@
         self.changed_endpoints.insert(endpoint);
     }
 
-    /// Tells whether something is known here that no other host was told of.
+    /// Reports whether there are changes that have not been reported to any host.
     pub fn has_unreported(&self) -> bool {
         self.has_unreported
     }
 
-    /// Gets the endpoints of which something else is known since the last call.
+    /// Returns the endpoints whose limits have changed since the last call.
     pub fn take_changed(&mut self) -> BTreeSet<EndpointKey> {
         std::mem::take(&mut self.changed_endpoints)
     }
 
-    /// Tells whether nothing is known of any limit.
+    /// Reports whether no limit is known.
     pub fn is_empty(&self) -> bool {
         self.limits.is_empty()
     }
 
-    /// Gets what an endpoint named last; `None` if nothing is known of a limit.
+    /// Returns the limit that an endpoint declared last. The outer `None` means that no limit is
+    /// known, the inner one that the limit has ended.
     pub fn limit_of(&self, endpoint: EndpointKey) -> Option<Option<Rate>> {
         self.limits.get(&endpoint).map(|limit| limit.rate)
     }
 
-    /// Lists what to tell other hosts in a round: what is new, and now and then the rest.
+    /// Returns the reports for one round of messages: recent changes, and at intervals all other
+    /// limits.
     pub fn reports_for_round(&mut self, now: Millis) -> Vec<LimitReport> {
         self.build_reports(now, |endpoint| is_repeat_due(now, endpoint.get()))
     }
 
-    /// Lists what to tell a host that knows nothing: what is new, then the rest in turn.
+    /// Returns the reports for a host that knows no limits: recent changes, then the other limits
+    /// in rotation.
     pub fn reports_for_new_host(&mut self, now: Millis) -> Vec<LimitReport> {
         self.build_reports(now, |_| true)
     }
@@ -139,7 +147,7 @@
         select_reports(&recent, &older, MAX_REPORTS_PER_MESSAGE, &mut self.next_repeat)
     }
 
-    /// Forgets endpoints that are gone, and limits that ended a while ago.
+    /// Removes limits of endpoints that are no longer listed, and limits that ended some time ago.
     pub fn remove_expired(&mut self, now: Millis, is_listed: impl Fn(EndpointKey) -> bool) {
         self.limits.retain(|endpoint, limit| {
             let is_kept = limit.rate.is_some() || now < limit.learned_at + ENDED_LIMIT_RETENTION;
@@ -149,11 +157,11 @@
 }
 
 fn rate_units(rate: Option<Rate>) -> Option<u32> {
-    // The cast stops at the largest number.
+    // The cast saturates at the largest value.
     rate.map(|rate| (rate.0 * RATE_UNITS_PER_REQUEST).round() as u32)
 }
 
-/// Gets how many hosts of a fleet share a limit, and what each of them may send.
+/// Returns how many hosts of a fleet share a limit, and the rate that each of them may send.
 pub fn split_limit(limit: Rate, hosts: usize) -> (usize, Rate) {
     let limit = limit.0.max(MIN_RATE.0);
     let holders = (limit.ceil() as usize).clamp(1, hosts.max(1));
--- a/crates/tidetrack-core/src/traffic/gossip.rs
+++ b/crates/tidetrack-core/src/traffic/gossip.rs
@@ -1,28 +1,33 @@
-//! When a host tells others what it knows.
+//! Schedule by which a host reports what it knows to other hosts.
 //!
-//! News is told in each round for a while, after which those who heard it tell it on. Messages get lost and hosts
-//! start, so the rest is told again now and then, in turn where there is much of it.
+//! A recent change is reported in every round for a while, after which the hosts that received it
+//! pass it on. Messages can be lost and hosts start at any time, so older information is repeated
+//! at intervals, in rotation if there is too much of it for one message.
 
 use crate::units::Millis;
 
-/// How long something new is told: some rounds, after which two dozen others tell it on.
+/// How long a change counts as recent. The rounds in this time reach two dozen hosts, which then
+/// pass the change on.
 const RECENT_WINDOW: Millis = Millis(800);
 
-/// How often the rest is told again, and for how long each time: a round at the least.
+/// How often older information is repeated, and for how long each time. The duration covers at
+/// least one round.
 const REPEAT_INTERVAL: Millis = Millis(2_000);
 const REPEAT_WINDOW: Millis = Millis(300);
 
-/// Tells whether something that became known at `learned_at` is news.
+/// Reports whether something that a host learned at `learned_at` is still a recent change.
 pub fn is_recent_change(now: Millis, learned_at: Millis) -> bool {
     now < learned_at + RECENT_WINDOW
 }
 
-/// Tells whether a round at `now` tells something repeated. Its `phase` keeps all from being told at once.
+/// Reports whether a round at `now` repeats an older report. Different values of `phase`, in
+/// milliseconds, spread the repetitions over the interval.
 pub fn is_repeat_due(now: Millis, phase: u32) -> bool {
     (now.0 + u64::from(phase)) % REPEAT_INTERVAL.0 < REPEAT_WINDOW.0
 }
 
-/// Picks up to `max_reports` to tell: recent first, then the older from the place of `next_older` on, which moves on by these.
+/// Selects up to `max_reports` reports: the recent ones first, then older ones from index
+/// `next_older` on. Advances `next_older` by the number of older reports selected.
 pub fn select_reports<T: Copy>(
     recent: &[T],
     older: &[T],
--- a/crates/tidetrack-core/src/traffic/isolation.rs
+++ b/crates/tidetrack-core/src/traffic/isolation.rs
@@ -1,26 +1,28 @@
-//! Whether a host has lost sight of most others.
+//! Detects that a host is isolated from most of the fleet.
 //!
-//! A host that hears few others of a sudden was suspended or cut off more likely than all others have ended. What hosts
-//! divide among those they hear must not be taken as a whole then.
+//! A host that suddenly hears few others was more likely suspended or disconnected than left by all
+//! of them. While it is isolated it must not treat the hosts that it hears as the whole fleet, and
+//! take over shares that belong to the others.
 
 use crate::units::Millis;
 
-/// How long the size of the fleet is remembered at the least, and at most twice as long. Hosts that are gone for good
-/// leave their parts idle for that time.
+/// Minimum time for which the size of the fleet is remembered; the maximum is twice as long. The
+/// shares of hosts that stopped for good stay unused for that time.
 const FLEET_SIZE_WINDOW: Millis = Millis(20_000);
 
-/// How many hosts of the fleet were heard of late, this one among them.
+/// Tracks how many hosts were heard recently, including this one.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct IsolationDetector {
-    /// When the present stretch began.
+    /// When the current window began.
     window_start: Millis,
-    /// The most of that stretch, and of the one before.
+    /// The maximum number of hosts heard in the current window, and in the one before it.
     max_hosts: usize,
     previous_max_hosts: usize,
 }
 
 impl IsolationDetector {
-    /// Takes note of how many are heard; tells whether that is less than half of those of late.
+    /// Records the number of hosts that are heard. Reports whether it is less than half of the
+    /// recent maximum.
     pub fn is_isolated(&mut self, now: Millis, heard_hosts: usize) -> bool {
         if now >= self.window_start + FLEET_SIZE_WINDOW {
             *self = IsolationDetector {
@@ -42,12 +44,15 @@
     fn a_host_that_hears_less_than_half_is_isolated_until_the_fleet_size_expires() {
         let mut detector = IsolationDetector::default();
 
-        let at_start = detector.is_isolated(Millis(1_000), 10);
-        let fewer = detector.is_isolated(Millis(2_000), 5);
-        let few = detector.is_isolated(Millis(3_000), 4);
-        let later = detector.is_isolated(Millis(22_000), 4);
-        let last = detector.is_isolated(Millis(43_000), 4);
+        let all_heard = detector.is_isolated(Millis(1_000), 10);
+        let half_heard = detector.is_isolated(Millis(2_000), 5);
+        let fewer_heard = detector.is_isolated(Millis(3_000), 4);
+        let after_one_window = detector.is_isolated(Millis(22_000), 4);
+        let after_two_windows = detector.is_isolated(Millis(43_000), 4);
 
-        assert_eq!([at_start, fewer, few, later, last], [false, false, true, true, false]);
+        assert_eq!(
+            [all_heard, half_heard, fewer_heard, after_one_window, after_two_windows],
+            [false, false, true, true, false]
+        );
     }
 }
--- a/crates/tidetrack-core/src/traffic/reachability.rs
+++ b/crates/tidetrack-core/src/traffic/reachability.rs
@@ -1,9 +1,11 @@
-//! Whether connects that come to nothing speak against their endpoints or against this host's own way.
+//! Decides whether connection attempts that time out are caused by the endpoint or by the network
+//! path.
 //!
-//! An endpoint without power gives no sign of life when it is connected to. No endpoint does while this
-//! host's own line is full, and one that is well doesn't where the first packet was lost. To leave the
-//! endpoints for that moves their work, and the shared parts of prompts that they keep, to others. What
-//! came meanwhile tells the cases apart.
+//! An endpoint that has lost power does not respond to a connection attempt. Neither does any
+//! endpoint while this host's own link is saturated, nor a healthy endpoint if the first packet was
+//! lost. Ejecting endpoints in these cases would move their work, and the shared prompt prefixes
+//! that they cache, to other endpoints. What arrived on other connections in the meantime
+//! distinguishes the cases.
 
 use std::sync::Arc;
 
@@ -11,48 +13,51 @@
 use crate::placement::EndpointLive;
 use crate::units::Millis;
 
-/// Time within which connects that come to nothing have one cause: a full line stays full for some
-/// hundred milliseconds at least, and each connect is waited for 400 ms.
+/// Time within which connection attempts that time out are assumed to have one cause. A saturated
+/// link stays saturated for at least some hundred milliseconds, and each attempt waits 400 ms.
 const CORRELATION_WINDOW: Millis = Millis(1_000);
 
-/// Longest time in which a connection comes up, or an answer, on a way that is well. Within a region it
-/// takes a few milliseconds; on a full line each packet waits longer than this.
+/// Maximum time in which a connection is established, or a response arrives, on a healthy path.
+/// Within a region this takes a few milliseconds; on a saturated link each packet waits longer than
+/// this.
 pub const MAX_PROMPT_LATENCY: Millis = Millis(100);
 
-/// A connect that gave no sign of life.
+/// A connection attempt that timed out without any response.
 #[derive(Clone, Debug)]
 pub struct FailedConnect {
-    /// The endpoint.
+    /// The endpoint that was connected to.
     pub endpoint: EndpointId,
-    /// Where it stands.
+    /// The endpoint's failure domain.
     pub failure_domain: FailureDomain,
-    /// Its health.
+    /// The endpoint's health, which the failure is recorded in.
     pub live: Arc<EndpointLive>,
-    /// When the connect began.
+    /// When the attempt began.
     pub began: Millis,
-    /// When it was given up.
+    /// When the attempt timed out.
     pub ended: Millis,
 }
 
-/// One of the connects of late.
+/// A recent connection attempt that timed out.
 #[derive(Debug)]
 struct RecentFailure {
     connect: FailedConnect,
-    /// How often the endpoint had failed in a row when it was left for this; `None` if it was not.
+    /// The endpoint's number of consecutive failures before this one ejected it; `None` if the
+    /// endpoint was not ejected.
     failures_before_ejection: Option<u32>,
 }
 
-/// What a silent connect speaks against.
+/// What a connection timeout is attributed to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureCause {
-    /// The endpoint: it is left at once.
+    /// The endpoint, which is ejected at once.
     Endpoint,
-    /// The way, or nothing: it counts as one failure.
+    /// The network path, or a cause that cannot be determined. The timeout counts as one failure of
+    /// the endpoint.
     NetworkPath,
 }
 
 impl FailureCause {
-    /// Gets the word for it in metrics.
+    /// Returns the label used in metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             FailureCause::Endpoint => "endpoint",
@@ -61,23 +66,25 @@
     }
 }
 
-/// Connects of late that gave no sign of life.
+/// Recent connection attempts that timed out.
 #[derive(Debug)]
 pub struct ReachabilityTracker {
-    /// Where this host stands.
+    /// The failure domain of this host.
     local_domain: FailureDomain,
     recent_failures: Vec<RecentFailure>,
 }
 
 impl ReachabilityTracker {
-    /// Starts without any, for a host of a failure domain.
+    /// Creates a tracker without failures for a host in the given failure domain.
     pub fn new(local_domain: FailureDomain) -> ReachabilityTracker {
         ReachabilityTracker { local_domain, recent_failures: Vec::new() }
     }
 
-    /// Takes in a connect that gave no sign of life, and lets it count against the endpoint.
+    /// Records a connection attempt that timed out, counts it against the endpoint, and returns its
+    /// cause.
     ///
-    /// `last_prompt_at` is when the last one began of those connects and answers that came promptly.
+    /// `last_prompt_at` is the start of the latest exchange that completed within
+    /// `MAX_PROMPT_LATENCY`, whether the establishment of a connection or a response.
     pub fn record_failed_connect(
         &mut self,
         connect: FailedConnect,
@@ -85,7 +92,8 @@
     ) -> FailureCause {
         let now = connect.ended;
         self.recent_failures.retain(|s| now < s.connect.ended + CORRELATION_WINDOW);
-        // What the endpoint sends on other connections comes here: it is not without power.
+        // The endpoint has sent data on other connections since the attempt began, so it is
+        // running.
         if connect.live.was_heard_since(connect.began) {
             connect.live.note_silent(now);
             return FailureCause::NetworkPath;
@@ -104,8 +112,9 @@
         FailureCause::Endpoint
     }
 
-    /// Tells whether several endpoints give no sign of life while nothing comes promptly. Those of one
-    /// other failure domain may be cut off with it.
+    /// Reports whether connection attempts to several endpoints time out while nothing else
+    /// completes promptly. If all these endpoints are in one remote failure domain, that domain may
+    /// be disconnected instead.
     fn is_local_path_failure(
         &self,
         newest: &FailedConnect,
@@ -121,7 +130,7 @@
 }
 
 impl RecentFailure {
-    /// Takes back that the endpoint was left for this; it counts as one failure.
+    /// Reverts the ejection of the endpoint. The timeout still counts as one failure.
     fn undo_ejection(&mut self) {
         if let Some(failures) = self.failures_before_ejection.take() {
             self.connect.live.forgive_unreachable(failures);
@@ -141,7 +150,7 @@
 
     struct Fixture {
         tracker: ReachabilityTracker,
-        /// Where the endpoints stand.
+        /// The failure domain of the endpoints.
         domain: &'static str,
         endpoints: Vec<(EndpointId, Arc<EndpointLive>)>,
     }
@@ -153,8 +162,8 @@
     }
 
     impl Fixture {
-        /// Lets a connect to an endpoint come to nothing.
-        fn fail_connect(
+        /// Records a connection attempt to an endpoint that timed out at `now`.
+        fn time_out_connect(
             &mut self,
             now: Millis,
             n: usize,
@@ -177,7 +186,7 @@
     fn a_single_unresponsive_endpoint_is_ejected_at_once() {
         let mut f = fixture();
 
-        let cause = f.fail_connect(NOW, 0, None);
+        let cause = f.time_out_connect(NOW, 0, None);
 
         assert_eq!((cause, f.ejected(NOW)), (FailureCause::Endpoint, vec![0]));
     }
@@ -185,9 +194,9 @@
     #[test]
     fn a_single_endpoint_stays_ejected_after_repeated_failures() {
         let mut f = fixture();
-        f.fail_connect(NOW, 0, None);
+        f.time_out_connect(NOW, 0, None);
 
-        let cause = f.fail_connect(NOW + Millis(500), 0, None);
+        let cause = f.time_out_connect(NOW + Millis(500), 0, None);
 
         assert_eq!((cause, f.ejected(NOW + Millis(500))), (FailureCause::Endpoint, vec![0]));
     }
@@ -195,20 +204,24 @@
     #[test]
     fn concurrent_failures_of_several_local_endpoints_are_a_path_failure() {
         let mut f = fixture();
-        f.fail_connect(NOW, 0, None);
+        f.time_out_connect(NOW, 0, None);
 
-        let cause = f.fail_connect(NOW + CONNECT_TIMEOUT, 1, Some(NOW - Millis(1_000)));
+        let cause = f.time_out_connect(NOW + CONNECT_TIMEOUT, 1, Some(NOW - Millis(1_000)));
 
         assert_eq!((cause, f.ejected(NOW + CONNECT_TIMEOUT)), (FailureCause::NetworkPath, vec![]));
-        assert_eq!(f.endpoints[0].1.take_outcomes().failed, 0, "other hosts hear of it");
+        assert_eq!(
+            f.endpoints[0].1.take_outcomes().failed,
+            0,
+            "the reverted failure is still reported to other hosts"
+        );
     }
 
     #[test]
     fn several_endpoints_are_ejected_if_another_connection_was_prompt_meanwhile() {
         let mut f = fixture();
-        f.fail_connect(NOW, 0, None);
+        f.time_out_connect(NOW, 0, None);
 
-        let cause = f.fail_connect(NOW + CONNECT_TIMEOUT, 1, Some(NOW));
+        let cause = f.time_out_connect(NOW + CONNECT_TIMEOUT, 1, Some(NOW));
 
         assert_eq!((cause, f.ejected(NOW + CONNECT_TIMEOUT)), (FailureCause::Endpoint, vec![0, 1]));
     }
@@ -217,9 +230,9 @@
     fn several_endpoints_of_one_remote_domain_are_ejected() {
         let mut f = fixture();
         f.domain = REMOTE_DOMAIN;
-        f.fail_connect(NOW, 0, None);
+        f.time_out_connect(NOW, 0, None);
 
-        let cause = f.fail_connect(NOW + CONNECT_TIMEOUT, 1, None);
+        let cause = f.time_out_connect(NOW + CONNECT_TIMEOUT, 1, None);
 
         assert_eq!((cause, f.ejected(NOW + CONNECT_TIMEOUT)), (FailureCause::Endpoint, vec![0, 1]));
     }
@@ -228,10 +241,10 @@
     fn concurrent_failures_in_several_domains_are_a_path_failure() {
         let mut f = fixture();
         f.domain = REMOTE_DOMAIN;
-        f.fail_connect(NOW, 0, None);
+        f.time_out_connect(NOW, 0, None);
         f.domain = "west";
 
-        let cause = f.fail_connect(NOW + CONNECT_TIMEOUT, 1, None);
+        let cause = f.time_out_connect(NOW + CONNECT_TIMEOUT, 1, None);
 
         assert_eq!((cause, f.ejected(NOW + CONNECT_TIMEOUT)), (FailureCause::NetworkPath, vec![]));
     }
@@ -239,10 +252,10 @@
     #[test]
     fn failures_outside_the_correlation_window_are_independent() {
         let mut f = fixture();
-        f.fail_connect(NOW, 0, None);
+        f.time_out_connect(NOW, 0, None);
         let later = NOW + CORRELATION_WINDOW;
 
-        let cause = f.fail_connect(later, 1, None);
+        let cause = f.time_out_connect(later, 1, None);
 
         assert_eq!((cause, f.ejected(later)), (FailureCause::Endpoint, vec![1]));
     }
@@ -253,8 +266,8 @@
 
         for round in 0..3 {
             let now = NOW + Millis(round * 500);
-            f.fail_connect(now, 0, None);
-            f.fail_connect(now, 1, None);
+            f.time_out_connect(now, 0, None);
+            f.time_out_connect(now, 1, None);
         }
 
         assert_eq!(f.ejected(NOW + Millis(1_000)), vec![0, 1]);
@@ -265,7 +278,7 @@
         let mut f = fixture();
         f.endpoints[0].1.heard(NOW);
 
-        let cause = f.fail_connect(NOW + Millis(100), 0, None);
+        let cause = f.time_out_connect(NOW + Millis(100), 0, None);
 
         assert_eq!((cause, f.ejected(NOW + Millis(100))), (FailureCause::NetworkPath, vec![]));
     }
--- a/crates/tidetrack-core/src/traffic/stagger.rs
+++ b/crates/tidetrack-core/src/traffic/stagger.rs
@@ -1,15 +1,17 @@
-//! Turns of hosts that would all ask the store the same at once.
+//! Staggered start of hosts that would otherwise all query the store at once.
 //!
-//! What one of them is told the others hear within a second. So the first asks at once, and in each step as many as
-//! asked before, until all have: nobody depends on the first ones, which may be those that the store does not reach.
-//! This answers the load on the store when those that read it for a whole fleet are lost.
+//! What one host learns from the store, the others receive within a second. The first host
+//! therefore queries at once, and the number of hosts that have queried then grows exponentially
+//! until all have. No host depends on the first ones, which may be unable to reach the store. This
+//! limits the load on the store after the hosts that read it for the whole fleet have failed.
 
 use crate::units::Millis;
 
-/// Time in which all hosts have had their turn.
+/// Time within which all hosts have been able to query the store.
 const STAGGER_WINDOW: Millis = Millis(900);
 
-/// Gets how long one of so many hosts leaves a question to the others, by a draw from 0 up to 1.
+/// Returns the delay before a host queries the store, for a uniform hash value in [0, 1) and the
+/// number of hosts in the fleet.
 pub fn stagger_delay(hash_fraction: f64, hosts: usize) -> Millis {
     if hosts < 2 {
         return Millis(0);
--- a/crates/tidetrack-core/tests/support/fleet.rs
+++ b/crates/tidetrack-core/tests/support/fleet.rs
@@ -190,7 +190,7 @@
             let starter = BootstrapInfo {
                 link,
                 is_seed,
-                hash_fraction: draw("start", &format!("{n} {seed}")),
+                random_fraction: draw("start", &format!("{n} {seed}")),
             };
             let (name, address) = host(n);
             let seeds = (1..=SEEDS).map(|n| host(n).1).collect();
--- a/crates/tidetrack-plane/src/control.rs
+++ b/crates/tidetrack-plane/src/control.rs
@@ -46,7 +46,7 @@
         let starter = BootstrapInfo {
             link: settings.link,
             is_seed: settings.seeds.is_empty() || settings.seeds.contains(&address),
-            hash_fraction: rand::random(),
+            random_fraction: rand::random(),
         };
         let mut beliefs = Beliefs::new(host, book)
             .bounded(settings.bounds.new_version)
