--- a/crates/tidetrack-core/src/traffic/admission.rs
+++ b/crates/tidetrack-core/src/traffic/admission.rs
@@ -15,7 +15,7 @@
 
 /// Returns the error for a host whose configuration has not been confirmed for too long.
 pub fn stale_config_error() -> Error {
-    Error::new(Code::Stale, "the configuration has not been confirmed as the newest for too long")
+    Error::new(Code::Stale, "the configuration was not confirmed for too long")
         .with_retry_after(NOT_READY_RETRY_AFTER_MS)
 }
 
--- a/crates/tidetrack-core/src/traffic/feeds.rs
+++ b/crates/tidetrack-core/src/traffic/feeds.rs
@@ -170,7 +170,7 @@
     required_revision: u64,
     last_attempt_at: Option<Millis>,
     /// Whether the last attempt was a read of the store.
-    was_store_tried_last: bool,
+    is_last_attempt_at_store: bool,
     /// Whether the last attempt failed, so that the store is read without waiting for
     /// `store_read_at`.
     has_attempt_failed: bool,
@@ -186,7 +186,7 @@
             reported_revision,
             required_revision: 0,
             last_attempt_at: None,
-            was_store_tried_last: false,
+            is_last_attempt_at_store: false,
             has_attempt_failed: false,
             next_query_at: None,
         }
@@ -288,7 +288,7 @@
         stagger_delay: Option<Millis>,
     ) {
         let next_query_at = now + REQUIRED_REVISION_DELAY + WATCHER_READ_ALLOWANCE;
-        let was_not_missing = self.missing_revisions[kind as usize].is_none();
+        let is_newly_missing = self.missing_revisions[kind as usize].is_none();
         self.add_requirement(
             kind,
             revision,
@@ -297,7 +297,7 @@
             }),
         );
         if let Some(missing) =
-            self.missing_revisions[kind as usize].as_mut().filter(|_| was_not_missing)
+            self.missing_revisions[kind as usize].as_mut().filter(|_| is_newly_missing)
         {
             missing.next_query_at = stagger_delay.map(|_| next_query_at);
         }
@@ -315,14 +315,14 @@
             let after = self.complete.get(kind);
             let Some(missing) = &mut self.missing_revisions[kind as usize] else { continue };
             // Without this check, hosts that lack the revision would be queried forever.
-            let is_store_next = now >= missing.store_read_at && !missing.was_store_tried_last;
+            let is_store_next = now >= missing.store_read_at && !missing.is_last_attempt_at_store;
             if is_store_next || missing.next_query_at.is_none_or(|at| now < at) {
                 continue;
             }
             missing.next_query_at = Some(now + QUERY_INTERVAL);
             if let Some(holder) = holder(kind, missing.required_revision) {
                 missing.last_attempt_at = Some(now);
-                missing.was_store_tried_last = false;
+                missing.is_last_attempt_at_store = false;
                 due.push(Fetch { kind, after, source: FetchSource::Host(holder) });
             }
         }
@@ -391,12 +391,12 @@
             .filter(|_| self.complete.0[kind as usize] == 0)?;
         let is_attempt_active = missing.last_attempt_at.is_some_and(|at| now < at + FETCH_TIMEOUT);
         // Once the store read is due, attempts alternate between the store and other hosts.
-        let is_store_next = now >= missing.store_read_at && !missing.was_store_tried_last;
+        let is_store_next = now >= missing.store_read_at && !missing.is_last_attempt_at_store;
         if is_attempt_active || is_store_next {
             return None;
         }
         missing.last_attempt_at = Some(now);
-        missing.was_store_tried_last = false;
+        missing.is_last_attempt_at_store = false;
         Some(Fetch { kind, after: 0, source: FetchSource::Host(holder) })
     }
 
@@ -431,11 +431,11 @@
         }
         // Reports arrive from many hosts at any time. Without this check each one would start the
         // next attempt, and the store would never be read.
-        if now >= missing.store_read_at && !missing.was_store_tried_last {
+        if now >= missing.store_read_at && !missing.is_last_attempt_at_store {
             return None;
         }
         missing.last_attempt_at = Some(now);
-        missing.was_store_tried_last = false;
+        missing.is_last_attempt_at_store = false;
         Some(Fetch { kind, after, source })
     }
 
@@ -448,7 +448,7 @@
                 missing.last_attempt_at.is_some_and(|at| now < at + FETCH_TIMEOUT);
             if !is_attempt_active && (missing.has_attempt_failed || now >= missing.store_read_at) {
                 missing.last_attempt_at = Some(now);
-                missing.was_store_tried_last = true;
+                missing.is_last_attempt_at_store = true;
                 missing.has_attempt_failed = false;
                 let after = self.complete.get(kind);
                 due.push(Fetch { kind, after, source: FetchSource::Store });
--- a/crates/tidetrack-core/src/traffic/isolation.rs
+++ b/crates/tidetrack-core/src/traffic/isolation.rs
@@ -15,8 +15,9 @@
 pub struct IsolationDetector {
     /// When the current window began.
     window_start: Millis,
-    /// The maximum number of hosts heard in the current window, and in the one before it.
+    /// The maximum number of hosts heard in the current window.
     max_hosts: usize,
+    /// The maximum number of hosts heard in the window before the current one.
     previous_max_hosts: usize,
 }
 
--- a/crates/tidetrack-core/src/traffic/peers/mod.rs
+++ b/crates/tidetrack-core/src/traffic/peers/mod.rs
@@ -189,16 +189,16 @@
     /// Removes hosts that have been silent for too long and returns them.
     pub fn remove_silent_peers(&mut self, now: Millis) -> Vec<HostId> {
         self.unconfirmed_addresses.retain(|_, since| now < *since + PEER_TIMEOUT);
-        let gone_after = Millis(PEER_TIMEOUT.0.max(self.cycle_time().0 * MAX_MISSED_CYCLES));
-        let is_gone = |p: &Peer| now >= p.received_at + gone_after;
-        let gone: Vec<HostId> =
-            self.peers.iter().filter(|(_, p)| is_gone(p)).map(|(h, _)| h.clone()).collect();
-        for host in &gone {
+        let silence_timeout = Millis(PEER_TIMEOUT.0.max(self.cycle_time().0 * MAX_MISSED_CYCLES));
+        let is_silent = |p: &Peer| now >= p.received_at + silence_timeout;
+        let silent_hosts: Vec<HostId> =
+            self.peers.iter().filter(|(_, p)| is_silent(p)).map(|(h, _)| h.clone()).collect();
+        for host in &silent_hosts {
             if let Some(peer) = self.peers.remove(host) {
                 self.store_departed_tallies(host, peer);
             }
         }
-        gone
+        silent_hosts
     }
 
     /// Keeps the roll-out tallies of a host that stopped or restarted.
