--- a/crates/tidetrack-core/src/traffic/feeds.rs
+++ b/crates/tidetrack-core/src/traffic/feeds.rs
@@ -171,8 +171,8 @@
     last_attempt_at: Option<Millis>,
     /// Whether the last attempt was a read of the store.
     is_last_attempt_at_store: bool,
-    /// Whether the last attempt failed, so that the store is read without waiting for
-    /// `store_read_at`.
+    /// Whether an attempt has failed since the kind was first listed, so that the store is read
+    /// without waiting for `store_read_at`. A read of the store resets it.
     has_attempt_failed: bool,
     /// When to query another host next, before the store is read; `None` if hosts are not queried.
     next_query_at: Option<Millis>,
--- a/crates/tidetrack-core/src/traffic/gossip.rs
+++ b/crates/tidetrack-core/src/traffic/gossip.rs
@@ -10,9 +10,10 @@
 /// pass the change on.
 const RECENT_WINDOW: Millis = Millis(800);
 
-/// How often older information is repeated, and for how long each time. The duration covers at
-/// least one round.
+/// Interval at which older information is repeated.
 const REPEAT_INTERVAL: Millis = Millis(2_000);
+
+/// How long each repetition lasts; it covers at least one round.
 const REPEAT_WINDOW: Millis = Millis(300);
 
 /// Reports whether something that a host learned at `learned_at` is still a recent change.
--- a/crates/tidetrack-core/src/traffic/suspects/mod.rs
+++ b/crates/tidetrack-core/src/traffic/suspects/mod.rs
@@ -248,7 +248,8 @@
         let copies = state.running_copies.entry(fingerprint).or_default();
         if crashes >= EXCLUSIVE_FROM_CRASHES && *copies > 0 {
             let message = format!(
-                "request {fingerprint} is already running on this host and may run only one copy at a time: endpoints crashed {crashes} times while running it"
+                "request {fingerprint} may run only once at a time on this host and is already running: \
+                 endpoints crashed {crashes} times while running it"
             );
             return Err(
                 Error::new(Code::SuspectRuns, message).with_retry_after(EXCLUSIVE_RETRY_AFTER_MS)
@@ -280,7 +281,8 @@
     }
 
     /// Records that an endpoint crashed while running a request that was sent to it at `sent_at`.
-    /// Returns the number of crashes that count against the request.
+    /// Returns the number of crashes that count against the request. The crash is ignored if an
+    /// execution of the request completed recently.
     pub fn record_crash(
         &self,
         now: Millis,
