--- a/crates/tidetrack-core/src/traffic/mod.rs
+++ b/crates/tidetrack-core/src/traffic/mod.rs
@@ -4,7 +4,9 @@
 //! The modules take values and times and give back values; sockets, clocks and threads are the
 //! business of `tidetrack-plane`.
 
+pub mod admission;
 pub mod baseline;
+pub mod bootstrap;
 pub mod budget;
 pub mod canary;
 pub mod cascade;
@@ -18,19 +20,17 @@
 pub mod feeds;
 pub mod fingerprint;
 pub mod freshness;
-pub mod gate;
-pub mod joining;
+mod gossip;
+mod isolation;
 pub mod judge;
 pub mod latency_estimate;
 pub mod load_concentration;
 pub mod outliers;
 pub mod peers;
 pub mod prefix_index;
-pub mod reach;
+pub mod reachability;
 pub mod samples;
-mod sight;
+pub mod stagger;
 pub mod suspects;
-mod telling;
-pub mod turns;
 pub mod verdict_basis;
 pub mod view;
--- a/crates/tidetrack-core/src/traffic/suspects/mod.rs
+++ b/crates/tidetrack-core/src/traffic/suspects/mod.rs
@@ -1,15 +1,18 @@
-//! Requests under which endpoints crash.
+//! Detection of requests that crash endpoints.
 //!
-//! Some requests crash every endpoint that begins to run them, and come again at any host. A bound on the retries
-//! of one request at one host does not hold them: what has to be known is how many endpoints ended under a request
-//! in all, at all hosts together. So hosts tell each other which endpoints ended under which fingerprint, and a
-//! request takes no more runs anywhere once a few have.
+//! Some requests crash every endpoint that runs them, and callers send them again to any host.
+//! Limiting the retries of one request on one host does not contain them; what counts is how many
+//! endpoints have crashed while running the request, over all hosts. Hosts therefore report to each
+//! other which endpoints crashed under which request fingerprint, and after a few crashes the
+//! request is barred on all hosts. A suspect is a request that may have crashed an endpoint.
 //!
-//! Requests that merely ran beside such a one must not be refused for it, and endpoints crash for other reasons
-//! too. A run that comes to its end clears a request, here and at all hosts; crashes that a barred request explains
-//! count against no other; and endpoints of one failure domain that end at the same moment count as one.
+//! A request that merely ran beside such a request must not be barred, and endpoints also crash for
+//! other reasons. An execution that completes therefore clears a request on all hosts, crashes that
+//! a barred request explains do not count against other requests, and simultaneous crashes of
+//! endpoints in one failure domain count as one.
 //!
-//! The room is fixed, each caller has a part of it, and everything is forgotten after a time.
+//! The number of suspects is bounded, in total and per caller, and each suspect expires after a
+//! time.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -22,68 +25,79 @@
 use crate::errors::{Error, Result};
 use crate::ids::{EndpointId, EndpointKey, FailureDomain};
 use crate::traffic::fingerprint::Fingerprint;
-use crate::traffic::telling::{is_news, is_told_again, news_then_rest};
+use crate::traffic::gossip::{is_recent_change, is_repeat_due, select_reports};
 use crate::units::Millis;
 
-mod told;
+mod reports;
 
-pub use told::{Change, ToldCrash, ToldSuspect};
+pub use reports::{CrashReport, SuspectChange, SuspectReport};
 
-/// Crashes from which a request runs at one place at a time on a host.
-const ALONE_FROM: usize = 2;
+/// Number of crashes from which a host runs at most one copy of a request at a time.
+const EXCLUSIVE_FROM_CRASHES: usize = 2;
 
-/// When to come back for a request that is under suspicion and runs already, in milliseconds.
-const RETRY_ALONE_MS: u64 = 1_000;
+/// Retry delay, in milliseconds, for a suspect that may run only one copy at a time and is already
+/// running.
+const EXCLUSIVE_RETRY_AFTER_MS: u64 = 1_000;
 
-/// Crashes of one endpoint within this time are one crash that several hosts saw: what is told ages on its way.
-const SAME_CRASH: Millis = Millis(2_000);
+/// Crashes of one endpoint within this time count as one crash that several hosts observed.
+/// Reported ages do not include the transmission delay, so hosts date the same crash differently.
+const DUPLICATE_CRASH_WINDOW: Millis = Millis(2_000);
 
-/// Endpoints of a failure domain that end within this time have a cause in common.
-const SAME_MOMENT: Millis = Millis(300);
+/// Endpoints of one failure domain that crash within this time are assumed to have a common cause.
+const COMMON_CAUSE_WINDOW: Millis = Millis(300);
 
-/// Crashes that are remembered of one request.
-const MOST_CRASHES: usize = 16;
+/// Maximum number of crashes stored per suspect.
+const MAX_CRASHES_PER_SUSPECT: usize = 16;
 
-/// Crashes that are told of one request.
-const CRASHES_TOLD: usize = 6;
+/// Maximum number of crashes in one suspect's report.
+const MAX_CRASHES_PER_REPORT: usize = 6;
 
-/// Requests that one message tells at most.
-pub const MOST_TOLD: usize = 16;
+/// Maximum number of suspects reported in one message.
+pub const MAX_REPORTS_PER_MESSAGE: usize = 16;
 
-/// Requests that the answer to a host's first message tells at most: it has to know them before it sends.
-pub const FIRST_TOLD: usize = 24;
+/// Maximum number of suspects in the reply to a host's first message. The host has to know them
+/// before it sends requests to endpoints.
+pub const MAX_REPORTS_IN_FIRST_REPLY: usize = 24;
 
-/// Fingerprints of runs that ended well, in each of two halves that take turns.
-const MOST_RECENT: usize = 2_048;
+/// Maximum number of fingerprints in each of the two sets of recently completed requests. When the
+/// current set is full, it replaces the older one.
+const MAX_COMPLETED_PER_HALF: usize = 2_048;
 
-/// How suspicion is handled. Times are in milliseconds.
+/// Settings for barring requests that crash endpoints. Times are in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct SuspectOptions {
-    /// Crashes from which a request is barred.
-    pub barred_from: usize,
-    /// How long it is barred after the last crash. What made endpoints crash may have been mended by then, so one copy
-    /// at a time runs again; the next crash bars it anew.
-    pub barred_for: Millis,
-    /// How long a request is remembered after the last crash.
-    pub kept_for: Millis,
-    /// How long a cleared request is under no new suspicion.
-    pub cleared_for: Millis,
-    /// Requests that are remembered.
-    pub most: usize,
-    /// Those of one caller.
-    pub most_of_caller: usize,
+    /// Number of crashes from which a request is barred.
+    #[serde(rename = "barred_from")]
+    pub bar_threshold: usize,
+    /// How long a request stays barred after its last crash. Afterwards one copy at a time runs
+    /// again, since the fault that made endpoints crash may have been fixed; the next crash bars
+    /// the request again.
+    #[serde(rename = "barred_for")]
+    pub bar_duration: Millis,
+    /// How long a suspect is stored after its last crash.
+    #[serde(rename = "kept_for")]
+    pub retention: Millis,
+    /// How long crashes do not count against a request after it was cleared.
+    #[serde(rename = "cleared_for")]
+    pub clear_duration: Millis,
+    /// Maximum number of suspects stored.
+    #[serde(rename = "most")]
+    pub max_suspects: usize,
+    /// Maximum number of suspects stored per caller.
+    #[serde(rename = "most_of_caller")]
+    pub max_suspects_per_caller: usize,
 }
 
 impl Default for SuspectOptions {
     fn default() -> SuspectOptions {
         SuspectOptions {
-            barred_from: 3,
-            barred_for: Millis(600_000),
-            kept_for: Millis(3_600_000),
-            cleared_for: Millis(60_000),
-            most: 1_024,
-            most_of_caller: 128,
+            bar_threshold: 3,
+            bar_duration: Millis(600_000),
+            retention: Millis(3_600_000),
+            clear_duration: Millis(60_000),
+            max_suspects: 1_024,
+            max_suspects_per_caller: 128,
         }
     }
 }
@@ -91,75 +105,81 @@
 #[derive(Clone, Copy, Debug)]
 struct Crash {
     endpoint: EndpointKey,
-    domain: u16,
-    /// When the request had been sent there.
+    domain_hash: u16,
+    /// When the request was sent to the endpoint.
     sent_at: Millis,
-    at: Millis,
+    crashed_at: Millis,
 }
 
 impl Crash {
-    fn is_same(&self, other: &Crash) -> bool {
-        self.endpoint == other.endpoint && apart(self.at, other.at) <= SAME_CRASH
+    fn is_duplicate_of(&self, other: &Crash) -> bool {
+        self.endpoint == other.endpoint
+            && time_between(self.crashed_at, other.crashed_at) <= DUPLICATE_CRASH_WINDOW
     }
 
-    /// Tells whether both endpoints may have ended for one reason beside the request. A send that followed the first
-    /// end speaks against that.
+    /// Reports whether both crashes may have a common cause other than the request: the endpoints
+    /// are in one failure domain, crashed almost together, and ran the request at the same time. If
+    /// the request was sent to one endpoint only after the other had crashed, both crashes count
+    /// against it.
     fn has_common_cause(&self, other: &Crash) -> bool {
-        let overlap = self.sent_at < other.at && other.sent_at < self.at;
-        overlap && self.domain == other.domain && apart(self.at, other.at) <= SAME_MOMENT
+        let has_overlap = self.sent_at < other.crashed_at && other.sent_at < self.crashed_at;
+        has_overlap
+            && self.domain_hash == other.domain_hash
+            && time_between(self.crashed_at, other.crashed_at) <= COMMON_CAUSE_WINDOW
     }
 }
 
-fn apart(a: Millis, b: Millis) -> Millis {
+fn time_between(a: Millis, b: Millis) -> Millis {
     Millis(a.0.abs_diff(b.0))
 }
 
-fn age_ms(now: Millis, at: Millis) -> u32 {
+fn elapsed_ms(now: Millis, at: Millis) -> u32 {
     u32::try_from((now - at).0).unwrap_or(u32::MAX)
 }
 
 #[derive(Clone, Debug, Default)]
 struct Suspect {
-    /// In the order in which they became known.
+    /// Crashes in the order in which this host learned of them.
     crashes: Vec<Crash>,
     cleared_at: Option<Millis>,
-    /// When this host learned something new of it.
+    /// When this host last learned something new about the suspect.
     changed_at: Millis,
-    /// Whether so many crashes count against it that it is barred for a time after the last one.
+    /// Whether the number of crashes reaches `bar_threshold`. The bar ends `bar_duration` after the
+    /// last crash, but this flag stays set.
     is_barred: bool,
 }
 
 impl Suspect {
-    /// Adds a crash; tells whether it was not known.
-    fn add(&mut self, crash: Crash) -> bool {
-        if self.crashes.iter().any(|known| known.is_same(&crash)) {
+    /// Adds a crash. Returns false if it is a duplicate of a known one.
+    fn add_crash(&mut self, crash: Crash) -> bool {
+        if self.crashes.iter().any(|known| known.is_duplicate_of(&crash)) {
             return false;
         }
-        if self.crashes.len() >= MOST_CRASHES {
+        if self.crashes.len() >= MAX_CRASHES_PER_SUSPECT {
             self.crashes.remove(0);
         }
         self.crashes.push(crash);
         true
     }
 
-    /// Gets when an endpoint last ended under it.
-    fn last_at(&self) -> Millis {
-        self.crashes.iter().map(|c| c.at).max().unwrap_or_default()
+    /// Returns the time of the last crash.
+    fn last_crash_at(&self) -> Millis {
+        self.crashes.iter().map(|c| c.crashed_at).max().unwrap_or_default()
     }
 
-    /// Gets what may be told of it at `now`.
-    fn told(&self, now: Millis, fingerprint: Fingerprint) -> ToldSuspect {
-        let newest = self.crashes.iter().rev().take(CRASHES_TOLD);
-        let told = |c: &Crash| ToldCrash {
+    /// Returns the suspect's report to other hosts, with ages relative to `now`.
+    fn to_report(&self, now: Millis, fingerprint: Fingerprint) -> SuspectReport {
+        let newest = self.crashes.iter().rev().take(MAX_CRASHES_PER_REPORT);
+        let crash_report = |c: &Crash| CrashReport {
             endpoint: c.endpoint,
-            domain: c.domain,
-            ran_ms: age_ms(c.at, c.sent_at),
-            ago_ms: age_ms(now, c.at),
+            domain_hash: c.domain_hash,
+            run_ms: elapsed_ms(c.crashed_at, c.sent_at),
+            age_ms: elapsed_ms(now, c.crashed_at),
         };
-        ToldSuspect {
+        SuspectReport {
             fingerprint,
-            crashes: newest.map(told).collect(),
-            cleared_ms: self.cleared_at.map(|at| age_ms(now, at)),
+            crashes: newest.map(crash_report).collect(),
+            cleared_ms: self.cleared_at.map(|at| elapsed_ms(now, at)),
         }
     }
 }
@@ -167,44 +187,45 @@
 #[derive(Debug, Default)]
 struct State {
     suspects: HashMap<Fingerprint, Suspect>,
-    /// Requests that are being served, and how many copies of each.
-    running: HashMap<Fingerprint, u32>,
-    /// Requests of which a run came to its end of late, in two halves.
-    recent: [HashSet<Fingerprint>; 2],
-    changes: Vec<Change>,
-    /// Place of the next barred request to be told again.
-    turn: usize,
+    /// The number of running copies of each request on this host.
+    running_copies: HashMap<Fingerprint, u32>,
+    /// Requests of which an execution recently completed: the current set, then the previous one.
+    recently_completed: [HashSet<Fingerprint>; 2],
+    changes: Vec<SuspectChange>,
+    /// Index of the next barred suspect to repeat in reports.
+    next_barred: usize,
 }
 
-/// What a host knows of requests under which endpoints crashed, its own and what others tell.
+/// Requests that may have crashed endpoints, from this host's observations and other hosts'
+/// reports.
 #[derive(Debug, Default)]
 pub struct Suspects {
     opts: SuspectOptions,
     state: Mutex<State>,
-    has_untold: AtomicBool,
+    has_unreported: AtomicBool,
 }
 
-/// A request that is being served, until dropped.
+/// Counts a copy of a request as running until dropped.
 #[derive(Debug)]
-pub struct Running {
+pub struct RunningRequest {
     suspects: Arc<Suspects>,
     fingerprint: Fingerprint,
 }
 
-impl Drop for Running {
+impl Drop for RunningRequest {
     fn drop(&mut self) {
         let mut state = self.suspects.state();
-        if let Some(copies) = state.running.get_mut(&self.fingerprint) {
+        if let Some(copies) = state.running_copies.get_mut(&self.fingerprint) {
             *copies -= 1;
             if *copies == 0 {
-                state.running.remove(&self.fingerprint);
+                state.running_copies.remove(&self.fingerprint);
             }
         }
     }
 }
 
 impl Suspects {
-    /// Makes a memory with other options.
+    /// Creates an empty set of suspects with the given options.
     pub fn new(opts: SuspectOptions) -> Suspects {
         Suspects { opts, ..Suspects::default() }
     }
@@ -213,42 +234,56 @@
         self.state.lock().expect("no holder of the lock panics")
     }
 
-    /// Admits a request unless it is barred, or runs here already and is close to that.
-    pub fn admit(self: &Arc<Self>, now: Millis, fingerprint: Fingerprint) -> Result<Running> {
+    /// Admits a request.
+    ///
+    /// Returns an error if the request is barred, or if it has crashed several endpoints and
+    /// already runs on this host.
+    pub fn admit(
+        self: &Arc<Self>,
+        now: Millis,
+        fingerprint: Fingerprint,
+    ) -> Result<RunningRequest> {
         let mut state = self.state();
-        let crashes = self.check_in(&state, now, fingerprint)?;
-        let copies = state.running.entry(fingerprint).or_default();
-        if crashes >= ALONE_FROM && *copies > 0 {
-            let text = format!(
-                "endpoints crashed {crashes} times while they ran request {fingerprint}, and it runs already"
+        let crashes = self.check_locked(&state, now, fingerprint)?;
+        let copies = state.running_copies.entry(fingerprint).or_default();
+        if crashes >= EXCLUSIVE_FROM_CRASHES && *copies > 0 {
+            let message = format!(
+                "request {fingerprint} may run only once at a time on this host and is already running: \
+                 endpoints crashed {crashes} times while running it"
+            );
+            return Err(
+                Error::new(Code::SuspectRuns, message).with_retry_after(EXCLUSIVE_RETRY_AFTER_MS)
             );
-            return Err(Error::new(Code::SuspectRuns, text).with_retry_after(RETRY_ALONE_MS));
         }
         *copies += 1;
-        Ok(Running { suspects: self.clone(), fingerprint })
+        Ok(RunningRequest { suspects: self.clone(), fingerprint })
     }
 
-    /// Checks, before each send, that a request is not barred.
+    /// Returns an error if a request is barred. Called before each attempt.
     pub fn check(&self, now: Millis, fingerprint: Fingerprint) -> Result<()> {
-        self.check_in(&self.state(), now, fingerprint).map(drop)
+        self.check_locked(&self.state(), now, fingerprint).map(drop)
     }
 
-    /// Checks the same; gets the crashes that count against the request.
-    fn check_in(&self, state: &State, now: Millis, fingerprint: Fingerprint) -> Result<usize> {
+    /// Performs `check` with the lock held. Returns the number of crashes that count against the
+    /// request.
+    fn check_locked(&self, state: &State, now: Millis, fingerprint: Fingerprint) -> Result<usize> {
         let Some(suspect) = state.suspects.get(&fingerprint) else { return Ok(0) };
-        let crashes = self.crashes(state, now, fingerprint);
-        if crashes < self.opts.barred_from || now >= suspect.last_at() + self.opts.barred_for {
+        let crashes = self.count_crashes(state, now, fingerprint);
+        if crashes < self.opts.bar_threshold
+            || now >= suspect.last_crash_at() + self.opts.bar_duration
+        {
             return Ok(crashes);
         }
-        let text = format!(
-            "endpoints crashed {crashes} times while they ran request {fingerprint}; it is not run any more"
+        let message = format!(
+            "request {fingerprint} is barred: endpoints crashed {crashes} times while running it"
         );
-        Err(Error::new(Code::CrashesEndpoints, text))
+        Err(Error::new(Code::CrashesEndpoints, message))
     }
 
-    /// Takes note that an endpoint ended while it ran a request that was sent there at `sent_at`; gets the crashes
-    /// that count against the request.
-    pub fn crashed(
+    /// Records that an endpoint crashed while running a request that was sent to it at `sent_at`.
+    /// Returns the number of crashes that count against the request. The crash is ignored if an
+    /// execution of the request completed recently.
+    pub fn record_crash(
         &self,
         now: Millis,
         fingerprint: Fingerprint,
@@ -256,35 +291,36 @@
         domain: &FailureDomain,
         sent_at: Millis,
     ) -> usize {
-        let domain = xxh3_64(domain.as_str().as_bytes()) as u16;
-        let crash = Crash { endpoint: EndpointKey::from(endpoint), domain, sent_at, at: now };
+        let domain_hash = xxh3_64(domain.as_str().as_bytes()) as u16;
+        let crash =
+            Crash { endpoint: EndpointKey::from(endpoint), domain_hash, sent_at, crashed_at: now };
         let mut state = self.state();
-        if state.has_ended_well(&fingerprint) {
+        if state.has_completed_recently(&fingerprint) {
             return 0;
         }
-        let suspect = self.entry(&mut state, fingerprint);
-        if suspect.add(crash) {
+        let suspect = self.entry_or_evict(&mut state, fingerprint);
+        if suspect.add_crash(crash) {
             suspect.changed_at = now;
-            self.has_untold.store(true, Ordering::Relaxed);
+            self.has_unreported.store(true, Ordering::Relaxed);
         }
-        self.look(&mut state, now);
-        self.crashes(&state, now, fingerprint)
+        self.reevaluate(&mut state, now);
+        self.count_crashes(&state, now, fingerprint)
     }
 
-    /// Takes note that a run of a request came to its end.
-    pub fn ended_well(&self, now: Millis, fingerprint: Fingerprint) {
+    /// Records that an execution of a request completed, and clears the request if it is a suspect.
+    pub fn record_completion(&self, now: Millis, fingerprint: Fingerprint) {
         let mut state = self.state();
-        if state.recent[0].len() >= MOST_RECENT {
-            state.recent.swap(0, 1);
-            state.recent[0].clear();
+        if state.recently_completed[0].len() >= MAX_COMPLETED_PER_HALF {
+            state.recently_completed.swap(0, 1);
+            state.recently_completed[0].clear();
         }
-        state.recent[0].insert(fingerprint);
+        state.recently_completed[0].insert(fingerprint);
         if state.suspects.contains_key(&fingerprint) {
             self.clear(&mut state, now, now, fingerprint);
         }
     }
 
-    /// Clears a request that is remembered, as of `at`.
+    /// Marks a suspect as cleared since `at`.
     fn clear(&self, state: &mut State, now: Millis, at: Millis, fingerprint: Fingerprint) {
         let Some(suspect) = state.suspects.get_mut(&fingerprint) else { return };
         if suspect.cleared_at.is_some() {
@@ -293,129 +329,143 @@
         suspect.cleared_at = Some(at);
         suspect.changed_at = now;
         suspect.is_barred = false;
-        state.changes.push(Change::Cleared(fingerprint));
-        self.has_untold.store(true, Ordering::Relaxed);
+        state.changes.push(SuspectChange::Cleared(fingerprint));
+        self.has_unreported.store(true, Ordering::Relaxed);
     }
 
-    /// Takes what another host tells.
-    pub fn hear(&self, now: Millis, told: &[ToldSuspect]) {
-        if told.is_empty() {
+    /// Adds the suspects and crashes that another host reports.
+    pub fn receive_reports(&self, now: Millis, reports: &[SuspectReport]) {
+        if reports.is_empty() {
             return;
         }
         let mut state = self.state();
-        for told in told {
-            self.hear_one(&mut state, now, told);
+        for report in reports {
+            self.receive_report(&mut state, now, report);
         }
-        self.look(&mut state, now);
+        self.reevaluate(&mut state, now);
     }
 
-    fn hear_one(&self, state: &mut State, now: Millis, told: &ToldSuspect) {
-        let ago = |ms: u32| Millis(now.0.saturating_sub(u64::from(ms)));
-        let newest = told.crashes.iter().map(|c| ago(c.ago_ms)).max();
-        let is_old = newest.is_none_or(|at| now >= at + self.opts.kept_for);
-        if is_old && !state.suspects.contains_key(&told.fingerprint) {
+    fn receive_report(&self, state: &mut State, now: Millis, report: &SuspectReport) {
+        let instant_before = |ms: u32| Millis(now.0.saturating_sub(u64::from(ms)));
+        let newest = report.crashes.iter().map(|c| instant_before(c.age_ms)).max();
+        let is_old = newest.is_none_or(|at| now >= at + self.opts.retention);
+        if is_old && !state.suspects.contains_key(&report.fingerprint) {
             return;
         }
-        let suspect = self.entry(state, told.fingerprint);
-        let mut is_news = false;
-        for told in told.crashes.iter().rev() {
-            let (endpoint, domain, at) = (told.endpoint, told.domain, ago(told.ago_ms));
-            let sent_at = Millis(at.0.saturating_sub(u64::from(told.ran_ms)));
-            is_news |= suspect.add(Crash { endpoint, domain, sent_at, at });
+        let suspect = self.entry_or_evict(state, report.fingerprint);
+        let mut has_new_crash = false;
+        for crash_report in report.crashes.iter().rev() {
+            let (endpoint, domain_hash, crashed_at) = (
+                crash_report.endpoint,
+                crash_report.domain_hash,
+                instant_before(crash_report.age_ms),
+            );
+            let sent_at = Millis(crashed_at.0.saturating_sub(u64::from(crash_report.run_ms)));
+            has_new_crash |=
+                suspect.add_crash(Crash { endpoint, domain_hash, sent_at, crashed_at });
         }
-        if is_news {
+        if has_new_crash {
             suspect.changed_at = now;
-            self.has_untold.store(true, Ordering::Relaxed);
+            self.has_unreported.store(true, Ordering::Relaxed);
         }
-        let cleared_at = match told.cleared_ms.map(ago) {
-            None if state.has_ended_well(&told.fingerprint) => Some(now),
-            at => at.filter(|at| now < *at + self.opts.cleared_for),
+        let cleared_at = match report.cleared_ms.map(instant_before) {
+            None if state.has_completed_recently(&report.fingerprint) => Some(now),
+            at => at.filter(|at| now < *at + self.opts.clear_duration),
         };
         if let Some(at) = cleared_at {
-            self.clear(state, now, at, told.fingerprint);
+            self.clear(state, now, at, report.fingerprint);
         }
     }
 
-    /// Tells whether something is known here that no other host was told of.
-    pub fn has_untold(&self) -> bool {
-        self.has_untold.load(Ordering::Relaxed)
+    /// Reports whether there are changes that have not been reported to any host.
+    pub fn has_unreported(&self) -> bool {
+        self.has_unreported.load(Ordering::Relaxed)
     }
 
-    /// Tells whether something became known here of late that others may not know.
-    pub fn has_news(&self, now: Millis) -> bool {
-        self.state().suspects.values().any(|s| is_news(now, s.changed_at))
+    /// Reports whether there are recent changes that other hosts may not know yet.
+    pub fn has_recent_changes(&self, now: Millis) -> bool {
+        self.state().suspects.values().any(|s| is_recent_change(now, s.changed_at))
     }
 
-    /// Lists what to tell other hosts in a round: what is new, and now and then what is barred, for hosts that missed
-    /// it.
-    pub fn told(&self, now: Millis) -> Vec<ToldSuspect> {
-        self.tell(now, MOST_TOLD, |fingerprint| is_told_again(now, fingerprint.hash_prefix()))
+    /// Returns the reports for one round of messages: recent changes, and at intervals the barred
+    /// suspects, for hosts that missed earlier reports.
+    pub fn reports_for_round(&self, now: Millis) -> Vec<SuspectReport> {
+        self.build_reports(now, MAX_REPORTS_PER_MESSAGE, |fingerprint| {
+            is_repeat_due(now, fingerprint.hash_prefix())
+        })
     }
 
-    /// Lists up to `most` requests to tell one other host: what is new, then barred ones in turn.
-    pub fn told_to_one(&self, now: Millis, most: usize) -> Vec<ToldSuspect> {
-        self.tell(now, most, |_| true)
+    /// Returns up to `max_reports` reports for one host: recent changes, then barred suspects in
+    /// rotation.
+    pub fn reports_for_host(&self, now: Millis, max_reports: usize) -> Vec<SuspectReport> {
+        self.build_reports(now, max_reports, |_| true)
     }
 
-    fn tell(
+    fn build_reports(
         &self,
         now: Millis,
-        most: usize,
-        is_told: impl Fn(&Fingerprint) -> bool,
-    ) -> Vec<ToldSuspect> {
-        self.has_untold.store(false, Ordering::Relaxed);
+        max_reports: usize,
+        is_due: impl Fn(&Fingerprint) -> bool,
+    ) -> Vec<SuspectReport> {
+        self.has_unreported.store(false, Ordering::Relaxed);
         let mut state = self.state();
-        self.forget(&mut state, now);
-        let mut fresh: Vec<(&Fingerprint, &Suspect)> = Vec::new();
+        self.remove_expired(&mut state, now);
+        let mut recent: Vec<(&Fingerprint, &Suspect)> = Vec::new();
         let mut barred: Vec<(&Fingerprint, &Suspect)> = Vec::new();
         for (fingerprint, suspect) in &state.suspects {
-            if is_news(now, suspect.changed_at) {
-                fresh.push((fingerprint, suspect));
-            } else if suspect.is_barred && is_told(fingerprint) {
+            if is_recent_change(now, suspect.changed_at) {
+                recent.push((fingerprint, suspect));
+            } else if suspect.is_barred && is_due(fingerprint) {
                 barred.push((fingerprint, suspect));
             }
         }
-        fresh.sort_by_key(|(fingerprint, s)| {
+        recent.sort_by_key(|(fingerprint, s)| {
             std::cmp::Reverse((s.is_barred, s.crashes.len(), s.changed_at, **fingerprint))
         });
         barred.sort_by_key(|(fingerprint, _)| **fingerprint);
-        let mut turn = state.turn;
-        let all = news_then_rest(&fresh, &barred, most, &mut turn);
-        let told = all.iter().map(|(fingerprint, s)| s.told(now, **fingerprint)).collect();
-        state.turn = turn;
-        told
+        let mut next_barred = state.next_barred;
+        let all = select_reports(&recent, &barred, max_reports, &mut next_barred);
+        let reports = all.iter().map(|(fingerprint, s)| s.to_report(now, **fingerprint)).collect();
+        state.next_barred = next_barred;
+        reports
     }
 
-    /// Gets what changed since the last call, for the log.
-    pub fn take_changes(&self) -> Vec<Change> {
+    /// Returns the changes since the last call, for the log.
+    pub fn take_changes(&self) -> Vec<SuspectChange> {
         std::mem::take(&mut self.state().changes)
     }
 
-    /// Counts the requests that are remembered.
+    /// Returns the number of suspects.
     pub fn len(&self) -> usize {
         self.state().suspects.len()
     }
 
-    /// Tells whether no request is remembered.
+    /// Reports whether there are no suspects.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Gets the entry of a request, in the place of another one if there is no room.
-    fn entry<'a>(&self, state: &'a mut State, fingerprint: Fingerprint) -> &'a mut Suspect {
+    /// Returns the entry of a request, creating it if necessary. If a limit is reached, another
+    /// entry is evicted first.
+    fn entry_or_evict<'a>(
+        &self,
+        state: &'a mut State,
+        fingerprint: Fingerprint,
+    ) -> &'a mut Suspect {
         if !state.suspects.contains_key(&fingerprint) {
             let caller = fingerprint.caller();
             let is_own = |f: &Fingerprint| f.caller() == caller;
             let own = state.suspects.keys().filter(|f| is_own(f)).count();
-            if own >= self.opts.most_of_caller {
+            if own >= self.opts.max_suspects_per_caller {
                 state.evict(is_own);
-            } else if state.suspects.len() >= self.opts.most {
-                // Whoever has most of the room gives way.
-                let mut of_callers: HashMap<u32, usize> = HashMap::new();
+            } else if state.suspects.len() >= self.opts.max_suspects {
+                // Evicts an entry of the caller that has the most entries.
+                let mut entries_per_caller: HashMap<u32, usize> = HashMap::new();
                 for f in state.suspects.keys() {
-                    *of_callers.entry(f.caller()).or_default() += 1;
+                    *entries_per_caller.entry(f.caller()).or_default() += 1;
                 }
-                let largest = of_callers.into_iter().max_by_key(|(caller, n)| (*n, *caller));
+                let largest =
+                    entries_per_caller.into_iter().max_by_key(|(caller, n)| (*n, *caller));
                 let largest = largest.map(|(caller, _)| caller);
                 state.evict(|f| Some(f.caller()) == largest);
             }
@@ -423,24 +473,27 @@
         state.suspects.entry(fingerprint).or_default()
     }
 
-    /// Counts the crashes that speak against a request.
-    fn crashes(&self, state: &State, now: Millis, fingerprint: Fingerprint) -> usize {
+    /// Counts the crashes that count against a request.
+    fn count_crashes(&self, state: &State, now: Millis, fingerprint: Fingerprint) -> usize {
         let Some(suspect) = state.suspects.get(&fingerprint) else { return 0 };
-        if self.has_lapsed(suspect, now) || suspect.cleared_at.is_some() {
+        if self.is_expired(suspect, now) || suspect.cleared_at.is_some() {
             return 0;
         }
-        // A single crash bars nothing, so what else explains it does not matter.
-        if suspect.crashes.len() < ALONE_FROM {
+        // A single crash never restricts a request, so there is no need to look for other
+        // explanations.
+        if suspect.crashes.len() < EXCLUSIVE_FROM_CRASHES {
             return suspect.crashes.len();
         }
-        // One that ran beside a barred request saw a part of what that one did.
-        let is_larger =
+        // A request that ran beside a barred one shares only some of its crashes, so a barred
+        // request with more crashes explains them.
+        let is_larger_barred =
             |other: &&Suspect| other.is_barred && other.crashes.len() > suspect.crashes.len();
-        let others: Vec<&Suspect> = state.suspects.values().filter(is_larger).collect();
+        let others: Vec<&Suspect> = state.suspects.values().filter(is_larger_barred).collect();
         let mut counted: Vec<&Crash> = Vec::new();
         for crash in &suspect.crashes {
-            let is_same = |other: &&Suspect| other.crashes.iter().any(|c| c.is_same(crash));
-            let is_explained = others.iter().any(is_same);
+            let is_duplicate =
+                |other: &&Suspect| other.crashes.iter().any(|c| c.is_duplicate_of(crash));
+            let is_explained = others.iter().any(is_duplicate);
             if !is_explained && !counted.iter().any(|c| c.has_common_cause(crash)) {
                 counted.push(crash);
             }
@@ -448,46 +501,48 @@
         counted.len()
     }
 
-    fn has_lapsed(&self, suspect: &Suspect, now: Millis) -> bool {
-        now >= suspect.last_at() + self.opts.kept_for
+    fn is_expired(&self, suspect: &Suspect, now: Millis) -> bool {
+        now >= suspect.last_crash_at() + self.opts.retention
     }
 
-    /// Finds requests that are barred by what is known now, and those that no longer are.
-    fn look(&self, state: &mut State, now: Millis) {
-        let may_change = |s: &Suspect| s.is_barred || s.crashes.len() >= self.opts.barred_from;
+    /// Updates which suspects are barred after crashes were added, and records the changes.
+    fn reevaluate(&self, state: &mut State, now: Millis) {
+        let may_change = |s: &Suspect| s.is_barred || s.crashes.len() >= self.opts.bar_threshold;
         let all = state.suspects.iter().filter(|(_, s)| may_change(s));
         let all: Vec<Fingerprint> = all.map(|(f, _)| *f).collect();
         for fingerprint in all {
-            let crashes = self.crashes(state, now, fingerprint);
-            let is_barred = crashes >= self.opts.barred_from;
+            let crashes = self.count_crashes(state, now, fingerprint);
+            let is_barred = crashes >= self.opts.bar_threshold;
             let Some(suspect) = state.suspects.get_mut(&fingerprint) else { continue };
             if is_barred && !suspect.is_barred {
-                state.changes.push(Change::Barred { fingerprint, crashes });
+                state.changes.push(SuspectChange::Barred { fingerprint, crashes });
             } else if suspect.is_barred && !is_barred && suspect.cleared_at.is_none() {
-                state.changes.push(Change::Cleared(fingerprint));
+                state.changes.push(SuspectChange::Cleared(fingerprint));
             }
             suspect.is_barred = is_barred;
         }
     }
 
-    fn forget(&self, state: &mut State, now: Millis) {
+    fn remove_expired(&self, state: &mut State, now: Millis) {
         state.suspects.retain(|_, suspect| {
-            let is_past = |at: Millis| now >= at + self.opts.cleared_for;
-            !self.has_lapsed(suspect, now) && !suspect.cleared_at.is_some_and(is_past)
+            let has_clearance_expired = |at: Millis| now >= at + self.opts.clear_duration;
+            !self.is_expired(suspect, now) && !suspect.cleared_at.is_some_and(has_clearance_expired)
         });
     }
 }
 
 impl State {
-    fn has_ended_well(&self, fingerprint: &Fingerprint) -> bool {
-        self.recent.iter().any(|half| half.contains(fingerprint))
+    fn has_completed_recently(&self, fingerprint: &Fingerprint) -> bool {
+        self.recently_completed.iter().any(|half| half.contains(fingerprint))
     }
 
-    /// Forgets the entry that matters least of some.
-    fn evict(&mut self, is_meant: impl Fn(&Fingerprint) -> bool) {
-        let meant = self.suspects.iter().filter(|(f, _)| is_meant(f));
-        let least = meant.min_by_key(|(f, s)| (s.is_barred, s.crashes.len(), s.last_at(), **f));
-        if let Some(fingerprint) = least.map(|(f, _)| *f) {
+    /// Evicts the least important of the candidates: those that are not barred first, then those
+    /// with the fewest and oldest crashes.
+    fn evict(&mut self, is_candidate: impl Fn(&Fingerprint) -> bool) {
+        let candidates = self.suspects.iter().filter(|(f, _)| is_candidate(f));
+        let least_important =
+            candidates.min_by_key(|(f, s)| (s.is_barred, s.crashes.len(), s.last_crash_at(), **f));
+        if let Some(fingerprint) = least_important.map(|(f, _)| *f) {
             self.suspects.remove(&fingerprint);
         }
     }
--- a/crates/tidetrack-plane/src/choose.rs
+++ b/crates/tidetrack-plane/src/choose.rs
@@ -4,9 +4,9 @@
 use tidetrack_core::errors::{Error, Result};
 use tidetrack_core::ids::{EndpointId, EndpointKey, ModelId};
 use tidetrack_core::placement::{place_of, Ask, Near, PoolEndpoint, PoolView};
+use tidetrack_core::traffic::admission;
 use tidetrack_core::traffic::budget::SendAgain;
 use tidetrack_core::traffic::canary::ReleaseTrack;
-use tidetrack_core::traffic::gate;
 use tidetrack_core::traffic::latency_estimate::PlannedAttempt;
 use tidetrack_core::traffic::prefix_index::PrefixKey;
 use tidetrack_core::traffic::view::{Picked, ServiceView};
@@ -43,8 +43,8 @@
     shared.suspects.check(now, job.fingerprint)?;
     let bound = shared.settings.bounds.revoke_within;
     let needs_proof = tries.sent == 0 && job.admitted.holder.is_some();
-    if needs_proof && bound.is_some_and(|bound| !shared.fresh.holds(now, bound)) {
-        return Err(gate::stale());
+    if needs_proof && bound.is_some_and(|bound| !shared.fresh.permits_keyed_requests(now, bound)) {
+        return Err(admission::stale_config_error());
     }
     if tries.sent == 0 {
         if tries.unreached == 0 {
