--- a/crates/tidetrack-bench/src/modelled.rs
+++ b/crates/tidetrack-bench/src/modelled.rs
@@ -8,7 +8,9 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-use tidetrack_core::placement::{place_of, work_of, Ask, EndpointLive, PoolEndpoint, PoolView};
+use tidetrack_core::placement::{
+    request_work, ring_position_of, EndpointState, PlacementRequest, PoolEndpoint, PoolView,
+};
 use tidetrack_core::units::{Millis, Tokens};
 
 /// Slots of an endpoint.
@@ -117,7 +119,7 @@
         id: format!("e{i}").parse().expect("an endpoint"),
         address: String::new(),
         failure_domain: "d".parse().expect("a failure domain"),
-        live: Arc::new(EndpointLive::default()),
+        state: Arc::new(EndpointState::default()),
     };
     let slots = if run.placer == Placer::Unbounded { 0 } else { SLOTS as u32 };
     let host = |h| Host {
@@ -231,8 +233,8 @@
             return false;
         };
         let request = &self.requests[r];
-        let work = work_of(Tokens(request.prompt), Tokens(request.answer));
-        self.hosts[request.host].pool.endpoints()[e].live.begin(work);
+        let work = request_work(Tokens(request.prompt), Tokens(request.answer));
+        self.hosts[request.host].pool.endpoints()[e].state.begin_work(work);
         self.endpoints[e].work += work;
         if self.endpoints[e].running < SLOTS {
             self.start(now, e, r);
@@ -248,13 +250,13 @@
         let count = self.run.endpoints;
         match self.run.placer {
             Placer::Tidetrack | Placer::Unbounded => {
-                let ask = Ask {
-                    place: place_of(&request.prefix.to_le_bytes()),
+                let ask = PlacementRequest {
+                    ring_position: ring_position_of(&request.prefix.to_le_bytes()),
                     salt: self.rng.random(),
-                    need: Tokens(request.prompt + request.answer),
+                    required_tokens: Tokens(request.prompt + request.answer),
                     tried: &[],
                     priority: 0,
-                    ..Ask::default()
+                    ..PlacementRequest::default()
                 };
                 let picked = host.pool.pick(Millis(now / 1_000 + 1_000_000), &ask).ok()?;
                 picked.id.as_str()[1..].parse().ok()
@@ -297,16 +299,16 @@
 
     fn end(&mut self, now: u64, e: usize, r: usize) {
         let request = &self.requests[r];
-        let work = work_of(Tokens(request.prompt), Tokens(request.answer));
+        let work = request_work(Tokens(request.prompt), Tokens(request.answer));
         let endpoint = &mut self.endpoints[e];
         endpoint.running -= 1;
         endpoint.work -= work;
         let total = endpoint.work;
-        let live = &self.hosts[request.host].pool.endpoints()[e].live;
-        live.end(work);
-        live.took(work, now - request.came_us);
+        let live = &self.hosts[request.host].pool.endpoints()[e].state;
+        live.end_work(work);
+        live.record_duration(work, now - request.came_us);
         // An answer carries the load as it is when the answer ends.
-        live.report(Millis(now / 1_000 + 1_000_000), total, Tokens(0));
+        live.record_load_report(Millis(now / 1_000 + 1_000_000), total, Tokens(0));
         if let Some(next) = self.endpoints[e].queue.pop_front() {
             self.start(now, e, next);
         }
--- a/crates/tidetrack-bench/src/state.rs
+++ b/crates/tidetrack-bench/src/state.rs
@@ -13,7 +13,7 @@
 use tidetrack_core::ledger::{Bill, Ended, Part, Segment};
 use tidetrack_core::membership::{Member, MemberState, Members};
 use tidetrack_core::node::Item;
-use tidetrack_core::placement::{rendezvous, Ask};
+use tidetrack_core::placement::{rendezvous, PlacementRequest};
 use tidetrack_core::seal::{Key, KeyRing};
 use tidetrack_core::session::Session;
 use tidetrack_core::store::{Delta, Entry, Store};
@@ -140,13 +140,13 @@
         let view = &kept[0].1;
         let pools: Vec<_> = view.pools.values().collect();
         let pick = timed(PICKS, |i| {
-            let ask = Ask {
-                place: i.wrapping_mul(0x9e37_79b9_7f4a_7c15),
+            let ask = PlacementRequest {
+                ring_position: i.wrapping_mul(0x9e37_79b9_7f4a_7c15),
                 salt: i,
-                need: Tokens(100),
+                required_tokens: Tokens(100),
                 tried: &[],
                 priority: 0,
-                ..Ask::default()
+                ..PlacementRequest::default()
             };
             let pool = pools[i as usize % pools.len()];
             let picked = pool.pick(Millis(1_000), &ask).expect("an endpoint");
--- a/crates/tidetrack-core/src/limits.rs
+++ b/crates/tidetrack-core/src/limits.rs
@@ -13,26 +13,26 @@
 use crate::units::Millis;
 
 /// How long a loan lasts for the borrower.
-pub const LOAN_LASTS: Millis = Millis(3_000);
+pub const LOAN_DURATION: Millis = Millis(3_000);
 
 /// How much longer the lender goes without.
 pub const LOAN_MARGIN: Millis = Millis(1_000);
 
 /// Share of its spare rate that a host lends to one asker.
-const LENT_SHARE: f64 = 0.5;
+const MAX_LENT_FRACTION: f64 = 0.5;
 
 /// Seconds of rate that a bucket holds.
 const BURST_SECONDS: f64 = 1.0;
 
 /// Demand and spare are averaged over this many milliseconds.
-const AVERAGED_MS: f64 = 2_000.0;
+const DEMAND_TIME_CONSTANT_MS: f64 = 2_000.0;
 
 /// Smallest rate worth a loan, in requests a second.
-const LEAST_LOAN: f64 = 0.5;
+const MIN_LOAN_RATE: f64 = 0.5;
 
 /// A wish for a larger share.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct LoanAsk {
+pub struct LoanRequest {
     /// The workspace.
     pub workspace: WorkspaceId,
     /// Requests a second wanted beyond the own share.
@@ -49,41 +49,41 @@
 }
 
 #[derive(Clone, Debug)]
-struct Dated {
+struct ExpiringRate {
     rate: f64,
     until: Millis,
 }
 
 /// One workspace's share on one host.
 #[derive(Clone, Debug)]
-pub struct Share {
+pub struct WorkspaceShare {
     limit: f64,
     hosts: usize,
     tokens: f64,
-    filled_at: Millis,
+    refilled_at: Millis,
     demand: f64,
     demand_at: Millis,
-    refused: bool,
-    lent: Vec<Dated>,
-    borrowed: Vec<Dated>,
-    running: u32,
+    was_refused: bool,
+    lent: Vec<ExpiringRate>,
+    borrowed: Vec<ExpiringRate>,
+    in_flight: u32,
     concurrency: u32,
 }
 
-impl Share {
-    fn new(now: Millis, limit: f64, concurrency: u32, hosts: usize) -> Share {
+impl WorkspaceShare {
+    fn new(now: Millis, limit: f64, concurrency: u32, hosts: usize) -> WorkspaceShare {
         let hosts = hosts.max(1);
-        Share {
+        WorkspaceShare {
             limit,
             hosts,
             tokens: (limit / hosts as f64).max(1.0),
-            filled_at: now,
+            refilled_at: now,
             demand: 0.0,
             demand_at: now,
-            refused: false,
+            was_refused: false,
             lent: Vec::new(),
             borrowed: Vec::new(),
-            running: 0,
+            in_flight: 0,
             concurrency,
         }
     }
@@ -109,31 +109,31 @@
 
     /// Gets the requests a second asked of this host of late.
     pub fn demand(&self, now: Millis) -> f64 {
-        let passed = (now - self.demand_at).0 as f64;
-        self.demand * (-passed / AVERAGED_MS).exp()
+        let elapsed = (now - self.demand_at).0 as f64;
+        self.demand * (-elapsed / DEMAND_TIME_CONSTANT_MS).exp()
     }
 
-    fn note_demand(&mut self, now: Millis) {
-        self.demand = self.demand(now) + 1000.0 / AVERAGED_MS;
+    fn record_demand(&mut self, now: Millis) {
+        self.demand = self.demand(now) + 1000.0 / DEMAND_TIME_CONSTANT_MS;
         self.demand_at = now;
     }
 
-    fn fill(&mut self, now: Millis) {
+    fn refill(&mut self, now: Millis) {
         let rate = self.rate(now);
-        let passed = (now - self.filled_at).0 as f64 / 1000.0;
-        self.filled_at = now;
-        let most = (rate * BURST_SECONDS).max(1.0);
-        self.tokens = (self.tokens + rate * passed).min(most);
+        let elapsed = (now - self.refilled_at).0 as f64 / 1000.0;
+        self.refilled_at = now;
+        let capacity = (rate * BURST_SECONDS).max(1.0);
+        self.tokens = (self.tokens + rate * elapsed).min(capacity);
     }
 
-    fn concurrent_share(&self) -> u32 {
+    fn concurrency_share(&self) -> u32 {
         self.concurrency.div_ceil(self.hosts as u32).max(1)
     }
 }
 
 /// The outcome of asking for room within the limits.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Room {
+pub enum Admission {
     /// There is room; the request counts as running until `release`.
     Granted,
     /// There is none; come back after so many milliseconds.
@@ -146,7 +146,7 @@
 /// The shares of all workspaces on one host.
 #[derive(Clone, Debug, Default)]
 pub struct Limits {
-    shares: HashMap<WorkspaceId, Share>,
+    shares: HashMap<WorkspaceId, WorkspaceShare>,
     hosts: usize,
 }
 
@@ -161,81 +161,81 @@
     pub fn set_limit(&mut self, now: Millis, workspace: &WorkspaceId, rate: f64, concurrency: u32) {
         let hosts = self.hosts;
         let share = self.shares.entry(workspace.clone());
-        let share = share.or_insert_with(|| Share::new(now, rate, concurrency, hosts));
+        let share = share.or_insert_with(|| WorkspaceShare::new(now, rate, concurrency, hosts));
         share.limit = rate;
         share.concurrency = concurrency;
     }
 
     /// Drops workspaces that are gone.
-    pub fn retain(&mut self, keep: impl Fn(&WorkspaceId) -> bool) {
-        self.shares.retain(|w, _| keep(w));
+    pub fn retain(&mut self, is_kept: impl Fn(&WorkspaceId) -> bool) {
+        self.shares.retain(|w, _| is_kept(w));
     }
 
     /// Asks for room for one request.
-    pub fn take(&mut self, now: Millis, workspace: &WorkspaceId) -> Room {
+    pub fn try_acquire(&mut self, now: Millis, workspace: &WorkspaceId) -> Admission {
         let Some(share) = self.shares.get_mut(workspace) else {
-            return Room::Refused { retry_after_ms: 1000 };
+            return Admission::Refused { retry_after_ms: 1000 };
         };
-        share.note_demand(now);
-        share.fill(now);
-        if share.running >= share.concurrent_share() {
-            return Room::Refused { retry_after_ms: 100 };
+        share.record_demand(now);
+        share.refill(now);
+        if share.in_flight >= share.concurrency_share() {
+            return Admission::Refused { retry_after_ms: 100 };
         }
         if share.tokens < 1.0 {
-            share.refused = true;
+            share.was_refused = true;
             let rate = share.rate(now).max(0.01);
             let wait = ((1.0 - share.tokens) / rate * 1000.0).ceil();
-            return Room::Refused { retry_after_ms: wait.min(60_000.0) as u64 };
+            return Admission::Refused { retry_after_ms: wait.min(60_000.0) as u64 };
         }
         share.tokens -= 1.0;
-        share.running += 1;
-        Room::Granted
+        share.in_flight += 1;
+        Admission::Granted
     }
 
     /// Counts a request as ended.
     pub fn release(&mut self, workspace: &WorkspaceId) {
         if let Some(share) = self.shares.get_mut(workspace) {
-            share.running = share.running.saturating_sub(1);
+            share.in_flight = share.in_flight.saturating_sub(1);
         }
     }
 
     /// Lists what to borrow: for workspaces that were refused since the last call.
-    pub fn asks(&mut self, now: Millis) -> Vec<LoanAsk> {
-        let mut asks = Vec::new();
+    pub fn loan_requests(&mut self, now: Millis) -> Vec<LoanRequest> {
+        let mut requests = Vec::new();
         for (workspace, share) in &mut self.shares {
-            let lacking = share.demand(now) * 1.1 - share.rate(now);
-            if std::mem::take(&mut share.refused) && lacking >= LEAST_LOAN {
-                asks.push(LoanAsk { workspace: workspace.clone(), rate: lacking });
+            let shortfall = share.demand(now) * 1.1 - share.rate(now);
+            if std::mem::take(&mut share.was_refused) && shortfall >= MIN_LOAN_RATE {
+                requests.push(LoanRequest { workspace: workspace.clone(), rate: shortfall });
             }
         }
-        asks
+        requests
     }
 
     /// Grants what is spare to an asker. The share shrinks before this returns.
-    pub fn grant(&mut self, now: Millis, asks: &[LoanAsk]) -> Vec<Loan> {
-        asks.iter().filter_map(|ask| self.grant_one(now, ask)).collect()
+    pub fn grant(&mut self, now: Millis, requests: &[LoanRequest]) -> Vec<Loan> {
+        requests.iter().filter_map(|request| self.grant_one(now, request)).collect()
     }
 
-    fn grant_one(&mut self, now: Millis, ask: &LoanAsk) -> Option<Loan> {
-        let share = self.shares.get_mut(&ask.workspace)?;
+    fn grant_one(&mut self, now: Millis, request: &LoanRequest) -> Option<Loan> {
+        let share = self.shares.get_mut(&request.workspace)?;
         // Only the own base is lent on: what was borrowed may end before the loan would.
-        let own = (share.base() - share.lent(now)).max(0.0);
-        let spare = (own - share.demand(now) * 1.2).max(0.0) * LENT_SHARE;
-        let rate = ask.rate.min(spare);
-        if !rate.is_finite() || rate < LEAST_LOAN {
+        let unlent = (share.base() - share.lent(now)).max(0.0);
+        let spare = (unlent - share.demand(now) * 1.2).max(0.0) * MAX_LENT_FRACTION;
+        let rate = request.rate.min(spare);
+        if !rate.is_finite() || rate < MIN_LOAN_RATE {
             return None;
         }
-        share.lent.push(Dated { rate, until: now + LOAN_LASTS + LOAN_MARGIN });
-        share.fill(now);
-        Some(Loan { workspace: ask.workspace.clone(), rate })
+        share.lent.push(ExpiringRate { rate, until: now + LOAN_DURATION + LOAN_MARGIN });
+        share.refill(now);
+        Some(Loan { workspace: request.workspace.clone(), rate })
     }
 
-    /// Takes loans that were asked for at `asked_at`.
-    pub fn accept(&mut self, asked_at: Millis, loans: &[Loan]) {
+    /// Takes loans that were asked for at `requested_at`.
+    pub fn accept_loans(&mut self, requested_at: Millis, loans: &[Loan]) {
         for loan in loans {
             if let Some(share) = self.shares.get_mut(&loan.workspace) {
-                let until = asked_at + LOAN_LASTS;
-                share.borrowed.push(Dated { rate: loan.rate, until });
+                let until = requested_at + LOAN_DURATION;
+                share.borrowed.push(ExpiringRate { rate: loan.rate, until });
             }
         }
     }
@@ -261,44 +261,44 @@
         limits
     }
 
-    fn pass(limits: &mut Limits, now: Millis, tries: u32) -> u32 {
-        let mut passed = 0;
-        for _ in 0..tries {
-            if limits.take(now, &workspace()) == Room::Granted {
+    fn acquire_repeatedly(limits: &mut Limits, now: Millis, attempts: u32) -> u32 {
+        let mut elapsed = 0;
+        for _ in 0..attempts {
+            if limits.try_acquire(now, &workspace()) == Admission::Granted {
                 limits.release(&workspace());
-                passed += 1;
+                elapsed += 1;
             }
         }
-        passed
+        elapsed
     }
 
     #[test]
-    fn loans_move_a_share_and_never_raise_the_sum() {
+    fn loans_never_raise_the_total_rate() {
         let mut hosts: Vec<Limits> = (0..7).map(|_| host(7)).collect();
-        let mut passed_last_second = 0;
+        let mut granted_last_second = 0;
         for ms in (0..20_000).step_by(50) {
             let now = Millis(ms);
-            let passed = pass(&mut hosts[0], now, 4);
+            let elapsed = acquire_repeatedly(&mut hosts[0], now, 4);
             if ms >= 19_000 {
-                passed_last_second += passed;
+                granted_last_second += elapsed;
             }
             if ms % 200 == 0 {
-                let asks = hosts[0].asks(now);
+                let requests = hosts[0].loan_requests(now);
                 let lender = 1 + (ms as usize / 200) % 6;
-                let loans = hosts[lender].grant(now, &asks);
-                hosts[0].accept(now, &loans);
+                let loans = hosts[lender].grant(now, &requests);
+                hosts[0].accept_loans(now, &loans);
             }
             let sum: f64 = hosts.iter_mut().map(|h| h.rates(now)[&workspace()]).sum();
             assert!(sum <= 70.0 + 1e-6, "{sum} at {ms}");
         }
-        assert!(passed_last_second > 20, "{passed_last_second} against a base of 10");
+        assert!(granted_last_second > 20, "{granted_last_second} against a base of 10");
     }
 
     #[test]
-    fn a_lost_loan_costs_rate_and_adds_none() {
+    fn lost_loans_never_raise_the_total_rate() {
         let (mut a, mut b) = (host(2), host(2));
-        pass(&mut a, Millis(0), 200);
-        let loans = b.grant(Millis(0), &a.asks(Millis(0)));
+        acquire_repeatedly(&mut a, Millis(0), 200);
+        let loans = b.grant(Millis(0), &a.loan_requests(Millis(0)));
         assert!(!loans.is_empty());
         let sum = a.rates(Millis(1))[&workspace()] + b.rates(Millis(1))[&workspace()];
         assert!(sum < 70.0);
--- a/crates/tidetrack-core/src/node/exchange.rs
+++ b/crates/tidetrack-core/src/node/exchange.rs
@@ -1,7 +1,7 @@
 //! The two halves of an exchange: what a node says to another host, and what it takes from one.
 
 use crate::ids::HostId;
-use crate::limits::LoanAsk;
+use crate::limits::LoanRequest;
 use crate::store::Delta;
 use crate::traffic::suspects::MOST_TOLD;
 use crate::units::Millis;
@@ -15,7 +15,7 @@
         &mut self,
         now: Millis,
         host: &HostId,
-        asks: Vec<LoanAsk>,
+        asks: Vec<LoanRequest>,
         room: usize,
     ) -> Exchange {
         self.nonce = self.nonce.wrapping_add(1);
@@ -96,7 +96,7 @@
         }
         self.pulls.answered(now, to, self.options.object_bytes);
         if r.from.host == *to && r.nonce == nonce {
-            self.limits().accept(sent_at, &r.loans);
+            self.limits().accept_loans(sent_at, &r.loans);
             self.absorb(now, Some(sent_at), r);
         }
     }
--- a/crates/tidetrack-core/src/node/links.rs
+++ b/crates/tidetrack-core/src/node/links.rs
@@ -51,7 +51,7 @@
             wanted.retain(|(h, _)| *h != pull.0);
             wanted.push(pull.clone());
         }
-        let asks = if wanted.is_empty() { Vec::new() } else { self.limits().asks(now) };
+        let asks = if wanted.is_empty() { Vec::new() } else { self.limits().loan_requests(now) };
         let asked = (self.nonce as usize) % wanted.len().max(1);
         let opened = wanted.len();
         wanted.extend(self.callers_with_news(now, &wanted));
--- a/crates/tidetrack-core/src/node/messages.rs
+++ b/crates/tidetrack-core/src/node/messages.rs
@@ -5,7 +5,7 @@
 use crate::evidence::{CellKey, Counts};
 use crate::facts::{Fact, Subject};
 use crate::ids::{HostId, Incarnation};
-use crate::limits::{Loan, LoanAsk};
+use crate::limits::{Loan, LoanRequest};
 use crate::membership::Member;
 use crate::store::Delta;
 use crate::traffic::suspects::ToldSuspect;
@@ -78,7 +78,7 @@
     pub suspects: Vec<ToldSuspect>,
     /// Shares wanted.
     #[serde(rename = "q", default, skip_serializing_if = "Vec::is_empty")]
-    pub asks: Vec<LoanAsk>,
+    pub asks: Vec<LoanRequest>,
     /// Shares lent.
     #[serde(rename = "l", default, skip_serializing_if = "Vec::is_empty")]
     pub loans: Vec<Loan>,
--- a/crates/tidetrack-core/src/policy.rs
+++ b/crates/tidetrack-core/src/policy.rs
@@ -58,7 +58,7 @@
         engine.disable_symbol("import");
         engine.on_print(|_| {});
         engine.on_debug(|_, _, _| {});
-        let ast = engine.compile(&policy.program).map_err(|e| bad(e.to_string()))?;
+        let ast = engine.compile(&policy.program).map_err(|e| policy_error(e.to_string()))?;
         Ok(Program { engine, ast })
     }
 
@@ -68,51 +68,55 @@
         scope.push("req", features_map(features));
         let load = load.iter().map(|(m, x)| (m.as_str().into(), Dynamic::from(*x)));
         scope.push("load", load.collect::<Map>());
-        let out = self.engine.eval_ast_with_scope::<Dynamic>(&mut scope, &self.ast);
-        plan_of(out.map_err(|e| bad(e.to_string()))?)
+        let output = self.engine.eval_ast_with_scope::<Dynamic>(&mut scope, &self.ast);
+        parse_plan(output.map_err(|e| policy_error(e.to_string()))?)
     }
 }
 
-fn bad(message: String) -> Error {
+fn policy_error(message: String) -> Error {
     Error::new(Code::BadPolicy, message)
 }
 
-fn features_map(f: &Features) -> Map {
+fn features_map(features: &Features) -> Map {
     let mut map = Map::new();
-    map.insert("workspace".into(), f.workspace.clone().into());
-    map.insert("route".into(), f.route.clone().into());
-    let tags: Array = f.tags.iter().map(|t| Dynamic::from(t.clone())).collect();
+    map.insert("workspace".into(), features.workspace.clone().into());
+    map.insert("route".into(), features.route.clone().into());
+    let tags: Array = features.tags.iter().map(|t| Dynamic::from(t.clone())).collect();
     map.insert("tags".into(), tags.into());
-    map.insert("prompt_chars".into(), f.prompt_chars.into());
-    map.insert("priority".into(), f.priority.into());
+    map.insert("prompt_chars".into(), features.prompt_chars.into());
+    map.insert("priority".into(), features.priority.into());
     map
 }
 
-fn plan_of(out: Dynamic) -> Result<Plan> {
-    let Some(map) = out.read_lock::<Map>().map(|m| m.clone()) else {
-        return Ok(Plan { rungs: rungs_of(out)?, accept: None });
+fn parse_plan(output: Dynamic) -> Result<Plan> {
+    let Some(map) = output.read_lock::<Map>().map(|m| m.clone()) else {
+        return Ok(Plan { rungs: parse_rungs(output)?, accept: None });
     };
-    let rungs = map.get("rungs").cloned().ok_or_else(|| bad("the map has no `rungs`".into()))?;
+    let rungs =
+        map.get("rungs").cloned().ok_or_else(|| policy_error("the map has no `rungs`".into()))?;
     let accept = match map.get("accept") {
         None => None,
-        Some(x) => Some(x.as_float().map_err(|t| bad(format!("`accept` is {t}, not a float")))?),
+        Some(x) => {
+            Some(x.as_float().map_err(|t| policy_error(format!("`accept` is {t}, not a float")))?)
+        }
     };
-    Ok(Plan { rungs: rungs_of(rungs)?, accept })
+    Ok(Plan { rungs: parse_rungs(rungs)?, accept })
 }
 
-fn rungs_of(value: Dynamic) -> Result<Vec<ModelId>> {
+fn parse_rungs(value: Dynamic) -> Result<Vec<ModelId>> {
     let names = match value.read_lock::<Array>().map(|a| a.clone()) {
         Some(array) => array,
         None => vec![value],
     };
     if names.is_empty() || names.len() > MAX_RUNGS {
-        return Err(bad(format!("{} rungs; 1 to {MAX_RUNGS} are taken", names.len())));
+        return Err(policy_error(format!("{} rungs; 1 to {MAX_RUNGS} are taken", names.len())));
     }
-    names.into_iter().map(model_of).collect()
+    names.into_iter().map(parse_model).collect()
 }
 
-fn model_of(name: Dynamic) -> Result<ModelId> {
-    let name = name.into_string().map_err(|t| bad(format!("a rung is {t}, not a name")))?;
+fn parse_model(name: Dynamic) -> Result<ModelId> {
+    let name =
+        name.into_string().map_err(|t| policy_error(format!("a rung is {t}, not a name")))?;
     name.parse()
 }
 
@@ -122,23 +126,23 @@
         Ok(program) => program,
         Err(e) => return vec![e.message],
     };
-    let mut faults = Vec::new();
+    let mut problems = Vec::new();
     if policy.fallback.is_empty() {
-        faults.push("has no fallback".to_string());
+        problems.push("has no fallback".to_string());
     }
     for (i, case) in policy.cases.iter().enumerate() {
         match program.decide(&features_of(case), &[]) {
-            Err(e) => faults.push(format!("case {i}: {}", e.message)),
+            Err(e) => problems.push(format!("case {i}: {}", e.message)),
             Ok(plan) if plan.rungs != case.expect => {
-                faults.push(format!("case {i}: chose {:?}, not {:?}", plan.rungs, case.expect));
+                problems.push(format!("case {i}: chose {:?}, not {:?}", plan.rungs, case.expect));
             }
             Ok(plan) => {
-                let strangers = plan.rungs.iter().filter(|m| !is_model(m));
-                faults.extend(strangers.map(|m| format!("case {i}: no model named {m}")));
+                let unknown_models = plan.rungs.iter().filter(|m| !is_model(m));
+                problems.extend(unknown_models.map(|m| format!("case {i}: no model named {m}")));
             }
         }
     }
-    faults
+    problems
 }
 
 fn features_of(case: &PolicyCase) -> Features {
@@ -172,18 +176,19 @@
 
     #[test]
     fn a_program_reads_the_request() {
-        let src = r#"if "tag" in req.tags { "small" } else { #{rungs: ["small", "strong"], accept: 0.7} }"#;
+        let source = r#"if "tag" in req.tags { "small" } else { #{rungs: ["small", "strong"], accept: 0.7} }"#;
         let tagged = Features { tags: vec!["tag".into()], ..Features::default() };
-        assert_eq!(decide(src, &tagged).expect("a plan").rungs.len(), 1);
-        let plan = decide(src, &Features::default()).expect("a plan");
+        assert_eq!(decide(source, &tagged).expect("a plan").rungs.len(), 1);
+        let plan = decide(source, &Features::default()).expect("a plan");
         assert_eq!((plan.rungs.len(), plan.accept), (2, Some(0.7)));
     }
 
     #[test]
-    fn loops_errors_and_nonsense_are_refused() {
-        for src in ["loop {}", "1 / 0", "[]", "#{}", "req.nothing.at.all", "fn f() { f() } f()"] {
-            let err = decide(src, &Features::default()).expect_err(src);
-            assert!(matches!(err.code, Code::BadPolicy | Code::BadValue), "{src}: {err}");
+    fn invalid_programs_are_rejected() {
+        for source in ["loop {}", "1 / 0", "[]", "#{}", "req.nothing.at.all", "fn f() { f() } f()"]
+        {
+            let err = decide(source, &Features::default()).expect_err(source);
+            assert!(matches!(err.code, Code::BadPolicy | Code::BadValue), "{source}: {err}");
         }
     }
 }
--- a/crates/tidetrack-core/src/retry.rs
+++ b/crates/tidetrack-core/src/retry.rs
@@ -10,7 +10,7 @@
 const EARNED_PER_REQUEST: u64 = 100;
 
 /// Most retries saved up, in thousandths.
-const MOST_SAVED: u64 = 10_000;
+const MAX_SAVED: u64 = 10_000;
 
 /// The cost of one retry, in thousandths.
 const RETRY_COST: u64 = 1000;
@@ -23,42 +23,42 @@
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        RetryBudget { saved: MOST_SAVED }
+        RetryBudget { saved: MAX_SAVED }
     }
 }
 
 impl RetryBudget {
     /// Counts a first attempt.
     pub fn earn(&mut self) {
-        self.saved = (self.saved + EARNED_PER_REQUEST).min(MOST_SAVED);
+        self.saved = (self.saved + EARNED_PER_REQUEST).min(MAX_SAVED);
     }
 
     /// Takes one retry; tells whether there was one.
-    pub fn take(&mut self) -> bool {
-        let enough = self.saved >= RETRY_COST;
-        if enough {
+    pub fn try_acquire(&mut self) -> bool {
+        let is_affordable = self.saved >= RETRY_COST;
+        if is_affordable {
             self.saved -= RETRY_COST;
         }
-        enough
+        is_affordable
     }
 }
 
 /// What is known of a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Failed {
+pub struct FailedAttempt {
     /// Whether it ran.
     pub ran: Ran,
     /// Whether the call may be repeated.
-    pub repeatable: bool,
+    pub is_repeatable: bool,
     /// Whether a part of an answer went to the caller.
-    pub answered_in_part: bool,
+    pub has_partial_response: bool,
 }
 
 /// Tells whether a failed attempt may be made again, budget aside.
-pub fn may_retry(failed: Failed) -> bool {
+pub fn may_retry(failed: FailedAttempt) -> bool {
     match failed.ran {
-        Ran::No => !failed.answered_in_part,
-        Ran::Unknown | Ran::Yes => failed.repeatable && !failed.answered_in_part,
+        Ran::No => !failed.has_partial_response,
+        Ran::Unknown | Ran::Yes => failed.is_repeatable && !failed.has_partial_response,
     }
 }
 
@@ -67,21 +67,26 @@
     use super::*;
 
     #[test]
-    fn what_may_have_run_is_repeated_only_if_repeatable() {
-        let failed = Failed { ran: Ran::Unknown, repeatable: false, answered_in_part: false };
+    fn attempts_that_may_have_run_are_retried_only_if_repeatable() {
+        let failed =
+            FailedAttempt { ran: Ran::Unknown, is_repeatable: false, has_partial_response: false };
         assert!(!may_retry(failed));
-        assert!(may_retry(Failed { repeatable: true, ..failed }));
-        assert!(may_retry(Failed { ran: Ran::No, ..failed }));
-        assert!(!may_retry(Failed { repeatable: true, answered_in_part: true, ..failed }));
+        assert!(may_retry(FailedAttempt { is_repeatable: true, ..failed }));
+        assert!(may_retry(FailedAttempt { ran: Ran::No, ..failed }));
+        assert!(!may_retry(FailedAttempt {
+            is_repeatable: true,
+            has_partial_response: true,
+            ..failed
+        }));
     }
 
     #[test]
-    fn retries_are_a_tenth_of_requests_in_the_long_run() {
+    fn retries_are_limited_to_a_tenth_of_requests() {
         let mut budget = RetryBudget::default();
         let mut retries = 0;
         for _ in 0..10_000 {
             budget.earn();
-            retries += u32::from(budget.take());
+            retries += u32::from(budget.try_acquire());
         }
         assert!((1_000..=1_020).contains(&retries), "{retries}");
     }
--- a/crates/tidetrack-core/src/session.rs
+++ b/crates/tidetrack-core/src/session.rs
@@ -11,7 +11,7 @@
 use crate::seal::{KeyRing, Purpose};
 
 /// The form of token made here.
-const FORM: &str = "s1";
+const TOKEN_FORMAT: &str = "s1";
 
 /// What a session is bound to.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -29,28 +29,29 @@
 }
 
 impl Session {
-    fn text(&self) -> String {
+    fn payload(&self) -> String {
         let Session { route, version, generation, nonce, .. } = self;
         format!("{route}/{version}/{generation}/{nonce:x}")
     }
 
     /// Makes the token.
     pub fn to_token(&self, ring: &KeyRing) -> String {
-        ring.to_token(FORM, Purpose::Session, self.workspace.as_str(), &self.text())
+        ring.to_token(TOKEN_FORMAT, Purpose::Session, self.workspace.as_str(), &self.payload())
     }
 
     /// Reads a token that `workspace` sends.
     pub fn from_token(token: &str, workspace: &WorkspaceId, ring: &KeyRing) -> Result<Session> {
-        let bad = || Error::new(Code::BadToken, "the session token is not one of this workspace");
-        let text = ring.open_token(FORM, Purpose::Session, workspace.as_str(), token);
-        let fields: Vec<&str> = text.ok_or_else(bad)?.split('/').collect();
-        let [route, version, generation, nonce] = fields[..] else { return Err(bad()) };
+        let invalid =
+            || Error::new(Code::BadToken, "the session token is not one of this workspace");
+        let payload = ring.open_token(TOKEN_FORMAT, Purpose::Session, workspace.as_str(), token);
+        let fields: Vec<&str> = payload.ok_or_else(invalid)?.split('/').collect();
+        let [route, version, generation, nonce] = fields[..] else { return Err(invalid()) };
         Ok(Session {
             workspace: workspace.clone(),
-            route: route.parse().map_err(|_| bad())?,
-            version: version.parse().map_err(|_| bad())?,
-            generation: generation.parse().map_err(|_| bad())?,
-            nonce: u64::from_str_radix(nonce, 16).map_err(|_| bad())?,
+            route: route.parse().map_err(|_| invalid())?,
+            version: version.parse().map_err(|_| invalid())?,
+            generation: generation.parse().map_err(|_| invalid())?,
+            nonce: u64::from_str_radix(nonce, 16).map_err(|_| invalid())?,
         })
     }
 }
@@ -78,7 +79,7 @@
     }
 
     #[test]
-    fn a_token_is_read_by_its_workspace_only() {
+    fn tokens_are_accepted_only_for_their_workspace() {
         let token = session().to_token(&ring("k"));
         let own = "w".parse().expect("a workspace");
         let other = "v".parse().expect("a workspace");
@@ -88,7 +89,7 @@
     }
 
     #[test]
-    fn any_change_to_a_token_is_refused() {
+    fn modified_tokens_are_rejected() {
         let token = session().to_token(&ring("k"));
         let own = "w".parse().expect("a workspace");
         for i in 0..token.len() {
--- a/crates/tidetrack-core/src/traffic/cascade.rs
+++ b/crates/tidetrack-core/src/traffic/cascade.rs
@@ -150,7 +150,7 @@
     let chance_right = chance_right(prospect.confidence);
     let at_hand = chance_right + (1.0 - chance_right) * POOR_ANSWER;
     let second = prospect.in_time + (1.0 - prospect.in_time) * LATE_ANSWER;
-    let per_1k = service.price_of(larger);
+    let per_1k = service.model_price(larger);
     let gain = (second - at_hand) * size.worth(per_1k, opts);
     // The second run also delays others' runs, the more the busier the engines are.
     let scarcity = opts.others_delayed * (1.0 + opts.scarcity * prospect.wait * prospect.wait);
--- a/crates/tidetrack-core/src/traffic/catalog.rs
+++ b/crates/tidetrack-core/src/traffic/catalog.rs
@@ -7,11 +7,11 @@
 
 /// Least weight of a model in an engine's work; the smallest models take about a tenth of the
 /// largest's time.
-const LEAST_WEIGHT: f64 = 0.1;
+const MIN_MODEL_WEIGHT: f64 = 0.1;
 
 /// What kind of work a route carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Work {
+pub enum WorkKind {
     /// A call that may run at most once.
     Once,
     /// A call that may run again.
@@ -23,15 +23,15 @@
     },
 }
 
-impl Work {
+impl WorkKind {
     /// Tells whether a request may be run a second time while the caller holds nothing of it.
     pub fn is_repeatable(self) -> bool {
-        matches!(self, Work::Repeatable | Work::Stream { resumable: true })
+        matches!(self, WorkKind::Repeatable | WorkKind::Stream { resumable: true })
     }
 
     /// Tells whether the answer is a stream.
     pub fn is_stream(self) -> bool {
-        matches!(self, Work::Stream { .. })
+        matches!(self, WorkKind::Stream { .. })
     }
 }
 
@@ -56,17 +56,17 @@
     /// Where its requests go.
     pub targets: Vec<Target>,
     /// What kind of work it is.
-    pub work: Work,
+    pub work: WorkKind,
     /// Longest time a request may be held.
     pub timeout: Millis,
     /// Time within which an answer, or a stream's first event, earns its full credit.
     pub objective: Millis,
     /// Longest pause between a stream's events that is still in time.
-    pub most_gap: Option<Millis>,
+    pub max_event_gap: Option<Millis>,
     /// Urgency; 0 is the most urgent.
     pub rank: u8,
     /// Most endpoints that one request may be sent to.
-    pub most_attempts: u32,
+    pub max_attempts: u32,
     /// Whether requests need no key.
     pub is_public: bool,
     /// Models the system chooses among, the smallest first; empty if the caller chooses.
@@ -86,7 +86,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Service {
     /// Connections one endpoint accepts from all hosts together.
-    pub most_connections: u32,
+    pub max_connections: u32,
     /// Requests an endpoint works on at a time, if it is a model engine.
     pub slots: Option<u32>,
     /// Tokens an engine's memory holds.
@@ -98,16 +98,16 @@
 impl Service {
     /// Gets a model's weight in an engine's work: its price beside the dearest model's, for the time a
     /// model takes is not declared.
-    pub fn weight_of(&self, model: &ModelId) -> f64 {
-        let dearest = self.models.iter().map(|m| m.price).fold(0.0, f64::max);
+    pub fn model_weight(&self, model: &ModelId) -> f64 {
+        let highest_price = self.models.iter().map(|m| m.price).fold(0.0, f64::max);
         match self.models.iter().find(|m| m.name == *model) {
-            Some(m) if dearest > 0.0 => (m.price / dearest).max(LEAST_WEIGHT),
+            Some(m) if highest_price > 0.0 => (m.price / highest_price).max(MIN_MODEL_WEIGHT),
             _ => 1.0,
         }
     }
 
     /// Gets the price of 1,000 tokens of a model; 0 if it is not listed.
-    pub fn price_of(&self, model: &ModelId) -> f64 {
+    pub fn model_price(&self, model: &ModelId) -> f64 {
         self.models.iter().find(|m| m.name == *model).map_or(0.0, |m| m.price)
     }
 }
@@ -116,23 +116,23 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
     /// Largest request head in bytes.
-    pub head_bytes: usize,
+    pub max_head_bytes: usize,
     /// Largest body in bytes.
-    pub body_bytes: usize,
+    pub max_body_bytes: usize,
     /// Longest time for a head to arrive.
-    pub head_time: Millis,
+    pub head_timeout: Millis,
     /// Longest rest of a kept connection.
-    pub idle_time: Millis,
+    pub idle_timeout: Millis,
 }
 
 impl Default for CallerLimits {
     /// The values used until a configuration is known.
     fn default() -> Self {
         CallerLimits {
-            head_bytes: 16 << 10,
-            body_bytes: 4 << 20,
-            head_time: Millis(3_000),
-            idle_time: Millis(15_000),
+            max_head_bytes: 16 << 10,
+            max_body_bytes: 4 << 20,
+            head_timeout: Millis(3_000),
+            idle_timeout: Millis(15_000),
         }
     }
 }
@@ -165,7 +165,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Identity {
     /// No workspace: the route is public or the configuration has no workspaces.
-    Anyone,
+    Anonymous,
     /// The holder of the request's key.
     Holder(KeyHolder),
     /// A key is needed and the request has none, or one that nobody holds.
@@ -176,31 +176,31 @@
     /// Finds the route of a request: the longest prefix of the path among the host's routes.
     pub fn route(&self, hostname: &str, path: &str) -> Option<&std::sync::Arc<Route>> {
         let hostname = hostname.split(':').next().unwrap_or_default();
-        let fits = |r: &&std::sync::Arc<Route>| {
+        let is_match = |r: &&std::sync::Arc<Route>| {
             r.hostname.eq_ignore_ascii_case(hostname) && path.starts_with(&r.path_prefix)
         };
-        self.routes.iter().filter(fits).max_by_key(|r| r.path_prefix.len())
+        self.routes.iter().filter(is_match).max_by_key(|r| r.path_prefix.len())
     }
 
     /// Finds whom a request belongs to.
     pub fn identify(&self, route: &Route, key: Option<&str>) -> Identity {
-        let Some(keys) = &self.keys else { return Identity::Anyone };
+        let Some(keys) = &self.keys else { return Identity::Anonymous };
         match key.and_then(|key| keys.get(key)) {
             Some(holder) => Identity::Holder(holder.clone()),
-            None if route.is_public => Identity::Anyone,
+            None if route.is_public => Identity::Anonymous,
             None => Identity::Unknown,
         }
     }
 }
 
 impl Route {
-    /// Picks the service of one request; `draw` is from 0 up to 1.
-    pub fn pick_target(&self, draw: f64) -> Option<&ServiceId> {
+    /// Picks the service of one request; `hash_fraction` is from 0 up to 1.
+    pub fn pick_target(&self, hash_fraction: f64) -> Option<&ServiceId> {
         let total: u32 = self.targets.iter().map(|t| t.weight).sum();
-        let mut left = draw * f64::from(total);
+        let mut remaining = hash_fraction * f64::from(total);
         for target in &self.targets {
-            left -= f64::from(target.weight);
-            if left < 0.0 {
+            remaining -= f64::from(target.weight);
+            if remaining < 0.0 {
                 return Some(&target.service);
             }
         }
--- a/crates/tidetrack-core/src/traffic/control/limits.rs
+++ b/crates/tidetrack-core/src/traffic/control/limits.rs
@@ -4,61 +4,61 @@
 
 use crate::events::Event;
 use crate::ids::EndpointKey;
-use crate::placement::Allotted;
+use crate::placement::SendAllowance;
 use crate::traffic::endpoint_limits::shares;
 use crate::units::Millis;
 
-use super::{Action, Beliefs};
+use super::{Action, FleetState};
 
 /// How long shares stay where nothing is known to have changed.
-const ALLOT_EVERY: Millis = Millis(2_000);
+const MAX_ALLOTMENT_AGE: Millis = Millis(2_000);
 
-impl Beliefs {
+impl FleetState {
     /// Works out what this host may send to endpoints that named limits, if that may have changed.
-    pub(super) fn allot(&mut self, now: Millis, actions: &mut Vec<Action>) {
+    pub(super) fn allocate_send_limits(&mut self, now: Millis, actions: &mut Vec<Action>) {
         let hosts = self.hosts();
-        let is_alone = self.sight.is_lost(now, hosts);
+        let is_isolated = self.isolation.is_lost(now, hosts);
         if self.limits.is_empty() {
             return;
         }
         let changed = self.limits.take_changed();
-        let is_young = |(at, of): (Millis, usize)| now < at + ALLOT_EVERY && of == hosts;
-        if changed.is_empty() && self.allotted.is_some_and(is_young) {
+        let is_recent = |(at, of): (Millis, usize)| now < at + MAX_ALLOTMENT_AGE && of == hosts;
+        if changed.is_empty() && self.last_allotment.is_some_and(is_recent) {
             return;
         }
-        self.allotted = Some((now, hosts));
+        self.last_allotment = Some((now, hosts));
         let listed: HashSet<EndpointKey> =
             self.table.records().map(|r| EndpointKey::from(&r.id)).collect();
         self.limits.sweep(now, |key| listed.contains(&key));
         for record in self.table.records() {
             let key = EndpointKey::from(&record.id);
-            let Some(named) = self.limits.of(key) else { continue };
-            let Some(live) = self.live.get(&record.id) else { continue };
+            let Some(reported) = self.limits.of(key) else { continue };
+            let Some(state) = self.endpoint_states.get(&record.id) else { continue };
             // The others divide the whole among themselves, and this host adds to it what it had.
-            if is_alone && named.is_some() && live.is_limited() && !changed.contains(&key) {
+            if is_isolated && reported.is_some() && state.is_limited() && !changed.contains(&key) {
                 continue;
             }
-            let allotted = match named {
-                None => Allotted::All,
+            let allowance = match reported {
+                None => SendAllowance::Unlimited,
                 Some(limit) => {
                     let (holders, share) = shares(limit, hosts);
-                    let job = record.id.as_str();
-                    match self.peers.is_among_first(job, &record.failure_domain, holders) {
-                        true => Allotted::Share(share),
-                        false => Allotted::Nothing,
+                    let hash_key = record.id.as_str();
+                    match self.peers.is_among_first(hash_key, &record.failure_domain, holders) {
+                        true => SendAllowance::Share(share),
+                        false => SendAllowance::Denied,
                     }
                 }
             };
-            live.allot(allotted);
+            state.set_send_allowance(allowance);
             // What an answer names next is compared with this.
-            if live.names_limit(named) || changed.contains(&key) {
-                let text = match named {
+            if state.update_reported_limit(reported) || changed.contains(&key) {
+                let text = match reported {
                     Some(limit) => {
-                        format!("endpoint={} limit={limit} allotted={allotted}", record.id)
+                        format!("endpoint={} limit={limit} allotted={allowance}", record.id)
                     }
                     None => format!("endpoint={} limit=-", record.id),
                 };
-                actions.push(Action::Note(Event::EndpointLimited, text));
+                actions.push(Action::Log(Event::EndpointLimited, text));
             }
         }
     }
--- a/crates/tidetrack-core/src/traffic/control/duties.rs
+++ b/crates/tidetrack-core/src/traffic/control/roles.rs
@@ -2,18 +2,18 @@
 
 /// What a host does for the others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Duties {
+pub struct HostRoles {
     /// It proves the configuration at short intervals.
-    pub proves: bool,
+    pub is_prover: bool,
     /// It watches the store.
-    pub watches: bool,
+    pub is_watcher: bool,
     /// The hosts it hears, and itself.
-    pub hosts: usize,
+    pub host_count: usize,
 }
 
-impl Default for Duties {
+impl Default for HostRoles {
     /// A host that hears no other does all for itself.
-    fn default() -> Duties {
-        Duties { proves: true, watches: true, hosts: 1 }
+    fn default() -> HostRoles {
+        HostRoles { is_prover: true, is_watcher: true, host_count: 1 }
     }
 }
--- a/crates/tidetrack-core/src/traffic/control/rollouts.rs
+++ b/crates/tidetrack-core/src/traffic/control/rollouts.rs
@@ -3,7 +3,7 @@
 
 use crate::events::Event;
 use crate::ids::{ServiceId, VersionName};
-use crate::placement::draw;
+use crate::placement::hash_fraction;
 use crate::traffic::feeds::Kind;
 use crate::traffic::judge::Observed;
 use crate::traffic::peers::Barred;
@@ -11,94 +11,96 @@
 use crate::traffic::turns::turn;
 use crate::units::Millis;
 
-use super::versions::Doubt;
-use super::{Action, Beliefs};
+use super::versions::WithholdReason;
+use super::{Action, FleetState};
 
-impl Beliefs {
+impl FleetState {
     /// Takes an order, or a newer state of one; another version begins a new trial.
-    pub(super) fn take_order(
+    pub(super) fn apply_order(
         &mut self,
         now: Millis,
         order: RolloutOrder,
         actions: &mut Vec<Action>,
     ) {
         let service = order.service.clone();
-        let before = self.trials.get(&service).map(|t| (t.order.version.clone(), t.phase()));
-        let of_version =
+        let previous = self.canaries.get(&service).map(|t| (t.order.version.clone(), t.phase()));
+        let version_key =
             |version: &VersionName| Barred { service: service.clone(), version: version.clone() };
-        if let Some((version, phase)) = before.as_ref().filter(|(v, _)| *v != order.version) {
+        if let Some((version, phase)) = previous.as_ref().filter(|(v, _)| *v != order.version) {
             if *phase != Phase::Done {
-                self.versions.hold(now, of_version(version), Doubt::Bad);
+                self.versions.withhold(now, version_key(version), WithholdReason::Bad);
             }
         }
-        self.versions.release(&of_version(&order.version));
-        self.versions.set_readable(&service);
-        let is_news = before.as_ref().is_none_or(|(version, _)| *version != order.version);
-        if is_news {
-            self.versions.ordered(&service);
+        self.versions.stop_withholding(&version_key(&order.version));
+        self.versions.mark_order_readable(&service);
+        let is_new_version = previous.as_ref().is_none_or(|(version, _)| *version != order.version);
+        if is_new_version {
+            self.versions.release_for_order(&service);
         }
-        match self.trials.get_mut(&service) {
-            Some(trial) => trial.update(now, order),
+        match self.canaries.get_mut(&service) {
+            Some(canary) => canary.update(now, order),
             None => {
-                self.trials.insert(service.clone(), Trial::new(now, order, self.bound));
+                self.canaries.insert(service.clone(), Trial::new(now, order, self.exposure_bound));
             }
         }
-        let trial = &self.trials[&service];
-        let after = (trial.order.version.clone(), trial.phase());
-        if before.as_ref() != Some(&after) {
-            let text = format!("service={service} version={} phase={:?}", after.0, after.1);
-            actions.push(Action::Note(Event::RolloutMoved, text));
+        let canary = &self.canaries[&service];
+        let current = (canary.order.version.clone(), canary.phase());
+        if previous.as_ref() != Some(&current) {
+            let text = format!("service={service} version={} phase={:?}", current.0, current.1);
+            actions.push(Action::Log(Event::RolloutMoved, text));
         }
     }
 
     /// Ends the trial of an order that is gone; tells whether there was one. Its version is not proven by that.
-    pub(super) fn order_gone(&mut self, now: Millis, service: &ServiceId) -> bool {
-        self.versions.set_readable(service);
-        let Some(trial) = self.trials.remove(service) else { return false };
-        let version = Barred { service: service.clone(), version: trial.order.version.clone() };
-        match trial.phase() {
+    pub(super) fn remove_order(&mut self, now: Millis, service: &ServiceId) -> bool {
+        self.versions.mark_order_readable(service);
+        let Some(canary) = self.canaries.remove(service) else { return false };
+        let version = Barred { service: service.clone(), version: canary.order.version.clone() };
+        match canary.phase() {
             Phase::Done => {}
-            Phase::Barred => self.versions.hold(now, version, Doubt::Bad),
-            Phase::Sample | Phase::Moved => self.versions.hold(now, version, Doubt::Removed),
+            Phase::Barred => self.versions.withhold(now, version, WithholdReason::Bad),
+            Phase::Sample | Phase::Moved => {
+                self.versions.withhold(now, version, WithholdReason::OrderRemoved)
+            }
         }
         true
     }
 
     /// Lets versions serve that were held for want of news, and sees to it that it comes for the others; tells
     /// whether any may serve now.
-    pub(super) fn clear_versions(&mut self, now: Millis) -> bool {
-        let known = self.feeds.complete(Kind::Rollouts);
-        let cleared = self.versions.clear(now, known);
-        if let Some(revision) = cleared.wanted {
-            let draw = draw(&format!("rollouts/{revision}"), self.host.as_str());
-            let turn = (!self.duties.watches).then(|| turn(draw, self.hosts()));
+    pub(super) fn release_versions(&mut self, now: Millis) -> bool {
+        let known_revision = self.feeds.complete(Kind::Rollouts);
+        let released = self.versions.release_ready(now, known_revision);
+        if let Some(revision) = released.wanted_revision {
+            let draw = hash_fraction(&format!("rollouts/{revision}"), self.host.as_str());
+            let turn = (!self.roles.is_watcher).then(|| turn(draw, self.hosts()));
             self.feeds.wants(now, Kind::Rollouts, revision, turn);
         }
-        cleared.any
+        released.has_released
     }
 
     /// Takes an answer that was seen; tells whether a version is barred by it.
-    pub(super) fn observe(
+    pub(super) fn observe_response(
         &mut self,
         now: Millis,
-        seen: &Observed,
+        observed: &Observed,
         actions: &mut Vec<Action>,
     ) -> bool {
-        let usual = self.usual.entry(seen.service.clone()).or_default();
-        let trial = self.trials.get_mut(&seen.service).filter(|t| t.phase() != Phase::Done);
-        match (trial, &seen.new_version) {
+        let baseline = self.baselines.entry(observed.service.clone()).or_default();
+        let canary = self.canaries.get_mut(&observed.service).filter(|t| t.phase() != Phase::Done);
+        match (canary, &observed.new_version) {
             // What is usual is known when an order comes, and follows a version that was completed.
-            (None, _) => usual.learn(seen),
-            (Some(trial), None) => {
-                trial.judge.see_proven(now, seen, usual);
-                usual.learn(seen);
+            (None, _) => baseline.learn(observed),
+            (Some(canary), None) => {
+                canary.judge.see_proven(now, observed, baseline);
+                baseline.learn(observed);
             }
-            (Some(trial), Some(version)) if *version == trial.order.version => {
-                match trial.has_moved(now, self.peers.len() + 1) {
-                    true => trial.judge.see_moved(now, seen, usual),
-                    false => trial.judge.see_new(now, seen, usual),
+            (Some(canary), Some(version)) if *version == canary.order.version => {
+                match canary.has_moved(now, self.peers.len() + 1) {
+                    true => canary.judge.see_moved(now, observed, baseline),
+                    false => canary.judge.see_new(now, observed, baseline),
                 }
-                return self.judge(now, &seen.service, actions);
+                return self.judge_version(now, &observed.service, actions);
             }
             // Of a roll-out before this one.
             (Some(_), Some(_)) => {}
--- a/crates/tidetrack-core/src/traffic/control/rounds.rs
+++ b/crates/tidetrack-core/src/traffic/control/rounds.rs
@@ -5,7 +5,7 @@
 
 use crate::events::Event;
 use crate::ids::{EndpointId, EndpointKey, ServiceId, VersionName};
-use crate::placement::draw;
+use crate::placement::hash_fraction;
 use crate::traffic::basis::Basis;
 use crate::traffic::endpoints::EndpointRecord;
 use crate::traffic::freshness::Freshness;
@@ -14,106 +14,111 @@
 use crate::traffic::usual::Usual;
 use crate::units::Millis;
 
-use super::{Action, Beliefs, Duties};
+use super::{Action, FleetState, HostRoles};
 
 /// A write that brought no news is tried again after this time.
-const WRITE_AGAIN: Millis = Millis(700);
+const WRITE_RETRY_INTERVAL: Millis = Millis(700);
 
 /// Age of the proof of the configuration at which a host asks another for a younger one. A prover's is
 /// up to 1.5 s old, so this asks about once a second; three questions more fit in before the host reads
 /// the configuration itself.
-const ASK_FOR_PROOF: Millis = Millis(1_600);
+const PROOF_REFRESH_AGE: Millis = Millis(1_600);
 
 /// Least time between questions for a proof.
-const ASK_AGAIN: Millis = Millis(300);
+const MIN_PROOF_REQUEST_INTERVAL: Millis = Millis(300);
 
-impl Beliefs {
+impl FleetState {
     /// Tells other hosts what this one knows, and takes in what they told; tells whether the view
     /// changed.
-    pub(super) fn do_round(
+    pub(super) fn run_round(
         &mut self,
         now: Millis,
         fresh: &Freshness,
         actions: &mut Vec<Action>,
     ) -> bool {
-        self.duties = Duties {
-            proves: self.peers.is_prover(),
-            watches: self.peers.is_watcher(),
-            hosts: self.hosts(),
+        self.roles = HostRoles {
+            is_prover: self.peers.is_prover(),
+            is_watcher: self.peers.is_watcher(),
+            host_count: self.hosts(),
         };
-        let trials = &self.trials;
-        self.peers.forget_tallies(|told| {
-            trials.get(&told.service).is_none_or(|t| t.order.version != told.version || t.is_over())
+        let canaries = &self.canaries;
+        self.peers.forget_tallies(|tally| {
+            canaries
+                .get(&tally.service)
+                .is_none_or(|t| t.order.version != tally.version || t.is_over())
         });
         for host in self.peers.sweep(now) {
-            actions.push(Action::Note(Event::PeerDead, format!("peer={host}")));
+            actions.push(Action::Log(Event::PeerDead, format!("peer={host}")));
         }
         // In a round and not on a tick: ticks come only when nothing else does, and a busy host would keep
         // entries that lapsed.
-        let is_swept = self.table.sweep(now);
-        self.judge_endpoints(now, actions);
+        let has_view_changed = self.table.sweep(now);
+        self.detect_outliers(now, actions);
         self.note_suspects(actions);
-        self.allot(now, actions);
-        let is_swept = self.look_at_versions(now, actions) || is_swept;
-        self.told = self.news(now, fresh);
-        let mut messages = self.peers.round(now, &self.told);
-        if self.trials.values().any(|t| !t.is_over() && t.has_moved(now, self.duties.hosts)) {
-            messages.extend(self.peers.messages_to_provers(now, &self.told));
+        self.allocate_send_limits(now, actions);
+        let has_view_changed = self.update_versions(now, actions) || has_view_changed;
+        self.last_update = self.build_update(now, fresh);
+        let mut messages = self.peers.round(now, &self.last_update);
+        if self.canaries.values().any(|t| !t.is_over() && t.has_moved(now, self.roles.host_count)) {
+            messages.extend(self.peers.messages_to_provers(now, &self.last_update));
         }
-        actions.push(Action::Send(messages));
+        actions.push(Action::SendMessages(messages));
         if !self.peers.is_empty() {
             let loads = self.peers.loads(now);
-            for (id, live) in &self.live {
+            for (id, state) in &self.endpoint_states {
                 let work = loads.get(&EndpointKey::from(id)).copied().unwrap_or(0);
-                live.told_by_hosts(now, work);
+                state.set_peer_work(now, work);
             }
         }
-        for (service, trial) in self.trials.iter().filter(|(_, trial)| !trial.is_over()) {
-            let usual = self.usual.entry(service.clone()).or_default();
-            usual.hear(self.peers.usual(service, &trial.order.version));
+        for (service, canary) in self.canaries.iter().filter(|(_, canary)| !canary.is_over()) {
+            let baseline = self.baselines.entry(service.clone()).or_default();
+            baseline.hear(self.peers.usual(service, &canary.order.version));
         }
-        let services: Vec<ServiceId> = self.trials.keys().cloned().collect();
-        services.iter().map(|s| self.judge(now, s, actions)).fold(is_swept, |a, b| a | b)
+        let services: Vec<ServiceId> = self.canaries.keys().cloned().collect();
+        services
+            .iter()
+            .map(|s| self.judge_version(now, s, actions))
+            .fold(has_view_changed, |a, b| a | b)
     }
 
     /// Logs which requests under suspicion were barred or cleared.
     fn note_suspects(&self, actions: &mut Vec<Action>) {
         for change in self.suspects.take_changes() {
-            actions.push(Action::Note(change.event(), change.to_string()));
+            actions.push(Action::Log(change.event(), change.to_string()));
         }
     }
 
     /// Forgets versions that are gone, and lets others serve; tells whether the view changed.
-    fn look_at_versions(&mut self, now: Millis, actions: &mut Vec<Action>) -> bool {
-        let is_swept = self.versions.sweep(now, self.table.records());
-        let is_cleared = self.clear_versions(now);
-        let untold = self.versions.untold();
-        for service in untold.difference(&self.untold) {
-            actions.push(Action::Note(Event::RolloutsUnknown, format!("service={service}")));
+    fn update_versions(&mut self, now: Millis, actions: &mut Vec<Action>) -> bool {
+        let has_view_changed = self.versions.sweep(now, self.table.records());
+        let has_released = self.release_versions(now);
+        let awaiting = self.versions.awaiting_rollouts();
+        for service in awaiting.difference(&self.services_awaiting_rollouts) {
+            actions.push(Action::Log(Event::RolloutsUnknown, format!("service={service}")));
         }
-        self.untold = untold;
-        is_swept || is_cleared
+        self.services_awaiting_rollouts = awaiting;
+        has_view_changed || has_released
     }
 
     /// Finds endpoints that fail much more than their pools, and avoids them.
-    fn judge_endpoints(&mut self, now: Millis, actions: &mut Vec<Action>) {
-        let live = self.live.iter().map(|(id, live)| (id, live.as_ref()));
-        self.outliers.count(now, live, &self.peers.results(now));
-        for pool in self.pools_of(&self.outliers.suspects(now)) {
-            for outlier in self.outliers.judge(now, &pool) {
-                if let Some(live) = self.live.get(&outlier.endpoint) {
-                    live.avoid_until(outlier.until);
+    fn detect_outliers(&mut self, now: Millis, actions: &mut Vec<Action>) {
+        let endpoint_states = self.endpoint_states.iter().map(|(id, state)| (id, state.as_ref()));
+        self.outliers.record(now, endpoint_states, &self.peers.results(now));
+        for pool in self.pools_containing(&self.outliers.candidates(now)) {
+            for outlier in self.outliers.find_outliers(now, &pool) {
+                if let Some(state) = self.endpoint_states.get(&outlier.endpoint) {
+                    state.avoid_until(outlier.avoided_until);
                 }
-                actions.push(Action::Note(Event::EndpointAvoided, outlier.to_string()));
+                actions.push(Action::Log(Event::EndpointAvoided, outlier.to_string()));
             }
         }
     }
 
     /// Lists the pools that some endpoints belong to: those of a service that run one version.
-    fn pools_of(&self, endpoints: &[EndpointId]) -> Vec<Vec<EndpointId>> {
-        let of_pool = |r: &EndpointRecord| (r.service.clone(), r.version.clone());
+    fn pools_containing(&self, endpoints: &[EndpointId]) -> Vec<Vec<EndpointId>> {
+        let pool_key = |r: &EndpointRecord| (r.service.clone(), r.version.clone());
         let records = endpoints.iter().filter_map(|id| self.table.get(id));
-        let names: BTreeSet<(ServiceId, VersionName)> = records.map(of_pool).collect();
+        let names: BTreeSet<(ServiceId, VersionName)> = records.map(pool_key).collect();
         let pool = |(service, version): &(ServiceId, VersionName)| {
             let records = self.table.records().filter(|r| !r.is_leaving);
             let records = records.filter(|r| r.service == *service && r.version == *version);
@@ -123,122 +128,128 @@
     }
 
     /// Asks a host that proves the configuration, when this one's proof grows old.
-    pub(super) fn ask_for_proof(
+    pub(super) fn request_proof(
         &mut self,
         now: Millis,
         fresh: &Freshness,
         actions: &mut Vec<Action>,
     ) {
-        let is_old = fresh.age(now).is_none_or(|age| age >= ASK_FOR_PROOF);
+        let is_old = fresh.age(now).is_none_or(|age| age >= PROOF_REFRESH_AGE);
         let is_wanted = is_old && self.catalog.is_some();
-        if !is_wanted || now < self.last_asked + ASK_AGAIN || self.is_prover() {
+        if !is_wanted
+            || now < self.last_proof_request + MIN_PROOF_REQUEST_INTERVAL
+            || self.is_prover()
+        {
             return;
         }
-        self.last_asked = now;
-        actions.extend(self.peers.ask_prover(now, &self.told).map(|m| Action::Send(vec![m])));
+        self.last_proof_request = now;
+        actions.extend(
+            self.peers.ask_prover(now, &self.last_update).map(|m| Action::SendMessages(vec![m])),
+        );
     }
 
-    pub(super) fn told_proof(&self, now: Millis, fresh: &Freshness) -> Option<ToldProof> {
+    pub(super) fn proof_report(&self, now: Millis, fresh: &Freshness) -> Option<ToldProof> {
         let proof = self.catalog.as_ref().zip(fresh.age(now));
         proof.map(|(c, age)| ToldProof { version: c.version, age_ms: age.0 })
     }
 
-    fn news(&mut self, now: Millis, fresh: &Freshness) -> News {
-        let proof = self.told_proof(now, fresh);
-        let loads = self.live.iter().map(|(id, live)| (id, live.own_work()));
-        let mut news = News {
+    fn build_update(&mut self, now: Millis, fresh: &Freshness) -> News {
+        let proof = self.proof_report(now, fresh);
+        let loads = self.endpoint_states.iter().map(|(id, state)| (id, state.own_work()));
+        let mut update = News {
             proof,
-            results: self.outliers.told(now),
+            results: self.outliers.reports(now),
             suspects: self.suspects.told(now),
             limits: self.limits.told(now),
             changed: self.feeds.changed(),
             complete: self.feeds.all_complete(),
-            barred: self.versions.bad().cloned().collect(),
+            barred: self.versions.bad_versions().cloned().collect(),
             loads: loads
                 .filter(|(_, work)| *work > 0)
                 .map(|(id, work)| (id.into(), u32::try_from(work).unwrap_or(u32::MAX)))
                 .collect(),
             ..News::default()
         };
-        let turn = self.peers.turn_time() + ROUND_EVERY;
+        let relay_time = self.peers.turn_time() + ROUND_EVERY;
         for (service, prefixes) in &self.prefixes {
-            let reads = prefixes.told(now, turn);
+            let reads = prefixes.told(now, relay_time);
             if !reads.is_empty() {
-                news.reads.push((service.clone(), reads));
+                update.reads.push((service.clone(), reads));
             }
         }
         let hosts = self.hosts();
         for (service, exposure) in &self.exposures {
-            let is_open = |trial: &Trial| !trial.is_over();
-            if !self.trials.get(service).is_some_and(is_open) {
-                let told = exposure.told_of_late(now);
-                news.sessions.extend((!told.is_empty()).then(|| (service.clone(), told)));
+            let is_open = |canary: &Trial| !canary.is_over();
+            if !self.canaries.get(service).is_some_and(is_open) {
+                let sessions = exposure.told_of_late(now);
+                update.sessions.extend((!sessions.is_empty()).then(|| (service.clone(), sessions)));
             }
         }
-        for (service, trial) in &mut self.trials {
-            let (service, version) = (service.clone(), trial.order.version.clone());
-            match trial.phase() {
-                Phase::Barred => news.barred.push(Barred { service, version }),
+        for (service, canary) in &mut self.canaries {
+            let (service, version) = (service.clone(), canary.order.version.clone());
+            match canary.phase() {
+                Phase::Barred => update.barred.push(Barred { service, version }),
                 Phase::Done => {}
                 Phase::Sample | Phase::Moved => {
                     if let Some(exposure) = self.exposures.get(&service) {
-                        let sample = trial.sample(hosts);
-                        news.sessions.push((service.clone(), exposure.told(now, sample)));
+                        let sample = canary.sample(hosts);
+                        update.sessions.push((service.clone(), exposure.told(now, sample)));
                     }
-                    let tally = trial.judge.tally(now).clone();
-                    let age_ms = trial.age(now).0;
-                    let usual = self.usual.get(&service).map(Usual::told).unwrap_or_default();
-                    news.tallies.push(ToldTally { service, version, age_ms, tally, usual });
+                    let tally = canary.judge.tally(now).clone();
+                    let age_ms = canary.age(now).0;
+                    let usual = self.baselines.get(&service).map(Usual::told).unwrap_or_default();
+                    update.tallies.push(ToldTally { service, version, age_ms, tally, usual });
                 }
             }
         }
-        news
+        update
     }
 
     /// Judges a service's new version by all hosts' counts; tells whether it is barred by that.
-    pub(super) fn judge(
+    pub(super) fn judge_version(
         &mut self,
         now: Millis,
         service: &ServiceId,
         actions: &mut Vec<Action>,
     ) -> bool {
         let hosts = self.hosts();
-        let Some(trial) = self.trials.get_mut(service).filter(|t| !t.is_over()) else {
+        let Some(canary) = self.canaries.get_mut(service).filter(|t| !t.is_over()) else {
             return false;
         };
-        let version = trial.order.version.clone();
-        let is_new = |r: &&EndpointRecord| r.service == *service && r.version == version;
-        let endpoints = self.table.records().filter(is_new).count();
+        let version = canary.order.version.clone();
+        let is_canary_endpoint =
+            |r: &&EndpointRecord| r.service == *service && r.version == version;
+        let endpoints = self.table.records().filter(is_canary_endpoint).count();
         if let Some(exposure) = self.exposures.get(service) {
-            trial.judge.sent(now, exposure.sent_first());
+            canary.judge.sent(now, exposure.sent_first());
         }
-        let mut all = trial.judge.tally(now).clone();
+        let mut all = canary.judge.tally(now).clone();
         let mut basis = Basis { endpoints, hosts, counted: 1 };
         let mut since_move = basis;
-        let moved_at = trial.moved_at(hosts);
+        let moved_at = canary.moved_at(hosts);
         for (tally, age) in self.peers.tallies(now, service, &version) {
             all.add(tally, age);
             basis.counted += 1;
             since_move.counted += usize::from(now >= moved_at + age);
         }
-        if trial.is_log_due(now) {
-            let age_ms = trial.age(now).0;
-            let moved = trial.has_moved(now, hosts);
+        if canary.is_log_due(now) {
+            let age_ms = canary.age(now).0;
+            let moved = canary.has_moved(now, hosts);
             let text = format!(
                 "service={service} version={version} age_ms={age_ms} moved={moved} hosts={hosts} \
                  counted={} counted_since_move={} endpoints={endpoints} {all}",
                 basis.counted, since_move.counted
             );
-            actions.push(Action::Note(Event::RolloutEvidence, text));
+            actions.push(Action::Log(Event::RolloutEvidence, text));
         }
-        let told = self.peers.is_barred(service, &version) && trial.bar(now);
-        let bad = trial.judge(now, &all, basis, since_move);
+        let is_reported_barred = self.peers.is_barred(service, &version) && canary.bar(now);
+        let finding = canary.judge(now, &all, basis, since_move);
         if let Some(exposure) = self.exposures.get(service) {
-            exposure.doubt(trial.is_doubted);
+            exposure.doubt(canary.is_doubted);
         }
-        let why = match bad {
-            Some(bad) => bad.to_string(),
-            None if told => "told".into(),
+        let why = match finding {
+            Some(finding) => finding.to_string(),
+            None if is_reported_barred => "told".into(),
             None => return false,
         };
         let text = format!(
@@ -246,45 +257,53 @@
              counted_since_move={} {all}",
             basis.counted, since_move.counted
         );
-        actions.push(Action::Note(Event::VersionBarred, text));
+        actions.push(Action::Log(Event::VersionBarred, text));
         true
     }
 
     /// Judges versions whose roll-outs this host is about to complete by what came since the last round; tells whether
     /// one is barred by that.
-    pub(super) fn judge_before_end(&mut self, now: Millis, actions: &mut Vec<Action>) -> bool {
+    pub(super) fn judge_before_completion(
+        &mut self,
+        now: Millis,
+        actions: &mut Vec<Action>,
+    ) -> bool {
         let hosts = self.hosts();
-        let is_ending = |(service, trial): &(&ServiceId, &Trial)| {
-            let patience = self.patience(now, service, trial);
-            trial.is_ending(now, patience, hosts)
+        let is_completing = |(service, canary): &(&ServiceId, &Trial)| {
+            let write_delay = self.write_delay(now, service, canary);
+            canary.is_ending(now, write_delay, hosts)
         };
-        let ending: Vec<ServiceId> =
-            self.trials.iter().filter(is_ending).map(|(service, _)| service.clone()).collect();
-        ending.iter().map(|s| self.judge(now, s, actions)).fold(false, |a, b| a | b)
+        let completing: Vec<ServiceId> = self
+            .canaries
+            .iter()
+            .filter(is_completing)
+            .map(|(service, _)| service.clone())
+            .collect();
+        completing.iter().map(|s| self.judge_version(now, s, actions)).fold(false, |a, b| a | b)
     }
 
     /// Gets how long this host leaves the next write about a roll-out to others.
-    fn patience(&self, now: Millis, service: &ServiceId, trial: &Trial) -> Millis {
+    fn write_delay(&self, now: Millis, service: &ServiceId, canary: &Trial) -> Millis {
         // A host alone has nobody to wait for.
         if self.peers.is_empty() {
             return Millis(0);
         }
-        let job = format!("{service}/{}", trial.order.version);
+        let hash_key = format!("{service}/{}", canary.order.version);
         let writer = Writer {
             watches: self.is_watcher(),
             collects: self.is_prover(),
-            draw: draw(&job, self.host.as_str()),
+            draw: hash_fraction(&hash_key, self.host.as_str()),
         };
-        trial.patience(now, writer, self.hosts())
+        canary.patience(now, writer, self.hosts())
     }
 
     pub(super) fn write_progress(&mut self, now: Millis, actions: &mut Vec<Action>) {
         let hosts = self.hosts();
-        let waits = |(service, trial)| self.patience(now, service, trial);
-        let patience: Vec<Millis> = self.trials.iter().map(waits).collect();
-        for (trial, patience) in self.trials.values_mut().zip(patience) {
-            let due = trial.due(now, patience, WRITE_AGAIN, hosts);
-            actions.extend(due.map(Action::Write));
+        let delay_of = |(service, canary)| self.write_delay(now, service, canary);
+        let write_delay: Vec<Millis> = self.canaries.iter().map(delay_of).collect();
+        for (canary, write_delay) in self.canaries.values_mut().zip(write_delay) {
+            let due = canary.due(now, write_delay, WRITE_RETRY_INTERVAL, hosts);
+            actions.extend(due.map(Action::WriteProgress));
         }
     }
 }
--- a/crates/tidetrack-core/src/traffic/control/versions.rs
+++ b/crates/tidetrack-core/src/traffic/control/versions.rs
@@ -15,34 +15,34 @@
 
 /// How long an unproven version is kept in mind after its last endpoint was listed: longer than endpoints
 /// stay away through an outage of the store.
-const UNPROVEN_KEPT: Millis = Millis(60_000);
+const WITHHELD_RETENTION: Millis = Millis(60_000);
 
 /// How long a version is held that another host's last word of a roll-out names: several rounds.
-const WORD_KEPT: Millis = Millis(3_000);
+const REPORT_RETENTION: Millis = Millis(3_000);
 
 /// How long a version is held for want of news. A host that for so long neither read the roll-outs nor heard
 /// of one is cut off from both the store and the others, and serves by what it has.
-const HELD_FOR: Millis = Millis(5_000);
+const MAX_ROLLOUT_WAIT: Millis = Millis(5_000);
 
 /// Why a version is held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Doubt {
+pub enum WithholdReason {
     /// It was bad, or its roll-out was replaced by another one.
     Bad,
     /// Its order was removed before the end.
-    Removed,
+    OrderRemoved,
     /// Another host told of its roll-out, at this time.
-    Told(Millis),
+    Reported(Millis),
 }
 
 /// A version that is listed.
 #[derive(Clone, Copy, Debug)]
-struct Listed {
-    first_at: Millis,
+struct ListedVersion {
+    first_listed_at: Millis,
     /// Revision of the store up to which the endpoints were known when it was first listed.
-    revision: Option<u64>,
+    endpoints_revision: Option<u64>,
     /// Whether no roll-out is wanted any more to let it serve.
-    is_clear: bool,
+    is_released: bool,
 }
 
 /// Versions by name.
@@ -51,128 +51,135 @@
 /// What a host knows of its services' versions outside of their trials.
 #[derive(Debug, Default)]
 pub struct Versions {
-    listed: ByVersion<Listed>,
+    listed: ByVersion<ListedVersion>,
     /// Versions that are held, with the time at which each was listed last.
-    unproven: ByVersion<(Doubt, Millis)>,
+    withheld: ByVersion<(WithholdReason, Millis)>,
     /// Services whose order cannot be read: it may name any of their versions.
     unreadable: BTreeSet<ServiceId>,
 }
 
 /// What came of a look at versions that are held for want of news.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Cleared {
+pub struct ReleaseResult {
     /// Whether some may serve from now on.
-    pub any: bool,
+    pub has_released: bool,
     /// Revision up to which the roll-outs have to be read for the others.
-    pub wanted: Option<u64>,
+    pub wanted_revision: Option<u64>,
 }
 
-fn name_of(record: &EndpointRecord) -> Barred {
+fn version_key(record: &EndpointRecord) -> Barred {
     Barred { service: record.service.clone(), version: record.version.clone() }
 }
 
 impl Versions {
     /// Takes note of a listed endpoint.
-    pub fn list(&mut self, now: Millis, record: &EndpointRecord) {
-        let first = Listed { first_at: now, revision: None, is_clear: false };
-        self.listed.entry(name_of(record)).or_insert(first);
+    pub fn add_endpoint(&mut self, now: Millis, record: &EndpointRecord) {
+        let first =
+            ListedVersion { first_listed_at: now, endpoints_revision: None, is_released: false };
+        self.listed.entry(version_key(record)).or_insert(first);
     }
 
     /// Takes note of the revision up to which the endpoints are known.
-    pub fn listed_up_to(&mut self, revision: u64) {
+    pub fn set_endpoints_revision(&mut self, endpoints_revision: u64) {
         for listed in self.listed.values_mut() {
-            listed.revision.get_or_insert(revision);
+            listed.endpoints_revision.get_or_insert(endpoints_revision);
         }
     }
 
     /// Lets all versions serve that are listed of a service when an order of it comes: the order tells which of
     /// them is under roll-out. One that is listed later may have its own.
-    pub fn ordered(&mut self, service: &ServiceId) {
-        for (_, listed) in self.listed.iter_mut().filter(|(name, _)| name.service == *service) {
-            listed.is_clear = true;
+    pub fn release_for_order(&mut self, service: &ServiceId) {
+        for (_, listed) in self.listed.iter_mut().filter(|(key, _)| key.service == *service) {
+            listed.is_released = true;
         }
     }
 
-    /// Lets versions serve that need no roll-out any more; `rollouts` is the revision up to which these are
+    /// Lets versions serve that need no roll-out any more; `rollouts_revision` is the revision up to which these are
     /// known.
-    pub fn clear(&mut self, now: Millis, rollouts: u64) -> Cleared {
-        let mut cleared = Cleared::default();
-        if self.listed.values().all(|listed| listed.is_clear) {
-            return cleared;
+    pub fn release_ready(&mut self, now: Millis, rollouts_revision: u64) -> ReleaseResult {
+        let mut result = ReleaseResult::default();
+        if self.listed.values().all(|listed| listed.is_released) {
+            return result;
         }
-        let counts = self.counts();
-        for (name, listed) in self.listed.iter_mut().filter(|(_, listed)| !listed.is_clear) {
-            let is_old = listed.revision.is_some_and(|revision| revision <= rollouts);
-            let is_out_of_time = now >= listed.first_at + HELD_FOR;
-            let is_unnamed = (is_old || is_out_of_time) && !self.unreadable.contains(&name.service);
-            let is_alone = counts.get(&name.service) == Some(&1);
-            if is_unnamed || is_alone {
-                listed.is_clear = true;
-                cleared.any = true;
+        let version_counts = self.version_counts();
+        for (key, listed) in self.listed.iter_mut().filter(|(_, listed)| !listed.is_released) {
+            let is_covered = listed
+                .endpoints_revision
+                .is_some_and(|endpoints_revision| endpoints_revision <= rollouts_revision);
+            let has_timed_out = now >= listed.first_listed_at + MAX_ROLLOUT_WAIT;
+            let is_not_under_rollout =
+                (is_covered || has_timed_out) && !self.unreadable.contains(&key.service);
+            let is_only_version = version_counts.get(&key.service) == Some(&1);
+            if is_not_under_rollout || is_only_version {
+                listed.is_released = true;
+                result.has_released = true;
             } else {
-                cleared.wanted = cleared.wanted.max(listed.revision);
+                result.wanted_revision = result.wanted_revision.max(listed.endpoints_revision);
             }
         }
-        cleared
+        result
     }
 
     /// Takes note that a service's order cannot be read.
-    pub fn set_unreadable(&mut self, service: ServiceId) {
+    pub fn mark_order_unreadable(&mut self, service: ServiceId) {
         self.unreadable.insert(service);
     }
 
     /// Takes note that a service's order can be read, or is gone.
-    pub fn set_readable(&mut self, service: &ServiceId) {
+    pub fn mark_order_readable(&mut self, service: &ServiceId) {
         self.unreadable.remove(service);
     }
 
     /// Holds a version.
-    pub fn hold(&mut self, now: Millis, version: Barred, doubt: Doubt) {
-        self.unproven.insert(version, (doubt, now));
+    pub fn withhold(&mut self, now: Millis, version: Barred, reason: WithholdReason) {
+        self.withheld.insert(version, (reason, now));
     }
 
     /// Takes another host's word that a version is under roll-out; tells whether it is held by that.
-    pub fn told(&mut self, now: Millis, version: Barred) -> bool {
-        match self.unproven.get(&version) {
-            Some((Doubt::Bad | Doubt::Removed, _)) => false,
+    pub fn handle_report(&mut self, now: Millis, version: Barred) -> bool {
+        match self.withheld.get(&version) {
+            Some((WithholdReason::Bad | WithholdReason::OrderRemoved, _)) => false,
             before => {
-                let is_news = before.is_none();
-                self.hold(now, version, Doubt::Told(now));
-                is_news
+                let is_new = before.is_none();
+                self.withhold(now, version, WithholdReason::Reported(now));
+                is_new
             }
         }
     }
 
     /// Holds a version no longer: it is under roll-out again.
-    pub fn release(&mut self, version: &Barred) {
-        self.unproven.remove(version);
+    pub fn stop_withholding(&mut self, version: &Barred) {
+        self.withheld.remove(version);
     }
 
     /// Tells whether a version is held bad.
     pub fn is_bad(&self, version: &Barred) -> bool {
-        self.unproven.get(version).is_some_and(|(doubt, _)| *doubt == Doubt::Bad)
+        self.withheld.get(version).is_some_and(|(reason, _)| *reason == WithholdReason::Bad)
     }
 
     /// Lists the versions that are held bad.
-    pub fn bad(&self) -> impl Iterator<Item = &Barred> {
-        self.unproven.iter().filter(|(_, (doubt, _))| *doubt == Doubt::Bad).map(|(name, _)| name)
+    pub fn bad_versions(&self) -> impl Iterator<Item = &Barred> {
+        self.withheld
+            .iter()
+            .filter(|(_, (reason, _))| *reason == WithholdReason::Bad)
+            .map(|(key, _)| key)
     }
 
     /// Tells whether an endpoint's version may serve, if it is not under roll-out. Where a service has no
     /// other version, nothing is gained by holding one that was not found bad.
     pub fn may_serve(&self, record: &EndpointRecord) -> bool {
-        let name = name_of(record);
-        match self.unproven.get(&name) {
-            Some((Doubt::Bad, _)) => false,
-            Some(_) => self.is_alone(&name.service),
-            None => self.listed.get(&name).is_some_and(|listed| listed.is_clear),
+        let key = version_key(record);
+        match self.withheld.get(&key) {
+            Some((WithholdReason::Bad, _)) => false,
+            Some(_) => self.is_only_version(&key.service),
+            None => self.listed.get(&key).is_some_and(|listed| listed.is_released),
         }
     }
 
     /// Lists services that have a version which is held for want of news.
-    pub fn untold(&self) -> BTreeSet<ServiceId> {
-        let held = self.listed.iter().filter(|(_, listed)| !listed.is_clear);
-        held.map(|(name, _)| name.service.clone()).collect()
+    pub fn awaiting_rollouts(&self) -> BTreeSet<ServiceId> {
+        let pending = self.listed.iter().filter(|(_, listed)| !listed.is_released);
+        pending.map(|(key, _)| key.service.clone()).collect()
     }
 
     /// Forgets what no endpoint runs any more; tells whether that lets another version serve.
@@ -181,34 +188,34 @@
         now: Millis,
         records: impl Iterator<Item = &'a EndpointRecord>,
     ) -> bool {
-        let run: BTreeSet<(&ServiceId, &VersionName)> =
+        let running: BTreeSet<(&ServiceId, &VersionName)> =
             records.map(|r| (&r.service, &r.version)).collect();
-        let is_run = |name: &Barred| run.contains(&(&name.service, &name.version));
-        let before = (self.listed.len(), self.unproven.len());
-        self.listed.retain(|name, _| is_run(name));
-        self.unproven.retain(|name, (doubt, listed_at)| {
-            if is_run(name) {
+        let is_running = |key: &Barred| running.contains(&(&key.service, &key.version));
+        let before = (self.listed.len(), self.withheld.len());
+        self.listed.retain(|key, _| is_running(key));
+        self.withheld.retain(|key, (reason, listed_at)| {
+            if is_running(key) {
                 *listed_at = now;
             }
-            let is_told = match doubt {
-                Doubt::Told(at) => now < *at + WORD_KEPT,
-                Doubt::Bad | Doubt::Removed => true,
+            let is_still_reported = match reason {
+                WithholdReason::Reported(at) => now < *at + REPORT_RETENTION,
+                WithholdReason::Bad | WithholdReason::OrderRemoved => true,
             };
-            is_told && now < *listed_at + UNPROVEN_KEPT
+            is_still_reported && now < *listed_at + WITHHELD_RETENTION
         });
-        before != (self.listed.len(), self.unproven.len())
+        before != (self.listed.len(), self.withheld.len())
     }
 
     /// Counts the versions of each service.
-    fn counts(&self) -> BTreeMap<ServiceId, usize> {
-        let mut counts = BTreeMap::new();
-        for name in self.listed.keys() {
-            *counts.entry(name.service.clone()).or_default() += 1;
+    fn version_counts(&self) -> BTreeMap<ServiceId, usize> {
+        let mut version_counts = BTreeMap::new();
+        for key in self.listed.keys() {
+            *version_counts.entry(key.service.clone()).or_default() += 1;
         }
-        counts
+        version_counts
     }
 
-    fn is_alone(&self, service: &ServiceId) -> bool {
-        self.listed.keys().filter(|name| name.service == *service).count() == 1
+    fn is_only_version(&self, service: &ServiceId) -> bool {
+        self.listed.keys().filter(|key| key.service == *service).count() == 1
     }
 }
--- a/crates/tidetrack-core/src/traffic/control/views.rs
+++ b/crates/tidetrack-core/src/traffic/control/views.rs
@@ -7,20 +7,20 @@
 use crate::traffic::trial::{Phase, Trial};
 use crate::traffic::view::{FleetView, ServiceView};
 
-use super::Beliefs;
+use super::FleetState;
 
-impl Beliefs {
+impl FleetState {
     /// Makes the view of the present beliefs.
-    pub(super) fn view(&mut self) -> FleetView {
-        let mut sides: HashMap<ServiceId, (Vec<PoolEndpoint>, Vec<PoolEndpoint>)> = HashMap::new();
-        let mut live = HashMap::new();
+    pub(super) fn build_view(&mut self) -> FleetView {
+        let mut pools: HashMap<ServiceId, (Vec<PoolEndpoint>, Vec<PoolEndpoint>)> = HashMap::new();
+        let mut endpoint_states = HashMap::new();
         for record in self.table.records() {
-            let trial = self.trials.get(&record.service);
-            let is_new = trial.is_some_and(|t| t.order.version == record.version);
-            let phase = trial.map(Trial::phase);
-            let kept = self.live.get(&record.id).cloned().unwrap_or_default();
-            live.insert(record.id.clone(), kept.clone());
-            let may_serve = match (is_new, phase) {
+            let canary = self.canaries.get(&record.service);
+            let is_canary = canary.is_some_and(|t| t.order.version == record.version);
+            let phase = canary.map(Trial::phase);
+            let endpoint_state = self.endpoint_states.get(&record.id).cloned().unwrap_or_default();
+            endpoint_states.insert(record.id.clone(), endpoint_state.clone());
+            let may_serve = match (is_canary, phase) {
                 _ if record.is_leaving => false,
                 (true, phase) => phase != Some(Phase::Barred),
                 (false, Some(Phase::Done)) => false,
@@ -33,36 +33,45 @@
                 id: record.id.clone(),
                 address: record.address.to_string(),
                 failure_domain: record.failure_domain.clone(),
-                live: kept,
+                state: endpoint_state,
             };
-            let (proven, new) = sides.entry(record.service.clone()).or_default();
-            if is_new { new } else { proven }.push(endpoint);
+            let (stable_endpoints, canary_endpoints) =
+                pools.entry(record.service.clone()).or_default();
+            if is_canary { canary_endpoints } else { stable_endpoints }.push(endpoint);
         }
-        self.live = live;
-        let services = sides.into_iter().map(|(s, (p, n))| (s.clone(), self.service(&s, p, n)));
+        self.endpoint_states = endpoint_states;
+        let services = pools.into_iter().map(|(id, (stable, canary))| {
+            (id.clone(), self.build_service_view(&id, stable, canary))
+        });
         let services: Vec<(ServiceId, ServiceView)> = services.collect();
         // A host that has just started may hold all of them until it has read the roll-outs.
-        self.could_send |= !services.is_empty();
-        let are_held = !self.could_send && self.table.records().next().is_some();
+        self.was_ever_routable |= !services.is_empty();
+        let are_all_withheld = !self.was_ever_routable && self.table.records().next().is_some();
         FleetView {
             catalog: self.catalog.clone(),
             services: services.into_iter().collect(),
-            has_endpoints: self.has_endpoints && !are_held,
+            has_endpoints: self.has_listed_endpoints && !are_all_withheld,
         }
     }
 
-    fn service(
+    fn build_service_view(
         &mut self,
         service: &ServiceId,
-        proven: Vec<PoolEndpoint>,
-        new: Vec<PoolEndpoint>,
+        stable_endpoints: Vec<PoolEndpoint>,
+        canary_endpoints: Vec<PoolEndpoint>,
     ) -> ServiceView {
         let spread = self.peers.spread();
         let hosts = self.hosts();
-        let trial = self.trials.get_mut(service).map(|t| t.view(spread, hosts));
+        let canary = self.canaries.get_mut(service).map(|t| t.view(spread, hosts));
         let exposure = self.exposures.entry(service.clone()).or_default().clone();
         let prefixes = self.prefixes.entry(service.clone()).or_default().clone();
         let pool = |endpoints| PoolView::new(endpoints, 0);
-        ServiceView { proven: pool(proven), new: pool(new), trial, exposure, prefixes }
+        ServiceView {
+            stable_pool: pool(stable_endpoints),
+            canary_pool: pool(canary_endpoints),
+            canary,
+            exposure,
+            prefixes,
+        }
     }
 }
--- a/crates/tidetrack-core/src/traffic/endpoints.rs
+++ b/crates/tidetrack-core/src/traffic/endpoints.rs
@@ -15,12 +15,12 @@
 
 /// How long entries that lapsed in an outage are kept after the store's return. Endpoints that live
 /// are listed again within two seconds; the rest is the watch's way.
-const LAPSED_KEPT: Millis = Millis(2_300);
+const LAPSED_RETENTION: Millis = Millis(2_300);
 
 /// Longest time between two reads that the store answered in which no entry lapses. An endpoint renews
 /// its entry about each 1.2 s and loses it after three missed ones: an outage of 2.4 s is the shortest that
 /// makes an entry lapse.
-const MOST_BETWEEN_READS: Millis = Millis(2_300);
+const MAX_READ_INTERVAL: Millis = Millis(2_300);
 
 /// What an endpoint says of itself in the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -46,7 +46,7 @@
 
 impl EndpointRecord {
     /// Tells whether this is of a later start of the endpoint than another record.
-    fn is_of_later_start(&self, other: &EndpointRecord) -> bool {
+    fn is_later_incarnation_than(&self, other: &EndpointRecord) -> bool {
         self.started.zip(other.started).is_some_and(|(this, other)| this > other)
     }
 }
@@ -60,54 +60,54 @@
 
 /// Reads that the store answered, to whatever host, without a time between them in which entries lapse.
 #[derive(Clone, Copy, Debug)]
-struct Answered {
-    since: Millis,
-    last: Millis,
+struct RecentReads {
+    first_at: Millis,
+    last_at: Millis,
 }
 
 /// All endpoints this host believes in.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointTable {
     entries: BTreeMap<EndpointId, Entry>,
-    is_store_away: bool,
-    store_back_at: Option<Millis>,
-    answered: Option<Answered>,
+    is_store_unreachable: bool,
+    store_reachable_since: Option<Millis>,
+    recent_reads: Option<RecentReads>,
 }
 
 impl EndpointTable {
     /// Takes note that the store does not answer.
-    pub fn store_lost(&mut self) {
-        self.is_store_away = true;
+    pub fn mark_store_unreachable(&mut self) {
+        self.is_store_unreachable = true;
     }
 
     /// Takes note that the store answers again.
-    pub fn store_back(&mut self, now: Millis) {
-        if self.is_store_away {
-            self.is_store_away = false;
-            self.store_back_at = Some(now);
+    pub fn mark_store_reachable(&mut self, now: Millis) {
+        if self.is_store_unreachable {
+            self.is_store_unreachable = false;
+            self.store_reachable_since = Some(now);
         }
     }
 
     /// Takes note that the store answered a read which some host began at `began`.
-    pub fn store_answered(&mut self, began: Millis) {
-        self.answered = match self.answered {
-            Some(run) if began <= run.last + MOST_BETWEEN_READS => {
-                Some(Answered { last: began.max(run.last), ..run })
+    pub fn record_store_read(&mut self, began: Millis) {
+        self.recent_reads = match self.recent_reads {
+            Some(reads) if began <= reads.last_at + MAX_READ_INTERVAL => {
+                Some(RecentReads { last_at: began.max(reads.last_at), ..reads })
             }
-            _ => Some(Answered { since: began, last: began }),
+            _ => Some(RecentReads { first_at: began, last_at: began }),
         };
     }
 
     /// Takes a whole list.
     pub fn replace(&mut self, now: Millis, records: Vec<EndpointRecord>) {
-        let keeps_missing = self.forgives_lapses(now);
-        let mut old = std::mem::take(&mut self.entries);
+        let retains_missing = self.retains_lapsed(now);
+        let mut previous = std::mem::take(&mut self.entries);
         for record in records {
-            old.remove(&record.id);
+            previous.remove(&record.id);
             self.upsert(record);
         }
-        for (id, entry) in old {
-            if keeps_missing && !entry.record.is_leaving {
+        for (id, entry) in previous {
+            if retains_missing && !entry.record.is_leaving {
                 self.entries.insert(id, Entry { is_lapsed: true, ..entry });
             }
         }
@@ -115,12 +115,12 @@
 
     /// Tells whether a record is of a start before the one that is known: it comes late.
     pub fn is_outdated(&self, record: &EndpointRecord) -> bool {
-        self.get(&record.id).is_some_and(|known| known.is_of_later_start(record))
+        self.get(&record.id).is_some_and(|known| known.is_later_incarnation_than(record))
     }
 
     /// Tells whether a record is of a start after the one that is known.
-    pub fn has_started_again(&self, record: &EndpointRecord) -> bool {
-        self.get(&record.id).is_some_and(|known| record.is_of_later_start(known))
+    pub fn is_new_incarnation(&self, record: &EndpointRecord) -> bool {
+        self.get(&record.id).is_some_and(|known| record.is_later_incarnation_than(known))
     }
 
     /// Takes a new or changed entry.
@@ -130,9 +130,9 @@
 
     /// Takes a removal.
     pub fn remove(&mut self, now: Millis, id: &EndpointId) {
-        let keeps = self.forgives_lapses(now);
+        let retains = self.retains_lapsed(now);
         match self.entries.get_mut(id) {
-            Some(entry) if keeps && !entry.record.is_leaving => entry.is_lapsed = true,
+            Some(entry) if retains && !entry.record.is_leaving => entry.is_lapsed = true,
             _ => {
                 self.entries.remove(id);
             }
@@ -140,13 +140,13 @@
     }
 
     /// Drops an entry at once.
-    pub fn forget(&mut self, id: &EndpointId) {
+    pub fn remove_now(&mut self, id: &EndpointId) {
         self.entries.remove(id);
     }
 
     /// Drops entries that lapsed and have not come back; tells whether there were any.
     pub fn sweep(&mut self, now: Millis) -> bool {
-        if self.forgives_lapses(now) {
+        if self.retains_lapsed(now) {
             return false;
         }
         let before = self.entries.len();
@@ -155,7 +155,7 @@
     }
 
     /// Tells whether an endpoint is believed in.
-    pub fn has(&self, id: &EndpointId) -> bool {
+    pub fn contains(&self, id: &EndpointId) -> bool {
         self.entries.contains_key(id)
     }
 
@@ -165,7 +165,7 @@
     }
 
     /// Tells whether any endpoint of a service runs a version.
-    pub fn runs(&self, service: &ServiceId, version: &VersionName) -> bool {
+    pub fn has_version(&self, service: &ServiceId, version: &VersionName) -> bool {
         self.records().any(|r| r.service == *service && r.version == *version)
     }
 
@@ -176,16 +176,17 @@
 
     /// Tells whether an entry that goes may have lapsed. To this host the store may be away while the
     /// others reach it: an entry that goes then is of an endpoint that left.
-    fn forgives_lapses(&self, now: Millis) -> bool {
-        let is_lost =
-            self.is_store_away || self.store_back_at.is_some_and(|at| now < at + LAPSED_KEPT);
-        is_lost && !self.is_answering(now)
+    fn retains_lapsed(&self, now: Millis) -> bool {
+        let may_have_lapsed = self.is_store_unreachable
+            || self.store_reachable_since.is_some_and(|at| now < at + LAPSED_RETENTION);
+        may_have_lapsed && !self.has_steady_reads(now)
     }
 
     /// Tells whether the store has answered for so long that entries which had lapsed before are back.
-    fn is_answering(&self, now: Millis) -> bool {
-        let holds =
-            |run: &Answered| now <= run.last + MOST_BETWEEN_READS && now >= run.since + LAPSED_KEPT;
-        self.answered.as_ref().is_some_and(holds)
+    fn has_steady_reads(&self, now: Millis) -> bool {
+        let is_steady = |reads: &RecentReads| {
+            now <= reads.last_at + MAX_READ_INTERVAL && now >= reads.first_at + LAPSED_RETENTION
+        };
+        self.recent_reads.as_ref().is_some_and(is_steady)
     }
 }
--- a/crates/tidetrack-core/src/traffic/exposure.rs
+++ b/crates/tidetrack-core/src/traffic/exposure.rs
@@ -14,7 +14,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::ids::VersionName;
-use crate::placement::draw;
+use crate::placement::hash_fraction;
 use crate::traffic::trial::{Phase, Side, TrialView};
 use crate::units::{Millis, Share};
 
@@ -101,7 +101,7 @@
     pub fn new(session: Option<&str>, request: &str) -> SessionDraw {
         SessionDraw {
             session: session.map(|name| xxh3_64(name.as_bytes()) as SessionKey),
-            draw: draw("version", session.unwrap_or(request)),
+            draw: hash_fraction("version", session.unwrap_or(request)),
         }
     }
 }
--- a/crates/tidetrack-core/src/traffic/feeds.rs
+++ b/crates/tidetrack-core/src/traffic/feeds.rs
@@ -29,7 +29,7 @@
 const WATCHERS_READ_FOR: Millis = Millis(500);
 
 /// Pause between looks for a host that knows what is wanted: a try has failed by then, or brought too little.
-const ASK_AGAIN: Millis = Millis(400);
+const MIN_PROOF_REQUEST_INTERVAL: Millis = Millis(400);
 
 /// Pause after a failed read of the store, beside the time of a try.
 const STORE_AGAIN: Millis = Millis(600);
@@ -286,7 +286,7 @@
             if is_stores_turn || lack.ask_at.is_none_or(|at| now < at) {
                 continue;
             }
-            lack.ask_at = Some(now + ASK_AGAIN);
+            lack.ask_at = Some(now + MIN_PROOF_REQUEST_INTERVAL);
             if let Some(holder) = holder(kind, lack.needed) {
                 lack.tried_at = Some(now);
                 lack.is_store_tried = false;
--- a/crates/tidetrack-core/src/traffic/gate.rs
+++ b/crates/tidetrack-core/src/traffic/gate.rs
@@ -67,7 +67,7 @@
         });
     };
     match catalog.identify(route, entry.key) {
-        Identity::Anyone => Ok(Admitted { route: route.clone(), holder: None }),
+        Identity::Anonymous => Ok(Admitted { route: route.clone(), holder: None }),
         _ if !is_fresh => Err(stale()),
         Identity::Holder(holder) => Ok(Admitted { route: route.clone(), holder: Some(holder) }),
         Identity::Unknown => Err(Error::new(Code::NoKey, "no workspace holds this key")),
--- a/crates/tidetrack-core/src/traffic/peers/messages.rs
+++ b/crates/tidetrack-core/src/traffic/peers/messages.rs
@@ -9,7 +9,7 @@
 use crate::traffic::exposure::ToldSession;
 use crate::traffic::feeds::Revisions;
 use crate::traffic::judge::Tally;
-use crate::traffic::outliers::Results;
+use crate::traffic::outliers::RequestCounts;
 use crate::traffic::prefixes::ToldRead;
 use crate::traffic::suspects::ToldSuspect;
 use crate::traffic::usual::ToldUsual;
@@ -56,7 +56,7 @@
     /// Work it has at endpoints.
     pub loads: Vec<(EndpointKey, u32)>,
     /// How its requests went at endpoints that some host saw fail.
-    pub results: Vec<(EndpointKey, Results)>,
+    pub results: Vec<(EndpointKey, RequestCounts)>,
     /// Its counts of roll-outs.
     pub tallies: Vec<ToldTally>,
     /// Versions it holds bad.
--- a/crates/tidetrack-core/src/traffic/peers/mod.rs
+++ b/crates/tidetrack-core/src/traffic/peers/mod.rs
@@ -22,7 +22,7 @@
 use crate::placement::rendezvous;
 use crate::traffic::feeds::Kind;
 use crate::traffic::judge::Tally;
-use crate::traffic::outliers::Results;
+use crate::traffic::outliers::RequestCounts;
 use crate::traffic::usual::ToldUsual;
 use crate::units::Millis;
 
@@ -327,12 +327,12 @@
     }
 
     /// Sums how the other hosts' requests went at endpoints that some host saw fail.
-    pub fn results(&self, now: Millis) -> HashMap<EndpointKey, Results> {
-        let mut results: HashMap<EndpointKey, Results> = HashMap::new();
+    pub fn results(&self, now: Millis) -> HashMap<EndpointKey, RequestCounts> {
+        let mut results: HashMap<EndpointKey, RequestCounts> = HashMap::new();
         for peer in self.peers.values() {
             for (key, told) in &peer.news.results {
                 let sum = results.entry(*key).or_default();
-                *sum = sum.plus(told.as_told(now - peer.heard_at));
+                *sum = sum.plus(told.as_reported(now - peer.heard_at));
             }
         }
         results
--- a/crates/tidetrack-core/src/traffic/reach.rs
+++ b/crates/tidetrack-core/src/traffic/reach.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 use crate::ids::{EndpointId, FailureDomain};
-use crate::placement::EndpointLive;
+use crate::placement::EndpointState;
 use crate::units::Millis;
 
 /// Time within which connects that come to nothing have one cause: a full line stays full for some
@@ -27,7 +27,7 @@
     /// Where it stands.
     pub failure_domain: FailureDomain,
     /// Its health.
-    pub live: Arc<EndpointLive>,
+    pub live: Arc<EndpointState>,
     /// When the connect began.
     pub began: Millis,
     /// When it was given up.
@@ -82,20 +82,20 @@
         let now = connect.ended;
         self.silent.retain(|s| now < s.connect.ended + TOGETHER);
         // What the endpoint sends on other connections comes here: it is not without power.
-        if connect.live.was_heard_since(connect.began) {
-            connect.live.note_silent(now);
+        if connect.live.was_active_since(connect.began) {
+            connect.live.record_silence(now);
             return Blame::Way;
         }
         if self.is_own_way(&connect, prompt_at) {
             for silent in &mut self.silent {
                 silent.forgive();
             }
-            connect.live.note_silent(now);
+            connect.live.record_silence(now);
             self.silent.push(Silent { connect, left_after: None });
             return Blame::Way;
         }
-        let left_after = Some(connect.live.failures());
-        connect.live.note_unreachable(now);
+        let left_after = Some(connect.live.consecutive_failures());
+        connect.live.record_unreachable(now);
         self.silent.push(Silent { connect, left_after });
         Blame::Endpoint
     }
@@ -116,7 +116,7 @@
     /// Takes back that the endpoint was left for this; it counts as one failure.
     fn forgive(&mut self) {
         if let Some(failures) = self.left_after.take() {
-            self.connect.live.forgive_unreachable(failures);
+            self.connect.live.undo_unreachable(failures);
         }
     }
 }
@@ -135,7 +135,7 @@
         reach: Reach,
         /// Where the endpoints stand.
         domain: &'static str,
-        endpoints: Vec<(EndpointId, Arc<EndpointLive>)>,
+        endpoints: Vec<(EndpointId, Arc<EndpointState>)>,
     }
 
     fn fixture() -> Fixture {
@@ -250,7 +250,7 @@
     #[test]
     fn an_endpoint_that_is_heard_meanwhile_is_not_left() {
         let mut f = fixture();
-        f.endpoints[0].1.heard(NOW);
+        f.endpoints[0].1.record_activity(NOW);
 
         let blame = f.gives_no_sign(NOW + Millis(100), 0, None);
 
--- a/crates/tidetrack-core/src/traffic/view.rs
+++ b/crates/tidetrack-core/src/traffic/view.rs
@@ -5,7 +5,7 @@
 
 use crate::errors::Result;
 use crate::ids::ServiceId;
-use crate::placement::{Ask, PoolEndpoint, PoolView};
+use crate::placement::{PlacementRequest, PoolEndpoint, PoolView};
 use crate::traffic::catalog::Catalog;
 use crate::traffic::exposure::{Exposure, SessionDraw};
 use crate::traffic::loading::turn_at;
@@ -17,11 +17,11 @@
 #[derive(Debug)]
 pub struct ServiceView {
     /// Endpoints of proven versions.
-    pub proven: PoolView,
+    pub stable_pool: PoolView,
     /// Endpoints of the version under roll-out.
-    pub new: PoolView,
+    pub canary_pool: PoolView,
     /// The roll-out, if there is one.
-    pub trial: Option<TrialView>,
+    pub canary: Option<TrialView>,
     /// Sessions and counts for the share of a new version.
     pub exposure: Arc<Exposure>,
     /// Which endpoints have read which shared parts of prompts.
@@ -30,7 +30,7 @@
 
 /// An endpoint that was picked for a request.
 #[derive(Clone, Copy, Debug)]
-pub struct Picked<'a> {
+pub struct PickedEndpoint<'a> {
     /// The endpoint.
     pub endpoint: &'a PoolEndpoint,
     /// Whether it is given more of a new version's sample than its part, to have as much to do as busy ones.
@@ -39,21 +39,21 @@
 
 impl ServiceView {
     /// Decides which side a request goes to.
-    pub fn side(&self, now: Millis, who: SessionDraw, hold_for: Millis) -> Side {
-        let can_try = !self.new.endpoints().is_empty();
-        self.exposure.side(now, who, self.trial.as_ref(), can_try, hold_for)
+    pub fn side(&self, now: Millis, session: SessionDraw, session_lifetime: Millis) -> Side {
+        let has_canary = !self.canary_pool.endpoints().is_empty();
+        self.exposure.side(now, session, self.canary.as_ref(), has_canary, session_lifetime)
     }
 
     /// Tells whether the version under roll-out is barred.
     pub fn is_barred(&self) -> bool {
-        self.trial.as_ref().is_some_and(|t| t.phase == Phase::Barred)
+        self.canary.as_ref().is_some_and(|t| t.phase == Phase::Barred)
     }
 
     /// Tells whether a request that was drawn for the proven versions may meet the new one where they have
     /// no endpoint for it: not beyond the bound, for all requests may come to that at once.
-    pub fn may_fall_back(&self, now: Millis) -> bool {
-        self.trial.as_ref().is_some_and(|trial| match trial.phase_at(now) {
-            Phase::Sample => self.exposure.has_room(trial.bound.share),
+    pub fn can_fall_back(&self, now: Millis) -> bool {
+        self.canary.as_ref().is_some_and(|canary| match canary.phase_at(now) {
+            Phase::Sample => self.exposure.has_room(canary.bound.share),
             Phase::Moved | Phase::Done => true,
             Phase::Barred => false,
         })
@@ -61,7 +61,7 @@
 
     /// Tells whether an endpoint belongs to the service.
     pub fn has_endpoint(&self, id: &str) -> bool {
-        let all = self.proven.endpoints().iter().chain(self.new.endpoints());
+        let all = self.stable_pool.endpoints().iter().chain(self.canary_pool.endpoints());
         all.into_iter().any(|e| e.id.as_str() == id)
     }
 
@@ -70,38 +70,38 @@
         &self,
         now: Millis,
         side: Side,
-        who: SessionDraw,
-        ask: &Ask<'_>,
-    ) -> Result<Picked<'_>> {
-        if let Some(endpoint) = self.loaded(now, side, who, ask) {
-            return Ok(Picked { endpoint, is_loaded: true });
+        session: SessionDraw,
+        request: &PlacementRequest<'_>,
+    ) -> Result<PickedEndpoint<'_>> {
+        if let Some(endpoint) = self.load_probe_endpoint(now, side, session, request) {
+            return Ok(PickedEndpoint { endpoint, is_loaded: true });
         }
-        let endpoint = self.pool(side).pick(now, ask)?;
-        Ok(Picked { endpoint, is_loaded: false })
+        let endpoint = self.pool(side).pick(now, request)?;
+        Ok(PickedEndpoint { endpoint, is_loaded: false })
     }
 
     /// Gets the new version's endpoint that is loaded now, if any is.
-    fn loaded(
+    fn load_probe_endpoint(
         &self,
         now: Millis,
         side: Side,
-        who: SessionDraw,
-        ask: &Ask<'_>,
+        session: SessionDraw,
+        request: &PlacementRequest<'_>,
     ) -> Option<&PoolEndpoint> {
-        let trial = self.trial.as_ref().filter(|_| side == Side::New)?;
-        if who.draw < trial.idle_sample {
+        let canary = self.canary.as_ref().filter(|_| side == Side::New)?;
+        if session.draw < canary.idle_sample {
             return None;
         }
-        let turn = turn_at(trial, now, self.proven.endpoints().len())?;
-        let job = format!("turn {}", turn.number);
-        self.new.pick_of_first(now, ask, &job, turn.endpoints)
+        let turn = turn_at(canary, now, self.stable_pool.endpoints().len())?;
+        let hash_key = format!("turn {}", turn.number);
+        self.canary_pool.pick_among_ranked(now, request, &hash_key, turn.endpoints)
     }
 
     /// Gets the endpoints of a side.
     pub fn pool(&self, side: Side) -> &PoolView {
         match side {
-            Side::Proven => &self.proven,
-            Side::New => &self.new,
+            Side::Proven => &self.stable_pool,
+            Side::New => &self.canary_pool,
         }
     }
 }
--- a/crates/tidetrack-core/src/view.rs
+++ b/crates/tidetrack-core/src/view.rs
@@ -18,7 +18,7 @@
     EndpointId, Incarnation, ModelId, PoolId, RolloutId, RouteId, ServiceId, VersionRef,
     WorkspaceId,
 };
-use crate::placement::{EndpointLive, PoolEndpoint, PoolView};
+use crate::placement::{EndpointState, PoolEndpoint, PoolView};
 use crate::policy::{Features, Plan, Program};
 use crate::rollout::Credits;
 use crate::seal::KeyRing;
@@ -137,7 +137,7 @@
 #[derive(Debug, Default)]
 pub struct ViewBuilder {
     /// Endpoints' load and health, by name and address.
-    live: HashMap<(EndpointId, String), Arc<EndpointLive>>,
+    live: HashMap<(EndpointId, String), Arc<EndpointState>>,
     /// Credits, by version and generation.
     credits: HashMap<(VersionRef, u64), Arc<Credits>>,
     /// Policies, each with the revision that it was compiled from.
@@ -245,13 +245,13 @@
         declared_at: u64,
     ) -> PoolView {
         let view_of = |(id, e): (&EndpointId, &Endpoint)| {
-            let live = self.live.entry((id.clone(), e.address.clone())).or_default().clone();
-            live.set_leaving(facts.is_leaving(id, declared_at));
+            let state = self.live.entry((id.clone(), e.address.clone())).or_default().clone();
+            state.set_leaving(facts.is_leaving(id, declared_at));
             PoolEndpoint {
                 id: id.clone(),
                 address: e.address.clone(),
                 failure_domain: e.failure_domain.clone(),
-                live,
+                state,
             }
         };
         PoolView::new(endpoints.iter().map(view_of).collect(), slots)
--- a/crates/tidetrack-core/tests/endpoint_limits.rs
+++ b/crates/tidetrack-core/tests/endpoint_limits.rs
@@ -8,7 +8,7 @@
 
 use tidetrack_core::codes::Code;
 use tidetrack_core::ids::{EndpointId, ServiceId};
-use tidetrack_core::placement::{Allotted, Ask, EndpointLive};
+use tidetrack_core::placement::{EndpointState, PlacementRequest, SendAllowance};
 use tidetrack_core::traffic::control::Input;
 use tidetrack_core::traffic::trial::Side;
 use tidetrack_core::units::{Millis, Rate};
@@ -30,12 +30,12 @@
     (1.5 * limit * WINDOW_MS as f64 / 1_000.0) as usize + 5
 }
 
-fn live_at(fleet: &Fleet, host: usize) -> Arc<EndpointLive> {
+fn live_at(fleet: &Fleet, host: usize) -> Arc<EndpointState> {
     let view = fleet.hosts[host].view.as_ref().expect("a view");
     let service = &view.services[&id::<ServiceId>("llm")];
     let limited: EndpointId = id(LIMITED);
-    let found = service.proven.endpoints().iter().find(|e| e.id == limited);
-    found.expect("the endpoint is listed").live.clone()
+    let found = service.stable_pool.endpoints().iter().find(|e| e.id == limited);
+    found.expect("the endpoint is listed").state.clone()
 }
 
 /// Lets hosts send to the endpoint whatever they may for some time; its answers name `limit`. Gets when requests came.
@@ -49,14 +49,14 @@
             }
             let live = live_at(fleet, host);
             let has_request = fleet.seed.random::<f64>() < 0.5;
-            if !has_request || !live.may_send(Millis(fleet.now)) {
+            if !has_request || !live.can_send(Millis(fleet.now)) {
                 continue;
             }
-            live.sends(Millis(fleet.now));
+            live.record_send(Millis(fleet.now));
             came.push(fleet.now);
             let named = limit.map(Rate);
-            if live.names_limit(named) {
-                fleet.take(host, Input::LimitNamed(id(LIMITED), named));
+            if live.update_reported_limit(named) {
+                fleet.take(host, Input::LimitReported(id(LIMITED), named));
             }
         }
         fleet.run(fleet.now + STEP as u64, |_, _| {});
@@ -97,7 +97,7 @@
     send(&mut fleet, CONTACT_MS, None);
 
     let now = Millis(fleet.now);
-    let may_send = (0..67).filter(|host| live_at(&fleet, *host).may_send(now)).count();
+    let may_send = (0..67).filter(|host| live_at(&fleet, *host).can_send(now)).count();
     assert_eq!(may_send, 67);
 }
 
@@ -108,7 +108,7 @@
     fleet.run(4_000, |_, _| {});
     send(&mut fleet, 4_000, Some(1.0));
     let now = Millis(fleet.now);
-    let holds = |fleet: &Fleet, host: usize| live_at(fleet, host).sends_from(now).is_some();
+    let holds = |fleet: &Fleet, host: usize| live_at(fleet, host).next_send_at(now).is_some();
     let holder = (0..7).find(|host| holds(&fleet, *host)).expect("a host has the share");
 
     fleet.restart(holder);
@@ -165,14 +165,14 @@
     let view = fleet.hosts[0].view.clone().expect("a view");
     let service = &view.services[&id::<ServiceId>("llm")];
     for endpoint in service.pool(Side::Proven).endpoints() {
-        endpoint.live.allot(Allotted::Share(Rate(2.0)));
-        endpoint.live.sends(now);
+        endpoint.state.set_send_allowance(SendAllowance::Share(Rate(2.0)));
+        endpoint.state.record_send(now);
     }
 
     let pool = service.pool(Side::Proven);
-    let refused = pool.pick(now, &Ask::default()).expect_err("none takes more");
+    let refused = pool.pick(now, &PlacementRequest::default()).expect_err("none takes more");
 
     assert_eq!(refused.code, Code::Overloaded);
     assert_eq!(refused.retry_after_ms, Some(500));
-    assert!(pool.pick(now + Millis(500), &Ask::default()).is_ok());
+    assert!(pool.pick(now + Millis(500), &PlacementRequest::default()).is_ok());
 }
--- a/crates/tidetrack-core/tests/exposure.rs
+++ b/crates/tidetrack-core/tests/exposure.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use tidetrack_core::traffic::control::{Action, Beliefs, Input};
+use tidetrack_core::traffic::control::{Action, FleetState, Input};
 use tidetrack_core::traffic::feeds::{Kind, Source};
 use tidetrack_core::traffic::freshness::Freshness;
 use tidetrack_core::traffic::judge::Tally;
@@ -147,20 +147,20 @@
 /// Lists the versions' endpoints that a view gives to requests of the service, proven ones.
 fn proven(view: &FleetView) -> Vec<String> {
     let service = view.services.get(&id("llm"));
-    let endpoints = service.map_or(&[][..], |s| s.proven.endpoints());
+    let endpoints = service.map_or(&[][..], |s| s.stable_pool.endpoints());
     endpoints.iter().map(|e| e.id.to_string()).collect()
 }
 
 /// Gets the present view of a host, after a while without news.
-fn view_after(beliefs: &mut Beliefs, now: u64, fresh: &Freshness) -> std::sync::Arc<FleetView> {
+fn view_after(beliefs: &mut FleetState, now: u64, fresh: &Freshness) -> std::sync::Arc<FleetView> {
     let again = Input::Endpoint(record("o1", "v1"));
-    let actions = beliefs.take(Millis(now), again, fresh);
+    let actions = beliefs.handle_input(Millis(now), again, fresh);
     view_of(&actions).expect("a view")
 }
 
 /// What another host tells of the version under roll-out.
 fn word_of(news: News) -> Input {
-    Input::Heard(Box::new(message_of(7, news)))
+    Input::PeerMessageReceived(Box::new(message_of(7, news)))
 }
 
 /// What was seen: hosts that stop and start in series, others that lose all kinds of the store at once, beside a
@@ -180,11 +180,11 @@
         usual: Vec::new(),
     };
     let rolled_back = || order(2, Some(progress(RolloutState::RolledBack, 4_000)));
-    let gone = || Input::RolloutGone(id("llm"));
+    let gone = || Input::RolloutRemoved(id("llm"));
     let both: &[&str] = &[];
     let old: &[&str] = &["o1", "o2"];
     let unreadable = || Input::RolloutList { orders: Vec::new(), unreadable: vec![id("llm")] };
-    let cases: Vec<(&str, Beliefs, Vec<Input>, &[&str])> = vec![
+    let cases: Vec<(&str, FleetState, Vec<Input>, &[&str])> = vec![
         ("before a list of roll-outs", with_endpoints(2, &fresh), vec![], both),
         ("when the order is removed", with_rollout(2, &fresh), vec![gone()], old),
         (
@@ -223,7 +223,7 @@
     let mut wrong = Vec::new();
     for (case, mut beliefs, inputs, expected) in cases {
         for input in inputs {
-            beliefs.take(Millis(100), input, &fresh);
+            beliefs.handle_input(Millis(100), input, &fresh);
         }
         let proven = proven(&view_after(&mut beliefs, 400, &fresh));
         if proven != expected {
@@ -241,17 +241,17 @@
     let fresh = fresh_since(0);
     let mut beliefs = without_rollout(2, &fresh);
     let third = || record("x1", "v3");
-    beliefs.take(Millis(1_000), Input::Endpoint(third()), &fresh);
-    beliefs.take(Millis(1_000), caught_up(Kind::Endpoints, 20), &fresh);
+    beliefs.handle_input(Millis(1_000), Input::Endpoint(third()), &fresh);
+    beliefs.handle_input(Millis(1_000), caught_up(Kind::Endpoints, 20), &fresh);
     let held = proven(&view_after(&mut beliefs, 1_300, &fresh));
 
-    let asked = beliefs.take(Millis(1_450), Input::Tick, &fresh);
-    beliefs.take(Millis(1_500), caught_up(Kind::Rollouts, 19), &fresh);
+    let asked = beliefs.handle_input(Millis(1_450), Input::Tick, &fresh);
+    beliefs.handle_input(Millis(1_500), caught_up(Kind::Rollouts, 19), &fresh);
     let older = proven(&view_after(&mut beliefs, 1_700, &fresh));
-    beliefs.take(Millis(1_800), caught_up(Kind::Rollouts, 21), &fresh);
+    beliefs.handle_input(Millis(1_800), caught_up(Kind::Rollouts, 21), &fresh);
     let read = proven(&view_after(&mut beliefs, 2_000, &fresh));
 
-    let reads = |a: &&Action| matches!(a, Action::Catch(c) if c.kind == Kind::Rollouts && c.source == Source::Store);
+    let reads = |a: &&Action| matches!(a, Action::Fetch(c) if c.kind == Kind::Rollouts && c.source == Source::Store);
     assert_eq!(asked.iter().filter(reads).count(), 1);
     assert_eq!((held.len(), older.len()), (4, 4));
     assert_eq!(read, ["n1", "n2", "o1", "o2", "x1"]);
@@ -263,13 +263,13 @@
     let fresh = fresh_since(0);
     let mut beliefs = without_rollout(2, &fresh);
     let rolled_back = order(11, Some(progress(RolloutState::RolledBack, 4_000)));
-    beliefs.take(Millis(500), Input::Rollout(rolled_back), &fresh);
-    beliefs.take(Millis(500), caught_up(Kind::Rollouts, 11), &fresh);
-    beliefs.take(Millis(1_000), Input::Endpoint(record("x1", "v3")), &fresh);
-    beliefs.take(Millis(1_000), caught_up(Kind::Endpoints, 20), &fresh);
+    beliefs.handle_input(Millis(500), Input::Rollout(rolled_back), &fresh);
+    beliefs.handle_input(Millis(500), caught_up(Kind::Rollouts, 11), &fresh);
+    beliefs.handle_input(Millis(1_000), Input::Endpoint(record("x1", "v3")), &fresh);
+    beliefs.handle_input(Millis(1_000), caught_up(Kind::Endpoints, 20), &fresh);
 
     let held = proven(&view_after(&mut beliefs, 1_300, &fresh));
-    beliefs.take(Millis(1_500), caught_up(Kind::Rollouts, 21), &fresh);
+    beliefs.handle_input(Millis(1_500), caught_up(Kind::Rollouts, 21), &fresh);
     let read = proven(&view_after(&mut beliefs, 1_700, &fresh));
 
     assert_eq!(held, ["o1", "o2"]);
@@ -281,8 +281,8 @@
 fn a_version_is_not_held_for_ever_for_want_of_news() {
     let fresh = fresh_since(0);
     let mut beliefs = without_rollout(2, &fresh);
-    beliefs.take(Millis(1_000), Input::Endpoint(record("x1", "v3")), &fresh);
-    beliefs.take(Millis(1_000), caught_up(Kind::Endpoints, 20), &fresh);
+    beliefs.handle_input(Millis(1_000), Input::Endpoint(record("x1", "v3")), &fresh);
+    beliefs.handle_input(Millis(1_000), caught_up(Kind::Endpoints, 20), &fresh);
 
     let soon = proven(&view_after(&mut beliefs, 5_500, &fresh));
     let later = proven(&view_after(&mut beliefs, 6_500, &fresh));
@@ -303,7 +303,11 @@
         tally,
         usual: Vec::new(),
     };
-    beliefs.take(Millis(100), word_of(News { tallies: vec![told], ..News::default() }), &fresh);
+    beliefs.handle_input(
+        Millis(100),
+        word_of(News { tallies: vec![told], ..News::default() }),
+        &fresh,
+    );
 
     let soon = proven(&view_after(&mut beliefs, 2_500, &fresh));
     let later = proven(&view_after(&mut beliefs, 3_500, &fresh));
@@ -317,18 +321,18 @@
 fn the_only_version_of_a_service_serves_without_a_roll_out() {
     let fresh = fresh_since(0);
     let mut removed = with_rollout(2, &fresh);
-    removed.take(Millis(100), Input::RolloutGone(id("llm")), &fresh);
+    removed.handle_input(Millis(100), Input::RolloutRemoved(id("llm")), &fresh);
     for old in ["o1", "o2"] {
-        removed.take(Millis(200), Input::EndpointGone(id(old)), &fresh);
+        removed.handle_input(Millis(200), Input::EndpointRemoved(id(old)), &fresh);
     }
     let mut never = with_endpoints(3, &fresh);
     for new in ["n1", "n2"] {
-        never.take(Millis(200), Input::EndpointGone(id(new)), &fresh);
+        never.handle_input(Millis(200), Input::EndpointRemoved(id(new)), &fresh);
     }
-    never.take(Millis(210), rollouts(vec![]), &fresh);
+    never.handle_input(Millis(210), rollouts(vec![]), &fresh);
 
-    let last = |beliefs: &mut Beliefs| {
-        let actions = beliefs.take(Millis(400), rollouts(vec![]), &fresh);
+    let last = |beliefs: &mut FleetState| {
+        let actions = beliefs.handle_input(Millis(400), rollouts(vec![]), &fresh);
         proven(&view_of(&actions).expect("a view"))
     };
 
@@ -341,12 +345,12 @@
 fn an_order_that_is_made_again_after_it_was_removed_begins_a_trial() {
     let fresh = fresh_since(0);
     let mut beliefs = with_rollout(2, &fresh);
-    beliefs.take(Millis(100), Input::RolloutGone(id("llm")), &fresh);
+    beliefs.handle_input(Millis(100), Input::RolloutRemoved(id("llm")), &fresh);
 
     let again = RolloutOrder { revision: 9, ..order(9, None) };
-    let actions = beliefs.take(Millis(300), Input::Rollout(again), &fresh);
+    let actions = beliefs.handle_input(Millis(300), Input::Rollout(again), &fresh);
 
     let view = view_of(&actions).expect("a view");
-    assert_eq!(view.services[&id("llm")].new.endpoints().len(), 2);
+    assert_eq!(view.services[&id("llm")].canary_pool.endpoints().len(), 2);
     assert_eq!(proven(&view), ["o1", "o2"]);
 }
--- a/crates/tidetrack-core/tests/feeds.rs
+++ b/crates/tidetrack-core/tests/feeds.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use tidetrack_core::ids::{EndpointId, ServiceId};
-use tidetrack_core::placement::draw;
+use tidetrack_core::placement::hash_fraction;
 use tidetrack_core::traffic::control::{Action, Input};
 use tidetrack_core::traffic::feeds::{Catch, Feeds, Giving, Kind, Revisions, Source};
 use tidetrack_core::traffic::freshness::Freshness;
@@ -167,7 +167,7 @@
 #[test]
 fn of_many_hosts_few_ask_at_once() {
     for (hosts, at_first) in [(1, 1), (7, 7), (90, 18), (295, 29), (540, 54)] {
-        let draws = (0..hosts).map(|n| draw("ask", &format!("host-{n}")));
+        let draws = (0..hosts).map(|n| hash_fraction("ask", &format!("host-{n}")));
         let turns: Vec<Millis> = draws.map(|draw| turn(draw, hosts)).collect();
 
         let first = turns.iter().filter(|turn| **turn <= Millis(450)).count();
@@ -217,12 +217,13 @@
     let fresh = Freshness::default();
     let mut beliefs = with_endpoints(1, &fresh);
 
-    let mut actions = beliefs.take(Millis(10), Input::Catalog(Arc::new(catalog(4))), &fresh);
-    actions.extend(beliefs.take(Millis(10), Input::Proved(Millis(5)), &fresh));
+    let mut actions =
+        beliefs.handle_input(Millis(10), Input::Catalog(Arc::new(catalog(4))), &fresh);
+    actions.extend(beliefs.handle_input(Millis(10), Input::ConfigConfirmed(Millis(5)), &fresh));
 
-    let is_shown = |a: &Action| matches!(a, Action::Publish(view) if view.catalog.as_ref().is_some_and(|c| c.version == 4));
+    let is_shown = |a: &Action| matches!(a, Action::PublishView(view) if view.catalog.as_ref().is_some_and(|c| c.version == 4));
     let shown = actions.iter().position(is_shown).expect("a view with the configuration");
-    let proved = actions.iter().position(|a| matches!(a, Action::Proved(Millis(5))));
+    let proved = actions.iter().position(|a| matches!(a, Action::ConfigConfirmed(Millis(5))));
     assert!(proved.is_some_and(|proved| proved > shown), "{actions:?}");
 }
 
@@ -234,18 +235,19 @@
 fn an_entry_that_lapsed_is_dropped_in_time_on_a_busy_host() {
     let fresh = Freshness::default();
     let mut beliefs = without_rollout(1, &fresh);
-    beliefs.take(Millis(1_000), Input::StoreLost, &fresh);
-    beliefs.take(Millis(1_500), Input::EndpointGone(id("o1")), &fresh);
-    beliefs.take(Millis(2_000), Input::StoreBack, &fresh);
+    beliefs.handle_input(Millis(1_000), Input::StoreUnreachable, &fresh);
+    beliefs.handle_input(Millis(1_500), Input::EndpointRemoved(id("o1")), &fresh);
+    beliefs.handle_input(Millis(2_000), Input::StoreReachable, &fresh);
 
     // Something comes in every 20 ms.
     let mut shown = None;
     for now in (2_000..5_000).step_by(20) {
-        let actions = beliefs.take(Millis(now), Input::Coming(Kind::Rollouts), &fresh);
+        let actions =
+            beliefs.handle_input(Millis(now), Input::ReplyStarted(Kind::Rollouts), &fresh);
         shown = view_of(&actions).or(shown);
     }
 
     let shown = shown.expect("a view without the entry");
-    let endpoints = shown.services[&id::<ServiceId>("llm")].proven.endpoints();
+    let endpoints = shown.services[&id::<ServiceId>("llm")].stable_pool.endpoints();
     assert!(endpoints.iter().all(|e| e.id != id::<EndpointId>("o1")), "it is still asked");
 }
--- a/crates/tidetrack-core/tests/few_calls.rs
+++ b/crates/tidetrack-core/tests/few_calls.rs
@@ -121,7 +121,7 @@
     fn is_barred(&self) -> bool {
         self.fleet.hosts.iter().all(|host| {
             let view = host.view.as_ref().expect("a view");
-            let trial = view.services[&id("llm")].trial.as_ref();
+            let trial = view.services[&id("llm")].canary.as_ref();
             trial.is_some_and(|t| t.phase == Phase::Barred)
         })
     }
@@ -136,7 +136,7 @@
         self.outcome.all += usize::from(is_ordered);
         self.outcome.new += usize::from(side == Side::New);
         let seen = self.answer(side);
-        self.fleet.take(host, Input::Observed(seen.clone()));
+        self.fleet.take(host, Input::ResponseObserved(seen.clone()));
         if seen.failed() && self.case.fails_again > 0.0 {
             self.repeat(host, side, seen);
         }
@@ -149,7 +149,7 @@
             let end = if again { AttemptEnd::Failed } else { AttemptEnd::Whole };
             let endpoint = self.endpoint(side);
             let seen = Observed { end, endpoint, has_failed: true, ..failed.clone() };
-            self.fleet.take(host, Input::Observed(seen));
+            self.fleet.take(host, Input::ResponseObserved(seen));
             if !again {
                 return;
             }
@@ -165,7 +165,7 @@
     /// Tells whether all calls go to the new version.
     fn has_moved(&self) -> bool {
         let view = self.fleet.hosts[0].view.as_ref().expect("a view");
-        let trial = view.services[&id("llm")].trial.as_ref();
+        let trial = view.services[&id("llm")].canary.as_ref();
         trial.is_some_and(|t| t.phase_at(Millis(self.fleet.now)) == Phase::Moved)
     }
 
--- a/crates/tidetrack-core/tests/lapsed_entries.rs
+++ b/crates/tidetrack-core/tests/lapsed_entries.rs
@@ -19,7 +19,7 @@
 use std::collections::BTreeSet;
 
 use tidetrack_core::ids::{EndpointId, ServiceId};
-use tidetrack_core::traffic::control::{Beliefs, Input};
+use tidetrack_core::traffic::control::{FleetState, Input};
 use tidetrack_core::traffic::freshness::Freshness;
 use tidetrack_core::traffic::peers::{News, PeerMessage, ToldProof};
 use tidetrack_core::units::Millis;
@@ -35,12 +35,12 @@
 /// Word of another host that read the configuration just now.
 fn word_of_a_read(now: u64) -> Input {
     let news = News { proof: Some(ToldProof { version: 3, age_ms: 0 }), ..News::default() };
-    Input::Heard(Box::new(PeerMessage { echo_ms: Some(now), ..message_of(2, news) }))
+    Input::PeerMessageReceived(Box::new(PeerMessage { echo_ms: Some(now), ..message_of(2, news) }))
 }
 
 /// A host on a moving clock.
 struct Host {
-    beliefs: Beliefs,
+    beliefs: FleetState,
     fresh: Freshness,
     now: u64,
     believed: BTreeSet<EndpointId>,
@@ -54,9 +54,9 @@
     }
 
     fn take(&mut self, input: Input) {
-        let actions = self.beliefs.take(Millis(self.now), input, &self.fresh);
+        let actions = self.beliefs.handle_input(Millis(self.now), input, &self.fresh);
         if let Some(view) = view_of(&actions) {
-            let proven = &view.services[&id::<ServiceId>("llm")].proven;
+            let proven = &view.services[&id::<ServiceId>("llm")].stable_pool;
             self.believed = proven.endpoints().iter().map(|e| e.id.clone()).collect();
         }
     }
@@ -82,10 +82,10 @@
     let mut host = Host::new();
     let told = |now| Some(word_of_a_read(now));
     host.pass(5_000, told);
-    host.take(Input::StoreLost);
+    host.take(Input::StoreUnreachable);
 
     host.pass(5_500, told);
-    host.take(Input::EndpointGone(id("o1")));
+    host.take(Input::EndpointRemoved(id("o1")));
     host.pass(6_500, told);
 
     assert!(!host.believes("o1"), "an endpoint that left is still asked");
@@ -97,11 +97,11 @@
     let mut host = Host::new();
     let told = |now| Some(word_of_a_read(now));
     host.pass(5_000, told);
-    host.take(Input::StoreLost);
+    host.take(Input::StoreUnreachable);
 
     host.pass(8_000, told);
     host.take(Input::EndpointList(vec![record("o2", "v1")]));
-    host.take(Input::StoreBack);
+    host.take(Input::StoreReachable);
     host.pass(8_500, told);
 
     assert!(!host.believes("o1"), "an endpoint that left is still asked");
@@ -111,12 +111,12 @@
 #[test]
 fn an_entry_that_goes_while_this_host_cannot_read_another_kind_is_gone() {
     let mut host = Host::new();
-    let read = |now: u64| Some(Input::Proved(Millis(now)));
+    let read = |now: u64| Some(Input::ConfigConfirmed(Millis(now)));
     host.pass(5_000, read);
-    host.take(Input::StoreLost);
+    host.take(Input::StoreUnreachable);
 
     host.pass(5_500, read);
-    host.take(Input::EndpointGone(id("o1")));
+    host.take(Input::EndpointRemoved(id("o1")));
     host.pass(6_500, read);
 
     assert!(!host.believes("o1"), "an endpoint that left is still asked");
@@ -127,14 +127,14 @@
     let mut host = Host::new();
     let told = |now| Some(word_of_a_read(now));
     host.pass(5_000, told);
-    host.take(Input::StoreLost);
+    host.take(Input::StoreUnreachable);
     host.pass(15_000, |_| None);
 
     // Others are served a moment before this host, and list what has not come back yet.
     host.take(word_of_a_read(15_000));
     host.pass(15_500, told);
     host.take(Input::EndpointList(vec![record("o2", "v1")]));
-    host.take(Input::StoreBack);
+    host.take(Input::StoreReachable);
     host.pass(16_500, told);
 
     assert!(host.believes("o1"), "its entry has time to come back");
@@ -146,11 +146,11 @@
     let mut host = Host::new();
     let told = |now| Some(word_of_a_read(now));
     host.pass(5_000, told);
-    host.take(Input::StoreLost);
+    host.take(Input::StoreUnreachable);
     host.pass(15_000, |_| None);
 
     host.take(Input::EndpointList(vec![record("o2", "v1")]));
-    host.take(Input::StoreBack);
+    host.take(Input::StoreReachable);
     host.pass(18_000, told);
 
     assert!(!host.believes("o1"));
--- a/crates/tidetrack-core/tests/large_fleet.rs
+++ b/crates/tidetrack-core/tests/large_fleet.rs
@@ -165,7 +165,7 @@
         let proves_as_asked = |i: &usize| fleet.hosts[*i].beliefs.is_prover() == proves;
         let host = (0..12).find(proves_as_asked).expect("a host of either sort");
         let before = fleet.calls;
-        fleet.take(host, Input::StoreSeen(fleet.revision + 1));
+        fleet.take(host, Input::StoreRevisionSeen(fleet.revision + 1));
         fleet.calls - before
     };
 
@@ -265,14 +265,14 @@
     for i in 0..1_000u64 {
         let now = Millis(1_000 + 2 * i);
         let new = record(&format!("i-{i}"), "v1");
-        let actions = beliefs.take(now, Input::Endpoint(new), &fresh);
+        let actions = beliefs.handle_input(now, Input::Endpoint(new), &fresh);
         views.extend(view_of(&actions).map(|view| (now, view)));
     }
-    let last = view_of(&beliefs.take(Millis(3_100), Input::Tick, &fresh));
+    let last = view_of(&beliefs.handle_input(Millis(3_100), Input::Tick, &fresh));
 
     assert!(views.len() <= 21, "{} views", views.len());
     let shown = last.expect("a view of the last changes");
-    assert_eq!(shown.services[&id::<ServiceId>("llm")].proven.endpoints().len(), 1_004);
+    assert_eq!(shown.services[&id::<ServiceId>("llm")].stable_pool.endpoints().len(), 1_004);
 }
 
 /// Hosts of a fleet with a wide link, and all of them.
--- a/crates/tidetrack-core/tests/outliers.rs
+++ b/crates/tidetrack-core/tests/outliers.rs
@@ -7,7 +7,7 @@
 use rand::{RngExt, SeedableRng};
 
 use tidetrack_core::ids::ServiceId;
-use tidetrack_core::placement::{place_of, Ask};
+use tidetrack_core::placement::{ring_position_of, PlacementRequest};
 use tidetrack_core::traffic::control::Input;
 use tidetrack_core::units::{Millis, Tokens};
 
@@ -70,20 +70,20 @@
         let now = Millis(self.fleet.now);
         let view = self.fleet.hosts[host].view.clone().expect("a view");
         let salt = self.draws.random::<u64>();
-        let ask = Ask {
-            place: place_of(&salt.to_le_bytes()),
+        let ask = PlacementRequest {
+            ring_position: ring_position_of(&salt.to_le_bytes()),
             salt,
-            need: Tokens(0),
+            required_tokens: Tokens(0),
             tried: &[],
             priority: 0,
-            ..Ask::default()
+            ..PlacementRequest::default()
         };
-        let pool = &view.services[&id::<ServiceId>("llm")].proven;
+        let pool = &view.services[&id::<ServiceId>("llm")].stable_pool;
         let picked = pool.pick(now, &ask).expect("an endpoint");
         let is_grey = self.grey.iter().any(|g| g == picked.id.as_str());
         let lost = if is_grey { LOST_ANSWERS } else { self.usual };
         let failed = self.draws.random::<f64>() < lost;
-        picked.live.note(now, !failed);
+        picked.state.record_outcome(now, !failed);
         went.sent += 1;
         went.failed += u32::from(failed);
         went.to_grey += u32::from(is_grey);
@@ -92,9 +92,9 @@
     /// Counts the endpoints that a host avoids.
     fn avoided(&self, host: usize) -> usize {
         let view = self.fleet.hosts[host].view.as_ref().expect("a view");
-        let pool = &view.services[&id::<ServiceId>("llm")].proven;
+        let pool = &view.services[&id::<ServiceId>("llm")].stable_pool;
         let now = Millis(self.fleet.now);
-        pool.endpoints().iter().filter(|e| e.live.is_ejected(now)).count()
+        pool.endpoints().iter().filter(|e| e.state.is_ejected(now)).count()
     }
 }
 
@@ -150,9 +150,9 @@
     let mut callers = Callers::start(9, 8);
     let now = Millis(callers.fleet.now);
     let view = callers.fleet.hosts[0].view.clone().expect("a view");
-    let pool = &view.services[&id::<ServiceId>("llm")].proven;
+    let pool = &view.services[&id::<ServiceId>("llm")].stable_pool;
 
-    (0..40).for_each(|_| pool.endpoints()[3].live.note(now, false));
+    (0..40).for_each(|_| pool.endpoints()[3].state.record_outcome(now, false));
     callers.run(1_000, 2.0);
 
     assert_eq!((1..9).map(|host| callers.avoided(host)).sum::<usize>(), 0);
--- a/crates/tidetrack-core/tests/placement.rs
+++ b/crates/tidetrack-core/tests/placement.rs
@@ -4,7 +4,9 @@
 
 use tidetrack_core::codes::Code;
 use tidetrack_core::ids::{EndpointKey, FailureDomain};
-use tidetrack_core::placement::{Ask, EndpointLive, Near, PoolEndpoint, PoolView};
+use tidetrack_core::placement::{
+    EndpointState, Locality, PlacementRequest, PoolEndpoint, PoolView,
+};
 use tidetrack_core::units::{Millis, Tokens};
 
 fn pool(n: usize) -> PoolView {
@@ -12,13 +14,20 @@
         id: format!("e{i}").parse().expect("an endpoint"),
         address: String::new(),
         failure_domain: "a".parse().expect("a failure domain"),
-        live: Arc::default(),
+        state: Arc::default(),
     };
     PoolView::new((0..n).map(endpoint).collect(), 16)
 }
 
-fn ask(place: u64, salt: u64) -> Ask<'static> {
-    Ask { place, salt, need: Tokens(100), tried: &[], priority: 0, ..Ask::default() }
+fn ask(ring_position: u64, salt: u64) -> PlacementRequest<'static> {
+    PlacementRequest {
+        ring_position,
+        salt,
+        required_tokens: Tokens(100),
+        tried: &[],
+        priority: 0,
+        ..PlacementRequest::default()
+    }
 }
 
 #[test]
@@ -27,7 +36,7 @@
     let first = pool.pick(Millis(0), &ask(77, 1)).expect("a pick").clone();
     let again = pool.pick(Millis(0), &ask(77, 2)).expect("a pick");
     assert_eq!(first.id, again.id);
-    first.live.begin(8_000);
+    first.state.begin_work(8_000);
     let other = pool.pick(Millis(0), &ask(77, 3)).expect("a pick");
     assert_ne!(first.id, other.id);
 }
@@ -36,7 +45,7 @@
 fn a_slow_endpoint_is_passed_over_for_a_quicker_one() {
     let pool = pool(8);
     let home = pool.pick(Millis(0), &ask(9, 1)).expect("a pick").clone();
-    home.live.took(100, 100 * 80_000);
+    home.state.record_duration(100, 100 * 80_000);
     let quick =
         (0..20).filter(|s| pool.pick(Millis(0), &ask(9, *s)).expect("a pick").id != home.id);
     assert!(quick.count() >= 19);
@@ -45,19 +54,19 @@
 #[test]
 fn a_full_pool_refuses_early_and_the_urgent_later() {
     let pool = pool(3);
-    pool.endpoints().iter().for_each(|e| e.live.begin(16 * 512 + 1));
+    pool.endpoints().iter().for_each(|e| e.state.begin_work(16 * 512 + 1));
     assert_eq!(pool.pick(Millis(0), &ask(1, 1)).expect_err("full").code, Code::Overloaded);
-    assert!(pool.pick(Millis(0), &Ask { priority: 1, ..ask(1, 1) }).is_ok());
+    assert!(pool.pick(Millis(0), &PlacementRequest { priority: 1, ..ask(1, 1) }).is_ok());
 }
 
 #[test]
 fn leaving_full_and_ejected_endpoints_are_passed_over() {
     let pool = pool(4);
-    pool.endpoints()[0].live.set_leaving(true);
-    pool.endpoints()[1].live.report(Millis(0), 0, Tokens(50));
-    (0..3).for_each(|_| pool.endpoints()[2].live.note(Millis(0), false));
-    for place in 0..200u64 {
-        let pick = pool.pick(Millis(1), &ask(place << 56, place)).expect("a pick");
+    pool.endpoints()[0].state.set_leaving(true);
+    pool.endpoints()[1].state.record_load_report(Millis(0), 0, Tokens(50));
+    (0..3).for_each(|_| pool.endpoints()[2].state.record_outcome(Millis(0), false));
+    for ring_position in 0..200u64 {
+        let pick = pool.pick(Millis(1), &ask(ring_position << 56, ring_position)).expect("a pick");
         assert_eq!(pick.id.as_str(), "e3");
     }
 }
@@ -66,34 +75,34 @@
 fn ejection_keeps_a_floor_and_leaving_does_not() {
     let pool = pool(2);
     for e in pool.endpoints() {
-        (0..3).for_each(|_| e.live.note(Millis(0), false));
+        (0..3).for_each(|_| e.state.record_outcome(Millis(0), false));
     }
     assert!(pool.pick(Millis(1), &ask(5, 5)).is_ok());
-    pool.endpoints().iter().for_each(|e| e.live.set_leaving(true));
+    pool.endpoints().iter().for_each(|e| e.state.set_leaving(true));
     assert_eq!(pool.pick(Millis(1), &ask(5, 5)).expect_err("none").code, Code::Overloaded);
 }
 
 #[test]
 fn what_no_endpoint_can_hold_is_too_long() {
     let pool = pool(2);
-    pool.endpoints().iter().for_each(|e| e.live.report(Millis(0), 0, Tokens(10)));
+    pool.endpoints().iter().for_each(|e| e.state.record_load_report(Millis(0), 0, Tokens(10)));
     assert_eq!(pool.pick(Millis(1), &ask(5, 5)).expect_err("none").code, Code::TooLong);
 }
 
 #[test]
 fn an_old_report_loses_weight_and_own_work_does_not() {
-    let live = EndpointLive::default();
-    live.begin(100);
-    live.report(Millis(0), 300, Tokens(0));
+    let live = EndpointState::default();
+    live.begin_work(100);
+    live.record_load_report(Millis(0), 300, Tokens(0));
     assert_eq!(live.load(Millis(0)), 300.0);
     assert_eq!(live.load(Millis(8_000)), 200.0);
-    live.end(100);
+    live.end_work(100);
     assert!(live.load(Millis(80_000)) < 1.0);
 }
 
 /// Asks for a request whose shared prefix costs so much work to read again.
-fn ask_with_prefix(place: u64, reread: u64) -> Ask<'static> {
-    Ask { reread, ..ask(place, 1) }
+fn ask_with_prefix(ring_position: u64, reread_work: u64) -> PlacementRequest<'static> {
+    PlacementRequest { reread_work, ..ask(ring_position, 1) }
 }
 
 #[test]
@@ -101,9 +110,9 @@
     let pool = pool(12);
     let home = pool.pick(Millis(0), &ask_with_prefix(77, 1_000)).expect("a pick").clone();
 
-    home.live.begin(400);
+    home.state.begin_work(400);
     let somewhat_loaded = pool.pick(Millis(0), &ask_with_prefix(77, 1_000)).expect("a pick");
-    home.live.begin(2_000);
+    home.state.begin_work(2_000);
     let loaded = pool.pick(Millis(0), &ask_with_prefix(77, 1_000)).expect("a pick");
 
     assert_eq!(somewhat_loaded.id, home.id);
@@ -118,7 +127,7 @@
         .iter()
         .map(|pool| {
             let ask = ask_with_prefix(77, 1_000);
-            pool.pick(Millis(0), &ask).expect("a pick").live.begin(800);
+            pool.pick(Millis(0), &ask).expect("a pick").state.begin_work(800);
             pool.pick(Millis(0), &ask).expect("a pick").id.to_string()
         })
         .collect();
@@ -127,8 +136,8 @@
 }
 
 /// Makes the standing of a host in a failure domain.
-fn near(own: &FailureDomain) -> Option<Near<'_>> {
-    Some(Near { failure_domain: own, crossing: 500 })
+fn near(own: &FailureDomain) -> Option<Locality<'_>> {
+    Some(Locality { failure_domain: own, crossing_work: 500 })
 }
 
 /// Makes a pool of three failure domains.
@@ -144,13 +153,15 @@
 fn the_own_failure_domain_goes_first_until_crossing_to_another_is_cheaper() {
     let pool = pool_of_domains(12);
     let own = "b".parse().expect("a failure domain");
-    let near = near(&own);
-    let ask = |place| Ask { near, ..ask_with_prefix(place, 100) };
-    let picked = |place| pool.pick(Millis(0), &ask(place)).expect("a pick").failure_domain.clone();
+    let locality = near(&own);
+    let ask = |ring_position| PlacementRequest { locality, ..ask_with_prefix(ring_position, 100) };
+    let picked = |ring_position| {
+        pool.pick(Millis(0), &ask(ring_position)).expect("a pick").failure_domain.clone()
+    };
 
     let idle: Vec<_> = (0..64u64).map(|i| picked(i << 58)).collect();
     let of_own = pool.endpoints().iter().filter(|e| e.failure_domain == own);
-    of_own.for_each(|e| e.live.begin(800));
+    of_own.for_each(|e| e.state.begin_work(800));
     let loaded = picked(1 << 58);
 
     assert!(idle.iter().all(|domain| *domain == own));
@@ -161,10 +172,10 @@
 fn in_a_large_pool_a_loaded_home_is_left_for_an_endpoint_of_the_own_domain() {
     let pool = pool_of_domains(150);
     let own = "b".parse().expect("a failure domain");
-    let near = near(&own);
-    let ask = |salt| Ask { near, salt, ..ask_with_prefix(77, 100) };
+    let locality = near(&own);
+    let ask = |salt| PlacementRequest { locality, salt, ..ask_with_prefix(77, 100) };
     for _ in 0..2 {
-        pool.pick(Millis(0), &ask(0)).expect("a pick").live.begin(2_000);
+        pool.pick(Millis(0), &ask(0)).expect("a pick").state.begin_work(2_000);
     }
 
     let picked = |salt| pool.pick(Millis(0), &ask(salt)).expect("a pick").failure_domain.clone();
@@ -178,15 +189,19 @@
 fn an_endpoint_known_to_keep_a_prefix_goes_before_the_rings() {
     let pool = pool_of_domains(12);
     let own = "b".parse().expect("a failure domain");
-    let near = near(&own);
-    let ask = |kept_at| Ask { near, kept_at, ..ask_with_prefix(77, 1_000) };
+    let locality = near(&own);
+    let ask = |prefix_holders| PlacementRequest {
+        locality,
+        prefix_holders,
+        ..ask_with_prefix(77, 1_000)
+    };
     let home = pool.pick(Millis(0), &ask(&[])).expect("a pick").clone();
     let other = pool.endpoints().iter().find(|e| e.failure_domain == own && e.id != home.id);
     let other = other.expect("a domain of four");
 
     let known = [EndpointKey::from(&other.id)];
     let picked = pool.pick(Millis(0), &ask(&known)).expect("a pick");
-    other.live.begin(2_000);
+    other.state.begin_work(2_000);
     let loaded = pool.pick(Millis(0), &ask(&known)).expect("a pick");
 
     assert_eq!(picked.id, other.id);
@@ -195,10 +210,10 @@
 
 #[test]
 fn what_hosts_tell_of_their_work_goes_before_an_endpoints_old_report() {
-    let live = EndpointLive::default();
-    live.report(Millis(0), 4_000, Tokens(0));
+    let live = EndpointState::default();
+    live.record_load_report(Millis(0), 4_000, Tokens(0));
 
-    live.told_by_hosts(Millis(100), 70);
+    live.set_peer_work(Millis(100), 70);
 
     assert_eq!(live.load(Millis(200)), 70.0);
     assert!(live.load(Millis(1_500)) > 3_000.0, "silent hosts leave the report");
@@ -209,8 +224,8 @@
     let pool = pool(3);
     let gone = pool.pick(Millis(0), &ask_with_prefix(5, 10)).expect("a pick").clone();
 
-    gone.live.note_unreachable(Millis(0));
+    gone.state.record_unreachable(Millis(0));
 
-    assert!(gone.live.is_ejected(Millis(1)));
+    assert!(gone.state.is_ejected(Millis(1)));
     assert_ne!(pool.pick(Millis(1), &ask_with_prefix(5, 10)).expect("a pick").id, gone.id);
 }
--- a/crates/tidetrack-core/tests/restarts.rs
+++ b/crates/tidetrack-core/tests/restarts.rs
@@ -21,36 +21,36 @@
     let fresh = fresh_since(0);
     let mut beliefs = without_rollout(2, &fresh);
     let mut view_after = |at: u64, input: Input| {
-        let mut actions = beliefs.take(Millis(at), input, &fresh);
-        actions.extend(beliefs.take(Millis(at + 200), Input::Tick, &fresh));
+        let mut actions = beliefs.handle_input(Millis(at), input, &fresh);
+        actions.extend(beliefs.handle_input(Millis(at + 200), Input::Tick, &fresh));
         view_of(&actions).expect("a view")
     };
     let view = view_after(100, started(1_000, "v1"));
-    let before = &view.services[&id("llm")].proven.endpoints()[2];
+    let before = &view.services[&id("llm")].stable_pool.endpoints()[2];
     assert_eq!(before.id.as_str(), "o1");
-    (0..10).for_each(|_| before.live.note(Millis(300), false));
-    before.live.begin(500);
+    (0..10).for_each(|_| before.state.record_outcome(Millis(300), false));
+    before.state.begin_work(500);
 
     let view = view_after(400, started(2_000, "v1"));
 
-    let after = &view.services[&id("llm")].proven.endpoints()[2];
-    assert!(before.live.is_ejected(Millis(600)) && before.live.is_leaving());
-    assert!(!after.live.is_ejected(Millis(600)) && !after.live.is_leaving());
-    assert_eq!(after.live.own_work(), 0);
+    let after = &view.services[&id("llm")].stable_pool.endpoints()[2];
+    assert!(before.state.is_ejected(Millis(600)) && before.state.is_leaving());
+    assert!(!after.state.is_ejected(Millis(600)) && !after.state.is_leaving());
+    assert_eq!(after.state.own_work(), 0);
 }
 
 #[test]
 fn news_of_an_earlier_start_that_comes_late_changes_nothing() {
     let fresh = fresh_since(0);
     let mut beliefs = without_rollout(2, &fresh);
-    beliefs.take(Millis(100), started(2_000, "v1"), &fresh);
+    beliefs.handle_input(Millis(100), started(2_000, "v1"), &fresh);
     let leaving =
         EndpointRecord { started: Some(Millis(1_000)), is_leaving: true, ..record("o1", "v1") };
 
-    beliefs.take(Millis(200), Input::Endpoint(leaving), &fresh);
-    let again = beliefs.take(Millis(400), started(2_000, "v1"), &fresh);
+    beliefs.handle_input(Millis(200), Input::Endpoint(leaving), &fresh);
+    let again = beliefs.handle_input(Millis(400), started(2_000, "v1"), &fresh);
 
     let view = view_of(&again).expect("a view");
-    let proven = view.services[&id("llm")].proven.endpoints();
-    assert!(proven.iter().any(|e| e.id.as_str() == "o1" && !e.live.is_leaving()));
+    let proven = view.services[&id("llm")].stable_pool.endpoints();
+    assert!(proven.iter().any(|e| e.id.as_str() == "o1" && !e.state.is_leaving()));
 }
--- a/crates/tidetrack-core/tests/starts.rs
+++ b/crates/tidetrack-core/tests/starts.rs
@@ -128,13 +128,13 @@
 fn a_host_that_starts_has_endpoints_once_it_may_send_to_one() {
     let fresh = fresh_since(0);
     let mut beliefs = beliefs(2);
-    beliefs.take(Millis(0), Input::Catalog(Arc::new(catalog(3))), &fresh);
+    beliefs.handle_input(Millis(0), Input::Catalog(Arc::new(catalog(3))), &fresh);
     let list = vec![record("o1", "v1"), record("n1", "v2")];
 
-    let listed = beliefs.take(Millis(10), Input::EndpointList(list), &fresh);
-    beliefs.take(Millis(11), caught_up(Kind::Endpoints, 10), &fresh);
-    beliefs.take(Millis(12), rollouts(Vec::new()), &fresh);
-    let read = beliefs.take(Millis(13), caught_up(Kind::Rollouts, 10), &fresh);
+    let listed = beliefs.handle_input(Millis(10), Input::EndpointList(list), &fresh);
+    beliefs.handle_input(Millis(11), caught_up(Kind::Endpoints, 10), &fresh);
+    beliefs.handle_input(Millis(12), rollouts(Vec::new()), &fresh);
+    let read = beliefs.handle_input(Millis(13), caught_up(Kind::Rollouts, 10), &fresh);
 
     let before = view_of(&listed).expect("a view");
     let after = view_of(&read).expect("a view");
@@ -147,9 +147,10 @@
 fn endpoints_of_a_services_only_version_serve_with_the_list_that_names_them() {
     let fresh = fresh_since(0);
     let mut beliefs = beliefs(2);
-    beliefs.take(Millis(0), Input::Catalog(Arc::new(catalog(3))), &fresh);
+    beliefs.handle_input(Millis(0), Input::Catalog(Arc::new(catalog(3))), &fresh);
 
-    let listed = beliefs.take(Millis(10), Input::EndpointList(vec![record("o1", "v1")]), &fresh);
+    let listed =
+        beliefs.handle_input(Millis(10), Input::EndpointList(vec![record("o1", "v1")]), &fresh);
 
     let view = view_of(&listed).expect("a view");
     assert!(view.has_endpoints && view.services.contains_key(&id("llm")));
--- a/crates/tidetrack-core/tests/support/answers.rs
+++ b/crates/tidetrack-core/tests/support/answers.rs
@@ -205,7 +205,7 @@
     /// Tells whether all traffic meets the new version.
     fn has_moved(&self) -> bool {
         let view = self.fleet.hosts[0].view.as_ref().expect("a view");
-        let trial = view.services.get(&id("llm")).and_then(|s| s.trial.as_ref());
+        let trial = view.services.get(&id("llm")).and_then(|s| s.canary.as_ref());
         trial.is_some_and(|t| t.phase_at(Millis(self.fleet.now)) == Phase::Moved)
     }
 
@@ -300,7 +300,7 @@
             gap_ms,
         };
         let at = self.seed.random_range(0..HOSTS as usize);
-        self.fleet.take(at, Input::Observed(seen));
+        self.fleet.take(at, Input::ResponseObserved(seen));
     }
 }
 
--- a/crates/tidetrack-core/tests/support/fleet.rs
+++ b/crates/tidetrack-core/tests/support/fleet.rs
@@ -8,8 +8,8 @@
 use rand::{RngExt, SeedableRng};
 
 use tidetrack_core::ids::ServiceId;
-use tidetrack_core::placement::draw;
-use tidetrack_core::traffic::control::{Action, Beliefs, Input};
+use tidetrack_core::placement::hash_fraction;
+use tidetrack_core::traffic::control::{Action, FleetState, Input};
 use tidetrack_core::traffic::exposure::{ExposureBound, SessionDraw};
 use tidetrack_core::traffic::feeds::{Catch, Giving, Kind, Source};
 use tidetrack_core::traffic::freshness::Freshness;
@@ -47,7 +47,7 @@
 pub const HOLD_FOR: Millis = Millis(13_000);
 
 pub struct FleetHost {
-    pub beliefs: Beliefs,
+    pub beliefs: FleetState,
     pub fresh: Freshness,
     /// When it proves the configuration next, if it does.
     pub proves_at: u64,
@@ -145,7 +145,7 @@
             let fresh = Freshness::default();
             fresh.proved(Millis(0));
             let proves_at = u64::from(n) * 17 % PROVE_EVERY;
-            let beliefs = with_endpoints(n, &fresh).bounded(bound);
+            let beliefs = with_endpoints(n, &fresh).with_exposure_bound(bound);
             FleetHost { beliefs, fresh, proves_at, view: None }
         };
         let mut fleet = Fleet {
@@ -187,12 +187,13 @@
         let start = |n: u32| {
             let link = starts.link_of(n);
             let is_known = n <= SEEDS;
-            let starter = Starter { link, is_known, draw: draw("start", &format!("{n} {seed}")) };
+            let starter =
+                Starter { link, is_known, draw: hash_fraction("start", &format!("{n} {seed}")) };
             let (name, address) = host(n);
             let seeds = (1..=SEEDS).map(|n| host(n).1).collect();
             let domain = id(&format!("hall-{}", n % starts.domains));
             let book = PeerBook::new(name, address, domain, seeds).strong(is_strong(link));
-            let beliefs = Beliefs::new(host(n).0, book).starting(Millis(0), starter);
+            let beliefs = FleetState::new(host(n).0, book).with_bootstrap(Millis(0), starter);
             FleetHost { beliefs, fresh: Freshness::default(), proves_at: PROVE_EVERY, view: None }
         };
         let all = hosts as usize;
@@ -267,7 +268,7 @@
         if host.beliefs.is_prover() && self.now >= host.proves_at {
             host.fresh.proved(Millis(self.now));
             host.proves_at = self.now + PROVE_EVERY;
-            self.take(i, Input::StoreSeen(self.revision));
+            self.take(i, Input::StoreRevisionSeen(self.revision));
         }
     }
 
@@ -358,7 +359,7 @@
                 }
                 Ended::Whole(Coming::Caught(i, catch, None))
                 | Ended::Late(Coming::Caught(i, catch, _)) => {
-                    self.take(i, Input::CatchFailed(catch));
+                    self.take(i, Input::FetchFailed(catch));
                 }
                 Ended::Whole(Coming::Watched(i, kind, to)) => self.caught_up(i, kind, to),
                 // The watch begins anew.
@@ -371,7 +372,7 @@
         if self.now.is_multiple_of(WORD_EVERY) {
             let is_coming = |i: &usize| self.links.is_large_coming(*i);
             let told: Vec<usize> = (0..self.hosts.len()).filter(is_coming).collect();
-            told.into_iter().for_each(|i| self.take(i, Input::Coming(Kind::Catalog)));
+            told.into_iter().for_each(|i| self.take(i, Input::ReplyStarted(Kind::Catalog)));
         }
     }
 
@@ -412,7 +413,7 @@
                 let is_cut = is_cut_off(to) != is_cut_off(host_at(message.address));
                 let to = to.filter(|i| !is_cut && !self.suspended.contains(i));
                 if let Some(to) = to.filter(|_| self.seed.random::<f64>() >= LOST) {
-                    self.take(to, Input::Heard(Box::new(message)));
+                    self.take(to, Input::PeerMessageReceived(Box::new(message)));
                 }
             }
         }
@@ -421,16 +422,16 @@
     pub fn take(&mut self, i: usize, input: Input) {
         let (mut wanted, mut written) = (Vec::new(), Vec::new());
         let host = &mut self.hosts[i];
-        for action in host.beliefs.take(Millis(self.now + ON_THE_WAY), input, &host.fresh) {
+        for action in host.beliefs.handle_input(Millis(self.now + ON_THE_WAY), input, &host.fresh) {
             match action {
-                Action::Send(messages) => {
+                Action::SendMessages(messages) => {
                     self.sent += messages.len();
                     self.on_the_way.extend(messages);
                 }
-                Action::Proved(began) => host.fresh.proved(began),
-                Action::Catch(catch) => wanted.push(catch),
-                Action::Publish(view) => host.view = Some(view),
-                Action::Write(write) => written.push(write),
+                Action::ConfigConfirmed(began) => host.fresh.proved(began),
+                Action::Fetch(catch) => wanted.push(catch),
+                Action::PublishView(view) => host.view = Some(view),
+                Action::WriteProgress(write) => written.push(write),
                 _ => {}
             }
         }
--- a/crates/tidetrack-core/tests/support/mod.rs
+++ b/crates/tidetrack-core/tests/support/mod.rs
@@ -12,9 +12,9 @@
 
 use tidetrack_core::ids::HostId;
 use tidetrack_core::traffic::catalog::{
-    Catalog, KeyHolder, PricedModel, Route, Service, Target, Work,
+    Catalog, KeyHolder, PricedModel, Route, Service, Target, WorkKind,
 };
-use tidetrack_core::traffic::control::{Action, Beliefs, Input};
+use tidetrack_core::traffic::control::{Action, FleetState, Input};
 use tidetrack_core::traffic::endpoints::EndpointRecord;
 use tidetrack_core::traffic::feeds::Kind;
 use tidetrack_core::traffic::freshness::Freshness;
@@ -33,12 +33,12 @@
         hostname: "shop.example".into(),
         path_prefix: prefix.into(),
         targets: vec![Target { service: id("llm"), weight: 1 }],
-        work: Work::Stream { resumable: true },
+        work: WorkKind::Stream { resumable: true },
         timeout: Millis(20_000),
         objective: Millis(1_500),
-        most_gap: Some(Millis(1_200)),
+        max_event_gap: Some(Millis(1_200)),
         rank: 1,
-        most_attempts: 3,
+        max_attempts: 3,
         is_public: false,
         models: vec![id("small"), id("large")],
     }
@@ -105,27 +105,27 @@
     (usize::from(high) * 250 + usize::from(low)).checked_sub(1)
 }
 
-pub fn beliefs(n: u32) -> Beliefs {
+pub fn beliefs(n: u32) -> FleetState {
     beliefs_started_as(n, 0)
 }
 
 /// Beliefs of one of several starts of a host.
-pub fn beliefs_started_as(n: u32, incarnation: u64) -> Beliefs {
+pub fn beliefs_started_as(n: u32, incarnation: u64) -> FleetState {
     let ((name, address), (_, seed)) = (host(n), host(1));
     let book = PeerBook::new(name.clone(), address, id("hall"), vec![seed]);
-    Beliefs::new(name, book.started_as(incarnation))
+    FleetState::new(name, book.started_as(incarnation))
 }
 
 /// Endpoints of two versions.
-pub fn with_endpoints(n: u32, fresh: &Freshness) -> Beliefs {
+pub fn with_endpoints(n: u32, fresh: &Freshness) -> FleetState {
     add_endpoints(beliefs(n), fresh)
 }
 
-fn add_endpoints(mut beliefs: Beliefs, fresh: &Freshness) -> Beliefs {
+fn add_endpoints(mut beliefs: FleetState, fresh: &Freshness) -> FleetState {
     let endpoints =
         vec![record("o1", "v1"), record("o2", "v1"), record("n1", "v2"), record("n2", "v2")];
-    beliefs.take(Millis(0), Input::Catalog(Arc::new(catalog(3))), fresh);
-    beliefs.take(Millis(0), Input::EndpointList(endpoints), fresh);
+    beliefs.handle_input(Millis(0), Input::Catalog(Arc::new(catalog(3))), fresh);
+    beliefs.handle_input(Millis(0), Input::EndpointList(endpoints), fresh);
     beliefs
 }
 
@@ -152,7 +152,7 @@
 }
 
 /// The same on a later start of a host.
-pub fn with_endpoints_again(n: u32, incarnation: u64, fresh: &Freshness) -> Beliefs {
+pub fn with_endpoints_again(n: u32, incarnation: u64, fresh: &Freshness) -> FleetState {
     add_endpoints(beliefs_started_as(n, incarnation), fresh)
 }
 
@@ -162,23 +162,23 @@
 }
 
 /// Endpoints of two versions that no roll-out names.
-pub fn without_rollout(n: u32, fresh: &Freshness) -> Beliefs {
+pub fn without_rollout(n: u32, fresh: &Freshness) -> FleetState {
     let mut beliefs = with_endpoints(n, fresh);
-    beliefs.take(Millis(0), caught_up(Kind::Endpoints, 10), fresh);
-    beliefs.take(Millis(0), rollouts(Vec::new()), fresh);
-    beliefs.take(Millis(0), caught_up(Kind::Rollouts, 10), fresh);
+    beliefs.handle_input(Millis(0), caught_up(Kind::Endpoints, 10), fresh);
+    beliefs.handle_input(Millis(0), rollouts(Vec::new()), fresh);
+    beliefs.handle_input(Millis(0), caught_up(Kind::Rollouts, 10), fresh);
     beliefs
 }
 
-pub fn with_rollout(n: u32, fresh: &Freshness) -> Beliefs {
+pub fn with_rollout(n: u32, fresh: &Freshness) -> FleetState {
     let mut beliefs = with_endpoints(n, fresh);
-    beliefs.take(Millis(0), rollouts(vec![order(1, None)]), fresh);
+    beliefs.handle_input(Millis(0), rollouts(vec![order(1, None)]), fresh);
     beliefs
 }
 
 pub fn writes(actions: &[Action]) -> Vec<RolloutState> {
     let state = |a: &Action| match a {
-        Action::Write(write) => Some(write.progress.state),
+        Action::WriteProgress(write) => Some(write.progress.state),
         _ => None,
     };
     actions.iter().filter_map(state).collect()
@@ -186,7 +186,7 @@
 
 pub fn view_of(actions: &[Action]) -> Option<Arc<FleetView>> {
     let view = |a: &Action| match a {
-        Action::Publish(view) => Some(view.clone()),
+        Action::PublishView(view) => Some(view.clone()),
         _ => None,
     };
     actions.iter().rev().find_map(view)
--- a/crates/tidetrack-core/tests/traffic.rs
+++ b/crates/tidetrack-core/tests/traffic.rs
@@ -8,8 +8,8 @@
 use tidetrack_core::codes::Code;
 use tidetrack_core::ids::{EndpointId, ServiceId, VersionName};
 use tidetrack_core::placement::PoolView;
-use tidetrack_core::traffic::budget::{SendAgain, SendBudget};
-use tidetrack_core::traffic::control::{Action, Beliefs, Input};
+use tidetrack_core::traffic::budget::{AttemptBudget, FurtherAttempt};
+use tidetrack_core::traffic::control::{Action, FleetState, Input};
 use tidetrack_core::traffic::endpoints::{EndpointRecord, EndpointTable};
 use tidetrack_core::traffic::exposure::{Exposure, ExposureBound, SessionDraw, MOST_SAMPLED};
 use tidetrack_core::traffic::freshness::Freshness;
@@ -70,18 +70,18 @@
 
 #[test]
 fn further_sends_keep_to_the_shared_ratio_in_every_window() {
-    let mut budget = SendBudget::new(0.9, Millis(10_000));
+    let mut budget = AttemptBudget::new(0.9, Millis(10_000));
     let mut firsts: Vec<u64> = Vec::new();
     let mut further: Vec<u64> = Vec::new();
 
     // A calm minute, a burst of failures in the middle of it.
     for t in 0..60_000u64 {
         if t % 20 == 0 {
-            budget.first(Millis(t));
+            budget.record_first(Millis(t));
             firsts.push(t);
         }
         let wants = (20_000..25_000).contains(&t) || t % 40 == 0;
-        if wants && budget.take(Millis(t), SendAgain::Failure) {
+        if wants && budget.try_acquire(Millis(t), FurtherAttempt::Failure) {
             further.push(t);
         }
     }
@@ -96,12 +96,12 @@
 
 #[test]
 fn second_opinions_leave_some_further_sends_to_failures() {
-    let mut budget = SendBudget::new(0.9, Millis(10_000));
-    (0..100).for_each(|_| budget.first(Millis(0)));
+    let mut budget = AttemptBudget::new(0.9, Millis(10_000));
+    (0..100).for_each(|_| budget.record_first(Millis(0)));
 
-    while budget.take(Millis(1), SendAgain::SecondOpinion) {}
+    while budget.try_acquire(Millis(1), FurtherAttempt::SecondOpinion) {}
 
-    assert!(budget.take(Millis(1), SendAgain::Failure));
+    assert!(budget.try_acquire(Millis(1), FurtherAttempt::Failure));
 }
 
 fn names(table: &EndpointTable) -> Vec<String> {
@@ -113,8 +113,8 @@
     let mut table = EndpointTable::default();
     table.replace(Millis(0), vec![record("e1", "v1"), record("e2", "v1")]);
 
-    table.store_lost();
-    table.store_back(Millis(10_000));
+    table.mark_store_unreachable();
+    table.mark_store_reachable(Millis(10_000));
     table.replace(Millis(10_000), vec![record("e1", "v1")]);
     table.sweep(Millis(11_500));
     let early = names(&table);
@@ -141,7 +141,7 @@
     let leaving = EndpointRecord { is_leaving: true, ..record("e1", "v1") };
     table.replace(Millis(0), vec![leaving]);
 
-    table.store_lost();
+    table.mark_store_unreachable();
     table.remove(Millis(100), &id("e1"));
 
     assert!(names(&table).is_empty());
@@ -244,7 +244,7 @@
 }
 
 fn seen(endpoint: &str, new: bool, failed: bool) -> Input {
-    Input::Observed(Observed {
+    Input::ResponseObserved(Observed {
         service: id("llm"),
         new_version: new.then(|| id::<VersionName>("v2")),
         endpoint: id(endpoint),
@@ -264,18 +264,22 @@
 fn a_bad_version_is_barred_at_once_and_written_down() {
     let fresh = fresh_since(0);
     let mut beliefs = with_rollout(2, &fresh);
-    (0..40).for_each(|_| drop(beliefs.take(Millis(10), seen("o1", false, false), &fresh)));
+    (0..40).for_each(|_| drop(beliefs.handle_input(Millis(10), seen("o1", false, false), &fresh)));
 
     let mut actions = Vec::new();
     for i in 0..8 {
         let endpoint = if i % 2 == 0 { "n1" } else { "n2" };
-        actions.extend(beliefs.take(Millis(20), seen(endpoint, true, i % 2 == 0 || i > 2), &fresh));
+        actions.extend(beliefs.handle_input(
+            Millis(20),
+            seen(endpoint, true, i % 2 == 0 || i > 2),
+            &fresh,
+        ));
     }
 
     assert!(writes(&actions).contains(&RolloutState::RolledBack));
     let view = view_of(&actions).expect("a new view");
     let service = &view.services[&id::<ServiceId>("llm")];
-    assert!(service.is_barred() && service.new.endpoints().is_empty());
+    assert!(service.is_barred() && service.canary_pool.endpoints().is_empty());
 }
 
 #[test]
@@ -285,8 +289,8 @@
 
     let mut actions = Vec::new();
     for _ in 0..10 {
-        actions.extend(beliefs.take(Millis(20), seen("n1", true, true), &fresh));
-        actions.extend(beliefs.take(Millis(20), seen("n2", true, false), &fresh));
+        actions.extend(beliefs.handle_input(Millis(20), seen("n1", true, true), &fresh));
+        actions.extend(beliefs.handle_input(Millis(20), seen("n2", true, false), &fresh));
     }
 
     assert!(!writes(&actions).contains(&RolloutState::RolledBack));
@@ -300,22 +304,22 @@
     let mut actions = Vec::new();
     for i in 0..60 {
         let endpoint = if i % 2 == 0 { "n1" } else { "n2" };
-        actions.extend(beliefs.take(Millis(20), seen("o1", false, i % 5 == 0), &fresh));
-        actions.extend(beliefs.take(Millis(20), seen(endpoint, true, i % 5 == 0), &fresh));
+        actions.extend(beliefs.handle_input(Millis(20), seen("o1", false, i % 5 == 0), &fresh));
+        actions.extend(beliefs.handle_input(Millis(20), seen(endpoint, true, i % 5 == 0), &fresh));
     }
 
     assert!(!writes(&actions).contains(&RolloutState::RolledBack));
 }
 
 /// Runs rounds of messages among hosts, without loss, every 250 ms.
-fn exchange(hosts: &mut [(Beliefs, Freshness)], from: u64, to: u64) -> Vec<Vec<Action>> {
+fn exchange(hosts: &mut [(FleetState, Freshness)], from: u64, to: u64) -> Vec<Vec<Action>> {
     let mut all: Vec<Vec<Action>> = hosts.iter().map(|_| Vec::new()).collect();
     for now in (from..to).step_by(50) {
         let mut letters: Vec<(SocketAddr, PeerMessage)> = Vec::new();
         for (i, (beliefs, fresh)) in hosts.iter_mut().enumerate() {
-            for action in beliefs.take(Millis(now), Input::Tick, fresh) {
+            for action in beliefs.handle_input(Millis(now), Input::Tick, fresh) {
                 match action {
-                    Action::Send(messages) => letters.extend(messages),
+                    Action::SendMessages(messages) => letters.extend(messages),
                     other => all[i].push(other),
                 }
             }
@@ -324,7 +328,11 @@
             let to = (1..=hosts.len() as u32).position(|n| host(n).1 == address);
             let Some(to) = to else { continue };
             let (beliefs, fresh) = &mut hosts[to];
-            let actions = beliefs.take(Millis(now + 1), Input::Heard(Box::new(message)), fresh);
+            let actions = beliefs.handle_input(
+                Millis(now + 1),
+                Input::PeerMessageReceived(Box::new(message)),
+                fresh,
+            );
             all[to].extend(actions);
         }
     }
@@ -334,7 +342,7 @@
 #[test]
 fn hosts_bar_a_version_on_what_they_saw_together() {
     let fresh = || fresh_since(0);
-    let mut hosts: Vec<(Beliefs, Freshness)> =
+    let mut hosts: Vec<(FleetState, Freshness)> =
         (1..=5).map(|n| (with_rollout(n, &fresh()), fresh())).collect();
     exchange(&mut hosts, 0, 2_000);
 
@@ -344,7 +352,7 @@
         let endpoint = if i % 2 == 0 { "n1" } else { "n2" };
         for failed in [true, false] {
             let input = seen(endpoint, true, failed);
-            alone.extend(beliefs.take(Millis(2_001), input, fresh));
+            alone.extend(beliefs.handle_input(Millis(2_001), input, fresh));
         }
     }
     let together = exchange(&mut hosts, 2_050, 3_500);
@@ -378,25 +386,25 @@
     ];
     let newer = Input::Catalog(Arc::new(catalog(4)));
     let fresh = fresh_since(0);
-    hosts[0].0.take(Millis(1), newer, &fresh);
+    hosts[0].0.handle_input(Millis(1), newer, &fresh);
 
     let actions = exchange(&mut hosts, 0, 3_000);
 
-    let proved = |a: &Vec<Action>| a.iter().any(|a| matches!(a, Action::Proved(_)));
+    let proved = |a: &Vec<Action>| a.iter().any(|a| matches!(a, Action::ConfigConfirmed(_)));
     assert!(!proved(&actions[0]) && !proved(&actions[1]));
 }
 
 #[test]
 fn a_few_hosts_of_many_prove_the_configuration_for_all() {
     let fresh = || fresh_since(0);
-    let mut hosts: Vec<(Beliefs, Freshness)> =
+    let mut hosts: Vec<(FleetState, Freshness)> =
         (1..=20).map(|n| (with_rollout(n, &fresh()), fresh())).collect();
 
     let actions = exchange(&mut hosts, 0, 4_000);
 
     let provers = hosts.iter().filter(|(b, _)| b.is_prover()).count();
     assert_eq!(provers, 3);
-    let proved = |a: &Vec<Action>| a.iter().any(|a| matches!(a, Action::Proved(_)));
+    let proved = |a: &Vec<Action>| a.iter().any(|a| matches!(a, Action::ConfigConfirmed(_)));
     assert!(actions.iter().all(proved), "every host is passed a proof");
 }
 
@@ -418,8 +426,8 @@
     let fresh = fresh_since(0);
     let mut beliefs = beliefs(2);
 
-    let newer = beliefs.take(Millis(0), Input::Catalog(Arc::new(catalog(9))), &fresh);
-    let older = beliefs.take(Millis(1), Input::Catalog(Arc::new(catalog(8))), &fresh);
+    let newer = beliefs.handle_input(Millis(0), Input::Catalog(Arc::new(catalog(9))), &fresh);
+    let older = beliefs.handle_input(Millis(1), Input::Catalog(Arc::new(catalog(8))), &fresh);
 
     let version = |actions: &[Action]| view_of(actions)?.catalog.as_ref().map(|c| c.version);
     assert_eq!((version(&newer), version(&older)), (Some(9), None));
@@ -431,12 +439,12 @@
     let mut beliefs = with_rollout(2, &fresh);
     let done = progress(RolloutState::Completed, 18_000);
 
-    let actions = beliefs.take(Millis(9), Input::Rollout(order(5, Some(done))), &fresh);
+    let actions = beliefs.handle_input(Millis(9), Input::Rollout(order(5, Some(done))), &fresh);
 
     let view = view_of(&actions).expect("a new view");
     let service = &view.services[&id::<ServiceId>("llm")];
-    let ids: Vec<&EndpointId> = service.new.endpoints().iter().map(|e| &e.id).collect();
-    assert!(service.proven.endpoints().is_empty());
+    let ids: Vec<&EndpointId> = service.canary_pool.endpoints().iter().map(|e| &e.id).collect();
+    assert!(service.stable_pool.endpoints().is_empty());
     assert_eq!(ids.len(), 2);
 }
 
@@ -445,19 +453,19 @@
     let fresh = fresh_since(0);
     let mut beliefs = with_rollout(2, &fresh);
     let barred = progress(RolloutState::RolledBack, 4_000);
-    beliefs.take(Millis(4_000), Input::Rollout(order(5, Some(barred))), &fresh);
+    beliefs.handle_input(Millis(4_000), Input::Rollout(order(5, Some(barred))), &fresh);
 
     let next = RolloutOrder { version: id("v3"), ..order(6, None) };
-    beliefs.take(Millis(4_100), Input::Endpoint(record("x1", "v3")), &fresh);
-    let actions = beliefs.take(Millis(4_200), Input::Rollout(next), &fresh);
+    beliefs.handle_input(Millis(4_100), Input::Endpoint(record("x1", "v3")), &fresh);
+    let actions = beliefs.handle_input(Millis(4_200), Input::Rollout(next), &fresh);
 
     let view = view_of(&actions).expect("a new view");
     let service = &view.services[&id::<ServiceId>("llm")];
     let ids = |pool: &PoolView| -> Vec<String> {
         pool.endpoints().iter().map(|e| e.id.to_string()).collect()
     };
-    assert_eq!(ids(&service.proven), ["o1", "o2"]);
-    assert_eq!(ids(&service.new), ["x1"]);
+    assert_eq!(ids(&service.stable_pool), ["o1", "o2"]);
+    assert_eq!(ids(&service.canary_pool), ["x1"]);
 }
 
 #[test]
@@ -465,14 +473,14 @@
     let fresh = fresh_since(0);
     let mut beliefs = with_rollout(2, &fresh);
     let barred = progress(RolloutState::RolledBack, 4_000);
-    beliefs.take(Millis(4_000), Input::Rollout(order(5, Some(barred))), &fresh);
+    beliefs.handle_input(Millis(4_000), Input::Rollout(order(5, Some(barred))), &fresh);
     let between = RolloutOrder { version: id("v3"), ..order(6, None) };
-    beliefs.take(Millis(4_100), Input::Rollout(between), &fresh);
+    beliefs.handle_input(Millis(4_100), Input::Rollout(between), &fresh);
 
-    let actions = beliefs.take(Millis(4_200), Input::Rollout(order(7, None)), &fresh);
+    let actions = beliefs.handle_input(Millis(4_200), Input::Rollout(order(7, None)), &fresh);
 
     let view = view_of(&actions).expect("a new view");
-    assert_eq!(view.services[&id::<ServiceId>("llm")].new.endpoints().len(), 2);
+    assert_eq!(view.services[&id::<ServiceId>("llm")].canary_pool.endpoints().len(), 2);
 }
 
 #[test]
@@ -480,19 +488,19 @@
     let fresh = fresh_since(0);
     let mut beliefs = with_rollout(2, &fresh);
     let next = RolloutOrder { version: id("v3"), ..order(6, None) };
-    beliefs.take(Millis(4_200), Input::Rollout(next), &fresh);
-    let told = |beliefs: &mut Beliefs, at: u64| {
-        let actions = beliefs.take(Millis(at), Input::Tick, &fresh);
+    beliefs.handle_input(Millis(4_200), Input::Rollout(next), &fresh);
+    let told = |beliefs: &mut FleetState, at: u64| {
+        let actions = beliefs.handle_input(Millis(at), Input::Tick, &fresh);
         let sent = actions.iter().find_map(|a| match a {
-            Action::Send(messages) => messages.first(),
+            Action::SendMessages(messages) => messages.first(),
             _ => None,
         });
         sent.expect("a message to another host").1.news.barred.len()
     };
 
     let while_they_run = told(&mut beliefs, 70_000);
-    beliefs.take(Millis(70_100), Input::EndpointGone(id("n1")), &fresh);
-    beliefs.take(Millis(70_100), Input::EndpointGone(id("n2")), &fresh);
+    beliefs.handle_input(Millis(70_100), Input::EndpointRemoved(id("n1")), &fresh);
+    beliefs.handle_input(Millis(70_100), Input::EndpointRemoved(id("n2")), &fresh);
     let soon_after = told(&mut beliefs, 75_000);
     let later = told(&mut beliefs, 131_000);
 
@@ -505,19 +513,20 @@
 /// right after E302 "timed out", at a host that had sent nothing a second time.
 #[test]
 fn a_send_that_reached_nobody_is_given_back_after_a_while_too() {
-    let mut budget = SendBudget::new(0.0, Millis(10_000));
+    let mut budget = AttemptBudget::new(0.0, Millis(10_000));
     let at = |n: u64| Millis(n * 1_000);
 
     let granted: Vec<bool> = (0..6)
         .map(|n| {
-            let is_granted = budget.take(at(n), SendAgain::Failure);
+            let is_granted = budget.try_acquire(at(n), FurtherAttempt::Failure);
             // Others look at the budget before it is known.
-            budget.first(at(n) + Millis(400));
-            budget.give_back(at(n));
+            budget.record_first(at(n) + Millis(400));
+            budget.refund(at(n));
             is_granted
         })
         .collect();
-    let real: Vec<bool> = (6..9).map(|n| budget.take(at(n), SendAgain::Failure)).collect();
+    let real: Vec<bool> =
+        (6..9).map(|n| budget.try_acquire(at(n), FurtherAttempt::Failure)).collect();
 
     assert_eq!(granted, [true; 6]);
     assert_eq!(real, [true, true, false]);
--- a/crates/tidetrack-core/tests/under_load.rs
+++ b/crates/tidetrack-core/tests/under_load.rs
@@ -6,12 +6,12 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-use tidetrack_core::placement::{place_of, Ask, PoolEndpoint};
+use tidetrack_core::placement::{ring_position_of, PlacementRequest, PoolEndpoint};
 use tidetrack_core::traffic::control::Input;
 use tidetrack_core::traffic::exposure::SessionDraw;
 use tidetrack_core::traffic::judge::{AttemptEnd, Observed};
 use tidetrack_core::traffic::trial::{Phase, RolloutState, Side, TrialView};
-use tidetrack_core::traffic::view::Picked;
+use tidetrack_core::traffic::view::PickedEndpoint;
 use tidetrack_core::units::Millis;
 
 use support::fleet::{Fleet, HOLD_FOR, STEP};
@@ -110,7 +110,7 @@
 
     fn trial(&self, host: usize) -> Option<&TrialView> {
         let view = self.fleet.hosts[host].view.as_ref().expect("a view");
-        view.services[&id("llm")].trial.as_ref()
+        view.services[&id("llm")].canary.as_ref()
     }
 
     fn is_barred(&self) -> bool {
@@ -148,10 +148,10 @@
         let (ended, left) = runs.into_iter().partition(|run| run.until <= now);
         self.runs = left;
         for run in ended {
-            run.endpoint.live.end(WORK);
-            run.endpoint.live.note(Millis(now), !run.failed);
+            run.endpoint.state.end_work(WORK);
+            run.endpoint.state.record_outcome(Millis(now), !run.failed);
             self.bad += usize::from(run.failed && run.side == Side::New);
-            self.fleet.take(run.host, Input::Observed(observed(&run)));
+            self.fleet.take(run.host, Input::ResponseObserved(observed(&run)));
         }
     }
 
@@ -167,14 +167,15 @@
         if service.pool(side).endpoints().is_empty() {
             return;
         }
-        let place = place_of(name.as_bytes());
-        let ask = Ask { place, salt: place, ..Ask::default() };
-        let Picked { endpoint, is_loaded } =
+        let ring_position = ring_position_of(name.as_bytes());
+        let ask =
+            PlacementRequest { ring_position, salt: ring_position, ..PlacementRequest::default() };
+        let PickedEndpoint { endpoint, is_loaded } =
             service.pick(now, side, who, &ask).expect("an endpoint");
         if side == Side::New {
             service.exposure.sent_to_new(false);
         }
-        endpoint.live.begin(WORK);
+        endpoint.state.begin_work(WORK);
         let others = self.runs.iter().filter(|run| run.endpoint.id == endpoint.id).count();
         let failed = self.draw_failure(side, endpoint, others);
         let gap_ms = self.gap_ms(side, others, is_loaded);
--- a/crates/tidetrack-plane/src/choose.rs
+++ b/crates/tidetrack-plane/src/choose.rs
@@ -3,13 +3,15 @@
 use tidetrack_core::codes::Code;
 use tidetrack_core::errors::{Error, Result};
 use tidetrack_core::ids::{EndpointId, EndpointKey, ModelId};
-use tidetrack_core::placement::{place_of, Ask, Near, PoolEndpoint, PoolView};
-use tidetrack_core::traffic::budget::SendAgain;
+use tidetrack_core::placement::{
+    ring_position_of, Locality, PlacementRequest, PoolEndpoint, PoolView,
+};
+use tidetrack_core::traffic::budget::FurtherAttempt;
 use tidetrack_core::traffic::gate;
 use tidetrack_core::traffic::outlook::Planned;
 use tidetrack_core::traffic::prefixes::PartKey;
 use tidetrack_core::traffic::trial::Side;
-use tidetrack_core::traffic::view::{Picked, ServiceView};
+use tidetrack_core::traffic::view::{PickedEndpoint, ServiceView};
 use tidetrack_core::units::{Millis, Tokens};
 
 use crate::job::{Chosen, Job, PrefixAt, Traffic, Tries, WorkShare};
@@ -48,11 +50,11 @@
     }
     if tries.sent == 0 {
         if tries.unreached == 0 {
-            traffic.with_budget(&job.service, |b| b.first(now));
+            traffic.with_budget(&job.service, |b| b.record_first(now));
         }
         return Ok(());
     }
-    match traffic.with_budget(&job.service, |b| b.take(now, SendAgain::Failure)) {
+    match traffic.with_budget(&job.service, |b| b.try_acquire(now, FurtherAttempt::Failure)) {
         true => Ok(()),
         false => Err(Error::new(Code::RetryBudget, "the budget of further sends is spent")),
     }
@@ -80,7 +82,7 @@
                 if let Some(part) = prompt.part {
                     service.prefixes.used(now, part, EndpointKey::from(&chosen.id));
                 }
-                if service.trial.is_some() {
+                if service.canary.is_some() {
                     traffic.shared.metrics.version_send(job.service.as_str(), side.as_str());
                 }
                 match side {
@@ -128,7 +130,7 @@
 ) -> impl Iterator<Item = (Side, Vec<EndpointId>)> + 'a {
     let sides = match first {
         Side::New => [Side::New, Side::Proven].as_slice(),
-        Side::Proven if service.may_fall_back(now) => &[Side::Proven, Side::New],
+        Side::Proven if service.can_fall_back(now) => &[Side::Proven, Side::New],
         Side::Proven => &[Side::Proven],
     };
     sides.iter().flat_map(|side| tries.avoided().map(|avoided| (*side, avoided)))
@@ -195,22 +197,22 @@
     prompt: &Prompt,
 ) -> Result<Chosen> {
     let place = job.facts.shared_prefix.as_deref().unwrap_or(&job.id);
-    let ask = Ask {
-        place: place_of(place.as_bytes()),
-        salt: place_of(job.id.as_bytes()).wrapping_add(tried.len() as u64),
-        need: Tokens(0),
+    let ask = PlacementRequest {
+        ring_position: ring_position_of(place.as_bytes()),
+        salt: ring_position_of(job.id.as_bytes()).wrapping_add(tried.len() as u64),
+        required_tokens: Tokens(0),
         tried,
         priority: 0,
-        reread: prompt.reread,
-        kept_at: &prompt.kept_at,
-        near: Some(Near {
+        reread_work: prompt.reread,
+        prefix_holders: &prompt.kept_at,
+        locality: Some(Locality {
             failure_domain: &traffic.shared.settings.failure_domain,
-            crossing: CROSSING_WORK,
+            crossing_work: CROSSING_WORK,
         }),
     };
     let now = traffic.shared.now();
     let pool = service.pool(side);
-    let Picked { endpoint: picked, is_loaded } =
+    let PickedEndpoint { endpoint: picked, is_loaded } =
         service.pick(now, side, job.version_draw(), &ask)?;
     let prefix = match job.facts.shared_prefix {
         Some(_) => prefix_at(now, pool, picked, &ask),
@@ -218,13 +220,13 @@
     };
     let new_version = match side {
         Side::Proven => None,
-        Side::New => service.trial.as_ref().map(|t| t.version.clone()),
+        Side::New => service.canary.as_ref().map(|t| t.version.clone()),
     };
     Ok(Chosen {
         id: picked.id.clone(),
         address: picked.address.clone(),
         failure_domain: picked.failure_domain.clone(),
-        live: picked.live.clone(),
+        live: picked.state.clone(),
         prefix,
         new_version,
         is_loaded,
@@ -232,13 +234,20 @@
 }
 
 /// Tells where the request's shared part is for a picked endpoint.
-fn prefix_at(now: Millis, pool: &PoolView, picked: &PoolEndpoint, ask: &Ask<'_>) -> PrefixAt {
-    if ask.kept_at.contains(&EndpointKey::from(&picked.id)) {
+fn prefix_at(
+    now: Millis,
+    pool: &PoolView,
+    picked: &PoolEndpoint,
+    ask: &PlacementRequest<'_>,
+) -> PrefixAt {
+    if ask.prefix_holders.contains(&EndpointKey::from(&picked.id)) {
         return PrefixAt::Kept;
     }
-    match pool.keeper(now, ask, picked) {
+    match pool.prefix_source(now, ask, picked) {
         None => PrefixAt::Unknown,
-        Some(keeper) if ask.reread >= FETCHED_FROM => PrefixAt::Fetched(keeper.address.clone()),
+        Some(keeper) if ask.reread_work >= FETCHED_FROM => {
+            PrefixAt::Fetched(keeper.address.clone())
+        }
         Some(keeper) if keeper.failure_domain == picked.failure_domain => PrefixAt::Moved,
         Some(_) => PrefixAt::Far,
     }
@@ -249,7 +258,7 @@
     let view = traffic.shared.view.load();
     let service = view.catalog.as_ref().and_then(|c| c.services.get(&job.service));
     match (service, model) {
-        (Some(service), Some(model)) => service.weight_of(model),
+        (Some(service), Some(model)) => service.model_weight(model),
         _ => 1.0,
     }
 }
@@ -262,7 +271,7 @@
     model: Option<&ModelId>,
 ) -> Result<(Chosen, WorkShare)> {
     let route = &job.admitted.route;
-    if tries.sent >= route.most_attempts {
+    if tries.sent >= route.max_attempts {
         return Err(Error::new(Code::EndpointFailed, "no attempt is left"));
     }
     let chosen = choose(traffic, job, tries, model)?;
--- a/crates/tidetrack-plane/src/control.rs
+++ b/crates/tidetrack-plane/src/control.rs
@@ -10,7 +10,7 @@
 
 use tidetrack_core::codes::Code;
 use tidetrack_core::events::Event;
-use tidetrack_core::traffic::control::{Action, Beliefs, Duties, Input};
+use tidetrack_core::traffic::control::{Action, FleetState, HostRoles, Input};
 use tidetrack_core::traffic::joining::{is_strong, Starter};
 use tidetrack_core::traffic::peers::PeerBook;
 use tidetrack_core::traffic::trial::ProgressWrite;
@@ -30,7 +30,7 @@
     let runtime = Builder::new_current_thread().enable_io().enable_time().build()?;
     LocalSet::new().block_on(&runtime, async move {
         let store = Rc::new(Store::new(shared.clone()));
-        let (duties, duties_seen) = watch::channel(Duties::default());
+        let (duties, duties_seen) = watch::channel(HostRoles::default());
         let watches = Watches::start(shared.clone(), store.clone(), duties_seen);
         let settings = &shared.settings;
         let (host, address) = (settings.host.clone(), settings.peer_address);
@@ -48,10 +48,10 @@
             is_known: settings.seeds.is_empty() || settings.seeds.contains(&address),
             draw: rand::random(),
         };
-        let mut beliefs = Beliefs::new(host, book)
-            .bounded(settings.bounds.new_version)
-            .sharing(shared.suspects.clone())
-            .starting(shared.now(), starter);
+        let mut beliefs = FleetState::new(host, book)
+            .with_exposure_bound(settings.bounds.new_version)
+            .with_suspects(shared.suspects.clone())
+            .with_bootstrap(shared.now(), starter);
         // Others are told of this start at once.
         shared.tell(Input::Tick);
         let outlets = Outlets { shared: shared.clone(), store, watches, peers };
@@ -67,13 +67,16 @@
                 shared.journal.line(Event::Suspended, &[("ms", &time.as_millis())]);
                 shared.metrics.suspended(time);
             }
-            for action in beliefs.take(shared.now(), input, &shared.fresh) {
+            for action in beliefs.handle_input(shared.now(), input, &shared.fresh) {
                 outlets.carry_out(action);
             }
             if inputs.is_empty() {
-                beliefs.show(shared.now()).into_iter().for_each(|view| outlets.carry_out(view));
+                beliefs
+                    .refresh_view(shared.now())
+                    .into_iter()
+                    .for_each(|view| outlets.carry_out(view));
             }
-            let now = beliefs.duties();
+            let now = beliefs.roles();
             duties.send_if_modified(|is| std::mem::replace(is, now) != now);
         }
     });
@@ -93,18 +96,18 @@
     fn carry_out(&self, action: Action) {
         let shared = &self.shared;
         match action {
-            Action::Publish(view) => shared.view.store(view),
-            Action::Proved(began) => shared.fresh.proved(began),
-            Action::Send(messages) => {
+            Action::PublishView(view) => shared.view.store(view),
+            Action::ConfigConfirmed(began) => shared.fresh.proved(began),
+            Action::SendMessages(messages) => {
                 if let Some(peers) = &self.peers {
                     peers.send(&messages);
                 }
             }
-            Action::Catch(catch) => {
+            Action::Fetch(catch) => {
                 tokio::task::spawn_local(self.watches.clone().catch(catch));
             }
-            Action::Note(event, text) => shared.journal.line(event, &[("detail", &text)]),
-            Action::Write(write) => {
+            Action::Log(event, text) => shared.journal.line(event, &[("detail", &text)]),
+            Action::WriteProgress(write) => {
                 tokio::task::spawn_local(write_progress(shared.clone(), self.store.clone(), write));
             }
         }
--- a/crates/tidetrack-plane/src/crash.rs
+++ b/crates/tidetrack-plane/src/crash.rs
@@ -118,7 +118,7 @@
         let shared = &traffic.shared;
         let now = shared.now();
         let Chosen { id, failure_domain, live, .. } = &self.chosen;
-        live.note_unreachable(now);
+        live.record_unreachable(now);
         let sent_at = Millis(now.0.saturating_sub(self.sent_at.elapsed().as_millis() as u64));
         let crashes = shared.suspects.crashed(now, self.fingerprint, id, failure_domain, sent_at);
         // Other hosts are told within a tenth of a second.
--- a/crates/tidetrack-plane/src/exchange.rs
+++ b/crates/tidetrack-plane/src/exchange.rs
@@ -16,8 +16,8 @@
 use tidetrack_core::errors::{Error, Result};
 use tidetrack_core::events::Event;
 use tidetrack_core::ids::ModelId;
-use tidetrack_core::placement::draw;
-use tidetrack_core::retry::{may_retry, Failed};
+use tidetrack_core::placement::hash_fraction;
+use tidetrack_core::retry::{may_retry, FailedAttempt};
 use tidetrack_core::traffic::cascade;
 use tidetrack_core::traffic::fingerprint::{Fingerprint, Repeated};
 use tidetrack_core::traffic::gate;
@@ -156,7 +156,7 @@
     let held = Duration::from_millis(route.timeout.0);
     let time = facts.time_left.map_or(held, |t| held.min(Duration::from_millis(t.0)));
     let (until, due) = (began + time, Moment::now().after(time.saturating_sub(began.elapsed())));
-    let body = read_body(body, limits.body_bytes, until).await?;
+    let body = read_body(body, limits.max_body_bytes, until).await?;
     let fingerprint = Fingerprint::of(&Repeated {
         workspace: admitted.holder.as_ref().map(|h| &h.workspace),
         hostname: entry.hostname,
@@ -166,7 +166,7 @@
     });
     let id = facts.attempt_id.clone().unwrap_or_else(|| format!("#{}", traffic.next_number()));
     let running = shared.suspects.admit(shared.now(), fingerprint)?;
-    let target = route.pick_target(draw("target", &id)).cloned();
+    let target = route.pick_target(hash_fraction("target", &id)).cloned();
     let service = target.ok_or_else(|| Error::new(Code::UnknownRoute, "the route goes nowhere"))?;
     let age = shared.fresh.age(shared.now()).map_or(-1, |a| a.0 as i64);
     shared.journal.routine(
@@ -247,7 +247,7 @@
                 // at hand is dropped.
                 tries.is_paid = true;
                 tries.note_ran(Ran::Yes);
-                chosen.live.note(traffic.shared.now(), true);
+                chosen.live.record_outcome(traffic.shared.now(), true);
                 let seen = Seen::ended(AttemptEnd::Dropped, began.elapsed());
                 observe(traffic, job, &chosen, model.as_ref(), &seen);
                 model = Some(larger);
@@ -271,7 +271,7 @@
         let end = if is_failure { AttemptEnd::Failed } else { AttemptEnd::Whole };
         let seen = Seen::ended(end, began.elapsed());
         observe(traffic, job, &chosen, model.as_ref(), &seen);
-        chosen.live.note(traffic.shared.now(), !is_failure);
+        chosen.live.record_outcome(traffic.shared.now(), !is_failure);
         let resp = whole_answer(traffic, job, answered, &chosen, model.as_ref()).await;
         drop(share);
         if !is_failure || !may_go_on(job, &tries) {
@@ -339,12 +339,12 @@
 /// Tells whether another attempt may follow a failed one.
 fn may_go_on(job: &Job, tries: &Tries) -> bool {
     let route = &job.admitted.route;
-    let failed = Failed {
+    let failed = FailedAttempt {
         ran: tries.ran.unwrap_or(Ran::No),
-        repeatable: route.work.is_repeatable(),
-        answered_in_part: false,
+        is_repeatable: route.work.is_repeatable(),
+        has_partial_response: false,
     };
-    tries.sent < route.most_attempts && !job.is_over() && may_retry(failed)
+    tries.sent < route.max_attempts && !job.is_over() && may_retry(failed)
 }
 
 /// Makes the final error of a request: it says whether the request may have run.
@@ -388,7 +388,7 @@
             return Err(e);
         }
     };
-    chosen.live.note(traffic.shared.now(), true);
+    chosen.live.record_outcome(traffic.shared.now(), true);
     let seen = Seen::ended(AttemptEnd::Whole, began.elapsed());
     observe(traffic, job, &chosen, model, &seen);
     drop(share);
--- a/crates/tidetrack-plane/src/job.rs
+++ b/crates/tidetrack-plane/src/job.rs
@@ -14,8 +14,8 @@
 
 use tidetrack_core::codes::Ran;
 use tidetrack_core::ids::{EndpointId, FailureDomain, ModelId, ServiceId, VersionName};
-use tidetrack_core::placement::{work_of, EndpointLive};
-use tidetrack_core::traffic::budget::SendBudget;
+use tidetrack_core::placement::{request_work, EndpointState};
+use tidetrack_core::traffic::budget::AttemptBudget;
 use tidetrack_core::traffic::exposure::SessionDraw;
 use tidetrack_core::traffic::fingerprint::Fingerprint;
 use tidetrack_core::traffic::gate::Admitted;
@@ -47,7 +47,7 @@
     pub shared: SharedRef,
     /// Connections to endpoints.
     pub pool: Pool,
-    budgets: RefCell<HashMap<ServiceId, SendBudget>>,
+    budgets: RefCell<HashMap<ServiceId, AttemptBudget>>,
     /// What is expected of second runs.
     pub outlook: RefCell<Outlook>,
     /// Connects of late that gave no sign of life.
@@ -85,10 +85,14 @@
     }
 
     /// Does something with the budget of further sends to a service.
-    pub fn with_budget<T>(&self, service: &ServiceId, f: impl FnOnce(&mut SendBudget) -> T) -> T {
+    pub fn with_budget<T>(
+        &self,
+        service: &ServiceId,
+        f: impl FnOnce(&mut AttemptBudget) -> T,
+    ) -> T {
         let bounds = &self.shared.settings.bounds;
         let mut budgets = self.budgets.borrow_mut();
-        let new = || SendBudget::new(bounds.resend_ratio, bounds.resend_window);
+        let new = || AttemptBudget::new(bounds.resend_ratio, bounds.resend_window);
         f(budgets.entry(service.clone()).or_insert_with(new))
     }
 }
@@ -172,7 +176,7 @@
     /// Gets the work that an endpoint without the request's shared prefix does in addition.
     pub fn reread(&self, weight: f64) -> u64 {
         let shared = self.facts.shared_tokens.unwrap_or(Tokens(0));
-        let work = work_of(shared, Tokens(0)) as f64 * weight * REREAD_TIMES;
+        let work = request_work(shared, Tokens(0)) as f64 * weight * REREAD_TIMES;
         (work as u64).max(1)
     }
 
@@ -185,7 +189,7 @@
     pub fn work(&self, weight: f64, has_prefix: bool) -> u64 {
         let kept = self.facts.shared_tokens.filter(|_| has_prefix).unwrap_or(Tokens(0));
         let full = match &self.facts.size {
-            Some(size) => work_of(Tokens(size.prompt.0.saturating_sub(kept.0)), Tokens(0)),
+            Some(size) => request_work(Tokens(size.prompt.0.saturating_sub(kept.0)), Tokens(0)),
             None => PLAIN_WORK,
         };
         ((full as f64 * weight) as u64).max(1)
@@ -208,7 +212,7 @@
     /// Where it stands.
     pub failure_domain: FailureDomain,
     /// Its load and health.
-    pub live: Arc<EndpointLive>,
+    pub live: Arc<EndpointState>,
     /// Where the request's shared part is.
     pub prefix: PrefixAt,
     /// The version under roll-out, if the endpoint runs it.
@@ -269,7 +273,7 @@
 
 /// Work handed to an endpoint, until dropped.
 pub struct WorkShare {
-    live: Arc<EndpointLive>,
+    live: Arc<EndpointState>,
     work: u64,
     work_left: u64,
 }
@@ -278,21 +282,21 @@
     /// Counts a job's work at an endpoint.
     pub fn new(chosen: &Chosen, job: &Job, weight: f64) -> WorkShare {
         let work = job.work(weight, chosen.prefix.is_at_hand());
-        chosen.live.begin(work);
+        chosen.live.begin_work(work);
         WorkShare { live: chosen.live.clone(), work, work_left: job.work_left(weight) }
     }
 
     /// Takes note that the endpoint has begun to answer: the prompt is read.
     pub fn answer_began(&mut self) {
-        self.live.begin(self.work_left);
-        self.live.end(self.work);
+        self.live.begin_work(self.work_left);
+        self.live.end_work(self.work);
         self.work = self.work_left;
     }
 }
 
 impl Drop for WorkShare {
     fn drop(&mut self) {
-        self.live.end(self.work);
+        self.live.end_work(self.work);
     }
 }
 
--- a/crates/tidetrack-plane/src/peers.rs
+++ b/crates/tidetrack-plane/src/peers.rs
@@ -64,7 +64,7 @@
             Err(_) => continue,
         };
         match postcard::from_bytes::<PeerMessage>(&buf[..len]) {
-            Ok(message) => shared.tell(Input::Heard(Box::new(message))),
+            Ok(message) => shared.tell(Input::PeerMessageReceived(Box::new(message))),
             Err(_) => shared.metrics.peer_message("unreadable"),
         }
     }
