--- a/crates/tidetrack-plane/src/relay.rs
+++ b/crates/tidetrack-plane/src/relay.rs
@@ -23,8 +23,8 @@
 use tidetrack_core::errors::{Error, Result};
 use tidetrack_core::events::Event;
 use tidetrack_core::ids::ModelId;
-use tidetrack_core::placement::EndpointLive;
-use tidetrack_core::traffic::catalog::Work;
+use tidetrack_core::placement::EndpointState;
+use tidetrack_core::traffic::catalog::WorkKind;
 use tidetrack_core::traffic::judge::AttemptEnd;
 
 use crate::attempt::Answered;
@@ -260,7 +260,7 @@
 
     /// Takes note that something came from the endpoint.
     fn heard(&self, next: Result<Next>) -> Result<Next> {
-        self.source.chosen.live.heard(self.traffic.shared.now());
+        self.source.chosen.live.record_activity(self.traffic.shared.now());
         next
     }
 
@@ -268,9 +268,9 @@
     /// needs their ids for that.
     fn can_move(&self, tries: &Tries) -> bool {
         let route = &self.job.admitted.route;
-        let is_resumable = route.work == Work::Stream { resumable: true };
+        let is_resumable = route.work == WorkKind::Stream { resumable: true };
         let is_known = self.head.is_some() || self.last_event.is_some();
-        is_resumable && is_known && tries.sent < route.most_attempts
+        is_resumable && is_known && tries.sent < route.max_attempts
     }
 
     /// Logs that a silent endpoint is waited for.
@@ -334,7 +334,7 @@
             shared.suspects.ended_well(shared.now(), self.job.fingerprint);
         }
         let Stream { traffic, source, .. } = self;
-        source.chosen.live.note(traffic.shared.now(), true);
+        source.chosen.live.record_outcome(traffic.shared.now(), true);
         traffic.pool.keep(source.chosen.id.as_str(), source.lease, source.idle_time);
     }
 
@@ -378,12 +378,13 @@
 }
 
 /// Waits until a silent stream is to go on elsewhere.
-async fn silence(traffic: &Traffic, job: &Job, live: Arc<EndpointLive>) {
-    let gap = job.admitted.route.most_gap.map_or(USUAL_GAP, |gap| Duration::from_millis(gap.0));
+async fn silence(traffic: &Traffic, job: &Job, live: Arc<EndpointState>) {
+    let gap =
+        job.admitted.route.max_event_gap.map_or(USUAL_GAP, |gap| Duration::from_millis(gap.0));
     let since = traffic.shared.now();
     let (silent, stalled) = (gap.mul_f64(SILENT_TIMES), gap.mul_f64(STALLED_TIMES));
     wait_running(silent).await;
-    if live.was_heard_since(since) {
+    if live.was_active_since(since) {
         wait_running(stalled.saturating_sub(silent)).await;
     }
 }
@@ -421,7 +422,7 @@
             held.other_failed();
         }
         let is_held = tries.held.as_ref().is_some_and(|held| held.is_heard());
-        let is_out_of_reach = is_held && tries.unreached >= job.admitted.route.most_attempts;
+        let is_out_of_reach = is_held && tries.unreached >= job.admitted.route.max_attempts;
         if is_out_of_reach || job.is_over() {
             return Err(failed);
         }
--- a/crates/tidetrack-plane/src/report.rs
+++ b/crates/tidetrack-plane/src/report.rs
@@ -48,23 +48,23 @@
         // Neither does slowness of an endpoint that serves others, but it counts as a long time.
         Code::Deadline => {
             let since = Millis(shared.now().0.saturating_sub(took.as_millis() as u64));
-            if chosen.live.was_heard_since(since) {
+            if chosen.live.was_active_since(since) {
                 let seen = Seen::ended(AttemptEnd::GivenUp, took);
                 observe(traffic, job, chosen, model, &seen);
             } else {
-                chosen.live.note_silent(shared.now());
+                chosen.live.record_silence(shared.now());
             }
         }
         Code::EndpointUnreachable if e.broke == Some(Broke::Silence) => {
             gave_no_sign(traffic, chosen, took);
         }
         Code::EndpointUnreachable | Code::EndpointMoved => {
-            chosen.live.note_unreachable(shared.now());
+            chosen.live.record_unreachable(shared.now());
             traffic.pool.forget(chosen.id.as_str());
         }
         // A break is the endpoint's end or the network's doing, and says nothing of its version.
         _ => {
-            chosen.live.note(shared.now(), false);
+            chosen.live.record_outcome(shared.now(), false);
             traffic.pool.forget(chosen.id.as_str());
         }
     }
@@ -175,7 +175,7 @@
     if seen.is_told {
         return;
     }
-    shared.tell(Input::Observed(Observed {
+    shared.tell(Input::ResponseObserved(Observed {
         service: job.service.clone(),
         new_version: chosen.new_version.clone(),
         endpoint: chosen.id.clone(),
--- a/crates/tidetrack-plane/src/second_run.rs
+++ b/crates/tidetrack-plane/src/second_run.rs
@@ -8,7 +8,7 @@
 
 use tidetrack_core::events::Event;
 use tidetrack_core::ids::ModelId;
-use tidetrack_core::traffic::budget::SendAgain;
+use tidetrack_core::traffic::budget::FurtherAttempt;
 use tidetrack_core::traffic::cascade::{self, Prospect};
 
 use crate::attempt::Answered;
@@ -38,14 +38,15 @@
     let prospect = Prospect { confidence, in_time: expected.in_time(), wait: expected.wait };
     let weighed = cascade::weigh(route, service, model, prospect, size, opts)?;
     let now = traffic.shared.now();
-    let may_drop = tries.sent < route.most_attempts && route.work.is_repeatable();
-    let budget = || traffic.with_budget(&job.service, |b| b.take(now, SendAgain::SecondOpinion));
+    let may_drop = tries.sent < route.max_attempts && route.work.is_repeatable();
+    let budget =
+        || traffic.with_budget(&job.service, |b| b.try_acquire(now, FurtherAttempt::SecondOpinion));
     let kept_for = match weighed.is_worth_it() {
         false => Some("cost"),
         true if !may_drop => Some("attempts"),
         true if !budget() => Some("budget"),
         true if !is_reached(traffic, job, larger, &next).await => {
-            traffic.with_budget(&job.service, |b| b.give_back(now));
+            traffic.with_budget(&job.service, |b| b.refund(now));
             Some("connection")
         }
         true => None,
--- a/crates/tidetrack-plane/src/send.rs
+++ b/crates/tidetrack-plane/src/send.rs
@@ -50,7 +50,7 @@
     goes_on_after: Option<u64>,
 ) -> Result<Answered> {
     let shared = &traffic.shared;
-    chosen.live.sends(shared.now());
+    chosen.live.record_send(shared.now());
     tries.tried.push(chosen.id.clone());
     tries.sent += 1;
     tries.sent_at = shared.now();
@@ -118,7 +118,7 @@
     };
     match &sent {
         Ok(_) => {
-            chosen.live.heard(shared.now());
+            chosen.live.record_activity(shared.now());
             traffic.pool.came(began);
         }
         Err(e) if e.code == Code::EndpointUnreachable => {
@@ -133,13 +133,13 @@
 /// Takes an attempt back that reached no endpoint: it counts neither as one of the request's nor in
 /// the budget. Each search for an endpoint has as many of these for nothing as the request has attempts.
 fn reached_nobody(traffic: &Traffic, job: &Job, tries: &mut Tries) {
-    if tries.unreached >= job.admitted.route.most_attempts {
+    if tries.unreached >= job.admitted.route.max_attempts {
         return;
     }
     tries.unreached += 1;
     tries.sent -= 1;
     if tries.sent > 0 {
-        traffic.with_budget(&job.service, |b| b.give_back(tries.sent_at));
+        traffic.with_budget(&job.service, |b| b.refund(tries.sent_at));
     }
 }
 
@@ -187,7 +187,7 @@
     model: Option<&ModelId>,
 ) {
     let route = &job.admitted.route;
-    if tries.sent >= route.most_attempts || !route.work.is_repeatable() {
+    if tries.sent >= route.max_attempts || !route.work.is_repeatable() {
         return std::future::pending().await;
     }
     let silent = job.objective().mul_f64(SILENT_TIMES).max(LEAST_PATIENCE);
@@ -195,7 +195,7 @@
     loop {
         let since = traffic.shared.now();
         wait_running(silent).await;
-        if chosen.live.was_heard_since(since) {
+        if chosen.live.was_active_since(since) {
             wait_running(slow.saturating_sub(silent)).await;
         }
         if take_next_send(traffic, job, tries, model) {
@@ -210,8 +210,8 @@
     if facts.did_not_run && facts.limit.is_none() {
         return;
     }
-    if chosen.live.names_limit(facts.limit) {
-        traffic.shared.tell(Input::LimitNamed(chosen.id.clone(), facts.limit));
+    if chosen.live.update_reported_limit(facts.limit) {
+        traffic.shared.tell(Input::LimitReported(chosen.id.clone(), facts.limit));
     }
 }
 
@@ -219,6 +219,6 @@
 pub fn note_load(traffic: &Traffic, chosen: &Chosen, answered: &Answered) {
     if let Some(load) = answered.facts.load {
         let work = load.running * RUNNING_WORK + load.waiting * WAITING_WORK;
-        chosen.live.report(traffic.shared.now(), work, Tokens(0));
+        chosen.live.record_load_report(traffic.shared.now(), work, Tokens(0));
     }
 }
--- a/crates/tidetrack-plane/src/server.rs
+++ b/crates/tidetrack-plane/src/server.rs
@@ -131,9 +131,9 @@
     fn may_until(&self, limits: CallerLimits) -> Option<Instant> {
         match self.doing.get() {
             Doing::Resting(since) => {
-                Some(since + Duration::from_millis(limits.idle_time.0) + ON_ITS_WAY)
+                Some(since + Duration::from_millis(limits.idle_timeout.0) + ON_ITS_WAY)
             }
-            Doing::SendingHead(since) => Some(since + Duration::from_millis(limits.head_time.0)),
+            Doing::SendingHead(since) => Some(since + Duration::from_millis(limits.head_timeout.0)),
             Doing::Served | Doing::TakingEnd => None,
         }
     }
@@ -350,7 +350,7 @@
     let service = service_fn(|req| answer(&opts.handler, state.clone(), req));
     let io = TokioIo::new(Observing { stream, state: state.clone() });
     let conn = Builder::new()
-        .max_buf_size((opts.limits)().head_bytes.max(LEAST_HEAD_BUFFER))
+        .max_buf_size((opts.limits)().max_head_bytes.max(LEAST_HEAD_BUFFER))
         .half_close(false)
         .serve_connection(io, service);
     let mut conn = std::pin::pin!(conn);
--- a/crates/tidetrack-plane/src/watch/catch.rs
+++ b/crates/tidetrack-plane/src/watch/catch.rs
@@ -71,7 +71,7 @@
                 Event::ChangesNotGot,
                 &[("kind", &kind_name), ("after", &after), ("source", &source), ("why", &e)],
             );
-            self.shared.tell(Input::CatchFailed(catch));
+            self.shared.tell(Input::FetchFailed(catch));
             if after == 0 && catch.source == Source::Store {
                 self.lost(kind, &e);
             }
@@ -104,7 +104,7 @@
         self.caught_up(kind, None);
         if let Some(age) = told.proof_age {
             // Told after the configuration, which is as new as the teller's: so the proof holds for it.
-            self.shared.tell(Input::Proved(asked_at - age));
+            self.shared.tell(Input::ConfigConfirmed(asked_at - age));
         }
         Ok(())
     }
--- a/crates/tidetrack-plane/src/watch/follow.rs
+++ b/crates/tidetrack-plane/src/watch/follow.rs
@@ -64,14 +64,14 @@
     async fn is_to_go_on(&self, returns: &mut watch::Receiver<u64>) {
         // Neither sender ends before the process.
         let _ = returns.changed().await;
-        let _ = self.duties.clone().wait_for(|duties| duties.watches).await;
+        let _ = self.duties.clone().wait_for(|duties| duties.is_watcher).await;
     }
 
     /// Gets the longest pause after failed calls: hosts that others rely on, or that know nothing yet,
     /// try more often.
     pub(super) fn longest_pause(&self, kind: Kind) -> Duration {
         let duties = *self.duties.borrow();
-        if duties.proves || duties.watches || self.position(kind) == 0 {
+        if duties.is_prover || duties.is_watcher || self.position(kind) == 0 {
             LONGEST_PAUSE
         } else {
             LONGEST_PAUSE_OF_MANY
@@ -100,7 +100,7 @@
         let mut duties = self.duties.clone();
         tokio::time::sleep_until((self.started + self.first_watch_after()).into()).await;
         loop {
-            if duties.wait_for(|duties| duties.watches).await.is_err() {
+            if duties.wait_for(|duties| duties.is_watcher).await.is_err() {
                 return Error::new(Code::Internal, "the control thread ends");
             }
             let before = self.position(kind);
--- a/crates/tidetrack-plane/src/watch/intake.rs
+++ b/crates/tidetrack-plane/src/watch/intake.rs
@@ -64,8 +64,8 @@
                 Change::Put(Stored::Catalog(c)) => self.shared.tell(Input::Catalog(Arc::new(c))),
                 Change::Put(Stored::Endpoint(r)) => self.shared.tell(Input::Endpoint(r)),
                 Change::Put(Stored::Rollout(o)) => self.shared.tell(Input::Rollout(o)),
-                Change::EndpointGone(id) => self.shared.tell(Input::EndpointGone(id)),
-                Change::RolloutGone(service) => self.shared.tell(Input::RolloutGone(service)),
+                Change::EndpointGone(id) => self.shared.tell(Input::EndpointRemoved(id)),
+                Change::RolloutGone(service) => self.shared.tell(Input::RolloutRemoved(service)),
                 Change::Unreadable(object) => self.unreadable(kind, object),
             }
         }
--- a/crates/tidetrack-plane/src/watch/mod.rs
+++ b/crates/tidetrack-plane/src/watch/mod.rs
@@ -18,7 +18,7 @@
 
 use tidetrack_core::errors::Error;
 use tidetrack_core::events::Event;
-use tidetrack_core::traffic::control::{Duties, Input};
+use tidetrack_core::traffic::control::{HostRoles, Input};
 use tidetrack_core::traffic::feeds::Revisions;
 
 use crate::call::{Gate, OneAtATime};
@@ -54,7 +54,7 @@
     brought: watch::Sender<()>,
     /// Counts the returns of the store, for the other kinds to start again.
     returns: watch::Sender<u64>,
-    duties: watch::Receiver<Duties>,
+    duties: watch::Receiver<HostRoles>,
     /// By kind, whether the store did not answer the last read.
     is_lost: RefCell<[bool; 3]>,
     started: Instant,
@@ -65,7 +65,7 @@
     pub fn start(
         shared: SharedRef,
         store: Rc<Store>,
-        duties: watch::Receiver<Duties>,
+        duties: watch::Receiver<HostRoles>,
     ) -> Rc<Watches> {
         let (returns, _) = watch::channel(0);
         let (brought, _) = watch::channel(());
@@ -124,7 +124,7 @@
         Gate {
             turns: &self.large[kind as usize],
             is_needless: Box::new(move || after.is_some_and(|after| self.newest(kind) > after)),
-            is_coming: Box::new(move || self.shared.tell(Input::Coming(kind))),
+            is_coming: Box::new(move || self.shared.tell(Input::ReplyStarted(kind))),
         }
     }
 
@@ -142,7 +142,7 @@
         let kind_name = format!("{kind:?}");
         self.shared.journal.line(Event::PlatformLost, &[("kind", &kind_name), ("why", e)]);
         if before == [false; 3] {
-            self.shared.tell(Input::StoreLost);
+            self.shared.tell(Input::StoreUnreachable);
         }
         true
     }
@@ -154,7 +154,7 @@
         }
         self.shared.journal.line(Event::PlatformBack, &[("kind", &format!("{kind:?}"))]);
         if *self.is_lost.borrow() == [false; 3] {
-            self.shared.tell(Input::StoreBack);
+            self.shared.tell(Input::StoreReachable);
         }
         if kind == Kind::Catalog {
             self.returns.send_modify(|n| *n += 1);
--- a/crates/tidetrack-plane/src/watch/proof.rs
+++ b/crates/tidetrack-plane/src/watch/proof.rs
@@ -33,9 +33,9 @@
         loop {
             tokio::time::sleep(PROOF_LOOK).await;
             let duties = *self.duties.borrow();
-            let wanted = match duties.proves {
+            let wanted = match duties.is_prover {
                 true => PROVE_EVERY,
-                false => PROOF_WANTED + turn(draw, duties.hosts),
+                false => PROOF_WANTED + turn(draw, duties.host_count),
             };
             let after = self.position(Kind::Catalog);
             let age = self.shared.fresh.age(self.shared.now());
@@ -43,7 +43,7 @@
             // After a loss, a young proof of another host says that the store answers again. Whether it answers this
             // one matters only where others rely on it.
             let mut is_back = self.is_lost(Kind::Catalog) && age < PROVE_EVERY;
-            if is_back && !duties.proves && !duties.watches {
+            if is_back && !duties.is_prover && !duties.is_watcher {
                 self.back(Kind::Catalog);
                 is_back = false;
             }
@@ -57,7 +57,7 @@
             match read.await.or_else(unless_needless) {
                 Ok(()) => {
                     pause = FIRST_PAUSE;
-                    self.shared.tell(Input::StoreSeen(self.position(Kind::Catalog)));
+                    self.shared.tell(Input::StoreRevisionSeen(self.position(Kind::Catalog)));
                 }
                 Err(e) => {
                     self.lost(Kind::Catalog, &e);
@@ -75,7 +75,7 @@
     pub(super) fn catalog_read(&self, began: Millis) {
         // Not taken note of here: what was read may wait to be put in force, and a proof that holds
         // before that would be one of the configuration before.
-        self.shared.tell(Input::Proved(began));
+        self.shared.tell(Input::ConfigConfirmed(began));
         self.back(Kind::Catalog);
     }
 }
--- a/crates/tidetrack-plane/tests/rests.rs
+++ b/crates/tidetrack-plane/tests/rests.rs
@@ -47,7 +47,7 @@
         most_connections: 8,
         limits: Rc::new(move || {
             let limit = Millis(limit.load(Ordering::Relaxed));
-            CallerLimits { head_time: limit, idle_time: limit, ..CallerLimits::default() }
+            CallerLimits { head_timeout: limit, idle_timeout: limit, ..CallerLimits::default() }
         }),
         handler: Rc::new(move |_| {
             let body = AnswerBody::whole(Bytes::from(vec![b'x'; answer]));
--- a/crates/tidetrack-plane/tests/server.rs
+++ b/crates/tidetrack-plane/tests/server.rs
@@ -68,7 +68,7 @@
         most_connections: CONNECTIONS * 2,
         limits: Rc::new(|| {
             let limit = Millis(u64::try_from(LIMIT.as_millis()).expect("a short time"));
-            CallerLimits { head_time: limit, idle_time: limit, ..CallerLimits::default() }
+            CallerLimits { head_timeout: limit, idle_timeout: limit, ..CallerLimits::default() }
         }),
         handler: Rc::new(move |_| {
             let guard = DropGuard { dropped: dropped.clone(), is_armed: Cell::new(true) };
--- a/crates/tidetrack-router/src/billing.rs
+++ b/crates/tidetrack-router/src/billing.rs
@@ -27,7 +27,7 @@
 const RETRY_UNSAFE_MS: u64 = 1_000;
 
 /// Pause of the writer after a failed write.
-const WRITE_AGAIN: Duration = Duration::from_millis(300);
+const WRITE_RETRY_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Messages for the keeper of the bills.
 pub enum BillMsg {
@@ -238,7 +238,7 @@
         let stands = write_segment(&platform, &segment, &logger);
         if let Err(e) = &stands {
             logging::log(&logger, Event::SegmentFailed, &e.to_string());
-            std::thread::sleep(WRITE_AGAIN);
+            std::thread::sleep(WRITE_RETRY_INTERVAL);
         }
         if done.send(BillMsg::WriteDone { origin, stands: stands.ok() }).is_err() {
             return;
--- a/crates/tidetrack-router/src/chat/attempts.rs
+++ b/crates/tidetrack-router/src/chat/attempts.rs
@@ -9,8 +9,10 @@
 use tidetrack_core::evidence::Counts;
 use tidetrack_core::ids::{EndpointId, ModelId};
 use tidetrack_core::ledger::Ended;
-use tidetrack_core::placement::{place_of, rendezvous, work_of, Ask, PoolEndpoint};
-use tidetrack_core::retry::{may_retry, Failed};
+use tidetrack_core::placement::{
+    rendezvous, request_work, ring_position_of, PlacementRequest, PoolEndpoint,
+};
+use tidetrack_core::retry::{may_retry, FailedAttempt};
 use tidetrack_core::units::Tokens;
 use tidetrack_core::view::{Chosen, View};
 use tidetrack_wire::caller::{AnswerPart, StreamOptions, Usage};
@@ -61,7 +63,11 @@
                 _ => e,
             };
             first = Some(e.clone());
-            let failed = Failed { ran: e.ran, repeatable: true, answered_in_part: out.has_begun() };
+            let failed = FailedAttempt {
+                ran: e.ran,
+                is_repeatable: true,
+                has_partial_response: out.has_begun(),
+            };
             let again = tried.len() > tried_before
                 && tried.len() < MOST_ATTEMPTS
                 && is_attempts_fault(e.code)
@@ -84,7 +90,7 @@
 
     fn take_retry(&self) -> bool {
         let mut retries = self.shared().retries.lock().expect("no holder of the lock panics");
-        retries.take()
+        retries.try_acquire()
     }
 
     fn attempt(
@@ -118,7 +124,7 @@
             shared: self.shared(),
             upstream: self.caller.upstream,
             endpoint,
-            work: work_of(Tokens(self.chat.prompt_tokens()), Tokens(self.answer_tokens())),
+            work: request_work(Tokens(self.chat.prompt_tokens()), Tokens(self.answer_tokens())),
             id: attempt,
             fingerprint: self.fingerprint,
             deadline: self.deadline,
@@ -164,13 +170,13 @@
         }
         let pool = view.pools.get(&chosen.pool);
         let no_pool = || Error::new(Code::NoVersion, format!("no pool named {}", chosen.pool));
-        let ask = Ask {
-            place: self.place(),
+        let ask = PlacementRequest {
+            ring_position: self.place(),
             salt: rendezvous("endpoint", &self.caller.id.to_string()),
-            need: Tokens(need),
+            required_tokens: Tokens(need),
             tried,
             priority: self.priority,
-            ..Ask::default()
+            ..PlacementRequest::default()
         };
         pool.ok_or_else(no_pool)?.pick(self.shared().now(), &ask).cloned()
     }
@@ -178,11 +184,11 @@
     /// Gets the place on the ring: the session's, or that of the prompt's beginning.
     pub(super) fn place(&self) -> u64 {
         if let Some(session) = &self.session {
-            return place_of(&session.nonce.to_le_bytes());
+            return ring_position_of(&session.nonce.to_le_bytes());
         }
         let first = self.chat.messages.first().and_then(|m| m.content.as_str()).unwrap_or_default();
         let prefix: String = first.chars().take(PREFIX_CHARS).collect();
-        place_of(prefix.as_bytes())
+        ring_position_of(prefix.as_bytes())
     }
 
     /// Makes the request that an endpoint gets.
--- a/crates/tidetrack-router/src/chat/mod.rs
+++ b/crates/tidetrack-router/src/chat/mod.rs
@@ -11,7 +11,7 @@
 use tidetrack_core::events::Event;
 use tidetrack_core::ids::{ModelId, RequestId, RouteId, WorkspaceId};
 use tidetrack_core::ledger::{Bill, Ended, Part};
-use tidetrack_core::placement::{draw, PoolEndpoint};
+use tidetrack_core::placement::{hash_fraction, PoolEndpoint};
 use tidetrack_core::policy::{Features, Plan};
 use tidetrack_core::session::Session;
 use tidetrack_core::traffic::fingerprint::{Fingerprint, Repeated};
@@ -133,7 +133,7 @@
         let most = view.policies.get(&route).map_or(30_000, |p| p.spec.deadline_ms);
         let asked = number_of(request, headers::DEADLINE).map(|ms| ms.max(1) as u64);
         let deadline = caller.began + Duration::from_millis(asked.map_or(most, |a| a.min(most)));
-        let draw = draw("version", &caller.id.to_string());
+        let draw = hash_fraction("version", &caller.id.to_string());
         Ok(Call {
             route: route.clone(),
             wants_usage: chat.stream_options.as_ref().is_some_and(|o| o.include_usage),
@@ -316,7 +316,7 @@
         let serving = &view.models.get(model)?.serving;
         let pool = view.pools.get(&view.versions.get(serving)?.spec.pool)?;
         let some = pool.endpoints().iter().take(LOADS_SAMPLED);
-        let loads: Vec<f64> = some.map(|e| e.live.load(now)).collect();
+        let loads: Vec<f64> = some.map(|e| e.state.load(now)).collect();
         let mean = loads.iter().sum::<f64>() / loads.len().max(1) as f64;
         Some((model.clone(), mean / SLOT_WORK))
     };
--- a/crates/tidetrack-router/src/loads.rs
+++ b/crates/tidetrack-router/src/loads.rs
@@ -34,8 +34,8 @@
         turn = (turn + 1) % endpoints.len();
         let endpoint = endpoints[turn];
         let now = shared.now();
-        let young = now - endpoint.live.reported_at() < YOUNG;
-        if !young && !endpoint.live.is_leaving() {
+        let young = now - endpoint.state.reported_at() < YOUNG;
+        if !young && !endpoint.state.is_leaving() {
             read(&shared, endpoint);
         }
     }
@@ -46,7 +46,7 @@
     let Ok(response) = minreq::get(url).with_timeout(READ_SECONDS).send() else { return };
     let Ok(report) = serde_json::from_slice::<LoadReport>(response.as_bytes()) else { return };
     let capacity = Tokens(report.capacity_tokens);
-    endpoint.live.report(shared.now(), report.work, capacity);
+    endpoint.state.record_load_report(shared.now(), report.work, capacity);
     if report.leaving {
         let _ = shared.control.send(Msg::EndpointLeaving(endpoint.id.to_string()));
     }
--- a/crates/tidetrack-router/src/rating.rs
+++ b/crates/tidetrack-router/src/rating.rs
@@ -11,7 +11,7 @@
 use tidetrack_core::errors::{Error, Result};
 use tidetrack_core::evidence::Counts;
 use tidetrack_core::ids::VersionRef;
-use tidetrack_core::placement::draw;
+use tidetrack_core::placement::hash_fraction;
 use tidetrack_wire::endpoint::{RateAsk, Rating};
 
 use crate::shared::Shared;
@@ -53,7 +53,7 @@
 
 /// Hands an answer over to be rated, if it is one of those that are.
 pub fn offer(shared: &Shared, job: RateJob) {
-    let sampled = draw("rate", &job.ask.request) < PROVEN_SHARE;
+    let sampled = hash_fraction("rate", &job.ask.request) < PROVEN_SHARE;
     let wanted = shared.settings.rating.is_some() && (job.unproven || sampled);
     if wanted && shared.ratings.try_send(job).is_err() {
         shared.metrics.event("rating_left_out");
--- a/crates/tidetrack-router/src/server.rs
+++ b/crates/tidetrack-router/src/server.rs
@@ -26,8 +26,8 @@
 use tidetrack_core::errors::{unknown, Error, Result};
 use tidetrack_core::events::Event;
 use tidetrack_core::ids::{RouteId, WorkspaceId};
-use tidetrack_core::limits::Room;
-use tidetrack_core::placement::{draw, rendezvous};
+use tidetrack_core::limits::Admission;
+use tidetrack_core::placement::{hash_fraction, rendezvous};
 use tidetrack_core::seal::digest;
 use tidetrack_core::session::Session;
 use tidetrack_core::traffic::catalog::CallerLimits;
@@ -131,10 +131,10 @@
 fn server_options(shared: Arc<Shared>, threads: Sender<Taken>) -> ServerOptions {
     let limits = &shared.settings.limits;
     let caller_limits = CallerLimits {
-        head_bytes: HEAD_BYTES,
-        body_bytes: limits.body_bytes,
-        head_time: HEAD_TIME,
-        idle_time: IDLE_TIME,
+        max_head_bytes: HEAD_BYTES,
+        max_body_bytes: limits.body_bytes,
+        head_timeout: HEAD_TIME,
+        idle_timeout: IDLE_TIME,
     };
     let (for_log, for_closes, closes) = (shared.clone(), shared.clone(), Closes::default());
     ServerOptions {
@@ -402,9 +402,9 @@
 }
 
 fn take_room<'a>(shared: &'a Shared, workspace: &WorkspaceId) -> Result<RoomTaken<'a>> {
-    match shared.limits().take(shared.now(), workspace) {
-        Room::Granted => Ok(RoomTaken { shared, workspace: workspace.clone() }),
-        Room::Refused { retry_after_ms } => {
+    match shared.limits().try_acquire(shared.now(), workspace) {
+        Admission::Granted => Ok(RoomTaken { shared, workspace: workspace.clone() }),
+        Admission::Refused { retry_after_ms } => {
             let message = format!("the limits of {workspace} are reached on this host");
             Err(Error::new(Code::OverLimit, message).with_retry_after(retry_after_ms))
         }
@@ -460,7 +460,7 @@
     };
     let model = model.ok_or_else(|| unknown(Code::UnknownRoute, "route", &route))?;
     let id = caller.id.to_string();
-    let draw = draw("version", &id);
+    let draw = hash_fraction("version", &id);
     let chosen = view.choose(workspace, &model, draw, caller.shared.confirm())?;
     // Nothing runs yet: the credit is taken again by each of the session's requests.
     if let Some(credit) = &chosen.credit {
--- a/crates/tidetrack-router/src/services.rs
+++ b/crates/tidetrack-router/src/services.rs
@@ -7,8 +7,8 @@
 use tidetrack_core::codes::{Code, Ran};
 use tidetrack_core::errors::{unknown, Error, Result};
 use tidetrack_core::ids::{EndpointId, ServiceId};
-use tidetrack_core::placement::{rendezvous, Ask};
-use tidetrack_core::retry::{may_retry, Failed};
+use tidetrack_core::placement::{rendezvous, PlacementRequest};
+use tidetrack_core::retry::{may_retry, FailedAttempt};
 use tidetrack_core::seal::digest;
 use tidetrack_core::tickets::{Admission, KeptAnswer, Ticket};
 use tidetrack_core::traffic::fingerprint::{Fingerprint, Repeated};
@@ -211,23 +211,23 @@
         }
     }
 
-    fn attempts(&mut self, repeatable: bool) -> Result<ServiceAnswer> {
+    fn attempts(&mut self, is_repeatable: bool) -> Result<ServiceAnswer> {
         let mut tried = Vec::new();
         let mut may_have_run = false;
         loop {
-            let e = match self.attempt(&mut tried, repeatable) {
+            let e = match self.attempt(&mut tried, is_repeatable) {
                 Ok(answer) => return Ok(answer),
                 Err(e) => e,
             };
             may_have_run |= e.ran != Ran::No;
-            let failed = Failed { ran: e.ran, repeatable, answered_in_part: false };
+            let failed = FailedAttempt { ran: e.ran, is_repeatable, has_partial_response: false };
             let again = tried.len() < MOST_ATTEMPTS
                 && may_retry(failed)
                 && !matches!(e.code, Code::Overloaded | Code::CrashesEndpoints)
                 && Instant::now() < self.deadline;
             let again = again && {
                 let retries = self.caller.shared.retries.lock();
-                retries.expect("no holder of the lock panics").take()
+                retries.expect("no holder of the lock panics").try_acquire()
             };
             if !again {
                 return Err(if may_have_run && e.ran == Ran::No {
@@ -248,7 +248,14 @@
         shared.confirm();
         shared.suspects.check(shared.now(), self.fingerprint)?;
         let salt = rendezvous("endpoint", &self.caller.id.to_string());
-        let ask = Ask { place: salt, salt, need: Tokens(0), tried, priority: 0, ..Ask::default() };
+        let ask = PlacementRequest {
+            ring_position: salt,
+            salt,
+            required_tokens: Tokens(0),
+            tried,
+            priority: 0,
+            ..PlacementRequest::default()
+        };
         let endpoint = self.service.pool.pick(shared.now(), &ask)?.clone();
         tried.push(endpoint.id.clone());
         self.labels.failure_domain = endpoint.failure_domain.to_string();
--- a/crates/tidetrack-router/src/upstream.rs
+++ b/crates/tidetrack-router/src/upstream.rs
@@ -134,7 +134,7 @@
     }
 
     fn start(begin: Begin<'a>) -> Attempt<'a> {
-        begin.endpoint.live.begin(begin.work);
+        begin.endpoint.state.begin_work(begin.work);
         Attempt {
             shared: begin.shared,
             upstream: begin.upstream,
@@ -217,10 +217,10 @@
     fn read_head(&self, reply: &Reply, any_status: bool) -> Result<()> {
         let find = |name| reply.head.headers.get(name).and_then(|v| v.to_str().ok());
         if let Some((work, capacity)) = find(headers::LOAD).and_then(read_load_header) {
-            self.endpoint.live.report(self.shared.now(), work, capacity);
+            self.endpoint.state.record_load_report(self.shared.now(), work, capacity);
         }
         if find(headers::LEAVING).is_some() {
-            self.endpoint.live.set_leaving(true);
+            self.endpoint.state.set_leaving(true);
             let _ = self.shared.control.send(Msg::EndpointLeaving(self.endpoint.id.to_string()));
         }
         let is_own = find(headers::ATTEMPT).is_some();
@@ -244,7 +244,7 @@
         // A refusal is no sign of ill health, and a deadline may be the caller's own.
         let ill = !matches!(e.code, Code::EndpointRefused | Code::Deadline | Code::CallerLeft);
         if ill {
-            self.endpoint.live.note(self.shared.now(), false);
+            self.endpoint.state.record_outcome(self.shared.now(), false);
         }
         if e.ran != Ran::No && matches!(e.broke, Some(Broke::Closed | Broke::Reset)) {
             self.note_crash();
@@ -261,8 +261,8 @@
         }
         let now = self.shared.now();
         let sent_at = Millis(now.0.saturating_sub(self.began.elapsed().as_millis() as u64));
-        let PoolEndpoint { id, failure_domain, live, .. } = &self.endpoint;
-        live.note_unreachable(now);
+        let PoolEndpoint { id, failure_domain, state, .. } = &self.endpoint;
+        state.record_unreachable(now);
         let suspects = &self.shared.suspects;
         let crashes = suspects.crashed(now, self.fingerprint, id, failure_domain, sent_at);
         self.shared.metrics.event("endpoint_crashed");
@@ -276,8 +276,8 @@
         if !self.is_failure {
             self.shared.suspects.ended_well(self.shared.now(), self.fingerprint);
         }
-        self.endpoint.live.note(self.shared.now(), true);
-        self.endpoint.live.took(self.work, self.began.elapsed().as_micros() as u64);
+        self.endpoint.state.record_outcome(self.shared.now(), true);
+        self.endpoint.state.record_duration(self.work, self.began.elapsed().as_micros() as u64);
         self.finish(false);
     }
 
@@ -286,7 +286,7 @@
             return;
         }
         self.finished = true;
-        self.endpoint.live.end(self.work);
+        self.endpoint.state.end_work(self.work);
         if cancel {
             let _ = self.upstream.cancels.send((self.endpoint.address.clone(), self.id.clone()));
         }
--- a/crates/tidetrack-standin/src/engine/cache.rs
+++ b/crates/tidetrack-standin/src/engine/cache.rs
@@ -1,6 +1,6 @@
 //! An engine's cache of prompt prefixes, and the events that tell of it.
 
-use tidetrack_core::placement::place_of;
+use tidetrack_core::placement::ring_position_of;
 use tidetrack_wire::caller::ChatRequest;
 
 use super::{CacheEvent, Engine, State};
@@ -19,7 +19,7 @@
         let mut computed = 0;
         for block in chars.chunks(BLOCK_CHARS) {
             let text: String = block.iter().collect();
-            hash = place_of(format!("{hash}{text}").as_bytes());
+            hash = ring_position_of(format!("{hash}{text}").as_bytes());
             let tokens = (block.len() as u64).div_ceil(4);
             if state.cached.contains(&hash) {
                 state.counts.cached_tokens += tokens;
--- a/crates/tidetrack-standin/src/engine/mod.rs
+++ b/crates/tidetrack-standin/src/engine/mod.rs
@@ -15,7 +15,7 @@
 use serde_json::json;
 use tiny_http::Request;
 
-use tidetrack_core::placement::work_of;
+use tidetrack_core::placement::request_work;
 use tidetrack_core::units::Tokens;
 use tidetrack_wire::caller::ChatRequest;
 use tidetrack_wire::endpoint::{AttemptAsk, LoadReport, Order, OrderKind};
@@ -186,7 +186,7 @@
             return http::send(request, response);
         }
         let answer_tokens = chat.max_tokens.unwrap_or(self.options.answer_tokens).max(1);
-        let work = work_of(Tokens(chat.prompt_tokens()), Tokens(answer_tokens));
+        let work = request_work(Tokens(chat.prompt_tokens()), Tokens(answer_tokens));
         self.take_slot(priority.unwrap_or(0), work);
         let run = Run {
             engine: self,
--- a/crates/tidetrack-standin/src/engine/run.rs
+++ b/crates/tidetrack-standin/src/engine/run.rs
@@ -6,7 +6,7 @@
 use serde_json::json;
 use tiny_http::{Request, Response};
 
-use tidetrack_core::placement::draw;
+use tidetrack_core::placement::hash_fraction;
 use tidetrack_wire::caller::{ChatRequest, DONE};
 use tidetrack_wire::headers;
 use tidetrack_wire::stream;
@@ -33,7 +33,7 @@
             *state.counts.attempts.entry(self.attempt.clone()).or_default() += 1;
             *state.counts.prompts.entry(said).or_default() += 1;
             let percent = f64::from(state.faults.fail_percent);
-            let by_share = draw("fail", &self.attempt) * 100.0 < percent;
+            let by_share = hash_fraction("fail", &self.attempt) * 100.0 < percent;
             let fail = state.faults.fail_next > 0 || by_share;
             state.faults.fail_next = state.faults.fail_next.saturating_sub(1);
             let lose = state.faults.lose_next > 0;
--- a/crates/tidetrack-standin/src/rater.rs
+++ b/crates/tidetrack-standin/src/rater.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use tiny_http::Request;
 
-use tidetrack_core::placement::draw;
+use tidetrack_core::placement::hash_fraction;
 use tidetrack_wire::endpoint::{RateAsk, Rating};
 
 use crate::http::{self, Running};
@@ -42,7 +42,7 @@
 
     fn score(&self, ask: &RateAsk) -> f64 {
         let quality = quality_of(&ask.answer).unwrap_or(0.0);
-        let draw = draw("noise", &ask.request);
+        let draw = hash_fraction("noise", &ask.request);
         (quality + (draw * 2.0 - 1.0) * self.noise).clamp(0.0, 1.0)
     }
 }
