--- a/crates/tidetrack-core/src/limits.rs
+++ b/crates/tidetrack-core/src/limits.rs
@@ -1,9 +1,11 @@
-//! A workspace's limits, kept over the fleet with no call per request.
+//! Rate and concurrency limits of workspaces, enforced across the fleet without communication per
+//! request.
 //!
-//! Each host has an equal base share of a limit. A host that needs more borrows from one it talks
-//! with; the lender's share shrinks before the loan is sent and grows back only after the borrower's
-//! has surely ended, so loans never raise the sum. Both measure on their own monotonic clocks: the
-//! borrower from before it asked, the lender from when it granted.
+//! Each host has an equal base share of a limit. A host that needs more borrows from another host
+//! that it exchanges messages with. The lender's share shrinks before the loan is sent and grows
+//! back only after the borrower's loan has certainly expired, so loans never raise the total. Both
+//! measure with their own monotonic clocks: the borrower from before it sent the request, the
+//! lender from when it granted the loan.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -12,39 +14,39 @@
 use crate::ids::WorkspaceId;
 use crate::units::Millis;
 
-/// How long a loan lasts for the borrower.
+/// Duration of a loan on the borrower's side.
 pub const LOAN_DURATION: Millis = Millis(3_000);
 
-/// How much longer the lender goes without.
+/// How much longer than the borrower's loan the lender's share stays reduced.
 pub const LOAN_MARGIN: Millis = Millis(1_000);
 
-/// Share of its spare rate that a host lends to one asker.
+/// Largest part of its spare rate that a host lends to one borrower.
 const MAX_LENT_FRACTION: f64 = 0.5;
 
-/// Seconds of rate that a bucket holds.
+/// Capacity of a token bucket, in seconds of its rate.
 const BURST_SECONDS: f64 = 1.0;
 
-/// Demand and spare are averaged over this many milliseconds.
+/// Time constant, in milliseconds, of the moving average of the demand.
 const DEMAND_TIME_CONSTANT_MS: f64 = 2_000.0;
 
-/// Smallest rate worth a loan, in requests a second.
+/// Smallest rate that is requested or granted as a loan, in requests per second.
 const MIN_LOAN_RATE: f64 = 0.5;
 
-/// A wish for a larger share.
+/// A request for a loan.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LoanRequest {
-    /// The workspace.
+    /// Workspace whose limit is concerned.
     pub workspace: WorkspaceId,
-    /// Requests a second wanted beyond the own share.
+    /// Rate wanted beyond the host's own share, in requests per second.
     pub rate: f64,
 }
 
 /// A granted loan.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Loan {
-    /// The workspace.
+    /// Workspace whose limit is concerned.
     pub workspace: WorkspaceId,
-    /// Requests a second lent.
+    /// Rate lent, in requests per second.
     pub rate: f64,
 }
 
@@ -54,7 +56,7 @@
     until: Millis,
 }
 
-/// One workspace's share on one host.
+/// One host's share of a workspace's limits.
 #[derive(Clone, Debug)]
 pub struct WorkspaceShare {
     limit: f64,
@@ -88,12 +90,12 @@
         }
     }
 
-    /// Gets the base share: the limit over the hosts.
+    /// Returns the base share: the rate limit divided by the number of hosts.
     pub fn base(&self) -> f64 {
         self.limit / self.hosts as f64
     }
 
-    /// Gets the rate that this host may use now.
+    /// Returns the rate that this host may use now, in requests per second. Removes expired loans.
     pub fn rate(&mut self, now: Millis) -> f64 {
         self.lent.retain(|l| l.until > now);
         self.borrowed.retain(|l| l.until > now);
@@ -102,12 +104,12 @@
         (self.base() - lent).max(0.0) + borrowed
     }
 
-    /// Gets the rate lent out now.
+    /// Returns the rate that is lent to other hosts now.
     pub fn lent(&self, now: Millis) -> f64 {
         self.lent.iter().filter(|l| l.until > now).map(|l| l.rate).sum()
     }
 
-    /// Gets the requests a second asked of this host of late.
+    /// Returns the recent demand on this host in requests per second.
     pub fn demand(&self, now: Millis) -> f64 {
         let elapsed = (now - self.demand_at).0 as f64;
         self.demand * (-elapsed / DEMAND_TIME_CONSTANT_MS).exp()
@@ -131,19 +133,19 @@
     }
 }
 
-/// The outcome of asking for room within the limits.
+/// Result of an attempt to admit a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Admission {
-    /// There is room; the request counts as running until `release`.
+    /// The request is admitted and counts as running until `release` is called.
     Granted,
-    /// There is none; come back after so many milliseconds.
+    /// The request exceeds a limit.
     Refused {
-        /// When a token should be there.
+        /// When the request may be repeated, in milliseconds.
         retry_after_ms: u64,
     },
 }
 
-/// The shares of all workspaces on one host.
+/// Shares of all workspaces on one host.
 #[derive(Clone, Debug, Default)]
 pub struct Limits {
     shares: HashMap<WorkspaceId, WorkspaceShare>,
@@ -151,13 +153,13 @@
 }
 
 impl Limits {
-    /// Sets the number of hosts that share every limit.
+    /// Sets the number of hosts that share the limits.
     pub fn set_hosts(&mut self, hosts: usize) {
         self.hosts = hosts.max(1);
         self.shares.values_mut().for_each(|s| s.hosts = hosts.max(1));
     }
 
-    /// Sets a workspace's limits.
+    /// Sets a workspace's limits: requests per second and concurrent requests, for the whole fleet.
     pub fn set_limit(&mut self, now: Millis, workspace: &WorkspaceId, rate: f64, concurrency: u32) {
         let hosts = self.hosts;
         let share = self.shares.entry(workspace.clone());
@@ -166,12 +168,12 @@
         share.concurrency = concurrency;
     }
 
-    /// Drops workspaces that are gone.
+    /// Removes the workspaces for which `is_kept` returns false.
     pub fn retain(&mut self, is_kept: impl Fn(&WorkspaceId) -> bool) {
         self.shares.retain(|w, _| is_kept(w));
     }
 
-    /// Asks for room for one request.
+    /// Tries to admit one request. Requests of unknown workspaces are refused.
     pub fn try_acquire(&mut self, now: Millis, workspace: &WorkspaceId) -> Admission {
         let Some(share) = self.shares.get_mut(workspace) else {
             return Admission::Refused { retry_after_ms: 1000 };
@@ -192,14 +194,15 @@
         Admission::Granted
     }
 
-    /// Counts a request as ended.
+    /// Records that an admitted request ended.
     pub fn release(&mut self, workspace: &WorkspaceId) {
         if let Some(share) = self.shares.get_mut(workspace) {
             share.in_flight = share.in_flight.saturating_sub(1);
         }
     }
 
-    /// Lists what to borrow: for workspaces that were refused since the last call.
+    /// Returns the loans to request: for workspaces with requests refused by rate since the last
+    /// call.
     pub fn loan_requests(&mut self, now: Millis) -> Vec<LoanRequest> {
         let mut requests = Vec::new();
         for (workspace, share) in &mut self.shares {
@@ -211,14 +214,15 @@
         requests
     }
 
-    /// Grants what is spare to an asker. The share shrinks before this returns.
+    /// Grants loans from this host's spare rate. The host's own share is reduced before this
+    /// returns.
     pub fn grant(&mut self, now: Millis, requests: &[LoanRequest]) -> Vec<Loan> {
         requests.iter().filter_map(|request| self.grant_one(now, request)).collect()
     }
 
     fn grant_one(&mut self, now: Millis, request: &LoanRequest) -> Option<Loan> {
         let share = self.shares.get_mut(&request.workspace)?;
-        // Only the own base is lent on: what was borrowed may end before the loan would.
+        // Only the host's base share is lent: a borrowed rate may expire before the loan would.
         let unlent = (share.base() - share.lent(now)).max(0.0);
         let spare = (unlent - share.demand(now) * 1.2).max(0.0) * MAX_LENT_FRACTION;
         let rate = request.rate.min(spare);
@@ -230,7 +234,7 @@
         Some(Loan { workspace: request.workspace.clone(), rate })
     }
 
-    /// Takes loans that were asked for at `requested_at`.
+    /// Adds loans that were requested at `requested_at`.
     pub fn accept_loans(&mut self, requested_at: Millis, loans: &[Loan]) {
         for loan in loans {
             if let Some(share) = self.shares.get_mut(&loan.workspace) {
@@ -240,7 +244,7 @@
         }
     }
 
-    /// Gets the rates in force, by workspace.
+    /// Returns the current rates by workspace, in requests per second.
     pub fn rates(&mut self, now: Millis) -> BTreeMap<WorkspaceId, f64> {
         self.shares.iter_mut().map(|(w, s)| (w.clone(), s.rate(now))).collect()
     }
--- a/crates/tidetrack-core/src/placement/endpoint_state.rs
+++ b/crates/tidetrack-core/src/placement/endpoint_state.rs
@@ -1,36 +1,36 @@
-//! What a host knows of one endpoint's load and health.
+//! Load and health of one endpoint as a host knows them.
 
 use std::fmt;
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
 
 use crate::units::{Millis, Rate, Tokens};
 
-/// A report's weight halves every so many milliseconds.
+/// Half-life, in milliseconds, of the weight of an endpoint's load report.
 const REPORT_HALF_LIFE_MS: f64 = 8_000.0;
 
-/// What the other hosts tell of their work counts for this time.
+/// How long the work reported by the other hosts is used.
 const PEER_WORK_RETENTION: Millis = Millis(1_000);
 
-/// Weight of the newest answer in an endpoint's pace.
+/// Weight of the newest sample in the moving average of an endpoint's pace.
 const PACE_WEIGHT: f64 = 0.2;
 
-/// Pace assumed before the first answer, in microseconds for one token of work.
+/// Pace assumed before the first response, in microseconds per token of work.
 const DEFAULT_PACE_US: f64 = 20_000.0;
 
-/// Failures in a row after which an endpoint is ejected.
+/// Number of consecutive failures after which an endpoint is ejected.
 const FAILURES_TO_EJECT: u32 = 3;
 
-/// First span of an ejection, in milliseconds; it doubles up to a limit.
+/// Duration of an endpoint's first ejection in milliseconds; it doubles with each further failure.
 const INITIAL_EJECTION_MS: u64 = 1_000;
 
-/// Doublings of the ejection's span.
+/// Largest number of doublings of an ejection's duration.
 const MAX_EJECTION_DOUBLINGS: u32 = 5;
 
-/// Work, in answer tokens, that every endpoint counts as having besides, so that small differences do not
-/// drive a prefix from its cache.
+/// Work, in answer tokens, that is added to every endpoint's load, so that small differences in
+/// load do not move a prefix away from the endpoint that caches it.
 const BASE_WORK: f64 = 400.0;
 
-/// What this host knows of an endpoint's load and health. Shared by all traffic threads.
+/// Load and health of an endpoint, shared by all traffic threads.
 #[derive(Debug, Default)]
 pub struct EndpointState {
     own_work: AtomicU64,
@@ -40,42 +40,43 @@
     consecutive_failures: AtomicU32,
     ejected_until: AtomicU64,
     leaving: AtomicBool,
-    /// Microseconds that a token of work took of late; 0 before the first answer.
+    /// Recent pace in microseconds per token of work; 0 before the first response.
     pace_us: AtomicU64,
-    /// When anything was last heard from the endpoint.
+    /// When the endpoint last sent anything, in milliseconds.
     last_activity_at: AtomicU64,
-    /// Work that the other hosts said they have there.
+    /// Work that the other hosts reported to have at the endpoint, in answer tokens.
     peer_work: AtomicU64,
-    /// When that was summed; 0 if never.
+    /// When `peer_work` was computed, in milliseconds; 0 if never.
     peer_work_at: AtomicU64,
-    /// Requests that went well and that failed since they were taken in last; given up ones are not
-    /// counted.
+    /// Successful and failed requests since the last call of `take_outcomes`. Requests that were
+    /// given up are not counted.
     succeeded: AtomicU32,
     failed: AtomicU32,
-    /// Until when it is avoided because it fails more than its pool.
+    /// End of the avoidance as an outlier of its pool, in milliseconds.
     avoided_until: AtomicU64,
-    /// What it named last as a limit, in requests in a thousand seconds; 0 for none.
+    /// Limit that the endpoint last reported, in requests per 1,000 seconds; 0 if none.
     reported_limit: AtomicU64,
-    /// Microseconds between this host's sends; 0 for no limit, `NO_SENDS` for none at all.
+    /// Interval between this host's requests in microseconds; 0 if unlimited, `NO_SENDS` if this
+    /// host may not send at all.
     send_gap_us: AtomicU64,
-    /// When this host may send next, in microseconds.
+    /// When this host may send its next request, in microseconds.
     next_send_us: AtomicU64,
 }
 
-/// Stands for the gap between sends where this host has no share of a limit.
+/// Value of `send_gap_us` if this host has no share of the endpoint's limit.
 const NO_SENDS: u64 = u64::MAX;
 
-/// Microseconds of a millisecond.
+/// Microseconds per millisecond.
 const US_PER_MS: u64 = 1_000;
 
-/// What one host may send to an endpoint.
+/// How many requests this host may send to an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum SendAllowance {
-    /// Whatever it has.
+    /// Any number of requests.
     Unlimited,
-    /// So many requests a second.
+    /// Up to this rate.
     Share(Rate),
-    /// Nothing: other hosts share what the endpoint takes.
+    /// No requests: other hosts share the endpoint's limit.
     Denied,
 }
 
@@ -89,30 +90,30 @@
     }
 }
 
-/// How many requests at an endpoint went well, and how many failed.
+/// Numbers of successful and failed requests at an endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Outcomes {
-    /// Those that went well.
+    /// Successful requests.
     pub succeeded: u32,
-    /// Those that failed.
+    /// Failed requests.
     pub failed: u32,
 }
 
 impl EndpointState {
-    /// Counts work handed to the endpoint.
+    /// Adds work, in answer tokens, that this host sends to the endpoint.
     pub fn begin_work(&self, work: u64) {
         self.own_work.fetch_add(work, Ordering::Relaxed);
     }
 
-    /// Counts work as ended.
+    /// Subtracts work that was finished.
     pub fn end_work(&self, work: u64) {
         self.own_work.fetch_sub(work, Ordering::Relaxed);
     }
 
-    /// Takes a report of the endpoint's whole work and room.
+    /// Records the endpoint's report of its total work and capacity.
     ///
-    /// The part of it that is this host's own is taken off, so that later only the others' part is
-    /// old.
+    /// This host's own work is subtracted from the total, so that only the share of the other hosts
+    /// ages until the next report.
     pub fn record_load_report(&self, now: Millis, work: u64, capacity: Tokens) {
         let own = self.own_work.load(Ordering::Relaxed);
         self.reported_other_work.store(work.saturating_sub(own), Ordering::Relaxed);
@@ -120,28 +121,29 @@
         self.capacity_tokens.store(capacity.0, Ordering::Relaxed);
     }
 
-    /// Gets the instant of the last report.
+    /// Returns when the endpoint last reported its load.
     pub fn reported_at(&self) -> Millis {
         Millis(self.reported_at.load(Ordering::Relaxed))
     }
 
-    /// Estimates the endpoint's work in answer tokens.
+    /// Estimates the endpoint's total work in answer tokens.
     pub fn load(&self, now: Millis) -> f64 {
         self.own_work() as f64 + self.others_work(now)
     }
 
-    /// Gets this host's own work at the endpoint.
+    /// Returns this host's own work at the endpoint in answer tokens.
     pub fn own_work(&self) -> u64 {
         self.own_work.load(Ordering::Relaxed)
     }
 
-    /// Takes the work that the other hosts say they have at the endpoint.
+    /// Records the work that the other hosts reported to have at the endpoint.
     pub fn set_peer_work(&self, now: Millis, work: u64) {
         self.peer_work.store(work, Ordering::Relaxed);
         self.peer_work_at.store(now.0.max(1), Ordering::Relaxed);
     }
 
-    /// Estimates the other hosts' work: as they tell it, else from the endpoint's last report.
+    /// Estimates the other hosts' work: by their own reports if these are recent, otherwise by the
+    /// endpoint's last load report.
     fn others_work(&self, now: Millis) -> f64 {
         let received_at = self.peer_work_at.load(Ordering::Relaxed);
         if received_at > 0 && now < Millis(received_at) + PEER_WORK_RETENTION {
@@ -152,17 +154,17 @@
         others * (-age / REPORT_HALF_LIFE_MS).exp2()
     }
 
-    /// Takes note that something came from the endpoint.
+    /// Records that the endpoint sent anything.
     pub fn record_activity(&self, now: Millis) {
         self.last_activity_at.fetch_max(now.0, Ordering::Relaxed);
     }
 
-    /// Tells whether anything came from the endpoint since an instant.
+    /// Reports whether the endpoint has sent anything since an instant.
     pub fn was_active_since(&self, instant: Millis) -> bool {
         self.last_activity_at.load(Ordering::Relaxed) > instant.0
     }
 
-    /// Takes note of how long an answer took.
+    /// Records that a response with this amount of work took `us` microseconds.
     pub fn record_duration(&self, work: u64, us: u64) {
         let sample = us as f64 / work.max(1) as f64;
         let previous = self.pace();
@@ -171,7 +173,7 @@
         self.pace_us.store(pace.max(1.0) as u64, Ordering::Relaxed);
     }
 
-    /// Gets the microseconds that a token of work took of late.
+    /// Returns the recent pace in microseconds per token of work.
     pub fn pace(&self) -> f64 {
         match self.pace_us.load(Ordering::Relaxed) {
             0 => DEFAULT_PACE_US,
@@ -179,18 +181,20 @@
         }
     }
 
-    /// Estimates what a request would meet here: work before it, by the time that work takes.
+    /// Estimates the time, in microseconds, until a new request is served: the work ahead of it
+    /// times the pace.
     pub(super) fn cost(&self, now: Millis) -> f64 {
         (self.load(now) + BASE_WORK) * self.pace()
     }
 
-    /// Tells whether a request of so many tokens can be held at all, as far as is known.
+    /// Reports whether the endpoint has capacity for a request of this size at all; `true` if the
+    /// capacity is unknown.
     pub fn has_capacity_for(&self, tokens: Tokens) -> bool {
         let capacity = self.capacity_tokens.load(Ordering::Relaxed);
         capacity == 0 || tokens.0 <= capacity
     }
 
-    /// Records how an attempt went.
+    /// Records the outcome of an attempt.
     pub fn record_outcome(&self, now: Millis, is_success: bool) {
         if is_success {
             self.succeeded.fetch_add(1, Ordering::Relaxed);
@@ -202,8 +206,8 @@
         self.eject_after_failures(now);
     }
 
-    /// Records that an attempt was given up because the endpoint kept silent. That may be the work's
-    /// doing, so other hosts are not told of it.
+    /// Records that an attempt was given up because the endpoint sent nothing. This may be caused
+    /// by the request itself, so it is not reported to other hosts.
     pub fn record_silence(&self, now: Millis) {
         self.eject_after_failures(now);
     }
@@ -217,31 +221,33 @@
         }
     }
 
-    /// Records that the endpoint could not be reached: unlike a failed answer, one is enough.
+    /// Records that the endpoint could not be reached. Unlike with failed responses, one such
+    /// failure ejects the endpoint.
     pub fn record_unreachable(&self, now: Millis) {
         self.consecutive_failures.fetch_max(FAILURES_TO_EJECT - 1, Ordering::Relaxed);
         self.record_outcome(now, false);
     }
 
-    /// Gets how often it failed in a row.
+    /// Returns the number of consecutive failures.
     pub fn consecutive_failures(&self) -> u32 {
         self.consecutive_failures.load(Ordering::Relaxed)
     }
 
-    /// Takes back that the endpoint was left for one connect that could not be made, before which it had
-    /// failed so often in a row. That connect counts as one failure more, and other hosts are not told.
+    /// Reverses the ejection caused by a single failed connect. `failures_before` is the number of
+    /// consecutive failures before it. The failed connect then counts as one ordinary failure and
+    /// is not reported to other hosts.
     pub fn undo_unreachable(&self, failures_before: u32) {
         let consecutive_failures = failures_before + 1;
         self.consecutive_failures.store(consecutive_failures, Ordering::Relaxed);
         if consecutive_failures < FAILURES_TO_EJECT {
             self.ejected_until.store(0, Ordering::Relaxed);
         }
-        // Where it was told already, it stays told.
+        // A failure that was already taken for reports stays reported.
         let decrement = |failed: u32| failed.checked_sub(1);
         let _ = self.failed.fetch_update(Ordering::Relaxed, Ordering::Relaxed, decrement);
     }
 
-    /// Gets how requests went since the last call.
+    /// Returns the outcomes of requests since the last call, and resets them.
     pub fn take_outcomes(&self) -> Outcomes {
         let take = |count: &AtomicU32| match count.load(Ordering::Relaxed) {
             0 => 0,
@@ -250,28 +256,28 @@
         Outcomes { succeeded: take(&self.succeeded), failed: take(&self.failed) }
     }
 
-    /// Avoids the endpoint for a while because it fails more than its pool, by all hosts' counts. One
-    /// answer of its that goes well does not end that.
+    /// Avoids the endpoint until `until` because it fails more often than its pool, by the counts
+    /// of all hosts. Unlike an ejection, this is not ended by a successful response.
     pub fn avoid_until(&self, until: Millis) {
         self.avoided_until.fetch_max(until.0, Ordering::Relaxed);
     }
 
-    /// Tells whether the endpoint is ejected for its failures.
+    /// Reports whether the endpoint is ejected after failures or avoided as an outlier.
     pub fn is_ejected(&self, now: Millis) -> bool {
         let value_of = |at: &AtomicU64| at.load(Ordering::Relaxed);
         value_of(&self.ejected_until).max(value_of(&self.avoided_until)) > now.0
     }
 
-    /// Takes what the endpoint names as a limit; tells whether that is new.
+    /// Stores the limit that the endpoint reported. Returns whether it differs from the stored one.
     pub fn update_reported_limit(&self, limit: Option<Rate>) -> bool {
         const UNITS_PER_REQUEST_PER_SECOND: f64 = 1_000.0;
-        // A limit of nothing is a limit, too.
+        // A limit of zero must not be stored as 0, which means no limit.
         let units =
             limit.map_or(0, |limit| ((limit.0 * UNITS_PER_REQUEST_PER_SECOND) as u64).max(1));
         self.reported_limit.swap(units, Ordering::Relaxed) != units
     }
 
-    /// Sets what this host may send to the endpoint.
+    /// Sets how many requests this host may send to the endpoint.
     pub fn set_send_allowance(&self, allowance: SendAllowance) {
         const SECOND_US: f64 = 1e6;
         let gap = match allowance {
@@ -282,12 +288,12 @@
         self.send_gap_us.store(gap, Ordering::Relaxed);
     }
 
-    /// Tells whether this host may not send whatever it has.
+    /// Reports whether the number of requests that this host may send is limited.
     pub fn is_limited(&self) -> bool {
         self.send_gap_us.load(Ordering::Relaxed) != 0
     }
 
-    /// Gets when this host may send to the endpoint; `None` if it may not.
+    /// Returns when this host may send its next request; `None` if it may not send at all.
     pub fn next_send_at(&self, now: Millis) -> Option<Millis> {
         match self.send_gap_us.load(Ordering::Relaxed) {
             0 => Some(now),
@@ -298,12 +304,12 @@
         }
     }
 
-    /// Tells whether this host may send to the endpoint now.
+    /// Reports whether this host may send a request now.
     pub fn can_send(&self, now: Millis) -> bool {
         self.next_send_at(now).is_some_and(|from| from <= now)
     }
 
-    /// Takes note of a send: the next one has to wait where there is a limit.
+    /// Records a request: under a limit, the next one has to wait.
     pub fn record_send(&self, now: Millis) {
         let gap = self.send_gap_us.load(Ordering::Relaxed);
         if gap != 0 && gap != NO_SENDS {
@@ -313,12 +319,12 @@
         }
     }
 
-    /// Marks the endpoint as leaving or not.
+    /// Sets whether the endpoint is leaving.
     pub fn set_leaving(&self, leaving: bool) {
         self.leaving.store(leaving, Ordering::Release);
     }
 
-    /// Tells whether the endpoint is leaving.
+    /// Reports whether the endpoint is leaving.
     pub fn is_leaving(&self) -> bool {
         self.leaving.load(Ordering::Acquire)
     }
--- a/crates/tidetrack-core/src/placement/mod.rs
+++ b/crates/tidetrack-core/src/placement/mod.rs
@@ -1,15 +1,18 @@
 //! Placement of a request on one endpoint of a pool.
 //!
-//! The pool's endpoints stand on a ring that every host computes alike; a request's prefix or
-//! session gives the place on the ring, so that the same prefix meets the same cache from every
-//! host. The endpoint there is taken unless its load is above a bound; then the least loaded of a few
-//! others is, drawn at random per request so that many hosts with the same old report do not herd.
+//! The endpoints of a pool are placed on a consistent-hash ring that is the same on every host. The
+//! hash of a request's prefix or session gives its position on the ring, so requests with the same
+//! prefix reach the same cache from every host. The endpoint at that position, the home endpoint,
+//! is picked unless its load exceeds a bound. Otherwise the pick is the least loaded of a few
+//! endpoints that are chosen at random per request, so that many hosts with the same outdated load
+//! report do not all pick the same endpoint.
 //!
-//! Where reading the prefix again is counted, the pick is the endpoint that is done first: its work,
-//! the prefix unless it is known to keep it, and what crossing to another failure domain counts as.
-//! Of the endpoints that are not known to keep it, the ring's in the host's domain go first.
+//! If the work of reading the prefix again is known, the pick is the endpoint that is expected to
+//! finish first. Its expected work includes the prefix, unless the endpoint is known to hold it,
+//! and a surcharge if it is in another failure domain. Of the endpoints that are not known to hold
+//! the prefix, the home endpoints on the ring in the host's own domain are preferred.
 //!
-//! The cost of a pick grows with the logarithm of the pool only.
+//! The cost of a pick grows only logarithmically with the size of the pool.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -25,65 +28,68 @@
 
 pub use endpoint_state::{EndpointState, Outcomes, SendAllowance};
 
-/// Places of one endpoint on the ring.
+/// Number of points on the ring per endpoint.
 const RING_POINTS_PER_ENDPOINT: u64 = 16;
 
-/// Steps along the ring in search of an endpoint that may be used.
+/// Number of ring points examined to find a usable endpoint.
 const MAX_RING_STEPS: usize = 32;
 
-/// Endpoints drawn besides the one on the ring.
+/// Number of endpoints chosen at random in addition to the home endpoint.
 const RANDOM_CANDIDATES: usize = 4;
 
-/// Endpoints of the host's failure domain that are drawn besides: draws from the whole of a large pool may find
-/// none of them.
+/// Number of endpoints of the host's failure domain chosen at random in addition: random choices
+/// from the whole of a large pool may contain none of them.
 const RANDOM_LOCAL_CANDIDATES: usize = 8;
 
-/// Pools up to this size are compared as a whole.
+/// Largest pool of which all endpoints are compared if the reread work is known.
 const MAX_FULL_SCAN_POOL: usize = 32;
 
-/// Part of the work of reading again that the second endpoint on the ring is charged with: it often
-/// keeps the prefix too.
+/// Fraction of the reread work that the second endpoint on the ring is charged with: it often holds
+/// the prefix too.
 const SECOND_HOME_REREAD_SHARE: f64 = 0.5;
 
-/// The ring's endpoint is kept up to this multiple of the drawn ones' mean load.
+/// The home endpoint is picked while its cost is at most this multiple of the mean cost of the
+/// random candidates.
 const MAX_HOME_LOAD_RATIO: f64 = 1.25;
 
-/// Work, in answer tokens, that every endpoint counts as having besides, where the work of reading a prefix
-/// again is counted, which keeps a prefix where it is.
+/// Work, in answer tokens, that is added to every endpoint's load when reread work is compared, so
+/// that small differences in load do not move a prefix.
 const BASE_WORK_WITH_PREFIX: f64 = 50.0;
 
-/// At most this share of a pool is ejected, one endpoint in so many.
+/// If no usable endpoint is found, ejections are ignored once one endpoint in this number is
+/// ejected.
 const EJECTED_DIVISOR: u32 = 2;
 
-/// Work that a slot runs and has waiting at most, in answer tokens; past it a request is refused early.
+/// Largest work, running and queued, per slot in answer tokens. Requests beyond it are refused
+/// early.
 const MAX_WORK_PER_SLOT: f64 = 512.0;
 
-/// A request of higher priority is refused at this multiple of the bound.
+/// Multiple of the work limit at which requests with a priority above 0 are refused.
 const URGENT_FACTOR: f64 = 1.5;
 
-/// When to come back to a pool that is full or has no endpoint to be used, in milliseconds.
+/// When a caller should retry if a pool is overloaded or has no usable endpoint, in milliseconds.
 const RETRY_AFTER_MS: u64 = 1_000;
 
 /// Prompt tokens that cost an endpoint as much as one answer token.
 const PROMPT_TOKENS_PER_ANSWER_TOKEN: u64 = 8;
 
-/// Gets the weight of `name` for `hash_key` in rendezvous hashing.
+/// Returns the weight of `name` for `hash_key` in rendezvous hashing.
 pub fn rendezvous(hash_key: &str, name: &str) -> u64 {
     xxh3_64_with_seed(name.as_bytes(), xxh3_64(hash_key.as_bytes()))
 }
 
-/// Draws a number from 0 up to 1 for `name`, independent of the draws for other jobs.
+/// Returns a uniform hash value in `[0, 1)` for `name`, independent between hash keys.
 pub fn hash_fraction(hash_key: &str, name: &str) -> f64 {
-    // The upper 53 bits are as many as a float holds.
+    // An `f64` represents integers of up to 53 bits exactly.
     (rendezvous(hash_key, name) >> 11) as f64 / (1u64 << 53) as f64
 }
 
-/// Gets the place on the ring of a prefix or session.
+/// Returns the ring position of a prefix or session.
 pub fn ring_position_of(bytes: &[u8]) -> u64 {
     xxh3_64(bytes)
 }
 
-/// Gets the work of a request in answer tokens.
+/// Returns the work of a request in answer tokens.
 pub fn request_work(prompt: Tokens, answer: Tokens) -> u64 {
     prompt.0 / PROMPT_TOKENS_PER_ANSWER_TOKEN + answer.0
 }
@@ -91,61 +97,62 @@
 /// An endpoint of a pool.
 #[derive(Clone, Debug)]
 pub struct PoolEndpoint {
-    /// Its name.
+    /// Id of the endpoint.
     pub id: EndpointId,
-    /// `ip:port`.
+    /// Address in the form `ip:port`.
     pub address: String,
-    /// Where it stands.
+    /// Failure domain that the endpoint runs in.
     pub failure_domain: FailureDomain,
-    /// Its load and health.
+    /// Load and health of the endpoint.
     pub state: Arc<EndpointState>,
 }
 
-/// A pool, ready for picks.
+/// The endpoints of a pool with the indexes that picks need.
 #[derive(Clone, Debug, Default)]
 pub struct PoolView {
     endpoints: Vec<PoolEndpoint>,
     ring: Vec<(u64, u32)>,
-    /// The endpoints' places in the list, by key in ascending order.
+    /// Indexes into `endpoints` by endpoint key, sorted by key.
     keys: Vec<(EndpointKey, u32)>,
-    /// The endpoints' places in the list by failure domain.
+    /// Indexes into `endpoints` by failure domain.
     domains: HashMap<FailureDomain, Vec<u32>>,
     max_work: f64,
 }
 
-/// Where the asking host stands.
+/// Preference for endpoints in the host's own failure domain.
 #[derive(Clone, Copy, Debug)]
 pub struct Locality<'a> {
-    /// Its failure domain.
+    /// Failure domain of this host.
     pub failure_domain: &'a FailureDomain,
-    /// Work that an endpoint of another domain counts as having besides.
+    /// Work, in answer tokens, that is added to the load of endpoints in other failure domains.
     pub crossing_work: u64,
 }
 
-/// What a pick is made for.
+/// Properties of a request that determine the pick.
 #[derive(Clone, Debug, Default)]
 pub struct PlacementRequest<'a> {
-    /// Place on the ring.
+    /// Position on the ring, from `ring_position_of`.
     pub ring_position: u64,
-    /// Draws the others.
+    /// Seed of the random choice of candidates.
     pub salt: u64,
-    /// Prompt and longest answer together.
+    /// Length of the prompt plus the longest possible answer.
     pub required_tokens: Tokens,
-    /// Endpoints that were tried before.
+    /// Endpoints that were tried before and are not picked again.
     pub tried: &'a [EndpointId],
-    /// The request's priority; above 0 it is urgent.
+    /// Priority of the request; requests above 0 are urgent.
     pub priority: i64,
-    /// Work that an endpoint which does not keep the request's prefix has to do in addition; 0 keeps
-    /// to the ring by a bound on the load instead.
+    /// Work, in answer tokens, that an endpoint without the request's prefix has to do in addition.
+    /// With 0 the home endpoint is picked up to a bound on its load instead.
     pub reread_work: u64,
-    /// Endpoints that are known to keep the request's prefix.
+    /// Endpoints that are known to hold the request's prefix.
     pub prefix_holders: &'a [EndpointKey],
-    /// Where the host stands, if that bears on the pick.
+    /// Location of this host; `None` if failure domains do not matter for the pick.
     pub locality: Option<Locality<'a>>,
 }
 
 impl PoolView {
-    /// Makes a pool whose endpoints run `slots` requests at a time; 0 sets no bound.
+    /// Creates a pool whose endpoints process `slots` requests concurrently; 0 disables the limit
+    /// on their work.
     pub fn new(endpoints: Vec<PoolEndpoint>, slots: u32) -> PoolView {
         let mut ring = Vec::with_capacity(endpoints.len() * RING_POINTS_PER_ENDPOINT as usize);
         for (i, endpoint) in endpoints.iter().enumerate() {
@@ -171,26 +178,34 @@
         PoolView { endpoints, ring, keys, domains, max_work }
     }
 
-    /// Lists the endpoints.
+    /// Returns all endpoints of the pool.
     pub fn endpoints(&self) -> &[PoolEndpoint] {
         &self.endpoints
     }
 
-    /// Picks an endpoint; refuses early when the best that was looked at has too much to do.
+    /// Picks an endpoint for a request.
+    ///
+    /// Returns an error with a retry delay if no endpoint is usable or the best candidate has too
+    /// much work, and an error without one if no endpoint has the capacity for a request of this
+    /// size.
     pub fn pick(&self, now: Millis, request: &PlacementRequest<'_>) -> Result<&PoolEndpoint> {
         let (picked, typical_pace) = self.find_best(now, request)?;
         let urgency_factor = if request.priority > 0 { URGENT_FACTOR } else { 1.0 };
-        // A slow endpoint has too much to do sooner than its like.
+        // A slow endpoint reaches the work limit earlier than a typical one.
         let slowdown = (picked.state.pace() / typical_pace).max(1.0);
         match picked.state.load(now) * slowdown <= self.max_work * urgency_factor {
             true => Ok(picked),
-            false => Err(Error::new(Code::Overloaded, "the pool has too much to do")
-                .with_retry_after(RETRY_AFTER_MS)),
+            false => Err(Error::new(
+                Code::Overloaded,
+                "the best endpoint of the pool has too much work queued",
+            )
+            .with_retry_after(RETRY_AFTER_MS)),
         }
     }
 
-    /// Picks one of the `count` usable endpoints that come first for `hash_key`, the same ones at every host: of two
-    /// drawn ones the less loaded. Many requests may have one place, and all of them shall have as much to do.
+    /// Picks one of the `count` usable endpoints that rank first for `hash_key`, which are the same
+    /// on every host: the less loaded of two random ones. The ring position is not used, because
+    /// many requests may share one and the endpoints are meant to be equally busy.
     pub fn pick_among_ranked(
         &self,
         now: Millis,
@@ -208,7 +223,7 @@
         candidates.map(|(_, e)| *e).min_by(|a, b| a.state.load(now).total_cmp(&b.state.load(now)))
     }
 
-    /// Finds the best endpoint, and the pace that is usual among those looked at.
+    /// Returns the best endpoint, and the typical pace of the candidates.
     fn find_best(
         &self,
         now: Millis,
@@ -239,7 +254,8 @@
         ))
     }
 
-    /// Gets the endpoints that are compared: all of a small pool, else a few drawn ones.
+    /// Returns the candidates for comparison: all usable endpoints of a small pool if the reread
+    /// work is known, otherwise the usable ones among a few random endpoints.
     fn candidates(&self, now: Millis, request: &PlacementRequest<'_>) -> Vec<&PoolEndpoint> {
         if request.reread_work > 0 && self.endpoints.len() <= MAX_FULL_SCAN_POOL {
             return self.endpoints.iter().filter(|e| is_usable(e, now, request)).collect();
@@ -259,7 +275,8 @@
         candidates.filter(|e| is_usable(e, now, request)).collect()
     }
 
-    /// Finds where the request is done first, counting what has to be read again away from home.
+    /// Returns the endpoint that is expected to finish the request first, including the work of
+    /// reading the prefix again on endpoints that do not hold it.
     fn cheapest<'a>(
         &'a self,
         now: Millis,
@@ -276,7 +293,7 @@
                 e.state.load(now) + BASE_WORK_WITH_PREFIX + extra + crossing_work(e, request);
             work * e.state.pace()
         };
-        // A prefix that nobody near is known to keep is taken to be where the ring places it.
+        // A prefix that no local endpoint is known to hold is assumed to be on its home endpoint.
         let (home_share, second_home_share) = match is_held_locally {
             true => (1.0, 1.0),
             false => (0.0, SECOND_HOME_REREAD_SHARE),
@@ -292,8 +309,8 @@
         best.map_or(home_endpoint, |(e, _)| e)
     }
 
-    /// Gets an endpoint other than the picked one from which the request's prefix can be had, a near one
-    /// first.
+    /// Returns an endpoint other than `picked` from which the request's prefix can be copied,
+    /// preferably one in the host's failure domain.
     pub fn prefix_source(
         &self,
         now: Millis,
@@ -305,7 +322,7 @@
         holders.min_by_key(|e| !is_local(e, request))
     }
 
-    /// Lists the usable endpoints that are known to keep the request's prefix.
+    /// Returns the usable endpoints that are known to hold the request's prefix.
     fn usable_prefix_holders(
         &self,
         now: Millis,
@@ -317,8 +334,9 @@
         kept.filter(|e| is_usable(e, now, request)).collect()
     }
 
-    /// Finds the endpoint on the ring after the request's home: the same for every host, so that a
-    /// prefix that is too much for one endpoint is kept by two rather than by all.
+    /// Returns the usable endpoint that follows the home endpoint on the ring. It is the same for
+    /// all hosts, so that a prefix with too many requests for one endpoint is held by two rather
+    /// than by all.
     fn second_home(
         &self,
         now: Millis,
@@ -330,7 +348,8 @@
         })
     }
 
-    /// Finds the first usable endpoint from the request's place on the ring.
+    /// Returns the first usable endpoint on the ring from the request's position, preferably one in
+    /// the host's failure domain.
     fn home_endpoint(&self, now: Millis, request: &PlacementRequest<'_>) -> Option<&PoolEndpoint> {
         let locality =
             self.walk_ring(request).find(|e| is_local(e, request) && is_usable(e, now, request));
@@ -338,7 +357,7 @@
         locality.or_else(any).or_else(|| self.fallback_to_ejected(now, request))
     }
 
-    /// Walks along the ring from the request's place.
+    /// Iterates over endpoints along the ring from the request's position.
     fn walk_ring<'a>(
         &'a self,
         request: &PlacementRequest<'_>,
@@ -350,7 +369,7 @@
         (0..steps).map(move |step| &self.endpoints[at(step)])
     }
 
-    /// Falls back on ejected endpoints when too many are: the floor of ejection.
+    /// Returns an endpoint regardless of its ejection if too large a part of the pool is ejected.
     fn fallback_to_ejected(
         &self,
         now: Millis,
@@ -380,27 +399,31 @@
         let has_any_capacity =
             self.endpoints.iter().any(|e| e.state.has_capacity_for(request.required_tokens));
         match has_any_capacity || self.endpoints.is_empty() {
-            true => Error::new(Code::Overloaded, "no endpoint of the pool can be used")
+            true => Error::new(Code::Overloaded, "no endpoint of the pool is usable now")
                 .with_retry_after(RETRY_AFTER_MS),
             false => Error::new(
                 Code::TooLong,
-                format!("no endpoint can hold {} tokens", request.required_tokens.0),
+                format!(
+                    "no endpoint of the pool has capacity for {} tokens",
+                    request.required_tokens.0
+                ),
             ),
         }
     }
 }
 
-/// Draws a place in a list of so many, the `i`-th of a request.
+/// Returns the `i`-th random index of a request into a list of length `len`.
 fn random_index(salt: u64, i: u64, len: usize) -> usize {
     (xxh3_64_with_seed(&salt.to_le_bytes(), i) % len.max(1) as u64) as usize
 }
 
-/// Tells whether an endpoint stands in the host's failure domain, where that matters.
+/// Reports whether an endpoint is in the host's failure domain. Always true if failure domains do
+/// not matter for the request.
 fn is_local(e: &PoolEndpoint, request: &PlacementRequest<'_>) -> bool {
     request.locality.is_none_or(|locality| *locality.failure_domain == e.failure_domain)
 }
 
-/// Gets the work that asking an endpoint of another failure domain counts as.
+/// Returns the work that is added to the load of an endpoint in another failure domain.
 fn crossing_work(e: &PoolEndpoint, request: &PlacementRequest<'_>) -> f64 {
     match request.locality {
         Some(locality) if !is_local(e, request) => locality.crossing_work as f64,
--- a/crates/tidetrack-core/src/policy.rs
+++ b/crates/tidetrack-core/src/policy.rs
@@ -1,9 +1,10 @@
-//! Policy programs: short Rhai scripts that name the models to try.
+//! Policy programs: short Rhai scripts that select the models to try.
 //!
-//! A program sees `req` (`workspace`, `route`, `tags`, `prompt_chars`, `priority`) and `load` (a map
-//! from model to its share of busy slots). It gives back a model's name, an array of names (a
-//! cascade, cheapest rung first), or a map `#{ rungs: [..], accept: 0.7 }` whose `accept` is the score
-//! at which a rung's answer is good enough. Steps are limited, so no program can hold a thread.
+//! A program reads `req` (`workspace`, `route`, `tags`, `prompt_chars`, `priority`) and `load` (a
+//! map from each model to its share of busy slots). It returns the name of a model, an array of
+//! names (a cascade, cheapest rung first), or a map `#{ rungs: [..], accept: 0.7 }` whose `accept`
+//! is the score at which a rung's response is good enough. A rung is one model of a cascade. The
+//! number of operations is limited, so that no program can block a thread.
 
 use rhai::{Array, Dynamic, Engine, Map, Scope, AST};
 
@@ -12,34 +13,35 @@
 use crate::errors::{Error, Result};
 use crate::ids::ModelId;
 
-/// Most rungs of a cascade.
+/// Largest number of rungs in a cascade.
 pub const MAX_RUNGS: usize = 4;
 
-/// What a policy may look at.
+/// Properties of a request that a policy can use.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Features {
-    /// The workspace.
+    /// Name of the workspace.
     pub workspace: String,
-    /// The route.
+    /// Name of the route.
     pub route: String,
-    /// The request's tags.
+    /// Tags of the request.
     pub tags: Vec<String>,
-    /// Characters of the prompt.
+    /// Length of the prompt in characters.
     pub prompt_chars: i64,
-    /// The request's priority; higher is more urgent.
+    /// Priority of the request; higher is more urgent.
     pub priority: i64,
 }
 
-/// What a policy decided.
+/// Result of a policy.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// Models to try in order.
+    /// Models to try, in this order.
     pub rungs: Vec<ModelId>,
-    /// Score at which a rung's answer is good enough to stop.
+    /// Score at which a rung's response is good enough, so that no further rung is tried; `None` if
+    /// the policy sets none.
     pub accept: Option<f64>,
 }
 
-/// A compiled policy.
+/// A compiled policy program.
 #[derive(Debug)]
 pub struct Program {
     engine: Engine,
@@ -47,7 +49,8 @@
 }
 
 impl Program {
-    /// Compiles a policy's program.
+    /// Compiles a policy's program and sets its resource limits. Returns an error if the program is
+    /// not valid.
     pub fn compile(policy: &Policy) -> Result<Program> {
         let mut engine = Engine::new();
         engine.set_max_operations(policy.max_steps);
@@ -62,7 +65,8 @@
         Ok(Program { engine, ast })
     }
 
-    /// Runs the program.
+    /// Runs the program. `load` is the share of busy slots of each model. Returns an error if the
+    /// program fails, exceeds a limit or returns an invalid result.
     pub fn decide(&self, features: &Features, load: &[(ModelId, f64)]) -> Result<Plan> {
         let mut scope = Scope::new();
         scope.push("req", features_map(features));
@@ -92,13 +96,16 @@
     let Some(map) = output.read_lock::<Map>().map(|m| m.clone()) else {
         return Ok(Plan { rungs: parse_rungs(output)?, accept: None });
     };
-    let rungs =
-        map.get("rungs").cloned().ok_or_else(|| policy_error("the map has no `rungs`".into()))?;
+    let rungs = map
+        .get("rungs")
+        .cloned()
+        .ok_or_else(|| policy_error("the returned map has no `rungs`".into()))?;
     let accept = match map.get("accept") {
         None => None,
-        Some(x) => {
-            Some(x.as_float().map_err(|t| policy_error(format!("`accept` is {t}, not a float")))?)
-        }
+        Some(x) => Some(
+            x.as_float()
+                .map_err(|t| policy_error(format!("`accept` has type {t}, expected a float")))?,
+        ),
     };
     Ok(Plan { rungs: parse_rungs(rungs)?, accept })
 }
@@ -109,18 +116,23 @@
         None => vec![value],
     };
     if names.is_empty() || names.len() > MAX_RUNGS {
-        return Err(policy_error(format!("{} rungs; 1 to {MAX_RUNGS} are taken", names.len())));
+        return Err(policy_error(format!(
+            "the program returned {} rungs, expected 1 to {MAX_RUNGS}",
+            names.len()
+        )));
     }
     names.into_iter().map(parse_model).collect()
 }
 
 fn parse_model(name: Dynamic) -> Result<ModelId> {
-    let name =
-        name.into_string().map_err(|t| policy_error(format!("a rung is {t}, not a name")))?;
+    let name = name
+        .into_string()
+        .map_err(|t| policy_error(format!("a rung has type {t}, expected the name of a model")))?;
     name.parse()
 }
 
-/// Checks a policy: it compiles, its cases come out as declared and name only known models.
+/// Checks that a policy compiles, has a fallback, and that its cases return the expected rungs and
+/// only known models. Returns a description of each problem.
 pub fn check(policy: &Policy, is_model: &dyn Fn(&ModelId) -> bool) -> Vec<String> {
     let program = match Program::compile(policy) {
         Ok(program) => program,
@@ -128,17 +140,20 @@
     };
     let mut problems = Vec::new();
     if policy.fallback.is_empty() {
-        problems.push("has no fallback".to_string());
+        problems.push("has no fallback models".to_string());
     }
     for (i, case) in policy.cases.iter().enumerate() {
         match program.decide(&features_of(case), &[]) {
             Err(e) => problems.push(format!("case {i}: {}", e.message)),
             Ok(plan) if plan.rungs != case.expect => {
-                problems.push(format!("case {i}: chose {:?}, not {:?}", plan.rungs, case.expect));
+                problems.push(format!(
+                    "case {i}: returned {:?}, expected {:?}",
+                    plan.rungs, case.expect
+                ));
             }
             Ok(plan) => {
                 let unknown_models = plan.rungs.iter().filter(|m| !is_model(m));
-                problems.extend(unknown_models.map(|m| format!("case {i}: no model named {m}")));
+                problems.extend(unknown_models.map(|m| format!("case {i}: unknown model {m}")));
             }
         }
     }
--- a/crates/tidetrack-core/src/retry.rs
+++ b/crates/tidetrack-core/src/retry.rs
@@ -1,21 +1,21 @@
-//! Retry rules and budget.
+//! Rules and budget for retries.
 //!
-//! An attempt may be made again only if it surely did not run, or if the call may be repeated and
-//! nothing of an answer has gone to the caller. Retries draw on a budget that grows with first
-//! attempts, so they cannot multiply an overload.
+//! A failed attempt may only be repeated if it certainly was not executed, or if the call is
+//! repeatable; in both cases only if no part of a response was sent to the caller. Retries use a
+//! budget that grows with the number of first attempts, so they cannot amplify an overload.
 
 use crate::codes::Ran;
 
-/// Retries allowed for each first attempt, in thousandths.
+/// Retries earned per first attempt, in thousandths.
 const EARNED_PER_REQUEST: u64 = 100;
 
-/// Most retries saved up, in thousandths.
+/// Largest balance of the budget, in thousandths of a retry.
 const MAX_SAVED: u64 = 10_000;
 
-/// The cost of one retry, in thousandths.
+/// Cost of one retry, in thousandths.
 const RETRY_COST: u64 = 1000;
 
-/// A budget of retries.
+/// Budget of retries.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     saved: u64,
@@ -28,12 +28,12 @@
 }
 
 impl RetryBudget {
-    /// Counts a first attempt.
+    /// Records a first attempt, which adds to the budget.
     pub fn earn(&mut self) {
         self.saved = (self.saved + EARNED_PER_REQUEST).min(MAX_SAVED);
     }
 
-    /// Takes one retry; tells whether there was one.
+    /// Takes one retry from the budget. Returns whether one was available.
     pub fn try_acquire(&mut self) -> bool {
         let is_affordable = self.saved >= RETRY_COST;
         if is_affordable {
@@ -43,18 +43,18 @@
     }
 }
 
-/// What is known of a failed attempt.
+/// Properties of a failed attempt that decide about a retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FailedAttempt {
-    /// Whether it ran.
+    /// Whether the attempt was executed.
     pub ran: Ran,
-    /// Whether the call may be repeated.
+    /// Whether the call may be executed more than once.
     pub is_repeatable: bool,
-    /// Whether a part of an answer went to the caller.
+    /// Whether part of a response was sent to the caller.
     pub has_partial_response: bool,
 }
 
-/// Tells whether a failed attempt may be made again, budget aside.
+/// Reports whether a failed attempt may be retried, regardless of the budget.
 pub fn may_retry(failed: FailedAttempt) -> bool {
     match failed.ran {
         Ran::No => !failed.has_partial_response,
--- a/crates/tidetrack-core/src/session.rs
+++ b/crates/tidetrack-core/src/session.rs
@@ -1,30 +1,30 @@
 //! Session tokens.
 //!
-//! A token names the workspace, route and version that a session started on and is sealed with a
-//! key of the workspace's own, so that every host honours it with no shared store and no look-up.
-//! It is text of the form `s1/KEY/route/model@version/generation/nonce/CODE`; no name holds a
-//! slash.
+//! A token contains the workspace's route, version and generation that a session started on, and is authenticated by a code (MAC)
+//! under a key of the workspace. Every host can therefore verify it without a shared store or a
+//! lookup. It has the form `s1/KEY/route/model@version/generation/nonce/CODE`; none of
+//! the names contains a slash.
 
 use crate::codes::Code;
 use crate::errors::{Error, Result};
 use crate::ids::{RouteId, VersionRef, WorkspaceId};
 use crate::seal::{KeyRing, Purpose};
 
-/// The form of token made here.
+/// Version prefix of the tokens created here.
 const TOKEN_FORMAT: &str = "s1";
 
-/// What a session is bound to.
+/// The data of a session token.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Session {
-    /// The workspace that may use it.
+    /// Workspace that may use the session.
     pub workspace: WorkspaceId,
-    /// The route that it is for.
+    /// Route that the session is valid for.
     pub route: RouteId,
-    /// The version that it keeps.
+    /// Version that serves all requests of the session.
     pub version: VersionRef,
-    /// The version's generation.
+    /// Generation of the version.
     pub generation: u64,
-    /// Tells sessions apart; spreads them over endpoints.
+    /// Distinguishes sessions and distributes them over endpoints.
     pub nonce: u64,
 }
 
@@ -34,15 +34,15 @@
         format!("{route}/{version}/{generation}/{nonce:x}")
     }
 
-    /// Makes the token.
+    /// Creates the token of this session, authenticated with the current key of `ring`.
     pub fn to_token(&self, ring: &KeyRing) -> String {
         ring.to_token(TOKEN_FORMAT, Purpose::Session, self.workspace.as_str(), &self.payload())
     }
 
-    /// Reads a token that `workspace` sends.
+    /// Parses and verifies a token that `workspace` sent.
     pub fn from_token(token: &str, workspace: &WorkspaceId, ring: &KeyRing) -> Result<Session> {
         let invalid =
-            || Error::new(Code::BadToken, "the session token is not one of this workspace");
+            || Error::new(Code::BadToken, "the session token is not valid for this workspace");
         let payload = ring.open_token(TOKEN_FORMAT, Purpose::Session, workspace.as_str(), token);
         let fields: Vec<&str> = payload.ok_or_else(invalid)?.split('/').collect();
         let [route, version, generation, nonce] = fields[..] else { return Err(invalid()) };
--- a/crates/tidetrack-core/src/traffic/budget.rs
+++ b/crates/tidetrack-core/src/traffic/budget.rs
@@ -1,32 +1,34 @@
-//! A budget of further sends that holds across hosts without a message.
+//! A budget of further attempts that holds across hosts without communication.
 //!
-//! The fleet-wide bound is a share of the first sends in a sliding window plus a constant. Each host
-//! keeps to the same share of its own first sends, so the sum over hosts keeps to it whatever their
-//! number; the constant is left as the margin for sends that cross a window's edge.
+//! The fleet-wide limit is a share of the first attempts in a sliding window plus a constant. Each
+//! host limits itself to the same share of its own first attempts, so the sum over all hosts keeps
+//! the limit for any number of hosts. The constant is left as a margin for attempts at the edge of
+//! a window.
 
 use std::collections::VecDeque;
 
 use crate::units::Millis;
 
-/// Part of the shared ratio that a host uses. The rest covers first sends that the bound counts in
-/// another window than this host does.
+/// Part of the shared ratio that a host uses. The rest covers first attempts that the fleet-wide
+/// limit counts in another window than this host does.
 const USED_RATIO_SHARE: f64 = 0.9;
 
-/// Part of a host's further sends that only failures may use, not second opinions.
+/// Part of a host's further attempts that is reserved for failures and not available to second
+/// opinions.
 const RESERVED_FOR_FAILURES: f64 = 0.15;
 
-/// Further sends that a host may make in a window without first sends behind them.
+/// Further attempts that a host may make in a window without any first attempt.
 const FREE_ATTEMPTS: f64 = 2.0;
 
-/// Buckets of a window; the window is counted in steps of this part.
+/// Number of buckets that a window is divided into; counts expire one bucket at a time.
 const BUCKETS_PER_WINDOW: u64 = 50;
 
-/// Why a request is to be sent once more.
+/// Why a request is attempted again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FurtherAttempt {
     /// The earlier attempt failed or is too slow.
     Failure,
-    /// A larger model is asked for a better answer.
+    /// A larger model is asked for a better response.
     SecondOpinion,
 }
 
@@ -37,7 +39,7 @@
     further_attempts: u32,
 }
 
-/// The budget of one service at one host.
+/// Budget of one service on one host.
 #[derive(Clone, Debug)]
 pub struct AttemptBudget {
     ratio: f64,
@@ -46,17 +48,17 @@
 }
 
 impl AttemptBudget {
-    /// Makes a budget of `ratio` further sends for each first send in any `window`.
+    /// Creates a budget of `ratio` further attempts per first attempt within any `window`.
     pub fn new(ratio: f64, window: Millis) -> AttemptBudget {
         AttemptBudget { ratio, window, buckets: VecDeque::new() }
     }
 
-    /// Counts a request's first send.
+    /// Records a request's first attempt.
     pub fn record_first(&mut self, now: Millis) {
         self.bucket(now).first_attempts += 1;
     }
 
-    /// Takes one further send; tells whether there was one.
+    /// Takes one further attempt from the budget. Returns whether one was available.
     pub fn try_acquire(&mut self, now: Millis, reason: FurtherAttempt) -> bool {
         let (first_attempts, further_attempts) = self.totals(now);
         let usable_share = match reason {
@@ -72,11 +74,12 @@
         is_granted
     }
 
-    /// Gives a further send back that was taken at a time and reached nobody.
+    /// Returns a further attempt to the budget that was acquired at `acquired_at` and did not reach
+    /// an endpoint.
     pub fn refund(&mut self, acquired_at: Millis) {
         let number = acquired_at.0 / self.bucket_length();
-        // It is known to have reached nobody only some buckets later. One that left the window counts no
-        // more.
+        // That an attempt did not reach an endpoint is only known some buckets later. An attempt
+        // that has left the window no longer counts.
         let mut buckets = self.buckets.iter_mut().rev();
         if let Some(bucket) = buckets.find(|b| b.number <= number && b.further_attempts > 0) {
             bucket.further_attempts -= 1;
@@ -89,12 +92,12 @@
         (sum_of(|b| b.first_attempts), sum_of(|b| b.further_attempts))
     }
 
-    /// Gets the length of a bucket, in milliseconds.
+    /// Returns the length of a bucket in milliseconds.
     fn bucket_length(&self) -> u64 {
         (self.window.0 / BUCKETS_PER_WINDOW).max(1)
     }
 
-    /// Gets the bucket of `now` and drops those that left the window.
+    /// Returns the bucket of `now` and drops buckets that have left the window.
     fn bucket(&mut self, now: Millis) -> &mut Bucket {
         let number = now.0 / self.bucket_length();
         while self.buckets.front().is_some_and(|b| b.number + BUCKETS_PER_WINDOW <= number) {
--- a/crates/tidetrack-core/src/traffic/catalog.rs
+++ b/crates/tidetrack-core/src/traffic/catalog.rs
@@ -5,99 +5,101 @@
 use crate::ids::{ModelId, RouteId, ServiceId, WorkspaceId};
 use crate::units::{Millis, Tokens};
 
-/// Least weight of a model in an engine's work; the smallest models take about a tenth of the
-/// largest's time.
+/// Smallest weight of a model in an engine's work; the smallest models take about a tenth of the
+/// time of the largest.
 const MIN_MODEL_WEIGHT: f64 = 0.1;
 
-/// What kind of work a route carries.
+/// Kind of requests that a route carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkKind {
-    /// A call that may run at most once.
+    /// A call that may be executed at most once.
     Once,
-    /// A call that may run again.
+    /// A call that may be executed again.
     Repeatable,
-    /// A stream of events; it may be continued at another endpoint if `resumable`.
+    /// A stream of events.
     Stream {
-        /// Whether another endpoint can go on after a given event.
+        /// Whether another endpoint can continue the stream after a given event.
         resumable: bool,
     },
 }
 
 impl WorkKind {
-    /// Tells whether a request may be run a second time while the caller holds nothing of it.
+    /// Reports whether a request may be executed a second time while the caller has not received
+    /// any part of a response.
     pub fn is_repeatable(self) -> bool {
         matches!(self, WorkKind::Repeatable | WorkKind::Stream { resumable: true })
     }
 
-    /// Tells whether the answer is a stream.
+    /// Reports whether the response is a stream.
     pub fn is_stream(self) -> bool {
         matches!(self, WorkKind::Stream { .. })
     }
 }
 
-/// One service a route sends to, with its share of the route's requests.
+/// A service that a route sends requests to, with its share of them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
     /// The service.
     pub service: ServiceId,
-    /// Its weight among the route's targets.
+    /// Weight relative to the sum over the route's targets.
     pub weight: u32,
 }
 
-/// A route: which requests it takes and how they are to be treated.
+/// A route: which requests it matches and how they are handled.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Its name.
+    /// Name of the route.
     pub name: RouteId,
-    /// The `Host` it answers to, in lower case.
+    /// Value of the `Host` header that the route matches, in lower case.
     pub hostname: String,
-    /// The path it begins with; starts and ends with a slash.
+    /// Prefix of the paths that the route matches; starts and ends with a slash.
     pub path_prefix: String,
-    /// Where its requests go.
+    /// Services that the route's requests are sent to.
     pub targets: Vec<Target>,
-    /// What kind of work it is.
+    /// Kind of the route's requests.
     pub work: WorkKind,
-    /// Longest time a request may be held.
+    /// Longest time for which a request may be held.
     pub timeout: Millis,
-    /// Time within which an answer, or a stream's first event, earns its full credit.
+    /// Time within which a response, or the first event of a stream, earns its full credit.
     pub objective: Millis,
-    /// Longest pause between a stream's events that is still in time.
+    /// Longest interval between events of a stream that still meets the objective; `None` if there
+    /// is no such limit.
     pub max_event_gap: Option<Millis>,
     /// Urgency; 0 is the most urgent.
     pub rank: u8,
-    /// Most endpoints that one request may be sent to.
+    /// Largest number of endpoints that one request may be sent to.
     pub max_attempts: u32,
     /// Whether requests need no key.
     pub is_public: bool,
-    /// Models the system chooses among, the smallest first; empty if the caller chooses.
+    /// Models that the router chooses from, the smallest first; empty if the caller chooses.
     pub models: Vec<ModelId>,
 }
 
 /// A model that a service's endpoints serve.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PricedModel {
-    /// Its name.
+    /// Name of the model.
     pub name: ModelId,
-    /// Price of 1,000 generated tokens; tokens read count at a quarter.
+    /// Price of 1,000 generated tokens; prompt tokens count at a quarter.
     pub price: f64,
 }
 
-/// What the endpoints of a service share.
+/// Properties that all endpoints of a service share.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Service {
-    /// Connections one endpoint accepts from all hosts together.
+    /// Connections that one endpoint accepts from all hosts together.
     pub max_connections: u32,
-    /// Requests an endpoint works on at a time, if it is a model engine.
+    /// Requests that an endpoint processes concurrently; `None` if it is not a model engine.
     pub slots: Option<u32>,
-    /// Tokens an engine's memory holds.
+    /// Capacity of an engine's memory in tokens; `None` if it is not known.
     pub memory: Option<Tokens>,
-    /// The models, if it is a model engine.
+    /// Models that the engines serve; empty if the endpoints are not model engines.
     pub models: Vec<PricedModel>,
 }
 
 impl Service {
-    /// Gets a model's weight in an engine's work: its price beside the dearest model's, for the time a
-    /// model takes is not declared.
+    /// Returns a model's weight in an engine's work: its price relative to the most expensive
+    /// model. Price stands in for execution time, which is not declared.
     pub fn model_weight(&self, model: &ModelId) -> f64 {
         let highest_price = self.models.iter().map(|m| m.price).fold(0.0, f64::max);
         match self.models.iter().find(|m| m.name == *model) {
@@ -106,27 +108,27 @@
         }
     }
 
-    /// Gets the price of 1,000 tokens of a model; 0 if it is not listed.
+    /// Returns the price of 1,000 tokens of a model; 0 if the model is not listed.
     pub fn model_price(&self, model: &ModelId) -> f64 {
         self.models.iter().find(|m| m.name == *model).map_or(0.0, |m| m.price)
     }
 }
 
-/// Bounds on what callers send and how long they take.
+/// Limits on the size and duration of what callers send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
     /// Largest request head in bytes.
     pub max_head_bytes: usize,
-    /// Largest body in bytes.
+    /// Largest request body in bytes.
     pub max_body_bytes: usize,
-    /// Longest time for a head to arrive.
+    /// Longest time for a request head to arrive.
     pub head_timeout: Millis,
-    /// Longest rest of a kept connection.
+    /// Longest time for which a keep-alive connection may be idle.
     pub idle_timeout: Millis,
 }
 
 impl Default for CallerLimits {
-    /// The values used until a configuration is known.
+    /// Limits in force until a configuration is known.
     fn default() -> Self {
         CallerLimits {
             max_head_bytes: 16 << 10,
@@ -137,43 +139,44 @@
     }
 }
 
-/// A workspace that holds keys.
+/// A workspace that a key belongs to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyHolder {
     /// The workspace.
     pub workspace: WorkspaceId,
-    /// Its urgency, which goes before the route's.
+    /// Urgency of the workspace's requests, which takes precedence over the route's; `None` if it
+    /// has none.
     pub rank: Option<u8>,
 }
 
 /// One version of the configuration.
 #[derive(Clone, Debug, Default)]
 pub struct Catalog {
-    /// Number of the version; it only rises.
+    /// Version number, which only increases.
     pub version: u64,
-    /// The routes.
     pub routes: Vec<std::sync::Arc<Route>>,
-    /// The services by name.
+    /// Services by name.
     pub services: BTreeMap<ServiceId, Service>,
-    /// Bounds for callers.
+    /// Limits for callers.
     pub limits: CallerLimits,
-    /// Holders by key; `None` where requests need no key at all.
+    /// Workspaces by key; `None` if the configuration has no workspaces and requests need no key.
     pub keys: Option<HashMap<String, KeyHolder>>,
 }
 
-/// Who a request belongs to.
+/// Owner of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Identity {
     /// No workspace: the route is public or the configuration has no workspaces.
     Anonymous,
-    /// The holder of the request's key.
+    /// The workspace that the request's key belongs to.
     Holder(KeyHolder),
-    /// A key is needed and the request has none, or one that nobody holds.
+    /// A key is required, and the request has none or an unknown one.
     Unknown,
 }
 
 impl Catalog {
-    /// Finds the route of a request: the longest prefix of the path among the host's routes.
+    /// Returns the route of a request: of the routes for this hostname, the one with the longest
+    /// matching path prefix.
     pub fn route(&self, hostname: &str, path: &str) -> Option<&std::sync::Arc<Route>> {
         let hostname = hostname.split(':').next().unwrap_or_default();
         let is_match = |r: &&std::sync::Arc<Route>| {
@@ -182,7 +185,7 @@
         self.routes.iter().filter(is_match).max_by_key(|r| r.path_prefix.len())
     }
 
-    /// Finds whom a request belongs to.
+    /// Returns the owner of a request with the given key.
     pub fn identify(&self, route: &Route, key: Option<&str>) -> Identity {
         let Some(keys) = &self.keys else { return Identity::Anonymous };
         match key.and_then(|key| keys.get(key)) {
@@ -194,7 +197,7 @@
 }
 
 impl Route {
-    /// Picks the service of one request; `hash_fraction` is from 0 up to 1.
+    /// Picks the service for a request. `hash_fraction` is a uniform value in `[0, 1)`.
     pub fn pick_target(&self, hash_fraction: f64) -> Option<&ServiceId> {
         let total: u32 = self.targets.iter().map(|t| t.weight).sum();
         let mut remaining = hash_fraction * f64::from(total);
--- a/crates/tidetrack-core/src/traffic/endpoints.rs
+++ b/crates/tidetrack-core/src/traffic/endpoints.rs
@@ -1,11 +1,13 @@
-//! The endpoints that the store lists, kept through its outages.
+//! The endpoints listed in the store, retained through outages of the store.
 //!
-//! An endpoint renews its entry in the store, so entries lapse while the store is away although the
-//! endpoints live. Those are back soon after the store is; until then an entry that went missing
-//! across an outage is kept, and dropped if it has not come back in time.
+//! An endpoint renews its entry in the store periodically, so entries lapse during an outage of the
+//! store although the endpoints are running. These endpoints are listed again soon after the store
+//! returns. Until then an entry that disappeared across an outage is retained; it is dropped if it
+//! is not listed again in time.
 //!
-//! A host may lose the store alone. Reads that it hears of tell the two apart: while they go on, no entry
-//! lapses, and one that went is gone.
+//! A host may lose its own connection to the store while other hosts still reach it. The proofs of
+//! the configuration that other hosts pass on show that the store is up: while such reads continue,
+//! no entry lapses, and an entry that disappears belongs to an endpoint that ended.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,39 +15,40 @@
 use crate::ids::{EndpointId, FailureDomain, ServiceId, VersionName};
 use crate::units::Millis;
 
-/// How long entries that lapsed in an outage are kept after the store's return. Endpoints that live
-/// are listed again within two seconds; the rest is the watch's way.
+/// How long lapsed entries are retained after the store returns. Running endpoints are listed again
+/// within two seconds; the rest covers the delivery through the watch.
 const LAPSED_RETENTION: Millis = Millis(2_300);
 
-/// Longest time between two reads that the store answered in which no entry lapses. An endpoint renews
-/// its entry about each 1.2 s and loses it after three missed ones: an outage of 2.4 s is the shortest that
-/// makes an entry lapse.
+/// Longest interval between two answered reads during which no entry can lapse. An endpoint renews
+/// its entry about every 1.2 s and loses it after three missed renewals, so the shortest outage in
+/// which an entry lapses is 2.4 s.
 const MAX_READ_INTERVAL: Millis = Millis(2_300);
 
-/// What an endpoint says of itself in the store.
+/// An endpoint's entry in the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndpointRecord {
-    /// Its id. It may start again under it, and then knows nothing of before.
+    /// Id of the endpoint. A restarted endpoint keeps its id but no state of its previous
+    /// incarnation.
     pub id: EndpointId,
-    /// The service it belongs to.
+    /// Service that the endpoint belongs to.
     pub service: ServiceId,
-    /// Where it listens.
+    /// Address that the endpoint listens on.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// Failure domain that the endpoint runs in.
     pub failure_domain: FailureDomain,
-    /// The version it runs.
+    /// Version that the endpoint runs.
     pub version: VersionName,
-    /// Requests it works on at a time.
+    /// Number of requests that the endpoint processes concurrently.
     pub slots: u32,
-    /// When it started, by its own clock, in milliseconds since 1970; `None` where endpoints don't tell. Only
-    /// starts of the same endpoint are compared.
+    /// Start of the endpoint's incarnation in milliseconds since 1970, by its own clock; `None` if
+    /// endpoints do not report it. Only values of the same endpoint are compared.
     pub started: Option<Millis>,
-    /// Whether it takes no new requests.
+    /// Whether the endpoint accepts no new requests.
     pub is_leaving: bool,
 }
 
 impl EndpointRecord {
-    /// Tells whether this is of a later start of the endpoint than another record.
+    /// Reports whether this record is from a later incarnation than `other`.
     fn is_later_incarnation_than(&self, other: &EndpointRecord) -> bool {
         self.started.zip(other.started).is_some_and(|(this, other)| this > other)
     }
@@ -54,18 +57,18 @@
 #[derive(Clone, Debug)]
 struct Entry {
     record: EndpointRecord,
-    /// Whether the entry was missing when the store came back.
+    /// Whether the entry disappeared across an outage of the store.
     is_lapsed: bool,
 }
 
-/// Reads that the store answered, to whatever host, without a time between them in which entries lapse.
+/// A sequence of answered reads, by any host, without an interval in which entries could lapse.
 #[derive(Clone, Copy, Debug)]
 struct RecentReads {
     first_at: Millis,
     last_at: Millis,
 }
 
-/// All endpoints this host believes in.
+/// All endpoints that this host considers as existing.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointTable {
     entries: BTreeMap<EndpointId, Entry>,
@@ -75,12 +78,12 @@
 }
 
 impl EndpointTable {
-    /// Takes note that the store does not answer.
+    /// Records that the store does not respond to this host.
     pub fn mark_store_unreachable(&mut self) {
         self.is_store_unreachable = true;
     }
 
-    /// Takes note that the store answers again.
+    /// Records that the store responds to this host again.
     pub fn mark_store_reachable(&mut self, now: Millis) {
         if self.is_store_unreachable {
             self.is_store_unreachable = false;
@@ -88,7 +91,7 @@
         }
     }
 
-    /// Takes note that the store answered a read which some host began at `began`.
+    /// Records that the store answered a read which some host began at `began`.
     pub fn record_store_read(&mut self, began: Millis) {
         self.recent_reads = match self.recent_reads {
             Some(reads) if began <= reads.last_at + MAX_READ_INTERVAL => {
@@ -98,7 +101,7 @@
         };
     }
 
-    /// Takes a whole list.
+    /// Replaces all entries by a complete list.
     pub fn replace(&mut self, now: Millis, records: Vec<EndpointRecord>) {
         let retains_missing = self.retains_lapsed(now);
         let mut previous = std::mem::take(&mut self.entries);
@@ -113,22 +116,24 @@
         }
     }
 
-    /// Tells whether a record is of a start before the one that is known: it comes late.
+    /// Reports whether a record is from an earlier incarnation than the known one, so that it
+    /// arrived late.
     pub fn is_outdated(&self, record: &EndpointRecord) -> bool {
         self.get(&record.id).is_some_and(|known| known.is_later_incarnation_than(record))
     }
 
-    /// Tells whether a record is of a start after the one that is known.
+    /// Reports whether a record is from a later incarnation than the known one.
     pub fn is_new_incarnation(&self, record: &EndpointRecord) -> bool {
         self.get(&record.id).is_some_and(|known| record.is_later_incarnation_than(known))
     }
 
-    /// Takes a new or changed entry.
+    /// Inserts or replaces an entry.
     pub fn upsert(&mut self, record: EndpointRecord) {
         self.entries.insert(record.id.clone(), Entry { record, is_lapsed: false });
     }
 
-    /// Takes a removal.
+    /// Handles the removal of an entry from the store. The entry is retained as lapsed if an outage
+    /// may have caused the removal.
     pub fn remove(&mut self, now: Millis, id: &EndpointId) {
         let retains = self.retains_lapsed(now);
         match self.entries.get_mut(id) {
@@ -139,12 +144,12 @@
         }
     }
 
-    /// Drops an entry at once.
+    /// Drops an entry at once, without retaining it.
     pub fn remove_now(&mut self, id: &EndpointId) {
         self.entries.remove(id);
     }
 
-    /// Drops entries that lapsed and have not come back; tells whether there were any.
+    /// Drops lapsed entries that were not listed again in time. Returns whether any was dropped.
     pub fn sweep(&mut self, now: Millis) -> bool {
         if self.retains_lapsed(now) {
             return false;
@@ -154,35 +159,36 @@
         self.entries.len() < before
     }
 
-    /// Tells whether an endpoint is believed in.
+    /// Reports whether an endpoint has an entry, lapsed ones included.
     pub fn contains(&self, id: &EndpointId) -> bool {
         self.entries.contains_key(id)
     }
 
-    /// Gets the record of an endpoint that is believed in.
+    /// Returns the record of an endpoint, if it has an entry.
     pub fn get(&self, id: &EndpointId) -> Option<&EndpointRecord> {
         self.entries.get(id).map(|e| &e.record)
     }
 
-    /// Tells whether any endpoint of a service runs a version.
+    /// Reports whether any endpoint of a service runs a version.
     pub fn has_version(&self, service: &ServiceId, version: &VersionName) -> bool {
         self.records().any(|r| r.service == *service && r.version == *version)
     }
 
-    /// Lists the records.
+    /// Returns all records, those of lapsed entries included.
     pub fn records(&self) -> impl Iterator<Item = &EndpointRecord> {
         self.entries.values().map(|e| &e.record)
     }
 
-    /// Tells whether an entry that goes may have lapsed. To this host the store may be away while the
-    /// others reach it: an entry that goes then is of an endpoint that left.
+    /// Reports whether an entry that disappears now may have lapsed. If only this host cannot reach
+    /// the store, an entry that disappears belongs to an endpoint that ended.
     fn retains_lapsed(&self, now: Millis) -> bool {
         let may_have_lapsed = self.is_store_unreachable
             || self.store_reachable_since.is_some_and(|at| now < at + LAPSED_RETENTION);
         may_have_lapsed && !self.has_steady_reads(now)
     }
 
-    /// Tells whether the store has answered for so long that entries which had lapsed before are back.
+    /// Reports whether the store has answered reads long enough for entries that lapsed before to
+    /// be listed again.
     fn has_steady_reads(&self, now: Millis) -> bool {
         let is_steady = |reads: &RecentReads| {
             now <= reads.last_at + MAX_READ_INTERVAL && now >= reads.first_at + LAPSED_RETENTION
--- a/crates/tidetrack-core/src/traffic/outliers.rs
+++ b/crates/tidetrack-core/src/traffic/outliers.rs
@@ -1,11 +1,12 @@
-//! Endpoints that fail much more of their requests than the rest of their pool.
+//! Detection of endpoints that fail far more of their requests than the rest of their pool.
 //!
-//! One host of many sends an endpoint too few requests to tell a run of bad luck from an endpoint that
-//! loses every third answer. So each host counts how its requests went, tells the others its counts of
-//! the endpoints that anyone saw fail of late, and judges by the sum. An endpoint stands beside the
-//! others of its pool: what all fail alike is the requests' own doing or the version's. It is left alone
-//! for a few seconds and then judged by what comes after; one host's word alone drives no other host
-//! away, and a part of each pool is always used.
+//! One host of many sends too few requests to an endpoint to distinguish bad luck from an endpoint
+//! that loses every third response. Each host therefore counts the outcomes of its requests,
+//! reports its counts for endpoints with recent failures to the other hosts, and judges by the sum.
+//! An endpoint is compared with the other endpoints of its pool, because failures that all of them
+//! share are caused by the requests or by the version. An outlier is avoided for a few seconds and
+//! then judged by what happens afterwards. The report of one host alone never makes other hosts
+//! avoid an endpoint, and part of each pool always stays in use.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -16,53 +17,56 @@
 use crate::placement::{EndpointState, Outcomes};
 use crate::units::Millis;
 
-/// Counts halve in this time: long enough for a fleet of 83 hosts to hear of each other, which takes
-/// 2.6 s, short enough for an endpoint that was well until now.
+/// Half-life of the counts in milliseconds. It is long enough for all hosts of a fleet of 83 to
+/// hear from each other, which takes 2.6 s, and short enough to react to an endpoint that was
+/// healthy until now.
 const HALF_LIFE_MS: f32 = 3_000.0;
 
-/// Failed requests, over all hosts, from which an endpoint can be an outlier.
+/// Smallest decayed number of failed requests, over all hosts, for an outlier.
 const MIN_FAILED: f32 = 3.0;
 
-/// Most failed requests that one other host's word counts as: less than `MIN_FAILED`, for a host may
-/// be cut off by itself.
+/// Largest number of failed requests that counts from one other host. It is below `MIN_FAILED`,
+/// because a single host may be cut off from an endpoint by its own network.
 const MAX_FAILED_PER_HOST: f32 = 2.0;
 
-/// How far an outlier's share of failed requests lies over its pool's median at least. Endpoints that
-/// lose a few answers in a hundred are better borne than done without.
+/// Smallest difference between an outlier's share of failed requests and its pool's median share.
+/// An endpoint that loses a few responses in a hundred is better kept in use than avoided.
 const MIN_EXCESS_SHARE: f32 = 0.12;
 
-/// The same in standard errors of the share, lest chance drive an endpoint away where all fail often.
+/// The same difference in standard errors of the share, so that chance does not make endpoints
+/// outliers where all of them fail often.
 const MIN_STANDARD_ERRORS: f32 = 3.0;
 
-/// Smallest median that the standard error is reckoned from.
+/// Smallest median share used to compute the standard error.
 const MIN_MEDIAN: f32 = 0.02;
 
-/// Failed requests, faded, from which a host tells its counts of an endpoint: one failure is told for one
-/// half-life.
+/// Smallest decayed number of failed requests for which a host reports its counts of an endpoint. A
+/// single failure is reported for one half-life.
 const MIN_REPORTED: f32 = 0.5;
 
-/// Requests, faded, below which an endpoint's results are forgotten.
+/// Decayed number of requests below which an endpoint's counts are dropped.
 const MIN_RETAINED: f32 = 0.05;
 
-/// How long an endpoint is avoided at first. Its word has then reached every host, so what is heard
-/// later is of requests sent later.
+/// Duration of an endpoint's first avoidance. By its end the counts that led to it have reached
+/// every host, so counts received later are of requests sent later.
 const INITIAL_AVOIDANCE: Millis = Millis(3_000);
 
-/// Longest time for which it is avoided when it fails again and again.
+/// Longest avoidance of an endpoint that fails repeatedly.
 const MAX_AVOIDANCE: Millis = Millis(12_000);
 
-/// Smallest pool that has outliers: of two, neither is the usual one.
+/// Smallest pool in which outliers are detected: of two endpoints, neither can be called typical.
 const MIN_POOL_SIZE: usize = 3;
 
-/// Part of a pool that may be avoided, one endpoint in so many, rounded up: those left carry the load of all.
+/// One endpoint in this number, rounded up, may be avoided in a pool; the remaining ones have to
+/// carry the load of all.
 const AVOIDED_DIVISOR: usize = 3;
 
-/// How requests at one endpoint went; fades with time.
+/// Exponentially decaying counts of the requests to one endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RequestCounts {
     /// All requests.
     pub all: f32,
-    /// Those that failed.
+    /// Failed requests.
     pub failed: f32,
 }
 
@@ -75,7 +79,7 @@
         self.scaled((-(age.0 as f32) / HALF_LIFE_MS).exp2())
     }
 
-    /// Adds other results.
+    /// Returns the sum of both counts.
     pub fn plus(self, other: RequestCounts) -> RequestCounts {
         RequestCounts { all: self.all + other.all, failed: self.failed + other.failed }
     }
@@ -89,7 +93,7 @@
         self.failed / self.all.max(1.0)
     }
 
-    /// Tells whether enough failed, and a share well over the usual one.
+    /// Reports whether enough requests failed, and a share well above the typical one.
     fn exceeds(self, typical_share: f32) -> bool {
         let floored_share = typical_share.max(MIN_MEDIAN);
         let error = (floored_share * (1.0 - floored_share) / self.all.max(1.0)).sqrt();
@@ -97,14 +101,15 @@
         self.failed >= MIN_FAILED && excess >= MIN_EXCESS_SHARE.max(error * MIN_STANDARD_ERRORS)
     }
 
-    /// Gets these results as the word of one other host, some time later.
+    /// Returns these counts as reported by one other host `age` ago: decayed, and capped at
+    /// `MAX_FAILED_PER_HOST` failures.
     pub fn as_reported(self, age: Millis) -> RequestCounts {
         let cap_factor = (MAX_FAILED_PER_HOST / self.failed.max(MAX_FAILED_PER_HOST)).min(1.0);
         self.scaled(cap_factor).decayed(age)
     }
 }
 
-/// Results as of some time.
+/// Counts and the time at which they were last updated.
 #[derive(Clone, Copy, Debug, Default)]
 struct DecayingCounts {
     counts: RequestCounts,
@@ -117,36 +122,36 @@
     }
 }
 
-/// What this host holds of one endpoint.
+/// What this host knows about one endpoint.
 #[derive(Clone, Debug, Default)]
 struct EndpointHistory {
-    /// How this host's own requests went of late.
+    /// Recent requests of this host.
     own: DecayingCounts,
-    /// How those of all hosts went.
+    /// Recent requests of all hosts.
     all: DecayingCounts,
-    /// Results that do not count any more.
+    /// Requests from before the last avoidance ended; they are subtracted from `all`.
     discounted: DecayingCounts,
-    /// Until when it is avoided, and for how long in all; `None` if it never was.
+    /// End and duration of the last avoidance; `None` if there was none.
     avoidance: Option<(Millis, Millis)>,
-    /// Whether it is in use again since.
+    /// Whether the endpoint has been in use again since the last avoidance.
     is_readmitted: bool,
 }
 
-/// An endpoint that is to be avoided.
+/// An endpoint that has to be avoided.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Outlier {
-    /// The endpoint.
+    /// Id of the endpoint.
     pub endpoint: EndpointId,
-    /// How its requests went.
+    /// Recent requests to the endpoint, from all hosts.
     pub counts: RequestCounts,
-    /// The median share of failed requests in its pool.
+    /// Median share of failed requests in its pool.
     pub median: f32,
-    /// Until when it is avoided.
+    /// When the avoidance ends.
     pub avoided_until: Millis,
 }
 
 impl fmt::Display for Outlier {
-    /// For the log.
+    /// Formats the details for the log.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Outlier { endpoint, counts, median, avoided_until } = self;
         write!(f, "endpoint={endpoint} failed={:.1} of={:.1}", counts.failed, counts.all)?;
@@ -154,14 +159,15 @@
     }
 }
 
-/// The standing of the endpoints that were asked of late, here or by hosts that tell of them.
+/// Recent counts of endpoints that this host or another one sent requests to.
 #[derive(Clone, Debug, Default)]
 pub struct OutlierDetector {
     histories: HashMap<EndpointId, EndpointHistory>,
 }
 
 impl OutlierDetector {
-    /// Takes in how requests went since the last call, here and, as `reports`, at the other hosts.
+    /// Adds the outcomes of this host's requests since the last call, and the counts `peer_counts`
+    /// that other hosts reported.
     pub fn record<'a>(
         &mut self,
         now: Millis,
@@ -183,7 +189,7 @@
         });
     }
 
-    /// Lists this host's results of the endpoints that it or another host saw fail of late.
+    /// Returns this host's counts of the endpoints that this host or another one recently saw fail.
     pub fn reports(&self, now: Millis) -> Vec<(EndpointKey, RequestCounts)> {
         let peer_counts = self.histories.iter().filter_map(|(id, history)| {
             let own = history.own.value_at(now);
@@ -194,13 +200,14 @@
         peer_counts.collect()
     }
 
-    /// Lists the endpoints in use that fail often enough to be compared with their pools.
+    /// Returns the endpoints that are in use and fail often enough to be compared with their pools.
     pub fn candidates(&self, now: Millis) -> Vec<EndpointId> {
         let candidates = self.histories.iter().filter(|(_, s)| s.is_candidate(now));
         candidates.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Finds the endpoints of a pool that are to be avoided from now on.
+    /// Returns the endpoints of a pool that have to be avoided from now on, and starts to avoid
+    /// them.
     pub fn find_outliers(&mut self, now: Millis, pool: &[EndpointId]) -> Vec<Outlier> {
         if pool.len() < MIN_POOL_SIZE {
             return Vec::new();
@@ -227,7 +234,7 @@
         outliers
     }
 
-    /// Gets the median share of failed requests of a pool.
+    /// Returns the median share of failed requests in a pool.
     fn median(&self, now: Millis, pool: &[EndpointId]) -> f32 {
         let share = |id: &EndpointId| {
             self.histories.get(id).map_or(0.0, |history| history.current_counts(now).failed_share())
@@ -246,7 +253,7 @@
         self.all = DecayingCounts { counts: own.plus(others), updated_at: now };
     }
 
-    /// Gets the results that count.
+    /// Returns the counts that an evaluation uses: all recent requests without the discounted ones.
     fn current_counts(&self, now: Millis) -> RequestCounts {
         self.all.value_at(now).minus(self.discounted.value_at(now))
     }
@@ -259,7 +266,8 @@
         self.avoidance.is_some_and(|(avoided_until, _)| now < avoided_until)
     }
 
-    /// Begins to avoid the endpoint; tells until when. It is for longer if it was not long ago.
+    /// Starts an avoidance and returns when it ends. The duration doubles if the last avoidance
+    /// ended recently.
     fn avoid(&mut self, now: Millis) -> Millis {
         let duration = match self.avoidance {
             Some((avoided_until, duration)) if now < avoided_until + duration => {
@@ -273,7 +281,7 @@
         avoided_until
     }
 
-    /// Forgives what was seen before, when the endpoint comes into use again.
+    /// Discounts all earlier requests once an avoidance has ended.
     fn readmit_if_due(&mut self, now: Millis) {
         if self.avoidance.is_some() && !self.is_avoided(now) && !self.is_readmitted {
             self.is_readmitted = true;
@@ -281,7 +289,7 @@
         }
     }
 
-    /// Tells whether anything is left that may count.
+    /// Reports whether this entry can still affect an evaluation.
     fn is_retained(&self, now: Millis) -> bool {
         let was_recently_avoided =
             self.avoidance.is_some_and(|(avoided_until, duration)| now < avoided_until + duration);
--- a/crates/tidetrack-core/src/traffic/view.rs
+++ b/crates/tidetrack-core/src/traffic/view.rs
@@ -1,4 +1,4 @@
-//! What traffic decides on: the configuration and each service's endpoints, at one moment.
+//! The view that traffic uses: a snapshot of the configuration and of each service's endpoints.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -13,44 +13,47 @@
 use crate::traffic::trial::{Phase, Side, TrialView};
 use crate::units::Millis;
 
-/// A service's endpoints, as traffic sees them.
+/// Endpoints and roll-out state of one service.
 #[derive(Debug)]
 pub struct ServiceView {
-    /// Endpoints of proven versions.
+    /// Endpoints of the stable versions.
     pub stable_pool: PoolView,
-    /// Endpoints of the version under roll-out.
+    /// Endpoints of the canary version.
     pub canary_pool: PoolView,
-    /// The roll-out, if there is one.
+    /// Current roll-out; `None` if there is none.
     pub canary: Option<TrialView>,
-    /// Sessions and counts for the share of a new version.
+    /// Sessions and request counts that limit the canary version's share of the requests.
     pub exposure: Arc<Exposure>,
-    /// Which endpoints have read which shared parts of prompts.
+    /// Which endpoints hold which shared prefixes of prompts.
     pub prefixes: Arc<Prefixes>,
 }
 
-/// An endpoint that was picked for a request.
+/// An endpoint chosen for a request.
 #[derive(Clone, Copy, Debug)]
 pub struct PickedEndpoint<'a> {
     /// The endpoint.
     pub endpoint: &'a PoolEndpoint,
-    /// Whether it is given more of a new version's sample than its part, to have as much to do as busy ones.
+    /// Whether the request was directed to one of the few canary endpoints that receive most of the
+    /// canary sample for a while, so that they are as busy as busy stable endpoints.
     pub is_loaded: bool,
 }
 
 impl ServiceView {
-    /// Decides which side a request goes to.
+    /// Returns the side, stable or canary, that serves a request. A session that is assigned to the
+    /// canary version stays assigned for `session_lifetime`.
     pub fn side(&self, now: Millis, session: SessionDraw, session_lifetime: Millis) -> Side {
         let has_canary = !self.canary_pool.endpoints().is_empty();
         self.exposure.side(now, session, self.canary.as_ref(), has_canary, session_lifetime)
     }
 
-    /// Tells whether the version under roll-out is barred.
+    /// Reports whether the canary version is barred.
     pub fn is_barred(&self) -> bool {
         self.canary.as_ref().is_some_and(|t| t.phase == Phase::Barred)
     }
 
-    /// Tells whether a request that was drawn for the proven versions may meet the new one where they have
-    /// no endpoint for it: not beyond the bound, for all requests may come to that at once.
+    /// Reports whether a request assigned to the stable versions may go to the canary version if no
+    /// stable endpoint is available. During the canary sample this is limited by the exposure
+    /// bound, because all requests may need it at the same time.
     pub fn can_fall_back(&self, now: Millis) -> bool {
         self.canary.as_ref().is_some_and(|canary| match canary.phase_at(now) {
             Phase::Sample => self.exposure.has_room(canary.bound.share),
@@ -59,13 +62,13 @@
         })
     }
 
-    /// Tells whether an endpoint belongs to the service.
+    /// Reports whether an endpoint belongs to the service.
     pub fn has_endpoint(&self, id: &str) -> bool {
         let all = self.stable_pool.endpoints().iter().chain(self.canary_pool.endpoints());
         all.into_iter().any(|e| e.id.as_str() == id)
     }
 
-    /// Picks an endpoint of a side, for a request with this draw of versions.
+    /// Picks an endpoint of a side for a request of this session.
     pub fn pick(
         &self,
         now: Millis,
@@ -80,7 +83,8 @@
         Ok(PickedEndpoint { endpoint, is_loaded: false })
     }
 
-    /// Gets the new version's endpoint that is loaded now, if any is.
+    /// Picks one of the few canary endpoints that receive most of the canary sample now; `None` if
+    /// there are none or the session is not among those sent to them.
     fn load_probe_endpoint(
         &self,
         now: Millis,
@@ -97,7 +101,7 @@
         self.canary_pool.pick_among_ranked(now, request, &hash_key, turn.endpoints)
     }
 
-    /// Gets the endpoints of a side.
+    /// Returns the endpoints of a side.
     pub fn pool(&self, side: Side) -> &PoolView {
         match side {
             Side::Proven => &self.stable_pool,
@@ -106,13 +110,14 @@
     }
 }
 
-/// What traffic decides on.
+/// Snapshot of everything that traffic decides by.
 #[derive(Debug, Default)]
 pub struct FleetView {
-    /// The configuration in force; `None` until one is known.
+    /// Configuration in force; `None` until one is known.
     pub catalog: Option<Arc<Catalog>>,
-    /// The services by name.
+    /// Services with at least one endpoint that may serve.
     pub services: HashMap<ServiceId, ServiceView>,
-    /// Whether endpoints were listed at all since the start.
+    /// Whether the list of endpoints is known. It counts as unknown while a host that has just
+    /// started withholds all versions.
     pub has_endpoints: bool,
 }
