--- a/crates/tidetrack-core/src/limits.rs
+++ b/crates/tidetrack-core/src/limits.rs
@@ -266,14 +266,14 @@
     }
 
     fn acquire_repeatedly(limits: &mut Limits, now: Millis, attempts: u32) -> u32 {
-        let mut elapsed = 0;
+        let mut granted = 0;
         for _ in 0..attempts {
             if limits.try_acquire(now, &workspace()) == Admission::Granted {
                 limits.release(&workspace());
-                elapsed += 1;
+                granted += 1;
             }
         }
-        elapsed
+        granted
     }
 
     #[test]
@@ -282,9 +282,9 @@
         let mut granted_last_second = 0;
         for ms in (0..20_000).step_by(50) {
             let now = Millis(ms);
-            let elapsed = acquire_repeatedly(&mut hosts[0], now, 4);
+            let granted = acquire_repeatedly(&mut hosts[0], now, 4);
             if ms >= 19_000 {
-                granted_last_second += elapsed;
+                granted_last_second += granted;
             }
             if ms % 200 == 0 {
                 let requests = hosts[0].loan_requests(now);
--- a/crates/tidetrack-core/src/placement/endpoint_state.rs
+++ b/crates/tidetrack-core/src/placement/endpoint_state.rs
@@ -39,7 +39,7 @@
     capacity_tokens: AtomicU64,
     consecutive_failures: AtomicU32,
     ejected_until: AtomicU64,
-    leaving: AtomicBool,
+    is_leaving: AtomicBool,
     /// Recent pace in microseconds per token of work; 0 before the first response.
     pace_us: AtomicU64,
     /// When the endpoint last sent anything, in milliseconds.
@@ -279,10 +279,10 @@
 
     /// Sets how many requests this host may send to the endpoint.
     pub fn set_send_allowance(&self, allowance: SendAllowance) {
-        const SECOND_US: f64 = 1e6;
+        const US_PER_SECOND: f64 = 1e6;
         let gap = match allowance {
             SendAllowance::Unlimited => 0,
-            SendAllowance::Share(rate) => ((SECOND_US / rate.0) as u64).clamp(1, NO_SENDS - 1),
+            SendAllowance::Share(rate) => ((US_PER_SECOND / rate.0) as u64).clamp(1, NO_SENDS - 1),
             SendAllowance::Denied => NO_SENDS,
         };
         self.send_gap_us.store(gap, Ordering::Relaxed);
@@ -320,12 +320,12 @@
     }
 
     /// Sets whether the endpoint is leaving.
-    pub fn set_leaving(&self, leaving: bool) {
-        self.leaving.store(leaving, Ordering::Release);
+    pub fn set_leaving(&self, is_leaving: bool) {
+        self.is_leaving.store(is_leaving, Ordering::Release);
     }
 
     /// Reports whether the endpoint is leaving.
     pub fn is_leaving(&self) -> bool {
-        self.leaving.load(Ordering::Acquire)
+        self.is_leaving.load(Ordering::Acquire)
     }
 }
--- a/crates/tidetrack-core/src/placement/mod.rs
+++ b/crates/tidetrack-core/src/placement/mod.rs
@@ -156,11 +156,8 @@
     pub fn new(endpoints: Vec<PoolEndpoint>, slots: u32) -> PoolView {
         let mut ring = Vec::with_capacity(endpoints.len() * RING_POINTS_PER_ENDPOINT as usize);
         for (i, endpoint) in endpoints.iter().enumerate() {
-            for ring_position in 0..RING_POINTS_PER_ENDPOINT {
-                ring.push((
-                    xxh3_64_with_seed(endpoint.id.as_str().as_bytes(), ring_position),
-                    i as u32,
-                ));
+            for point in 0..RING_POINTS_PER_ENDPOINT {
+                ring.push((xxh3_64_with_seed(endpoint.id.as_str().as_bytes(), point), i as u32));
             }
         }
         ring.sort_unstable();
@@ -189,10 +186,10 @@
     /// much work, and an error without one if no endpoint has the capacity for a request of this
     /// size.
     pub fn pick(&self, now: Millis, request: &PlacementRequest<'_>) -> Result<&PoolEndpoint> {
-        let (picked, typical_pace) = self.find_best(now, request)?;
+        let (picked, fastest_pace) = self.find_best(now, request)?;
         let urgency_factor = if request.priority > 0 { URGENT_FACTOR } else { 1.0 };
-        // A slow endpoint reaches the work limit earlier than a typical one.
-        let slowdown = (picked.state.pace() / typical_pace).max(1.0);
+        // A slow endpoint reaches the work limit earlier than the fastest candidate.
+        let slowdown = (picked.state.pace() / fastest_pace).max(1.0);
         match picked.state.load(now) * slowdown <= self.max_work * urgency_factor {
             true => Ok(picked),
             false => Err(Error::new(
@@ -223,7 +220,8 @@
         candidates.map(|(_, e)| *e).min_by(|a, b| a.state.load(now).total_cmp(&b.state.load(now)))
     }
 
-    /// Returns the best endpoint, and the typical pace of the candidates.
+    /// Returns the best endpoint, and the fastest pace among the candidates in microseconds per
+    /// token.
     fn find_best(
         &self,
         now: Millis,
@@ -232,16 +230,18 @@
         let home_endpoint = self.home_endpoint(now, request);
         let candidates = self.candidates(now, request);
         if let (true, Some(home_endpoint)) = (request.reread_work > 0, home_endpoint) {
-            let typical_pace = candidates
+            let fastest_pace = candidates
                 .iter()
                 .map(|e| e.state.pace())
                 .fold(home_endpoint.state.pace(), f64::min);
-            return Ok((self.cheapest(now, request, home_endpoint, &candidates), typical_pace));
+            return Ok((self.cheapest(now, request, home_endpoint, &candidates), fastest_pace));
         }
-        let typical_pace = candidates.iter().map(|e| e.state.pace()).fold(f64::INFINITY, f64::min);
+        let fastest_pace = candidates.iter().map(|e| e.state.pace()).fold(f64::INFINITY, f64::min);
         let least_loaded = self.least_loaded(now, &candidates);
         let (Some(home_endpoint), Some(least_loaded)) = (home_endpoint, least_loaded) else {
-            let only = home_endpoint.or(least_loaded).ok_or_else(|| self.refusal(now, request))?;
+            let only = home_endpoint
+                .or(least_loaded)
+                .ok_or_else(|| self.no_endpoint_error(now, request))?;
             return Ok((only, only.state.pace()));
         };
         let mean =
@@ -250,7 +250,7 @@
         let keeps_home = cost <= mean * MAX_HOME_LOAD_RATIO || cost <= least_loaded.state.cost(now);
         Ok((
             if keeps_home { home_endpoint } else { least_loaded },
-            typical_pace.min(home_endpoint.state.pace()),
+            fastest_pace.min(home_endpoint.state.pace()),
         ))
     }
 
@@ -260,18 +260,18 @@
         if request.reread_work > 0 && self.endpoints.len() <= MAX_FULL_SCAN_POOL {
             return self.endpoints.iter().filter(|e| is_usable(e, now, request)).collect();
         }
-        let any = (0..RANDOM_CANDIDATES as u64)
+        let anywhere = (0..RANDOM_CANDIDATES as u64)
             .map(|i| random_index(request.salt, i, self.endpoints.len()));
         let domain_indices =
             request.locality.and_then(|locality| self.domains.get(locality.failure_domain));
-        let locality = domain_indices.into_iter().flat_map(|domain_indices| {
-            let draws =
+        let local = domain_indices.into_iter().flat_map(|domain_indices| {
+            let sequence =
                 RANDOM_CANDIDATES as u64..(RANDOM_CANDIDATES + RANDOM_LOCAL_CANDIDATES) as u64;
-            draws.map(|i| {
+            sequence.map(|i| {
                 domain_indices[random_index(request.salt, i, domain_indices.len())] as usize
             })
         });
-        let candidates = any.chain(locality).filter_map(|at| self.endpoints.get(at));
+        let candidates = anywhere.chain(local).filter_map(|at| self.endpoints.get(at));
         candidates.filter(|e| is_usable(e, now, request)).collect()
     }
 
@@ -287,7 +287,7 @@
         let holders = self.usable_prefix_holders(now, request);
         let is_held_locally = holders.iter().any(|e| is_local(e, request));
         let second_home = self.second_home(now, request, home_endpoint);
-        let reread_cost = |part: f64| request.reread_work as f64 * part;
+        let reread_cost = |fraction: f64| request.reread_work as f64 * fraction;
         let cost = |e: &PoolEndpoint, extra: f64| {
             let work =
                 e.state.load(now) + BASE_WORK_WITH_PREFIX + extra + crossing_work(e, request);
@@ -329,9 +329,9 @@
         request: &PlacementRequest<'_>,
     ) -> Vec<&PoolEndpoint> {
         let find = |key: &EndpointKey| self.keys.binary_search_by_key(key, |(key, _)| *key).ok();
-        let at = request.prefix_holders.iter().filter_map(find);
-        let kept = at.map(|at| &self.endpoints[self.keys[at].1 as usize]);
-        kept.filter(|e| is_usable(e, now, request)).collect()
+        let positions = request.prefix_holders.iter().filter_map(find);
+        let holders = positions.map(|at| &self.endpoints[self.keys[at].1 as usize]);
+        holders.filter(|e| is_usable(e, now, request)).collect()
     }
 
     /// Returns the usable endpoint that follows the home endpoint on the ring. It is the same for
@@ -351,10 +351,10 @@
     /// Returns the first usable endpoint on the ring from the request's position, preferably one in
     /// the host's failure domain.
     fn home_endpoint(&self, now: Millis, request: &PlacementRequest<'_>) -> Option<&PoolEndpoint> {
-        let locality =
+        let local =
             self.walk_ring(request).find(|e| is_local(e, request) && is_usable(e, now, request));
-        let any = || self.walk_ring(request).find(|e| is_usable(e, now, request));
-        locality.or_else(any).or_else(|| self.fallback_to_ejected(now, request))
+        let anywhere = || self.walk_ring(request).find(|e| is_usable(e, now, request));
+        local.or_else(anywhere).or_else(|| self.fallback_to_ejected(now, request))
     }
 
     /// Iterates over endpoints along the ring from the request's position.
@@ -383,11 +383,15 @@
         self.walk_ring(request).find(|e| can_accept(e) && e.state.can_send(now))
     }
 
-    fn least_loaded<'a>(&self, now: Millis, of: &[&'a PoolEndpoint]) -> Option<&'a PoolEndpoint> {
-        of.iter().min_by(|a, b| a.state.cost(now).total_cmp(&b.state.cost(now))).copied()
+    fn least_loaded<'a>(
+        &self,
+        now: Millis,
+        endpoints: &[&'a PoolEndpoint],
+    ) -> Option<&'a PoolEndpoint> {
+        endpoints.iter().min_by(|a, b| a.state.cost(now).total_cmp(&b.state.cost(now))).copied()
     }
 
-    fn refusal(&self, now: Millis, request: &PlacementRequest<'_>) -> Error {
+    fn no_endpoint_error(&self, now: Millis, request: &PlacementRequest<'_>) -> Error {
         let next_send = |e: &PoolEndpoint| {
             let is_healthy = !e.state.is_leaving() && !e.state.is_ejected(now);
             e.state.next_send_at(now).filter(|from| is_healthy && *from > now)
--- a/crates/tidetrack-core/src/session.rs
+++ b/crates/tidetrack-core/src/session.rs
@@ -1,9 +1,9 @@
 //! Session tokens.
 //!
-//! A token contains the workspace's route, version and generation that a session started on, and is authenticated by a code (MAC)
-//! under a key of the workspace. Every host can therefore verify it without a shared store or a
-//! lookup. It has the form `s1/KEY/route/model@version/generation/nonce/CODE`; none of
-//! the names contains a slash.
+//! A token contains the workspace's route, version and generation that a session started on, and is
+//! authenticated by a code (MAC) under a key of the workspace. Every host can therefore verify it
+//! without a shared store or a lookup. It has the form
+//! `s1/KEY/route/model@version/generation/nonce/CODE`; none of the names contains a slash.
 
 use crate::codes::Code;
 use crate::errors::{Error, Result};
@@ -34,16 +34,17 @@
         format!("{route}/{version}/{generation}/{nonce:x}")
     }
 
-    /// Creates the token of this session, authenticated with the current key of `ring`.
-    pub fn to_token(&self, ring: &KeyRing) -> String {
-        ring.to_token(TOKEN_FORMAT, Purpose::Session, self.workspace.as_str(), &self.payload())
+    /// Creates the token of this session, authenticated with the current key of `key_ring`.
+    pub fn to_token(&self, key_ring: &KeyRing) -> String {
+        key_ring.to_token(TOKEN_FORMAT, Purpose::Session, self.workspace.as_str(), &self.payload())
     }
 
     /// Parses and verifies a token that `workspace` sent.
-    pub fn from_token(token: &str, workspace: &WorkspaceId, ring: &KeyRing) -> Result<Session> {
+    pub fn from_token(token: &str, workspace: &WorkspaceId, key_ring: &KeyRing) -> Result<Session> {
         let invalid =
             || Error::new(Code::BadToken, "the session token is not valid for this workspace");
-        let payload = ring.open_token(TOKEN_FORMAT, Purpose::Session, workspace.as_str(), token);
+        let payload =
+            key_ring.open_token(TOKEN_FORMAT, Purpose::Session, workspace.as_str(), token);
         let fields: Vec<&str> = payload.ok_or_else(invalid)?.split('/').collect();
         let [route, version, generation, nonce] = fields[..] else { return Err(invalid()) };
         Ok(Session {
@@ -61,7 +62,7 @@
     use super::*;
     use crate::seal::Key;
 
-    fn ring(id: &str) -> KeyRing {
+    fn key_ring(id: &str) -> KeyRing {
         KeyRing {
             current: Key { id: id.into(), secret: "0123456789abcdef".into() },
             previous: None,
@@ -80,23 +81,26 @@
 
     #[test]
     fn tokens_are_accepted_only_for_their_workspace() {
-        let token = session().to_token(&ring("k"));
-        let own = "w".parse().expect("a workspace");
+        let token = session().to_token(&key_ring("k"));
+        let workspace = "w".parse().expect("a workspace");
         let other = "v".parse().expect("a workspace");
-        assert_eq!(Session::from_token(&token, &own, &ring("k")).expect("a session"), session());
-        assert!(Session::from_token(&token, &other, &ring("k")).is_err());
-        assert!(Session::from_token(&token, &own, &ring("j")).is_err());
+        assert_eq!(
+            Session::from_token(&token, &workspace, &key_ring("k")).expect("a session"),
+            session()
+        );
+        assert!(Session::from_token(&token, &other, &key_ring("k")).is_err());
+        assert!(Session::from_token(&token, &workspace, &key_ring("j")).is_err());
     }
 
     #[test]
     fn modified_tokens_are_rejected() {
-        let token = session().to_token(&ring("k"));
-        let own = "w".parse().expect("a workspace");
+        let token = session().to_token(&key_ring("k"));
+        let workspace = "w".parse().expect("a workspace");
         for i in 0..token.len() {
             let mut bytes = token.clone().into_bytes();
             bytes[i] = if bytes[i] == b'1' { b'2' } else { b'1' };
             let forged = String::from_utf8(bytes).expect("ASCII");
-            assert!(Session::from_token(&forged, &own, &ring("k")).is_err(), "{forged}");
+            assert!(Session::from_token(&forged, &workspace, &key_ring("k")).is_err(), "{forged}");
         }
     }
 }
--- a/crates/tidetrack-core/src/traffic/control/limits.rs
+++ b/crates/tidetrack-core/src/traffic/control/limits.rs
@@ -24,7 +24,9 @@
             return;
         }
         let changed = self.limits.take_changed();
-        let is_recent = |(at, of): (Millis, usize)| now < at + MAX_ALLOTMENT_AGE && of == hosts;
+        let is_recent = |(at, computed_for): (Millis, usize)| {
+            now < at + MAX_ALLOTMENT_AGE && computed_for == hosts
+        };
         if changed.is_empty() && self.last_allotment.is_some_and(is_recent) {
             return;
         }
--- a/crates/tidetrack-core/src/traffic/control/mod.rs
+++ b/crates/tidetrack-core/src/traffic/control/mod.rs
@@ -299,13 +299,13 @@
         };
         let mut view_update = self.apply(now, input, &mut actions);
         if let Some(question) = question {
-            let mut news =
+            let mut update =
                 News { proof: self.proof_report(now, fresh), ..self.last_update.clone() };
             if question.is_first {
-                news.suspects = self.suspects.told_to_one(now, FIRST_TOLD);
-                news.limits = self.limits.told_to_one(now);
+                update.suspects = self.suspects.told_to_one(now, FIRST_TOLD);
+                update.limits = self.limits.told_to_one(now);
             }
-            let reply = self.peers.reply(now, &question, &news);
+            let reply = self.peers.reply(now, &question, &update);
             actions.push(Action::SendMessages(vec![(question.address, reply)]));
         }
         self.request_proof(now, fresh, &mut actions);
@@ -341,8 +341,8 @@
         let has_unreported_session = self.exposures.values().any(|exposure| exposure.has_untold());
         let has_unreported =
             has_unreported_session || self.suspects.has_untold() || self.limits.has_untold();
-        let every = if has_unreported { MIN_ROUND_INTERVAL } else { ROUND_EVERY };
-        now >= self.last_round + every
+        let interval = if has_unreported { MIN_ROUND_INTERVAL } else { ROUND_EVERY };
+        now >= self.last_round + interval
     }
 
     /// Rebuilds the view if it is outdated. Call this when no input is queued: changes arrive in
@@ -473,8 +473,8 @@
                 self.table.mark_store_reachable(now);
                 ViewUpdate::None
             }
-            Input::ResponseObserved(seen) => {
-                ViewUpdate::immediate_if(self.observe_response(now, &seen, actions))
+            Input::ResponseObserved(observed) => {
+                ViewUpdate::immediate_if(self.observe_response(now, &observed, actions))
             }
             Input::LimitReported(id, rate) => {
                 self.limits.answered(now, EndpointKey::from(&id), rate);
@@ -494,7 +494,7 @@
         actions: &mut Vec<Action>,
     ) -> ViewUpdate {
         let mut view_update = ViewUpdate::None;
-        let before = self.peers.len();
+        let previous = self.peers.len();
         let from = msg.from.clone();
         for (service, sessions) in &msg.news.sessions {
             let exposure = self.exposures.entry(service.clone()).or_default();
@@ -542,7 +542,7 @@
         let complete = msg.news.complete;
         let proof = self.peers.hear(now, msg);
         self.fetch_missing(now, &complete, actions);
-        if self.peers.len() > before {
+        if self.peers.len() > previous {
             actions.push(Action::Log(Event::PeerAlive, format!("peer={from}")));
         }
         if let Some(proof) = &proof {
@@ -582,8 +582,8 @@
         if !self.table.is_new_incarnation(record) {
             return;
         }
-        if let Some(before) = self.endpoint_states.remove(&record.id) {
-            before.set_leaving(true);
+        if let Some(previous) = self.endpoint_states.remove(&record.id) {
+            previous.set_leaving(true);
         }
     }
 }
--- a/crates/tidetrack-core/src/traffic/control/rollouts.rs
+++ b/crates/tidetrack-core/src/traffic/control/rollouts.rs
@@ -74,9 +74,9 @@
         let known_revision = self.feeds.complete(Kind::Rollouts);
         let released = self.versions.release_ready(now, known_revision);
         if let Some(revision) = released.wanted_revision {
-            let draw = hash_fraction(&format!("rollouts/{revision}"), self.host.as_str());
-            let turn = (!self.roles.is_watcher).then(|| turn(draw, self.hosts()));
-            self.feeds.wants(now, Kind::Rollouts, revision, turn);
+            let fraction = hash_fraction(&format!("rollouts/{revision}"), self.host.as_str());
+            let delay = (!self.roles.is_watcher).then(|| turn(fraction, self.hosts()));
+            self.feeds.wants(now, Kind::Rollouts, revision, delay);
         }
         released.has_released
     }
--- a/crates/tidetrack-core/src/traffic/control/rounds.rs
+++ b/crates/tidetrack-core/src/traffic/control/rounds.rs
@@ -120,13 +120,13 @@
     fn pools_containing(&self, endpoints: &[EndpointId]) -> Vec<Vec<EndpointId>> {
         let pool_key = |r: &EndpointRecord| (r.service.clone(), r.version.clone());
         let records = endpoints.iter().filter_map(|id| self.table.get(id));
-        let names: BTreeSet<(ServiceId, VersionName)> = records.map(pool_key).collect();
+        let pool_keys: BTreeSet<(ServiceId, VersionName)> = records.map(pool_key).collect();
         let pool = |(service, version): &(ServiceId, VersionName)| {
             let records = self.table.records().filter(|r| !r.is_leaving);
             let records = records.filter(|r| r.service == *service && r.version == *version);
             records.map(|r| r.id.clone()).collect()
         };
-        names.iter().map(pool).collect()
+        pool_keys.iter().map(pool).collect()
     }
 
     /// Requests a proof of the configuration from a prover when this host's own proof is too old.
@@ -181,8 +181,8 @@
         }
         let hosts = self.hosts();
         for (service, exposure) in &self.exposures {
-            let is_open = |canary: &Trial| !canary.is_over();
-            if !self.canaries.get(service).is_some_and(is_open) {
+            let is_active = |canary: &Trial| !canary.is_over();
+            if !self.canaries.get(service).is_some_and(is_active) {
                 let sessions = exposure.told_of_late(now);
                 update.sessions.extend((!sessions.is_empty()).then(|| (service.clone(), sessions)));
             }
@@ -226,39 +226,39 @@
         if let Some(exposure) = self.exposures.get(service) {
             canary.judge.sent(now, exposure.sent_first());
         }
-        let mut all = canary.judge.tally(now).clone();
+        let mut total = canary.judge.tally(now).clone();
         let mut basis = Basis { endpoints, hosts, counted: 1 };
-        let mut since_move = basis;
-        let moved_at = canary.moved_at(hosts);
+        let mut since_cutover = basis;
+        let cutover_at = canary.moved_at(hosts);
         for (tally, age) in self.peers.tallies(now, service, &version) {
-            all.add(tally, age);
+            total.add(tally, age);
             basis.counted += 1;
-            since_move.counted += usize::from(now >= moved_at + age);
+            since_cutover.counted += usize::from(now >= cutover_at + age);
         }
         if canary.is_log_due(now) {
             let age_ms = canary.age(now).0;
             let moved = canary.has_moved(now, hosts);
             let text = format!(
                 "service={service} version={version} age_ms={age_ms} moved={moved} hosts={hosts} \
-                 counted={} counted_since_move={} endpoints={endpoints} {all}",
-                basis.counted, since_move.counted
+                 counted={} counted_since_move={} endpoints={endpoints} {total}",
+                basis.counted, since_cutover.counted
             );
             actions.push(Action::Log(Event::RolloutEvidence, text));
         }
         let is_reported_barred = self.peers.is_barred(service, &version) && canary.bar(now);
-        let finding = canary.judge(now, &all, basis, since_move);
+        let finding = canary.judge(now, &total, basis, since_cutover);
         if let Some(exposure) = self.exposures.get(service) {
             exposure.doubt(canary.is_doubted);
         }
-        let why = match finding {
+        let reason = match finding {
             Some(finding) => finding.to_string(),
             None if is_reported_barred => "told".into(),
             None => return false,
         };
         let text = format!(
-            "service={service} version={version} why={why} hosts={hosts} counted={} \
-             counted_since_move={} {all}",
-            basis.counted, since_move.counted
+            "service={service} version={version} why={reason} hosts={hosts} counted={} \
+             counted_since_move={} {total}",
+            basis.counted, since_cutover.counted
         );
         actions.push(Action::Log(Event::VersionBarred, text));
         true
--- a/crates/tidetrack-core/src/traffic/outliers.rs
+++ b/crates/tidetrack-core/src/traffic/outliers.rs
@@ -171,11 +171,11 @@
     pub fn record<'a>(
         &mut self,
         now: Millis,
-        live: impl Iterator<Item = (&'a EndpointId, &'a EndpointState)>,
+        endpoint_states: impl Iterator<Item = (&'a EndpointId, &'a EndpointState)>,
         peer_counts: &HashMap<EndpointKey, RequestCounts>,
     ) {
-        for (id, live) in live {
-            let outcomes = live.take_outcomes();
+        for (id, state) in endpoint_states {
+            let outcomes = state.take_outcomes();
             let others = peer_counts.get(&EndpointKey::from(id)).copied();
             if outcomes == Outcomes::default() && others.is_none() {
                 continue;
@@ -191,13 +191,13 @@
 
     /// Returns this host's counts of the endpoints that this host or another one recently saw fail.
     pub fn reports(&self, now: Millis) -> Vec<(EndpointKey, RequestCounts)> {
-        let peer_counts = self.histories.iter().filter_map(|(id, history)| {
+        let reports = self.histories.iter().filter_map(|(id, history)| {
             let own = history.own.value_at(now);
             let is_reported =
                 history.all.value_at(now).failed >= MIN_REPORTED && own.all >= MIN_REPORTED;
             is_reported.then(|| (EndpointKey::from(id), own))
         });
-        peer_counts.collect()
+        reports.collect()
     }
 
     /// Returns the endpoints that are in use and fail often enough to be compared with their pools.
@@ -247,8 +247,8 @@
 
 impl EndpointHistory {
     fn record(&mut self, now: Millis, outcomes: Outcomes, others: RequestCounts) {
-        let (good, failed) = (outcomes.succeeded as f32, outcomes.failed as f32);
-        let own = self.own.value_at(now).plus(RequestCounts { all: good + failed, failed });
+        let (succeeded, failed) = (outcomes.succeeded as f32, outcomes.failed as f32);
+        let own = self.own.value_at(now).plus(RequestCounts { all: succeeded + failed, failed });
         self.own = DecayingCounts { counts: own, updated_at: now };
         self.all = DecayingCounts { counts: own.plus(others), updated_at: now };
     }
