--- a/crates/tidetrack-core/src/limits.rs
+++ b/crates/tidetrack-core/src/limits.rs
@@ -223,8 +223,8 @@
     fn grant_one(&mut self, now: Millis, request: &LoanRequest) -> Option<Loan> {
         let share = self.shares.get_mut(&request.workspace)?;
         // Only the host's base share is lent: a borrowed rate may expire before the loan would.
-        let unlent = (share.base() - share.lent(now)).max(0.0);
-        let spare = (unlent - share.demand(now) * 1.2).max(0.0) * MAX_LENT_FRACTION;
+        let lendable = (share.base() - share.lent(now)).max(0.0);
+        let spare = (lendable - share.demand(now) * 1.2).max(0.0) * MAX_LENT_FRACTION;
         let rate = request.rate.min(spare);
         if !rate.is_finite() || rate < MIN_LOAN_RATE {
             return None;
--- a/crates/tidetrack-core/src/placement/mod.rs
+++ b/crates/tidetrack-core/src/placement/mod.rs
@@ -50,10 +50,11 @@
 
 /// The home endpoint is picked while its cost is at most this multiple of the mean cost of the
 /// random candidates.
-const MAX_HOME_LOAD_RATIO: f64 = 1.25;
+const MAX_HOME_COST_RATIO: f64 = 1.25;
 
-/// Work, in answer tokens, that is added to every endpoint's load when reread work is compared, so
-/// that small differences in load do not move a prefix.
+/// Work, in answer tokens, that is added to every endpoint's load when reread work is counted. It is
+/// smaller than the value for other requests, because the reread work itself already keeps a prefix
+/// in place.
 const BASE_WORK_WITH_PREFIX: f64 = 50.0;
 
 /// If no usable endpoint is found, ejections are ignored once one endpoint in this number is
@@ -247,7 +248,7 @@
         let mean =
             candidates.iter().map(|e| e.state.cost(now)).sum::<f64>() / candidates.len() as f64;
         let cost = home_endpoint.state.cost(now);
-        let keeps_home = cost <= mean * MAX_HOME_LOAD_RATIO || cost <= least_loaded.state.cost(now);
+        let keeps_home = cost <= mean * MAX_HOME_COST_RATIO || cost <= least_loaded.state.cost(now);
         Ok((
             if keeps_home { home_endpoint } else { least_loaded },
             fastest_pace.min(home_endpoint.state.pace()),
--- a/crates/tidetrack-core/src/traffic/control/limits.rs
+++ b/crates/tidetrack-core/src/traffic/control/limits.rs
@@ -18,7 +18,7 @@
     /// Computes what this host may send to each endpoint with a reported limit, if the inputs may
     /// have changed.
     pub(super) fn allocate_send_limits(&mut self, now: Millis, actions: &mut Vec<Action>) {
-        let hosts = self.hosts();
+        let hosts = self.host_count();
         let is_isolated = self.isolation.is_lost(now, hosts);
         if self.limits.is_empty() {
             return;
--- a/crates/tidetrack-core/src/traffic/control/mod.rs
+++ b/crates/tidetrack-core/src/traffic/control/mod.rs
@@ -274,7 +274,7 @@
     }
 
     /// Returns the number of known hosts, including this one.
-    fn hosts(&self) -> usize {
+    fn host_count(&self) -> usize {
         self.peers.len() + 1
     }
 
--- a/crates/tidetrack-core/src/traffic/control/rollouts.rs
+++ b/crates/tidetrack-core/src/traffic/control/rollouts.rs
@@ -75,7 +75,7 @@
         let released = self.versions.release_ready(now, known_revision);
         if let Some(revision) = released.wanted_revision {
             let fraction = hash_fraction(&format!("rollouts/{revision}"), self.host.as_str());
-            let delay = (!self.roles.is_watcher).then(|| turn(fraction, self.hosts()));
+            let delay = (!self.roles.is_watcher).then(|| turn(fraction, self.host_count()));
             self.feeds.wants(now, Kind::Rollouts, revision, delay);
         }
         released.has_released
--- a/crates/tidetrack-core/src/traffic/control/rounds.rs
+++ b/crates/tidetrack-core/src/traffic/control/rounds.rs
@@ -39,7 +39,7 @@
         self.roles = HostRoles {
             is_prover: self.peers.is_prover(),
             is_watcher: self.peers.is_watcher(),
-            host_count: self.hosts(),
+            host_count: self.host_count(),
         };
         let canaries = &self.canaries;
         self.peers.forget_tallies(|tally| {
@@ -54,7 +54,7 @@
         // other input, so a busy host would keep them.
         let has_view_changed = self.table.sweep(now);
         self.detect_outliers(now, actions);
-        self.note_suspects(actions);
+        self.log_suspect_changes(actions);
         self.allocate_send_limits(now, actions);
         let has_view_changed = self.update_versions(now, actions) || has_view_changed;
         self.last_update = self.build_update(now, fresh);
@@ -82,7 +82,7 @@
     }
 
     /// Logs requests that were barred or cleared as causes of crashes.
-    fn note_suspects(&self, actions: &mut Vec<Action>) {
+    fn log_suspect_changes(&self, actions: &mut Vec<Action>) {
         for change in self.suspects.take_changes() {
             actions.push(Action::Log(change.event(), change.to_string()));
         }
@@ -179,7 +179,7 @@
                 update.reads.push((service.clone(), reads));
             }
         }
-        let hosts = self.hosts();
+        let hosts = self.host_count();
         for (service, exposure) in &self.exposures {
             let is_active = |canary: &Trial| !canary.is_over();
             if !self.canaries.get(service).is_some_and(is_active) {
@@ -215,7 +215,7 @@
         service: &ServiceId,
         actions: &mut Vec<Action>,
     ) -> bool {
-        let hosts = self.hosts();
+        let hosts = self.host_count();
         let Some(canary) = self.canaries.get_mut(service).filter(|t| !t.is_over()) else {
             return false;
         };
@@ -271,7 +271,7 @@
         now: Millis,
         actions: &mut Vec<Action>,
     ) -> bool {
-        let hosts = self.hosts();
+        let hosts = self.host_count();
         let is_completing = |(service, canary): &(&ServiceId, &Trial)| {
             let write_delay = self.write_delay(now, service, canary);
             canary.is_ending(now, write_delay, hosts)
@@ -297,11 +297,11 @@
             collects: self.is_prover(),
             draw: hash_fraction(&hash_key, self.host.as_str()),
         };
-        canary.patience(now, writer, self.hosts())
+        canary.patience(now, writer, self.host_count())
     }
 
     pub(super) fn write_progress(&mut self, now: Millis, actions: &mut Vec<Action>) {
-        let hosts = self.hosts();
+        let hosts = self.host_count();
         let delay_of = |(service, canary)| self.write_delay(now, service, canary);
         let write_delay: Vec<Millis> = self.canaries.iter().map(delay_of).collect();
         for (canary, write_delay) in self.canaries.values_mut().zip(write_delay) {
--- a/crates/tidetrack-core/src/traffic/control/views.rs
+++ b/crates/tidetrack-core/src/traffic/control/views.rs
@@ -61,7 +61,7 @@
         canary_endpoints: Vec<PoolEndpoint>,
     ) -> ServiceView {
         let spread = self.peers.spread();
-        let hosts = self.hosts();
+        let hosts = self.host_count();
         let canary = self.canaries.get_mut(service).map(|t| t.view(spread, hosts));
         let exposure = self.exposures.entry(service.clone()).or_default().clone();
         let prefixes = self.prefixes.entry(service.clone()).or_default().clone();
