--- a/crates/tidetrack-bench/src/control.rs
+++ b/crates/tidetrack-bench/src/control.rs
@@ -5,7 +5,7 @@
 
 use anyhow::{Context, Result};
 
-use tidetrack_core::config::{Kind, Object, ObjectKey};
+use tidetrack_core::config::{Object, ObjectKey, ObjectKind};
 use tidetrack_testkit::fleet::{Fleet, FleetOptions};
 use tidetrack_wire::platform::config_name;
 
@@ -84,11 +84,11 @@
 
 /// Changes an object that no decision rests on; gets the new revision.
 fn change(fleet: &Fleet, text: &str) -> Result<u64> {
-    let key = ObjectKey::new(Kind::Model, "model");
+    let key = ObjectKey::new(ObjectKind::Model, "model");
     let there = fleet.platform.fetch(&config_name(&key))?;
-    let mut object = Object::from_json(Kind::Model, &there.body.unwrap_or_default())?;
+    let mut object = Object::from_json(ObjectKind::Model, &there.body.unwrap_or_default())?;
     if let Object::Model(model) = &mut object {
-        model.about = text.to_string();
+        model.description = text.to_string();
     }
     Ok(fleet.platform.write(&config_name(&key), there.version, &object.to_json())?.version)
 }
--- a/crates/tidetrack-bench/src/decisions.rs
+++ b/crates/tidetrack-bench/src/decisions.rs
@@ -5,10 +5,10 @@
 use std::collections::BTreeSet;
 
 use tidetrack_core::config::{Mode, Policy, Rollout, RolloutPhase, Stage, WhenStale};
-use tidetrack_core::evidence::{CellKey, Counts, Evidence};
+use tidetrack_core::evidence::{Evidence, EvidenceKey, VersionCounts};
 use tidetrack_core::ids::Incarnation;
 use tidetrack_core::policy::{Features, Program};
-use tidetrack_core::rollout::{first_state, next_state, Known};
+use tidetrack_core::rollout::{initial_state, next_state, RolloutContext};
 
 use crate::modelled::{simulate, Outcome, Placer, Run};
 
@@ -216,7 +216,7 @@
     stopped: bool,
 }
 
-fn observe(rng: &mut StdRng, b: Behaviour, counts: &mut Counts) {
+fn observe(rng: &mut StdRng, b: Behaviour, counts: &mut VersionCounts) {
     counts.started += 1;
     if rng.random::<f64>() < b.errors {
         counts.errors += 1;
@@ -225,7 +225,7 @@
     counts.answered += 1;
     // A rating is the sum of four draws: near normal, deviation about 0.12.
     let noise: f64 = (0..4).map(|_| rng.random_range(-0.1..0.1)).sum();
-    counts.rate(b.quality + noise);
+    counts.add_rating(b.quality + noise);
 }
 
 /// Rolls a version out by the core's rules, one look a second.
@@ -236,14 +236,14 @@
         from: "m@1".parse().expect("a version"),
         to: "m@2".parse().expect("a version"),
         stages: vec![stage(0.05, 40, 150), stage(0.25, 100, 600), stage(0.5, 200, 1_500)],
-        when_stale: WhenStale::ProvenOnly,
+        when_stale: WhenStale::StableOnly,
         stale_ms: 10_000,
     };
     let alive: BTreeSet<Incarnation> =
         (0..7).map(|i| format!("h{i}~1").parse().expect("an incarnation")).collect();
     let mut evidence = Evidence::default();
-    let mut state = first_state(1);
-    let mut cells = vec![(Counts::default(), Counts::default()); 7];
+    let mut state = initial_state(1);
+    let mut cells = vec![(VersionCounts::default(), VersionCounts::default()); 7];
     let mut out = RolledOut { exposed: 0, most_unjudged: 0, stopped: false };
     for _ in 0..4_000 {
         let share = spec.stages[state.stage].share;
@@ -258,24 +258,24 @@
                     observe(&mut rng, PROVEN, proven_counts);
                 }
             }
-            let key = |version: &str| CellKey {
+            let key = |version: &str| EvidenceKey {
                 version: version.parse().expect("a version"),
                 generation: 1,
-                seen_by: host.clone(),
+                observer: host.clone(),
             };
             // Judgements of this second are known only after it.
             out.most_unjudged = out.most_unjudged.max(unjudged(&evidence, &cells));
             evidence.merge(key("m@1"), &cells[h].1);
             evidence.merge(key("m@2"), &cells[h].0);
         }
-        let known = Known {
+        let known = RolloutContext {
             spec: &spec,
-            name: "r",
-            generation: 1,
-            proven_generation: 1,
+            rollout_name: "r",
+            canary_generation: 1,
+            stable_generation: 1,
             evidence: &evidence,
             alive: &alive,
-            barred: false,
+            is_canary_barred: false,
         };
         if let Some(next) = next_state(&known, &state) {
             state = next;
@@ -288,10 +288,10 @@
     out
 }
 
-fn unjudged(evidence: &Evidence, cells: &[(Counts, Counts)]) -> u64 {
+fn unjudged(evidence: &Evidence, cells: &[(VersionCounts, VersionCounts)]) -> u64 {
     let started: u64 = cells.iter().map(|(new, _)| new.started).sum();
     let version = "m@2".parse().expect("a version");
-    started.saturating_sub(evidence.total(&version, 1).judged())
+    started.saturating_sub(evidence.total(&version, 1).judged_count())
 }
 
 /// The baseline: fixed shares, a look at the mean after every fixed window.
@@ -299,7 +299,7 @@
     let mut rng = StdRng::seed_from_u64(seed);
     let mut out = RolledOut { exposed: 0, most_unjudged: 0, stopped: false };
     for share in [0.05, 0.25, 0.5] {
-        let (mut a, mut b) = (Counts::default(), Counts::default());
+        let (mut a, mut b) = (VersionCounts::default(), VersionCounts::default());
         // Ten minutes a window.
         for _ in 0..RATE * 600 {
             if rng.random::<f64>() < share {
@@ -309,8 +309,8 @@
                 observe(&mut rng, PROVEN, &mut b);
             }
         }
-        let errors = |c: &Counts| c.errors as f64 / c.started.max(1) as f64;
-        if b.mean() - a.mean() > 0.02 || errors(&a) - errors(&b) > 0.02 {
+        let errors = |c: &VersionCounts| c.errors as f64 / c.started.max(1) as f64;
+        if b.mean_score() - a.mean_score() > 0.02 || errors(&a) - errors(&b) > 0.02 {
             out.stopped = true;
             return out;
         }
--- a/crates/tidetrack-bench/src/state.rs
+++ b/crates/tidetrack-bench/src/state.rs
@@ -5,8 +5,8 @@
 
 use anyhow::Result;
 
-use tidetrack_core::config::{Endpoint, Kind, Model, Object, ObjectKey, Pool, Version};
-use tidetrack_core::evidence::{CellKey, Counts};
+use tidetrack_core::config::{Endpoint, Model, Object, ObjectKey, ObjectKind, Pool, Version};
+use tidetrack_core::evidence::{EvidenceKey, VersionCounts};
 use tidetrack_core::facts::Facts;
 use tidetrack_core::ids::Incarnation;
 use tidetrack_core::keeper::HoldCall;
@@ -64,7 +64,7 @@
             )
         });
         let pool = Pool { endpoints: endpoints.collect(), slots: 16, fenced: true };
-        put(ObjectKey::new(Kind::Pool, format!("pool-{v}")), Object::Pool(pool));
+        put(ObjectKey::new(ObjectKind::Pool, format!("pool-{v}")), Object::Pool(pool));
         let name = format!("model-{v}@1");
         let version = Version {
             pool: format!("pool-{v}").parse().expect("a pool"),
@@ -73,9 +73,9 @@
             price_out: Micros(1),
             context_tokens: 32_768,
         };
-        put(ObjectKey::new(Kind::Version, &name), Object::Version(version));
-        let model = Model { serving: name.parse().expect("a version"), about: String::new() };
-        put(ObjectKey::new(Kind::Model, format!("model-{v}")), Object::Model(model));
+        put(ObjectKey::new(ObjectKind::Version, &name), Object::Version(version));
+        let model = Model { serving: name.parse().expect("a version"), description: String::new() };
+        put(ObjectKey::new(ObjectKind::Model, format!("model-{v}")), Object::Model(model));
     }
     let to = entries.len() as u64;
     let mut store = Store::default();
@@ -86,7 +86,7 @@
 fn incarnation(n: usize) -> Incarnation {
     Incarnation {
         host: format!("host-{n}").parse().expect("a host"),
-        life: rendezvous("life", &n.to_string()),
+        nonce: rendezvous("life", &n.to_string()),
     }
 }
 
@@ -160,10 +160,10 @@
 fn member(n: usize) -> Member {
     Member {
         incarnation: incarnation(n),
-        beat: 1,
+        state_version: 1,
         state: MemberState::Alive,
-        peer: format!("10.0.{}.{}:9000", n / 256, n % 256),
-        caller: format!("10.0.{}.{}:8000", n / 256, n % 256),
+        peer_address: format!("10.0.{}.{}:9000", n / 256, n % 256),
+        caller_address: format!("10.0.{}.{}:8000", n / 256, n % 256),
         failure_domain: format!("d{}", n % 4).parse().expect("a failure domain"),
     }
 }
@@ -215,14 +215,14 @@
         let items: Vec<Item> = (0..cells)
             .map(|i| {
                 let version = "model-12@3".parse().expect("a version");
-                let key = CellKey { version, generation: 1, seen_by: incarnation(i) };
-                let counts = Counts {
+                let key = EvidenceKey { version, generation: 1, observer: incarnation(i) };
+                let counts = VersionCounts {
                     started: 1234,
                     answered: 1200,
                     errors: 3,
                     rated: 1100,
-                    sum: 900_000,
-                    sum_squares: 700_000_000,
+                    score_sum: 900_000,
+                    score_sum_squares: 700_000_000,
                 };
                 Item::Evidence(key, counts)
             })
--- a/crates/tidetrack-bench/src/virtual_fleet/checks.rs
+++ b/crates/tidetrack-bench/src/virtual_fleet/checks.rs
@@ -2,10 +2,10 @@
 
 use std::collections::BTreeSet;
 
-use tidetrack_core::config::{Kind, ObjectKey};
+use tidetrack_core::config::{ObjectKey, ObjectKind};
 use tidetrack_core::ids::RequestId;
 use tidetrack_core::ledger::{total_up, Bill};
-use tidetrack_core::view::Chosen;
+use tidetrack_core::view::ChosenVersion;
 
 use super::platform::{new_version, workspace};
 use super::{
@@ -16,7 +16,7 @@
     /// A host's word on how fresh it is must be true: it has all that was accepted by then.
     pub(super) fn check_fresh(&self, h: usize) -> Result<(), String> {
         let host = &self.hosts[h];
-        let Some(at) = host.node.fresh_at() else { return Ok(()) };
+        let Some(at) = host.node.confirmed_at() else { return Ok(()) };
         let at = at.0.saturating_sub(host.offset);
         for (accepted, key, version) in self.platform.writes.iter().rev() {
             if *accepted < at {
@@ -34,8 +34,8 @@
     }
 
     /// No new work on a withdrawn version, once the withdrawal could be known.
-    pub(super) fn check_withdrawn(&self, h: usize, chosen: &Chosen) -> Result<(), String> {
-        let key = ObjectKey::new(Kind::Withdrawal, chosen.version.to_string());
+    pub(super) fn check_withdrawn(&self, h: usize, chosen: &ChosenVersion) -> Result<(), String> {
+        let key = ObjectKey::new(ObjectKind::Withdrawal, chosen.version.to_string());
         let writes = &self.platform.writes;
         let Some((accepted, ..)) = writes.iter().find(|(_, k, _)| *k == key) else { return Ok(()) };
         let quiet = self.now >= self.last_fault + SETTLE_MS;
@@ -49,14 +49,14 @@
         // What a host was told itself binds it at once; a stale host keeps off unproven versions.
         let now = self.local(h);
         let host = &self.hosts[h];
-        let stale = host.node.fresh_age(now).is_none_or(|a| a.0 > STALE_MS);
+        let stale = host.node.confirmation_age(now).is_none_or(|a| a.0 > STALE_MS);
         if stale && chosen.version == new_version() {
             return self.fail(format!("h{h}, stale, put work on an unproven version"));
         }
         let known = host.node.store.lookup(&key).is_some();
         if known && self.now > born + TICK_MS * 2 && host.view.revision >= *accepted {
             let version = host.view.versions.get(&chosen.version);
-            if version.is_some_and(|v| v.barred) {
+            if version.is_some_and(|v| v.is_barred) {
                 return self.fail(format!("h{h} put work on a version that it knows is barred"));
             }
         }
--- a/crates/tidetrack-bench/src/virtual_fleet/duties.rs
+++ b/crates/tidetrack-bench/src/virtual_fleet/duties.rs
@@ -1,6 +1,6 @@
 //! What hosts ask of the platform and write there: reads, and the states of roll-outs.
 
-use tidetrack_core::config::{Kind, Object, ObjectKey, RolloutState};
+use tidetrack_core::config::{Object, ObjectKey, ObjectKind, RolloutState};
 use tidetrack_core::store::{Delta, Entry};
 use tidetrack_core::units::Millis;
 
@@ -10,7 +10,7 @@
     pub(super) fn ask_platform(&mut self, h: usize) {
         let now = self.local(h);
         let host = &self.hosts[h];
-        let due = host.node.is_watcher() || host.node.wants_poll(now);
+        let due = host.node.is_watcher() || host.node.needs_poll(now);
         if !due || self.now < host.asked_platform_at + 200 {
             return;
         }
@@ -55,8 +55,8 @@
         }
         let since = Millis(host.rollout_since.1 + host.offset);
         let view = host.view.clone();
-        let Some(mut state) = host.node.rollout_duty(now, &view, &rollout, since) else { return };
-        state.op = format!("{}-{}", host.name, global);
+        let Some(mut state) = host.node.rollout_update(now, &view, &rollout, since) else { return };
+        state.operation_id = format!("{}-{}", host.name, global);
         host.writing_state = true;
         let (life, expected) = (host.life, rollout.state_version);
         match self.latency().filter(|_| self.platform_reachable(h)) {
@@ -71,7 +71,7 @@
     }
 
     pub(super) fn write_state(&mut self, by: usize, life: u64, expected: u64, state: RolloutState) {
-        let key = ObjectKey::new(Kind::RolloutState, "r");
+        let key = ObjectKey::new(ObjectKind::RolloutState, "r");
         let body = Object::RolloutState(state.clone()).to_json();
         let written = match self.platform.up {
             true => self.platform.write(self.now, &key, expected, Some(body)),
@@ -92,11 +92,11 @@
     pub(super) fn state_done(&mut self, h: usize, version: u64, state: &RolloutState) {
         self.hosts[h].writing_state = false;
         if version > 0 {
-            let key = ObjectKey::new(Kind::RolloutState, "r");
+            let key = ObjectKey::new(ObjectKind::RolloutState, "r");
             let body = Object::RolloutState(state.clone()).to_json();
             let entry = Entry { key, version, body: Some(body.into()) };
             let delta = Delta { from: u64::MAX, to: 0, entries: vec![entry] };
-            self.hosts[h].node.on_written(delta);
+            self.hosts[h].node.on_object_written(delta);
         }
     }
 }
--- a/crates/tidetrack-bench/src/virtual_fleet/event.rs
+++ b/crates/tidetrack-bench/src/virtual_fleet/event.rs
@@ -10,7 +10,7 @@
 use tidetrack_core::store::{Delta, Entry};
 use tidetrack_core::tickets::{KeptAnswer, Ticket};
 use tidetrack_core::units::Millis;
-use tidetrack_core::view::Chosen;
+use tidetrack_core::view::ChosenVersion;
 
 use super::{Broken, World, TICK_MS};
 
@@ -95,12 +95,12 @@
     Done {
         at: usize,
         life: u64,
-        chosen: Box<Chosen>,
+        chosen: Box<ChosenVersion>,
     },
     Rate {
         at: usize,
         life: u64,
-        chosen: Box<Chosen>,
+        chosen: Box<ChosenVersion>,
     },
     TicketCall {
         to: usize,
@@ -174,7 +174,7 @@
                 self.seen.node_ns += started.elapsed().as_nanos() as u64;
                 self.check_fresh(to)?;
             }
-            Event::Failed { at, to, .. } => self.hosts[at].node.on_failed(&to),
+            Event::Failed { at, to, .. } => self.hosts[at].node.on_exchange_failed(&to),
             Event::Probed { at, target, reached, .. } => {
                 let now = self.local(at);
                 self.hosts[at].node.on_probe(now, &target, reached);
--- a/crates/tidetrack-bench/src/virtual_fleet/host.rs
+++ b/crates/tidetrack-bench/src/virtual_fleet/host.rs
@@ -37,13 +37,13 @@
     pub(super) born_at: u64,
 }
 
-fn member(name: &HostId, domain: usize, life: u64) -> Member {
+fn member(name: &HostId, domain: usize, nonce: u64) -> Member {
     Member {
-        incarnation: Incarnation { host: name.clone(), life },
-        beat: 1,
+        incarnation: Incarnation { host: name.clone(), nonce },
+        state_version: 1,
         state: MemberState::Alive,
-        peer: name.to_string(),
-        caller: name.to_string(),
+        peer_address: name.to_string(),
+        caller_address: name.to_string(),
         failure_domain: format!("d{domain}").parse().expect("a failure domain"),
     }
 }
--- a/crates/tidetrack-bench/src/virtual_fleet/platform.rs
+++ b/crates/tidetrack-bench/src/virtual_fleet/platform.rs
@@ -5,11 +5,11 @@
 use rand::RngExt;
 
 use tidetrack_core::config::{
-    Kind, Object, ObjectKey, Pool, Rollout, Stage, Version, WhenStale, Withdrawal, Workspace,
+    Object, ObjectKey, ObjectKind, Pool, Rollout, Stage, Version, WhenStale, Withdrawal, Workspace,
 };
 use tidetrack_core::ids::{VersionRef, WorkspaceId};
 use tidetrack_core::ledger::Segment;
-use tidetrack_core::rollout::first_state;
+use tidetrack_core::rollout::initial_state;
 use tidetrack_core::store::Entry;
 use tidetrack_core::units::Micros;
 
@@ -51,7 +51,7 @@
         from: old_version(),
         to: new_version(),
         stages: vec![stage(0.5)],
-        when_stale: WhenStale::ProvenOnly,
+        when_stale: WhenStale::StableOnly,
         stale_ms: STALE_MS,
     };
     let allow = [old_version(), new_version()].into();
@@ -61,15 +61,16 @@
         requests_per_second: LIMIT,
         concurrency: 1_000,
     };
-    let model = tidetrack_core::config::Model { serving: old_version(), about: String::new() };
+    let model =
+        tidetrack_core::config::Model { serving: old_version(), description: String::new() };
     vec![
-        (ObjectKey::new(Kind::Pool, "p"), Object::Pool(pool)),
-        (ObjectKey::new(Kind::Version, "m@1"), version("m@1")),
-        (ObjectKey::new(Kind::Version, "m@2"), version("m@2")),
-        (ObjectKey::new(Kind::Model, "m"), Object::Model(model)),
-        (ObjectKey::new(Kind::Workspace, "w"), Object::Workspace(caller)),
-        (ObjectKey::new(Kind::Rollout, "r"), Object::Rollout(rollout)),
-        (ObjectKey::new(Kind::RolloutState, "r"), Object::RolloutState(first_state(1))),
+        (ObjectKey::new(ObjectKind::Pool, "p"), Object::Pool(pool)),
+        (ObjectKey::new(ObjectKind::Version, "m@1"), version("m@1")),
+        (ObjectKey::new(ObjectKind::Version, "m@2"), version("m@2")),
+        (ObjectKey::new(ObjectKind::Model, "m"), Object::Model(model)),
+        (ObjectKey::new(ObjectKind::Workspace, "w"), Object::Workspace(caller)),
+        (ObjectKey::new(ObjectKind::Rollout, "r"), Object::Rollout(rollout)),
+        (ObjectKey::new(ObjectKind::RolloutState, "r"), Object::RolloutState(initial_state(1))),
     ]
 }
 
@@ -111,7 +112,7 @@
         let (key, object) = match withdraws {
             true => {
                 let withdrawal = Withdrawal { generation: 1, reason: String::new() };
-                (ObjectKey::new(Kind::Withdrawal, version), Object::Withdrawal(withdrawal))
+                (ObjectKey::new(ObjectKind::Withdrawal, version), Object::Withdrawal(withdrawal))
             }
             false => first_objects().swap_remove(3),
         };
--- a/crates/tidetrack-bench/src/virtual_fleet/requests.rs
+++ b/crates/tidetrack-bench/src/virtual_fleet/requests.rs
@@ -2,13 +2,13 @@
 
 use rand::RngExt;
 
-use tidetrack_core::evidence::Counts;
+use tidetrack_core::evidence::VersionCounts;
 use tidetrack_core::ids::{Incarnation, RequestId};
 use tidetrack_core::keeper::KeeperAction;
 use tidetrack_core::ledger::{Bill, Ended, Part, Segment};
 use tidetrack_core::tickets::{Admission, Ticket};
 use tidetrack_core::units::{Micros, Tokens};
-use tidetrack_core::view::{Chosen, Freshness};
+use tidetrack_core::view::{ChosenVersion, Freshness};
 
 use super::platform::{new_version, workspace};
 use super::{Broken, Event, World, CALL_TIMEOUT_MS, HEALED_TRAFFIC_MS};
@@ -24,12 +24,12 @@
         let now = self.local(h);
         let draw: f64 = self.rng.random();
         let host = &self.hosts[h];
-        let Some(age) = host.node.fresh_age(now) else { return Ok(()) };
+        let Some(age) = host.node.confirmation_age(now) else { return Ok(()) };
         let Some(caller) = host.view.workspaces.get(&workspace()) else { return Ok(()) };
         let model = "m".parse().expect("a model");
-        let mut chosen = host.view.choose(caller, &model, draw, Freshness { age });
+        let mut chosen = host.view.choose_version(caller, &model, draw, Freshness { age });
         if self.schedule.broken == Broken::IgnoredCap && draw < 0.5 {
-            chosen = Ok(Chosen {
+            chosen = Ok(ChosenVersion {
                 version: new_version(),
                 generation: 1,
                 pool: "p".parse().expect("a pool"),
@@ -51,16 +51,16 @@
         Ok(())
     }
 
-    pub(super) fn done(&mut self, h: usize, chosen: Chosen) {
+    pub(super) fn done(&mut self, h: usize, chosen: ChosenVersion) {
         let unproven = chosen.version == new_version();
-        let answered = Counts { answered: 1, ..Counts::default() };
+        let answered = VersionCounts { answered: 1, ..VersionCounts::default() };
         let host = &mut self.hosts[h];
-        host.node.count(&chosen.version, 1, unproven, &answered);
+        host.node.record_counts(&chosen.version, 1, unproven, &answered);
         host.next_bill += 1;
         let number = host.next_bill;
         let part = Part(chosen.version.clone(), Tokens(1), Tokens(1), Micros(1));
         host.keeper.keep(Bill(number, workspace(), vec![part], Ended::Whole));
-        let id = RequestId { incarnation: host.node.own().clone(), number };
+        let id = RequestId { incarnation: host.node.incarnation().clone(), number };
         self.made.insert(id.clone());
         match self.schedule.broken {
             // The end marker goes first; the bill is on its way with the next tick.
@@ -74,13 +74,13 @@
         }
     }
 
-    pub(super) fn rate(&mut self, h: usize, chosen: &Chosen) {
+    pub(super) fn rate(&mut self, h: usize, chosen: &ChosenVersion) {
         let unproven = chosen.version == new_version();
         let quality = if unproven { self.schedule.new_quality } else { 0.85 };
-        let mut counts = Counts::default();
-        counts.rate(quality + self.rng.random_range(-0.1..0.1));
+        let mut counts = VersionCounts::default();
+        counts.add_rating(quality + self.rng.random_range(-0.1..0.1));
         self.judged += u64::from(unproven);
-        self.hosts[h].node.count(&chosen.version, 1, unproven, &counts);
+        self.hosts[h].node.record_counts(&chosen.version, 1, unproven, &counts);
     }
 
     /// Carries out what the keeper of a host's bills wants done.
@@ -100,7 +100,7 @@
                 }
                 KeeperAction::Write(segment) => self.send_segment(h, segment),
                 KeeperAction::Safe(number) => {
-                    let incarnation = self.hosts[h].node.own().clone();
+                    let incarnation = self.hosts[h].node.incarnation().clone();
                     self.answered.insert(RequestId { incarnation, number });
                 }
                 KeeperAction::AskGone(of) => {
@@ -118,7 +118,7 @@
         let life = self.hosts[h].life;
         let own = segment.origin.host == self.hosts[h].name;
         if self.schedule.broken == Broken::DoubleFlush && !own {
-            segment.origin.life ^= 1;
+            segment.origin.nonce ^= 1;
         }
         match self.latency().filter(|_| self.platform_reachable(h)) {
             Some(ms) => self.at(self.now + ms, Event::Write { by: h, life, segment }),
@@ -162,7 +162,7 @@
     ) -> Result<(), String> {
         let now = self.local(h);
         let host = &mut self.hosts[h];
-        let ours = ticket.made_by == *host.node.own();
+        let ours = ticket.made_by == *host.node.incarnation();
         if !ours && self.schedule.broken != Broken::SharedTicket {
             let maker = self.index(&ticket.made_by.host);
             if let Some(ms) = self.latency().filter(|_| hops == 0 && self.reachable(h, maker)) {
@@ -177,7 +177,7 @@
             Ok(Admission::Run) => *runs += 1,
             Ok(Admission::Repeat(_)) => {}
             Err(_) if self.schedule.broken == Broken::SharedTicket && !ours => *runs += 1,
-            Err(e) if e.ran == tidetrack_core::codes::Ran::No && *runs > 0 => {
+            Err(e) if e.executed == tidetrack_core::codes::Executed::No && *runs > 0 => {
                 return self.fail(format!("a refusal said that {ticket:?} was not run"));
             }
             Err(_) => return Ok(()),
--- a/crates/tidetrack-bench/src/virtual_fleet/steps.rs
+++ b/crates/tidetrack-bench/src/virtual_fleet/steps.rs
@@ -2,7 +2,7 @@
 
 use std::time::Instant;
 
-use tidetrack_core::evidence::Counts;
+use tidetrack_core::evidence::VersionCounts;
 use tidetrack_core::keeper::Holder;
 use tidetrack_core::node::{Action, Exchange};
 use tidetrack_core::units::Millis;
@@ -23,8 +23,8 @@
         let spent = self.hosts[h].spent();
         let told = std::mem::replace(&mut self.hosts[h].spent_told, spent);
         if spent > told {
-            let counts = Counts { started: spent - told, ..Counts::default() };
-            self.hosts[h].node.count(&new_version(), 1, true, &counts);
+            let counts = VersionCounts { started: spent - told, ..VersionCounts::default() };
+            self.hosts[h].node.record_counts(&new_version(), 1, true, &counts);
         }
         self.publish(h)?;
         self.ask_platform(h);
@@ -33,8 +33,8 @@
         if self.hosts[h].holders_epoch != Some(epoch) {
             self.hosts[h].holders_epoch = Some(epoch);
             let holders = self.hosts[h].node.members.holders().into_iter();
-            let holders =
-                holders.map(|m| Holder { life: m.incarnation.clone(), address: m.peer.clone() });
+            let holders = holders
+                .map(|m| Holder { life: m.incarnation.clone(), address: m.peer_address.clone() });
             let holders = holders.collect();
             self.hosts[h].keeper.set_holders(holders);
         }
@@ -66,7 +66,7 @@
             return self.fail(what);
         }
         let view = self.hosts[h].view.clone();
-        self.hosts[h].node.quarantine(&view);
+        self.hosts[h].node.quarantine_bad_versions(&view);
         self.note_in_force();
         Ok(())
     }
--- a/crates/tidetrack-burn/src/burn.rs
+++ b/crates/tidetrack-burn/src/burn.rs
@@ -9,7 +9,7 @@
 use serde::Serialize;
 
 use tidetrack_core::config::Object;
-use tidetrack_core::declare::Declared;
+use tidetrack_core::declare::DeclaredObjects;
 
 use crate::scrape::{steps, Snapshot};
 
@@ -82,7 +82,7 @@
 }
 
 /// Works out the burn of every declared objective.
-pub fn report(snapshots: &[Snapshot], declared: &Declared) -> Vec<Burn> {
+pub fn report(snapshots: &[Snapshot], declared: &DeclaredObjects) -> Vec<Burn> {
     let steps = steps(snapshots);
     let objectives = declared.values().filter_map(|object| match object {
         Object::Objective(o) => Some((format!("{}/{}", o.workspace, o.route), o.target)),
--- a/crates/tidetrack-core/src/codes.rs
+++ b/crates/tidetrack-core/src/codes.rs
@@ -11,7 +11,7 @@
 /// Whether a refused or failed request had been run by an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Ran {
+pub enum Executed {
     /// No byte of it reached an endpoint, or the endpoint refused it before running.
     No,
     /// It may have been run.
@@ -21,7 +21,7 @@
 }
 
 macro_rules! codes {
-    ($($name:ident, $number:literal, $status:literal, $ran:ident, $text:literal;)*) => {
+    ($($name:ident, $number:literal, $status:literal, $executed:ident, $text:literal;)*) => {
         /// A result code.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
         pub enum Code {
@@ -43,8 +43,8 @@
             }
 
             /// Gets whether a request that ends with this code had been run, unless said otherwise.
-            pub fn ran(self) -> Ran {
-                match self { $(Code::$name => Ran::$ran,)* }
+            pub fn executed(self) -> Executed {
+                match self { $(Code::$name => Executed::$executed,)* }
             }
 
             /// Gets the code's sentence.
@@ -134,8 +134,8 @@
 pub fn codes_table() -> String {
     let mut out = String::from("| code | status | ran | meaning |\n|---|---|---|---|\n");
     for code in Code::ALL {
-        let ran = format!("{:?}", code.ran()).to_lowercase();
-        out.push_str(&format!("| {code} | {} | {ran} | {} |\n", code.status(), code.text()));
+        let executed = format!("{:?}", code.executed()).to_lowercase();
+        out.push_str(&format!("| {code} | {} | {executed} | {} |\n", code.status(), code.text()));
     }
     out
 }
@@ -155,7 +155,7 @@
     }
 
     #[test]
-    fn the_page_lists_the_same_table() {
+    fn the_docs_page_matches_the_table() {
         let page = include_str!("../../../docs/CODES.md");
         assert!(page.contains(&codes_table()), "docs/CODES.md differs; run tidetrackctl codes");
     }
--- a/crates/tidetrack-core/src/config.rs
+++ b/crates/tidetrack-core/src/config.rs
@@ -24,20 +24,20 @@
     ($($name:ident, $text:literal, $declared:literal;)*) => {
         /// The kind of an object.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-        pub enum Kind { $(#[doc = $text] $name,)* }
+        pub enum ObjectKind { $(#[doc = $text] $name,)* }
 
-        impl Kind {
+        impl ObjectKind {
             /// All kinds.
-            pub const ALL: &'static [Kind] = &[$(Kind::$name),*];
+            pub const ALL: &'static [ObjectKind] = &[$(ObjectKind::$name),*];
 
             /// Gets the kind's name, as it stands in keys.
             pub fn as_str(self) -> &'static str {
-                match self { $(Kind::$name => $text,)* }
+                match self { $(ObjectKind::$name => $text,)* }
             }
 
             /// Tells whether operators declare objects of this kind in a folder.
             pub fn is_declared(self) -> bool {
-                match self { $(Kind::$name => $declared,)* }
+                match self { $(ObjectKind::$name => $declared,)* }
             }
         }
 
@@ -48,8 +48,8 @@
 
         impl Object {
             /// Reads an object of the given kind from JSON text.
-            pub fn from_json(kind: Kind, text: &str) -> Result<Object, serde_json::Error> {
-                Ok(match kind { $(Kind::$name => Object::$name(serde_json::from_str(text)?),)* })
+            pub fn from_json(kind: ObjectKind, text: &str) -> Result<Object, serde_json::Error> {
+                Ok(match kind { $(ObjectKind::$name => Object::$name(serde_json::from_str(text)?),)* })
             }
         }
     };
@@ -74,14 +74,14 @@
 #[serde(try_from = "String", into = "String")]
 pub struct ObjectKey {
     /// The kind.
-    pub kind: Kind,
+    pub kind: ObjectKind,
     /// The name within the kind.
     pub name: String,
 }
 
 impl ObjectKey {
     /// Makes a key.
-    pub fn new(kind: Kind, name: impl fmt::Display) -> ObjectKey {
+    pub fn new(kind: ObjectKind, name: impl fmt::Display) -> ObjectKey {
         ObjectKey { kind, name: name.to_string() }
     }
 }
@@ -98,7 +98,7 @@
     fn from_str(s: &str) -> Result<Self> {
         let bad = || bad_value("object key", s, "kind/name");
         let (kind, name) = s.split_once('/').ok_or_else(bad)?;
-        let kind = Kind::ALL.iter().find(|k| k.as_str() == kind).ok_or_else(bad)?;
+        let kind = ObjectKind::ALL.iter().find(|k| k.as_str() == kind).ok_or_else(bad)?;
         Ok(ObjectKey { kind: *kind, name: name.to_string() })
     }
 }
@@ -148,8 +148,8 @@
     /// The version that serves when no roll-out says otherwise.
     pub serving: VersionRef,
     /// For people.
-    #[serde(default)]
-    pub about: String,
+    #[serde(rename = "about", default)]
+    pub description: String,
 }
 
 /// A version of a model.
@@ -213,8 +213,8 @@
     /// The endpoints by name.
     pub endpoints: BTreeMap<EndpointId, Endpoint>,
     /// Calls that must not be repeated, as `METHOD /path-prefix`.
-    #[serde(default)]
-    pub once: BTreeSet<String>,
+    #[serde(rename = "once", default)]
+    pub non_repeatable: BTreeSet<String>,
     /// Workspaces that may call it.
     pub workspaces: BTreeSet<WorkspaceId>,
     /// Milliseconds for one call.
@@ -228,8 +228,8 @@
 
 impl Service {
     /// Tells whether a call must not be repeated.
-    pub fn is_once(&self, method: &str, path: &str) -> bool {
-        self.once.iter().any(|rule| match rule.split_once(' ') {
+    pub fn is_non_repeatable(&self, method: &str, path: &str) -> bool {
+        self.non_repeatable.iter().any(|rule| match rule.split_once(' ') {
             Some((m, prefix)) => m == method && path.starts_with(prefix),
             None => false,
         })
@@ -249,11 +249,11 @@
 }
 
 impl Mode {
-    /// Tells whether the policy decides for a request drawn at `draw`, from 0 up to 1.
-    pub fn is_in_force(self, draw: f64) -> bool {
+    /// Tells whether the policy decides for a request drawn at `hash_fraction`, from 0 up to 1.
+    pub fn is_enforced(self, hash_fraction: f64) -> bool {
         match self {
             Mode::Observe => false,
-            Mode::Share(share) => draw < share,
+            Mode::Share(share) => hash_fraction < share,
             Mode::Full => true,
         }
     }
@@ -349,10 +349,12 @@
 #[serde(rename_all = "kebab-case")]
 pub enum WhenStale {
     /// Goes on.
-    GoOn,
+    #[serde(rename = "go-on")]
+    Continue,
     /// Sends new work to the proven version only.
     #[default]
-    ProvenOnly,
+    #[serde(rename = "proven-only")]
+    StableOnly,
     /// Refuses the route's requests.
     Stop,
 }
@@ -424,8 +426,8 @@
     #[serde(default)]
     pub judged: BTreeMap<Incarnation, u64>,
     /// The operation that wrote this state, to settle a lost reply.
-    #[serde(default)]
-    pub op: String,
+    #[serde(rename = "op", default)]
+    pub operation_id: String,
 }
 
 impl Object {
@@ -440,21 +442,21 @@
     use super::*;
 
     #[test]
-    fn once_rules_match_method_and_prefix() {
+    fn non_repeatable_rules_match_method_and_prefix() {
         let service = Service {
             endpoints: BTreeMap::new(),
-            once: ["POST /checkout".to_string()].into(),
+            non_repeatable: ["POST /checkout".to_string()].into(),
             workspaces: BTreeSet::new(),
             deadline_ms: 1,
         };
-        assert!(service.is_once("POST", "/checkout/7"));
-        assert!(!service.is_once("GET", "/checkout/7"));
-        assert!(!service.is_once("POST", "/books"));
+        assert!(service.is_non_repeatable("POST", "/checkout/7"));
+        assert!(!service.is_non_repeatable("GET", "/checkout/7"));
+        assert!(!service.is_non_repeatable("POST", "/books"));
     }
 
     #[test]
     fn keys_round_trip() {
-        let key = ObjectKey::new(Kind::RolloutState, "tagger-2");
+        let key = ObjectKey::new(ObjectKind::RolloutState, "tagger-2");
         assert_eq!(key.to_string().parse::<ObjectKey>().expect("a key"), key);
         assert!("gadget/x".parse::<ObjectKey>().is_err());
     }
--- a/crates/tidetrack-core/src/declare.rs
+++ b/crates/tidetrack-core/src/declare.rs
@@ -12,7 +12,8 @@
 
 use crate::codes::Code;
 use crate::config::{
-    Kind, Model, Object, ObjectKey, Objective, Policy, Pool, Rollout, Service, Version, Workspace,
+    Model, Object, ObjectKey, ObjectKind, Objective, Policy, Pool, Rollout, Service, Version,
+    Workspace,
 };
 use crate::errors::Error;
 use crate::ids::{ModelId, PoolId, RolloutId, RouteId, ServiceId, VersionRef, WorkspaceId};
@@ -45,7 +46,7 @@
 /// A file of declarations.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct File {
+struct DeclarationFile {
     #[serde(default)]
     workspace: BTreeMap<WorkspaceId, Workspace>,
     #[serde(default)]
@@ -66,29 +67,29 @@
     keyring: BTreeMap<String, KeyRing>,
 }
 
-impl File {
+impl DeclarationFile {
     fn into_objects(self) -> Vec<(ObjectKey, Object)> {
-        let mut out = Vec::new();
-        collect(&mut out, Kind::Workspace, self.workspace, Object::Workspace);
-        collect(&mut out, Kind::Model, self.model, Object::Model);
-        collect(&mut out, Kind::Version, self.version, Object::Version);
-        collect(&mut out, Kind::Pool, self.pool, Object::Pool);
-        collect(&mut out, Kind::Service, self.service, Object::Service);
-        collect(&mut out, Kind::Policy, self.policy, Object::Policy);
-        collect(&mut out, Kind::Rollout, self.rollout, Object::Rollout);
-        collect(&mut out, Kind::Objective, self.objective, Object::Objective);
-        collect(&mut out, Kind::KeyRing, self.keyring, Object::KeyRing);
-        out
+        let mut objects = Vec::new();
+        collect_objects(&mut objects, ObjectKind::Workspace, self.workspace, Object::Workspace);
+        collect_objects(&mut objects, ObjectKind::Model, self.model, Object::Model);
+        collect_objects(&mut objects, ObjectKind::Version, self.version, Object::Version);
+        collect_objects(&mut objects, ObjectKind::Pool, self.pool, Object::Pool);
+        collect_objects(&mut objects, ObjectKind::Service, self.service, Object::Service);
+        collect_objects(&mut objects, ObjectKind::Policy, self.policy, Object::Policy);
+        collect_objects(&mut objects, ObjectKind::Rollout, self.rollout, Object::Rollout);
+        collect_objects(&mut objects, ObjectKind::Objective, self.objective, Object::Objective);
+        collect_objects(&mut objects, ObjectKind::KeyRing, self.keyring, Object::KeyRing);
+        objects
     }
 }
 
-fn collect<K: fmt::Display, V>(
-    out: &mut Vec<(ObjectKey, Object)>,
-    kind: Kind,
+fn collect_objects<K: fmt::Display, V>(
+    objects: &mut Vec<(ObjectKey, Object)>,
+    kind: ObjectKind,
     from: BTreeMap<K, V>,
     wrap: fn(V) -> Object,
 ) {
-    out.extend(from.into_iter().map(|(name, v)| (ObjectKey::new(kind, name), wrap(v))));
+    objects.extend(from.into_iter().map(|(name, v)| (ObjectKey::new(kind, name), wrap(v))));
 }
 
 /// Reads TOML text into `T`, reporting every fault that can be told apart.
@@ -103,13 +104,13 @@
         };
         let span = err.span().unwrap_or(0..0);
         let line = text[..span.start.min(text.len())].matches('\n').count() + 1;
-        let told = faults.iter().any(|f: &Fault| f.line == line);
-        let missing = err.message().starts_with("missing field");
-        if !(told && missing) {
-            let message = with_nearest(err.message());
+        let is_reported = faults.iter().any(|f: &Fault| f.line == line);
+        let is_missing = err.message().starts_with("missing field");
+        if !(is_reported && is_missing) {
+            let message = with_suggestion(err.message());
             faults.push(Fault { file: file.to_string(), line, message });
         }
-        if missing || faults.len() >= MAX_FAULTS || !blank_line(&mut text, &span) {
+        if is_missing || faults.len() >= MAX_FAULTS || !blank_line(&mut text, &span) {
             return Err(faults);
         }
     }
@@ -128,31 +129,32 @@
 }
 
 /// Adds the nearest known name to a message about an unknown one.
-fn with_nearest(message: &str) -> String {
+fn with_suggestion(message: &str) -> String {
     let mut quoted = message.split('`').skip(1).step_by(2);
-    let given = quoted.next().unwrap_or_default();
-    let nearest = quoted
-        .max_by(|a, b| strsim::jaro_winkler(a, given).total_cmp(&strsim::jaro_winkler(b, given)));
+    let unknown = quoted.next().unwrap_or_default();
+    let nearest = quoted.max_by(|a, b| {
+        strsim::jaro_winkler(a, unknown).total_cmp(&strsim::jaro_winkler(b, unknown))
+    });
     match nearest {
         Some(name) if message.starts_with("unknown field") => {
-            format!("unknown name `{given}`; the nearest known is `{name}`")
+            format!("unknown name `{unknown}`; the nearest known is `{name}`")
         }
         _ => message.trim().to_string(),
     }
 }
 
 /// The objects of a folder, by key.
-pub type Declared = BTreeMap<ObjectKey, Object>;
+pub type DeclaredObjects = BTreeMap<ObjectKey, Object>;
 
 /// Reads and checks the files of a folder, given as names and texts.
-pub fn read_folder(files: &[(String, String)]) -> Result<Declared, Vec<Fault>> {
+pub fn read_folder(files: &[(String, String)]) -> Result<DeclaredObjects, Vec<Fault>> {
     let mut faults = Vec::new();
-    let mut all: BTreeMap<ObjectKey, (String, Object)> = BTreeMap::new();
+    let mut declared: BTreeMap<ObjectKey, (String, Object)> = BTreeMap::new();
     for (name, text) in files {
-        match read_toml::<File>(name, text) {
+        match read_toml::<DeclarationFile>(name, text) {
             Ok(file) => {
                 for (key, object) in file.into_objects() {
-                    if let Some((other, _)) = all.insert(key.clone(), (name.clone(), object)) {
+                    if let Some((other, _)) = declared.insert(key.clone(), (name.clone(), object)) {
                         let message = format!("{key} is declared in {other} too");
                         faults.push(Fault { file: name.clone(), line: 0, message });
                     }
@@ -162,57 +164,58 @@
         }
     }
     if faults.is_empty() {
-        faults = check_references(&all);
+        faults = check_references(&declared);
     }
     match faults.is_empty() {
-        true => Ok(all.into_iter().map(|(key, (_, object))| (key, object)).collect()),
+        true => Ok(declared.into_iter().map(|(key, (_, object))| (key, object)).collect()),
         false => Err(faults),
     }
 }
 
 /// Checks the names that objects use of each other, and the policies' programs and cases.
-fn check_references(all: &BTreeMap<ObjectKey, (String, Object)>) -> Vec<Fault> {
+fn check_references(declared: &BTreeMap<ObjectKey, (String, Object)>) -> Vec<Fault> {
     let mut faults = Vec::new();
-    for (key, (file, object)) in all {
-        let mut say = |message: String| {
+    for (key, (file, object)) in declared {
+        let mut report = |message: String| {
             let message = format!("{key}: {message}");
             faults.push(Fault { file: file.clone(), line: 0, message });
         };
-        let has = |kind: Kind, name: String| all.contains_key(&ObjectKey { kind, name });
-        let mut need = |kind: Kind, name: String| {
-            if !has(kind, name.clone()) {
-                say(format!("names {} {name}, which is not declared", kind.as_str()));
+        let is_declared =
+            |kind: ObjectKind, name: String| declared.contains_key(&ObjectKey { kind, name });
+        let mut require = |kind: ObjectKind, name: String| {
+            if !is_declared(kind, name.clone()) {
+                report(format!("names {} {name}, which is not declared", kind.as_str()));
             }
         };
         match object {
             Object::Workspace(w) => {
-                w.allow.iter().for_each(|v| need(Kind::Version, v.to_string()));
+                w.allow.iter().for_each(|v| require(ObjectKind::Version, v.to_string()));
             }
-            Object::Model(m) => need(Kind::Version, m.serving.to_string()),
-            Object::Version(v) => need(Kind::Pool, v.pool.to_string()),
+            Object::Model(m) => require(ObjectKind::Version, m.serving.to_string()),
+            Object::Version(v) => require(ObjectKind::Pool, v.pool.to_string()),
             Object::Service(s) => {
-                s.workspaces.iter().for_each(|w| need(Kind::Workspace, w.to_string()));
+                s.workspaces.iter().for_each(|w| require(ObjectKind::Workspace, w.to_string()));
             }
             Object::Policy(p) => {
-                p.fallback.iter().for_each(|m| need(Kind::Model, m.to_string()));
-                let models = |m: &ModelId| has(Kind::Model, m.to_string());
-                policy::check(p, &models).into_iter().for_each(&mut say);
+                p.fallback.iter().for_each(|m| require(ObjectKind::Model, m.to_string()));
+                let models = |m: &ModelId| is_declared(ObjectKind::Model, m.to_string());
+                policy::check(p, &models).into_iter().for_each(&mut report);
             }
             Object::Rollout(r) => {
-                need(Kind::Version, r.from.to_string());
-                need(Kind::Version, r.to.to_string());
-                check_rollout(r).into_iter().for_each(&mut say);
+                require(ObjectKind::Version, r.from.to_string());
+                require(ObjectKind::Version, r.to.to_string());
+                check_rollout(r).into_iter().for_each(&mut report);
             }
             Object::Objective(o) => {
-                need(Kind::Workspace, o.workspace.to_string());
-                need(Kind::Policy, o.route.to_string());
+                require(ObjectKind::Workspace, o.workspace.to_string());
+                require(ObjectKind::Policy, o.route.to_string());
                 if !(0.0..1.0).contains(&o.target) {
-                    say(format!("target {} is not from 0 up to, but not, 1", o.target));
+                    report(format!("target {} is not from 0 up to, but not, 1", o.target));
                 }
             }
             Object::KeyRing(k) => {
                 if k.current.secret.len() < MIN_SECRET_LEN {
-                    say(format!("the secret is shorter than {MIN_SECRET_LEN} characters"));
+                    report(format!("the secret is shorter than {MIN_SECRET_LEN} characters"));
                 }
             }
             Object::Pool(_) | Object::Withdrawal(_) | Object::RolloutState(_) => {}
@@ -225,22 +228,22 @@
 const MIN_SECRET_LEN: usize = 16;
 
 fn check_rollout(r: &Rollout) -> Vec<String> {
-    let mut out = Vec::new();
+    let mut messages = Vec::new();
     if r.from.model != r.to.model {
-        out.push(format!("{} and {} are of different models", r.from, r.to));
+        messages.push(format!("{} and {} are of different models", r.from, r.to));
     }
     if r.stages.is_empty() {
-        out.push("has no stages".to_string());
+        messages.push("has no stages".to_string());
     }
     for (i, stage) in r.stages.iter().enumerate() {
         if !(stage.share > 0.0 && stage.share <= 1.0) {
-            out.push(format!("stage {i}: share {} is not above 0 and up to 1", stage.share));
+            messages.push(format!("stage {i}: share {} is not above 0 and up to 1", stage.share));
         }
         if stage.cap == 0 {
-            out.push(format!("stage {i}: a cap of 0 lets nothing through"));
+            messages.push(format!("stage {i}: a cap of 0 lets nothing through"));
         }
     }
-    out
+    messages
 }
 
 /// Makes one coded error of many faults.
--- a/crates/tidetrack-core/src/errors.rs
+++ b/crates/tidetrack-core/src/errors.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::broke::Broke;
-use crate::codes::{Code, Ran};
+use crate::codes::{Code, Executed};
 
 /// A coded error.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -17,12 +17,13 @@
     /// What went wrong, for a person. Names the place.
     pub message: String,
     /// Whether the request had been run.
-    pub ran: Ran,
+    #[serde(rename = "ran")]
+    pub executed: Executed,
     /// When to come back, in milliseconds, where that is known.
     pub retry_after_ms: Option<u64>,
     /// How the connection broke, if one did. It concerns this host only.
     #[serde(skip)]
-    pub broke: Option<Broke>,
+    pub disconnect_cause: Option<Broke>,
 }
 
 /// A result with the crate's error.
@@ -31,18 +32,24 @@
 impl Error {
     /// Makes an error from a code and a message; `ran` is the code's own.
     pub fn new(code: Code, message: impl Into<String>) -> Error {
-        Error { code, message: message.into(), ran: code.ran(), retry_after_ms: None, broke: None }
+        Error {
+            code,
+            message: message.into(),
+            executed: code.executed(),
+            retry_after_ms: None,
+            disconnect_cause: None,
+        }
     }
 
     /// Sets whether the request had been run.
-    pub fn with_ran(mut self, ran: Ran) -> Error {
-        self.ran = ran;
+    pub fn with_executed(mut self, executed: Executed) -> Error {
+        self.executed = executed;
         self
     }
 
     /// Sets how the connection broke.
-    pub fn with_broke(mut self, broke: Broke) -> Error {
-        self.broke = Some(broke);
+    pub fn with_disconnect_cause(mut self, cause: Broke) -> Error {
+        self.disconnect_cause = Some(cause);
         self
     }
 
@@ -62,12 +69,12 @@
 impl std::error::Error for Error {}
 
 /// Makes the error for a value that does not parse.
-pub fn bad_value(kind: &'static str, value: &str, want: &str) -> Error {
-    let shown: String = value.chars().take(80).collect();
-    Error::new(Code::BadValue, format!("{kind} {shown:?} is not {want}"))
+pub fn bad_value(kind: &'static str, value: &str, expected: &str) -> Error {
+    let truncated: String = value.chars().take(80).collect();
+    Error::new(Code::BadValue, format!("{kind} {truncated:?} is not {expected}"))
 }
 
 /// Makes the error for something that is not known here.
-pub fn unknown(code: Code, what: &str, name: &dyn fmt::Display) -> Error {
+pub fn unknown_name(code: Code, what: &str, name: &dyn fmt::Display) -> Error {
     Error::new(code, format!("no {what} named {name}"))
 }
--- a/crates/tidetrack-core/src/events.rs
+++ b/crates/tidetrack-core/src/events.rs
@@ -106,7 +106,7 @@
     use super::*;
 
     #[test]
-    fn the_page_lists_the_same_table() {
+    fn the_docs_page_matches_the_table() {
         let page = include_str!("../../../docs/EVENTS.md");
         assert!(page.contains(&events_table()), "docs/EVENTS.md differs; run tidetrackctl codes");
     }
--- a/crates/tidetrack-core/src/evidence.rs
+++ b/crates/tidetrack-core/src/evidence.rs
@@ -12,24 +12,24 @@
 use crate::ids::{Incarnation, VersionRef};
 
 /// A score of 1 in the fixed-point sums.
-pub const SCORE_ONE: u64 = 1000;
+pub const SCORE_SCALE: u64 = 1000;
 
 /// Error probability of one comparison.
 pub const DEFAULT_ALPHA: f64 = 0.005;
 
 /// Count at which the confidence sequence is tuned to be narrowest.
-const TUNED_COUNT: f64 = 200.0;
+const TUNING_COUNT: f64 = 200.0;
 
 /// Least ratings of each side before a comparison says anything.
-const LEAST_COUNT: u64 = 20;
+const MIN_SAMPLES: u64 = 20;
 
 /// Least standard deviation assumed, so that a few equal ratings do not look certain.
-const LEAST_DEVIATION: f64 = 0.05;
+const MIN_STD_DEVIATION: f64 = 0.05;
 
 /// Counts of what was seen of one version.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "[u64; 6]", into = "[u64; 6]")]
-pub struct Counts {
+pub struct VersionCounts {
     /// Requests put on the version.
     pub started: u64,
     /// Requests that ended with an answer.
@@ -39,86 +39,89 @@
     /// Answers that were rated.
     pub rated: u64,
     /// Sum of the ratings, in thousandths.
-    pub sum: u64,
+    pub score_sum: u64,
     /// Sum of the squares of the ratings, in millionths.
-    pub sum_squares: u64,
+    pub score_sum_squares: u64,
 }
 
 // On the wire the counts stand in the order of their declaration.
-impl From<[u64; 6]> for Counts {
-    fn from([started, answered, errors, rated, sum, sum_squares]: [u64; 6]) -> Counts {
-        Counts { started, answered, errors, rated, sum, sum_squares }
+impl From<[u64; 6]> for VersionCounts {
+    fn from(
+        [started, answered, errors, rated, score_sum, score_sum_squares]: [u64; 6],
+    ) -> VersionCounts {
+        VersionCounts { started, answered, errors, rated, score_sum, score_sum_squares }
     }
 }
 
-impl From<Counts> for [u64; 6] {
-    fn from(c: Counts) -> [u64; 6] {
-        [c.started, c.answered, c.errors, c.rated, c.sum, c.sum_squares]
+impl From<VersionCounts> for [u64; 6] {
+    fn from(c: VersionCounts) -> [u64; 6] {
+        [c.started, c.answered, c.errors, c.rated, c.score_sum, c.score_sum_squares]
     }
 }
 
-impl Counts {
+impl VersionCounts {
     /// Adds one rating from 0 to 1.
-    pub fn rate(&mut self, score: f64) {
-        let score = (score.clamp(0.0, 1.0) * SCORE_ONE as f64).round() as u64;
+    pub fn add_rating(&mut self, score: f64) {
+        let score = (score.clamp(0.0, 1.0) * SCORE_SCALE as f64).round() as u64;
         self.rated += 1;
-        self.sum += score;
-        self.sum_squares += score * score;
+        self.score_sum += score;
+        self.score_sum_squares += score * score;
     }
 
     /// Gets how many of the requests put on the version were judged: rated or failed.
-    pub fn judged(&self) -> u64 {
+    pub fn judged_count(&self) -> u64 {
         self.rated + self.errors
     }
 
     /// Gets the mean rating; 0 if there is none.
-    pub fn mean(&self) -> f64 {
+    pub fn mean_score(&self) -> f64 {
         match self.rated {
             0 => 0.0,
-            n => self.sum as f64 / n as f64 / SCORE_ONE as f64,
+            n => self.score_sum as f64 / n as f64 / SCORE_SCALE as f64,
         }
     }
 
     /// Gets the standard deviation of the ratings.
-    fn deviation(&self) -> f64 {
+    fn std_deviation(&self) -> f64 {
         let n = self.rated.max(1) as f64;
-        let square = self.sum_squares as f64 / n / (SCORE_ONE * SCORE_ONE) as f64;
-        (square - self.mean() * self.mean()).max(0.0).sqrt().max(LEAST_DEVIATION)
+        let square = self.score_sum_squares as f64 / n / (SCORE_SCALE * SCORE_SCALE) as f64;
+        (square - self.mean_score() * self.mean_score()).max(0.0).sqrt().max(MIN_STD_DEVIATION)
     }
 
     /// Merges two states of one cell: every count only grows.
-    pub fn merge_max(&mut self, other: &Counts) -> bool {
-        let newer = other.size() > self.size();
-        if newer {
+    pub fn merge_max(&mut self, other: &VersionCounts) -> bool {
+        let is_newer = other.event_count() > self.event_count();
+        if is_newer {
             *self = *other;
         }
-        newer
+        is_newer
     }
 
     /// Adds the counts of another cell.
-    pub fn add(&mut self, other: &Counts) {
+    pub fn add(&mut self, other: &VersionCounts) {
         self.started += other.started;
         self.answered += other.answered;
         self.errors += other.errors;
         self.rated += other.rated;
-        self.sum += other.sum;
-        self.sum_squares += other.sum_squares;
+        self.score_sum += other.score_sum;
+        self.score_sum_squares += other.score_sum_squares;
     }
 
     /// Subtracts an earlier state of the same counts.
-    pub fn since(&self, earlier: &Counts) -> Counts {
-        Counts {
+    pub fn difference(&self, earlier: &VersionCounts) -> VersionCounts {
+        VersionCounts {
             started: self.started - earlier.started.min(self.started),
             answered: self.answered - earlier.answered.min(self.answered),
             errors: self.errors - earlier.errors.min(self.errors),
             rated: self.rated - earlier.rated.min(self.rated),
-            sum: self.sum - earlier.sum.min(self.sum),
-            sum_squares: self.sum_squares - earlier.sum_squares.min(self.sum_squares),
+            score_sum: self.score_sum - earlier.score_sum.min(self.score_sum),
+            score_sum_squares: self.score_sum_squares
+                - earlier.score_sum_squares.min(self.score_sum_squares),
         }
     }
 
     /// Gets a number that grows with every event.
-    pub fn size(&self) -> u64 {
+    pub fn event_count(&self) -> u64 {
         self.started + self.answered + self.errors + self.rated
     }
 }
@@ -127,120 +130,127 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// Not enough is known.
-    Open,
+    Inconclusive,
     /// The version is worse.
     Bad,
 }
 
 /// Gets the half width of the confidence sequence for a mean after `n` values.
-fn radius(n: u64, deviation: f64, alpha: f64) -> f64 {
+fn confidence_radius(n: u64, std_deviation: f64, alpha: f64) -> f64 {
     let n = n.max(1) as f64;
     let log = -2.0 * alpha.ln();
-    let rho2 = (log + (log + 1.0).ln()) / TUNED_COUNT;
+    let rho2 = (log + (log + 1.0).ln()) / TUNING_COUNT;
     let a = n * rho2 + 1.0;
-    deviation * (2.0 * a / (n * n * rho2) * (a.sqrt() / alpha).ln()).sqrt()
+    std_deviation * (2.0 * a / (n * n * rho2) * (a.sqrt() / alpha).ln()).sqrt()
 }
 
 /// Compares a version's counts with those of a proven one.
-pub fn compare(candidate: &Counts, proven: &Counts, alpha: f64) -> Verdict {
-    let ratings = worse_mean(candidate, proven, alpha / 2.0);
-    let errors = more_errors(candidate, proven, alpha / 2.0);
+pub fn compare(candidate: &VersionCounts, stable: &VersionCounts, alpha: f64) -> Verdict {
+    let ratings = has_lower_mean(candidate, stable, alpha / 2.0);
+    let errors = has_higher_error_rate(candidate, stable, alpha / 2.0);
     if ratings || errors {
         Verdict::Bad
     } else {
-        Verdict::Open
+        Verdict::Inconclusive
     }
 }
 
-fn worse_mean(candidate: &Counts, proven: &Counts, alpha: f64) -> bool {
-    if candidate.rated < LEAST_COUNT || proven.rated < LEAST_COUNT {
+fn has_lower_mean(candidate: &VersionCounts, stable: &VersionCounts, alpha: f64) -> bool {
+    if candidate.rated < MIN_SAMPLES || stable.rated < MIN_SAMPLES {
         return false;
     }
-    let rc = radius(candidate.rated, candidate.deviation(), alpha / 2.0);
-    let rp = radius(proven.rated, proven.deviation(), alpha / 2.0);
+    let candidate_radius =
+        confidence_radius(candidate.rated, candidate.std_deviation(), alpha / 2.0);
+    let stable_radius = confidence_radius(stable.rated, stable.std_deviation(), alpha / 2.0);
     // The two errors are independent, so their widths add as squares.
-    proven.mean() - candidate.mean() > (rc * rc + rp * rp).sqrt()
+    stable.mean_score() - candidate.mean_score()
+        > (candidate_radius * candidate_radius + stable_radius * stable_radius).sqrt()
 }
 
-fn more_errors(candidate: &Counts, proven: &Counts, alpha: f64) -> bool {
-    let nc = candidate.answered + candidate.errors;
-    let np = proven.answered + proven.errors;
-    if nc < LEAST_COUNT || np < LEAST_COUNT {
+fn has_higher_error_rate(candidate: &VersionCounts, stable: &VersionCounts, alpha: f64) -> bool {
+    let candidate_count = candidate.answered + candidate.errors;
+    let stable_count = stable.answered + stable.errors;
+    if candidate_count < MIN_SAMPLES || stable_count < MIN_SAMPLES {
         return false;
     }
-    let share = |errors: u64, n: u64| (errors as f64 + 1.0) / (n as f64 + 2.0);
-    let width = |p: f64, n: u64| radius(n, (p * (1.0 - p)).sqrt(), alpha / 2.0);
-    let (pc, pp) = (share(candidate.errors, nc), share(proven.errors, np));
-    let (rc, rp) = (width(pc, nc), width(pp, np));
-    pc - pp > (rc * rc + rp * rp).sqrt()
+    let smoothed_rate = |errors: u64, n: u64| (errors as f64 + 1.0) / (n as f64 + 2.0);
+    let radius_of = |p: f64, n: u64| confidence_radius(n, (p * (1.0 - p)).sqrt(), alpha / 2.0);
+    let (candidate_rate, stable_rate) = (
+        smoothed_rate(candidate.errors, candidate_count),
+        smoothed_rate(stable.errors, stable_count),
+    );
+    let (candidate_radius, stable_radius) =
+        (radius_of(candidate_rate, candidate_count), radius_of(stable_rate, stable_count));
+    candidate_rate - stable_rate
+        > (candidate_radius * candidate_radius + stable_radius * stable_radius).sqrt()
 }
 
 /// A cell of evidence: what one incarnation saw of one generation of a version.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(from = "(VersionRef, u64, Incarnation)", into = "(VersionRef, u64, Incarnation)")]
-pub struct CellKey {
+pub struct EvidenceKey {
     /// The version.
     pub version: VersionRef,
     /// The version's generation.
     pub generation: u64,
     /// Who saw it.
-    pub seen_by: Incarnation,
+    pub observer: Incarnation,
 }
 
-impl From<(VersionRef, u64, Incarnation)> for CellKey {
-    fn from((version, generation, seen_by): (VersionRef, u64, Incarnation)) -> CellKey {
-        CellKey { version, generation, seen_by }
+impl From<(VersionRef, u64, Incarnation)> for EvidenceKey {
+    fn from((version, generation, observer): (VersionRef, u64, Incarnation)) -> EvidenceKey {
+        EvidenceKey { version, generation, observer }
     }
 }
 
-impl From<CellKey> for (VersionRef, u64, Incarnation) {
-    fn from(k: CellKey) -> (VersionRef, u64, Incarnation) {
-        (k.version, k.generation, k.seen_by)
+impl From<EvidenceKey> for (VersionRef, u64, Incarnation) {
+    fn from(k: EvidenceKey) -> (VersionRef, u64, Incarnation) {
+        (k.version, k.generation, k.observer)
     }
 }
 
 /// All evidence that a host knows.
 #[derive(Clone, Debug, Default)]
 pub struct Evidence {
-    cells: BTreeMap<CellKey, Counts>,
+    counts_by_key: BTreeMap<EvidenceKey, VersionCounts>,
 }
 
 impl Evidence {
     /// Merges a cell; tells whether it was news.
-    pub fn merge(&mut self, key: CellKey, counts: &Counts) -> bool {
-        self.cells.entry(key).or_default().merge_max(counts)
+    pub fn merge(&mut self, key: EvidenceKey, counts: &VersionCounts) -> bool {
+        self.counts_by_key.entry(key).or_default().merge_max(counts)
     }
 
     /// Sums the cells of a version's generation.
-    pub fn total(&self, version: &VersionRef, generation: u64) -> Counts {
-        let mut total = Counts::default();
-        self.cells_of(version, generation).for_each(|(_, counts)| total.add(counts));
+    pub fn total(&self, version: &VersionRef, generation: u64) -> VersionCounts {
+        let mut total = VersionCounts::default();
+        self.counts_by_incarnation(version, generation).for_each(|(_, counts)| total.add(counts));
         total
     }
 
     /// Lists the cells of a version's generation.
-    pub fn cells_of<'a>(
+    pub fn counts_by_incarnation<'a>(
         &'a self,
         version: &'a VersionRef,
         generation: u64,
-    ) -> impl Iterator<Item = (&'a Incarnation, &'a Counts)> {
-        let matches = move |k: &CellKey| k.version == *version && k.generation == generation;
-        self.cells.iter().filter(move |(k, _)| matches(k)).map(|(k, c)| (&k.seen_by, c))
+    ) -> impl Iterator<Item = (&'a Incarnation, &'a VersionCounts)> {
+        let matches = move |k: &EvidenceKey| k.version == *version && k.generation == generation;
+        self.counts_by_key.iter().filter(move |(k, _)| matches(k)).map(|(k, c)| (&k.observer, c))
     }
 
     /// Gets one cell's counts.
-    pub fn cell(&self, key: &CellKey) -> Counts {
-        self.cells.get(key).copied().unwrap_or_default()
+    pub fn counts(&self, key: &EvidenceKey) -> VersionCounts {
+        self.counts_by_key.get(key).copied().unwrap_or_default()
     }
 
     /// Counts the cells.
     pub fn len(&self) -> usize {
-        self.cells.len()
+        self.counts_by_key.len()
     }
 
     /// Tells whether there is no cell.
     pub fn is_empty(&self) -> bool {
-        self.cells.is_empty()
+        self.counts_by_key.is_empty()
     }
 }
 
@@ -248,33 +258,33 @@
 mod tests {
     use super::*;
 
-    fn counts(n: u64, score: impl Fn(u64) -> f64) -> Counts {
-        let mut c = Counts { started: n, answered: n, ..Counts::default() };
-        (0..n).for_each(|i| c.rate(score(i)));
+    fn counts(n: u64, score: impl Fn(u64) -> f64) -> VersionCounts {
+        let mut c = VersionCounts { started: n, answered: n, ..VersionCounts::default() };
+        (0..n).for_each(|i| c.add_rating(score(i)));
         c
     }
 
     #[test]
-    fn a_clear_drop_is_found_and_equal_versions_are_not() {
+    fn a_clear_drop_is_detected_and_equal_versions_are_inconclusive() {
         let good = counts(200, |i| if i % 2 == 0 { 0.9 } else { 0.7 });
         let same = counts(200, |i| if i % 2 == 0 { 0.9 } else { 0.7 });
         let bad = counts(60, |i| if i % 2 == 0 { 0.6 } else { 0.4 });
-        assert_eq!(compare(&same, &good, DEFAULT_ALPHA), Verdict::Open);
+        assert_eq!(compare(&same, &good, DEFAULT_ALPHA), Verdict::Inconclusive);
         assert_eq!(compare(&bad, &good, DEFAULT_ALPHA), Verdict::Bad);
     }
 
     #[test]
     fn errors_count_without_ratings() {
-        let good = Counts { answered: 500, errors: 2, ..Counts::default() };
-        let bad = Counts { answered: 30, errors: 30, ..Counts::default() };
+        let good = VersionCounts { answered: 500, errors: 2, ..VersionCounts::default() };
+        let bad = VersionCounts { answered: 30, errors: 30, ..VersionCounts::default() };
         assert_eq!(compare(&bad, &good, DEFAULT_ALPHA), Verdict::Bad);
     }
 
     #[test]
     fn merging_is_a_maximum() {
         let (small, large) = (counts(3, |_| 0.5), counts(5, |_| 0.5));
-        let mut cell = large;
-        assert!(!cell.merge_max(&small));
-        assert_eq!(cell, large);
+        let mut merged = large;
+        assert!(!merged.merge_max(&small));
+        assert_eq!(merged, large);
     }
 }
--- a/crates/tidetrack-core/src/facts.rs
+++ b/crates/tidetrack-core/src/facts.rs
@@ -33,40 +33,42 @@
 /// All facts that a host knows.
 #[derive(Clone, Debug, Default)]
 pub struct Facts {
-    known: Journal<Subject, u64>,
+    generations: Journal<Subject, u64>,
 }
 
 impl Facts {
     /// Merges a fact; tells whether it was news.
     pub fn merge(&mut self, fact: Fact) -> bool {
-        let known = self.known.lookup(&fact.subject).copied().unwrap_or(0);
-        let news = fact.generation > known;
-        if news {
-            self.known.put(fact.subject, fact.generation);
+        let generations = self.generations.lookup(&fact.subject).copied().unwrap_or(0);
+        let is_new = fact.generation > generations;
+        if is_new {
+            self.generations.put(fact.subject, fact.generation);
         }
-        news
+        is_new
     }
 
     /// Tells whether a version's generation is barred.
-    pub fn bars_version(&self, version: &VersionRef, generation: u64) -> bool {
-        let barred = |subject| self.known.lookup(&subject).is_some_and(|g| *g >= generation);
-        barred(Subject::Withdrawn(version.clone())) || barred(Subject::Quarantined(version.clone()))
+    pub fn is_version_barred(&self, version: &VersionRef, generation: u64) -> bool {
+        let is_barred =
+            |subject| self.generations.lookup(&subject).is_some_and(|g| *g >= generation);
+        is_barred(Subject::Withdrawn(version.clone()))
+            || is_barred(Subject::Quarantined(version.clone()))
     }
 
     /// Tells whether an endpoint, as declared at a revision, is leaving.
     pub fn is_leaving(&self, endpoint: &EndpointId, declared_at: u64) -> bool {
-        let known = self.known.lookup(&Subject::Leaving(endpoint.clone()));
-        known.is_some_and(|g| *g >= declared_at)
+        let generations = self.generations.lookup(&Subject::Leaving(endpoint.clone()));
+        generations.is_some_and(|g| *g >= declared_at)
     }
 
     /// Gets the sequence number of the last news.
     pub fn seq(&self) -> u64 {
-        self.known.seq()
+        self.generations.seq()
     }
 
     /// Lists all facts.
     pub fn iter(&self) -> impl Iterator<Item = Fact> + '_ {
-        self.known.iter().map(|(s, g)| Fact { subject: s.clone(), generation: *g })
+        self.generations.iter().map(|(s, g)| Fact { subject: s.clone(), generation: *g })
     }
 }
 
@@ -75,13 +77,13 @@
     use super::*;
 
     #[test]
-    fn only_a_higher_generation_lifts_a_fact() {
+    fn a_higher_generation_is_not_barred() {
         let version: VersionRef = "m@1".parse().expect("a version");
         let mut facts = Facts::default();
         let fact = Fact { subject: Subject::Withdrawn(version.clone()), generation: 2 };
         assert!(facts.merge(fact.clone()));
         assert!(!facts.merge(Fact { generation: 1, ..fact }));
-        assert!(facts.bars_version(&version, 2));
-        assert!(!facts.bars_version(&version, 3));
+        assert!(facts.is_version_barred(&version, 2));
+        assert!(!facts.is_version_barred(&version, 3));
     }
 }
--- a/crates/tidetrack-core/src/ids.rs
+++ b/crates/tidetrack-core/src/ids.rs
@@ -17,9 +17,10 @@
 
 /// Checks that `s` is a valid name.
 fn check_name(kind: &'static str, s: &str) -> Result<()> {
-    let fits = !s.is_empty() && s.len() <= MAX_NAME_LEN;
-    let plain = s.chars().all(|c| c.is_ascii_alphanumeric() || matches!(c, '.' | '_' | '-'));
-    if fits && plain {
+    let has_valid_length = !s.is_empty() && s.len() <= MAX_NAME_LEN;
+    let has_valid_chars =
+        s.chars().all(|c| c.is_ascii_alphanumeric() || matches!(c, '.' | '_' | '-'));
+    if has_valid_length && has_valid_chars {
         Ok(())
     } else {
         Err(bad_value(kind, s, "1 to 64 of a-z A-Z 0-9 . _ -"))
@@ -191,12 +192,12 @@
     /// The host.
     pub host: HostId,
     /// The life of the host. Drawn at random at start; equality is all that counts.
-    pub life: u64,
+    pub nonce: u64,
 }
 
 impl fmt::Display for Incarnation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}~{:x}", self.host, self.life)
+        write!(f, "{}~{:x}", self.host, self.nonce)
     }
 }
 
@@ -205,10 +206,10 @@
 
     fn from_str(s: &str) -> Result<Self> {
         let bad = || bad_value("incarnation", s, "host~hex");
-        let (host, life) = s.rsplit_once('~').ok_or_else(bad)?;
+        let (host, nonce) = s.rsplit_once('~').ok_or_else(bad)?;
         Ok(Incarnation {
             host: host.parse()?,
-            life: u64::from_str_radix(life, 16).map_err(|_| bad())?,
+            nonce: u64::from_str_radix(nonce, 16).map_err(|_| bad())?,
         })
     }
 }
--- a/crates/tidetrack-core/src/journal.rs
+++ b/crates/tidetrack-core/src/journal.rs
@@ -107,7 +107,7 @@
 
     #[test]
     fn news_is_not_told_back_to_the_life_that_told_it() {
-        let life = |n: u64| Incarnation { host: "h".parse().expect("a host"), life: n };
+        let life = |n: u64| Incarnation { host: "h".parse().expect("a host"), nonce: n };
         let mut journal = Journal::default();
         journal.put_from("a", 1, Some(life(1)));
         assert_eq!(journal.news_for(Some(&life(1)), 0).count(), 0);
--- a/crates/tidetrack-core/src/node/exchange.rs
+++ b/crates/tidetrack-core/src/node/exchange.rs
@@ -6,8 +6,8 @@
 use crate::traffic::suspects::MOST_TOLD;
 use crate::units::Millis;
 
+use super::config_pull::{SMALL_DELTA_ONLY, TARGET_RESPONSE_TIME};
 use super::messages::Exchange;
-use super::pulls::{ANSWER_AIM, NO_ROOM};
 use super::{Link, Node};
 
 impl Node {
@@ -15,76 +15,80 @@
         &mut self,
         now: Millis,
         host: &HostId,
-        asks: Vec<LoanAsk>,
-        room: usize,
+        loan_requests: Vec<LoanAsk>,
+        max_reply_bytes: usize,
     ) -> Exchange {
         self.nonce = self.nonce.wrapping_add(1);
         let link = self.links.get(host).cloned().unwrap_or_default();
-        let (seq, items) = self.items_for(host, &link);
+        let (last_seq, items) = self.items_for(host, &link);
         let complete_to = self.store.complete_to();
-        let behind = link.peer_life.is_some() && link.peer_complete_to < complete_to;
+        let is_peer_behind = link.peer_incarnation.is_some() && link.peer_complete_to < complete_to;
         // A large run of changes is only announced: of many who have it, one will be asked for it.
-        let objects = behind.then(|| self.small_run_since(link.peer_complete_to)).flatten();
+        let changes =
+            is_peer_behind.then(|| self.small_delta_since(link.peer_complete_to)).flatten();
         if let Some(link) = self.links.get_mut(host) {
-            link.told_complete_to = complete_to;
+            link.reported_complete_to = complete_to;
         }
         Exchange {
-            from: self.own.clone(),
+            from: self.incarnation.clone(),
             nonce: self.nonce,
-            after: link.acked_by_peer,
-            seq,
-            acked: link.acked_of_peer,
+            after_seq: link.acked_by_peer,
+            last_seq,
+            acked_seq: link.received_seq,
             complete_to,
-            fresh_age_ms: self.fresh_age(now).map(|a| a.0),
-            room: Some(room),
-            objects,
+            confirmation_age_ms: self.confirmation_age(now).map(|a| a.0),
+            max_reply_bytes: Some(max_reply_bytes),
+            changes,
             items,
             suspects: self.suspects.told_to_one(now, MOST_TOLD),
-            asks,
+            loan_requests,
             loans: Vec::new(),
         }
     }
 
     /// Gets the changes after `from` if they are few enough to be told to whoever lacks them.
-    fn small_run_since(&self, from: u64) -> Option<Delta> {
-        let run = self.run_for(from, None)?;
-        let is_whole = run.to == self.store.complete_to();
-        (is_whole && run.body_bytes() <= self.options.push_bytes).then_some(run)
+    fn small_delta_since(&self, from: u64) -> Option<Delta> {
+        let delta = self.delta_for(from, None)?;
+        let is_complete = delta.to == self.store.complete_to();
+        (is_complete && delta.body_bytes() <= self.options.max_push_bytes).then_some(delta)
     }
 
     /// Gets the changes after `from` that the other side has room for; one that names none is a host
     /// of an earlier release, which takes what it is given.
-    fn run_for(&self, from: u64, room: Option<usize>) -> Option<Delta> {
-        let bytes = match room {
-            Some(NO_ROOM) => return self.small_run_since(from),
-            Some(room) => room.min(self.options.object_bytes),
-            None => self.options.object_bytes,
+    fn delta_for(&self, from: u64, max_reply_bytes: Option<usize>) -> Option<Delta> {
+        let bytes = match max_reply_bytes {
+            Some(SMALL_DELTA_ONLY) => return self.small_delta_since(from),
+            Some(max_reply_bytes) => max_reply_bytes.min(self.options.max_object_bytes),
+            None => self.options.max_object_bytes,
         };
-        Some(self.store.since(from, self.options.objects_most, bytes))
+        Some(self.store.changes_since(from, self.options.max_objects, bytes))
     }
 
     /// Answers another host's half of an exchange.
     pub fn on_exchange(&mut self, now: Millis, message: Exchange) -> Exchange {
         let host = message.from.host.clone();
-        let (nonce, peer_complete_to, room) = (message.nonce, message.complete_to, message.room);
-        let loans = self.limits().grant(now, &message.asks);
-        self.absorb(now, None, message);
+        let (nonce, peer_complete_to, max_reply_bytes) =
+            (message.nonce, message.complete_to, message.max_reply_bytes);
+        let loans = self.limits().grant(now, &message.loan_requests);
+        self.apply_message(now, None, message);
         let link = self.links.get(&host).cloned().unwrap_or_default();
-        let (seq, items) = self.items_for(&host, &link);
-        let behind = peer_complete_to < self.store.complete_to();
+        let (last_seq, items) = self.items_for(&host, &link);
+        let is_peer_behind = peer_complete_to < self.store.complete_to();
         Exchange {
-            from: self.own.clone(),
+            from: self.incarnation.clone(),
             nonce,
-            after: link.acked_by_peer,
-            seq,
-            acked: link.acked_of_peer,
+            after_seq: link.acked_by_peer,
+            last_seq,
+            acked_seq: link.received_seq,
             complete_to: self.store.complete_to(),
-            fresh_age_ms: self.fresh_age(now).map(|a| a.0),
-            room: None,
-            objects: behind.then(|| self.run_for(peer_complete_to, room)).flatten(),
+            confirmation_age_ms: self.confirmation_age(now).map(|a| a.0),
+            max_reply_bytes: None,
+            changes: is_peer_behind
+                .then(|| self.delta_for(peer_complete_to, max_reply_bytes))
+                .flatten(),
             items,
             suspects: self.suspects.told_to_one(now, MOST_TOLD),
-            asks: Vec::new(),
+            loan_requests: Vec::new(),
             loans,
         }
     }
@@ -92,47 +96,47 @@
     /// Takes the reply to an exchange that was sent at `sent_at` with `nonce`.
     pub fn on_reply(&mut self, now: Millis, to: &HostId, sent_at: Millis, nonce: u64, r: Exchange) {
         if let Some(link) = self.links.get_mut(to) {
-            link.waiting = false;
+            link.is_awaiting_reply = false;
         }
-        self.pulls.answered(now, to, self.options.object_bytes);
+        self.config_pull.on_response(now, to, self.options.max_object_bytes);
         if r.from.host == *to && r.nonce == nonce {
             self.limits().accept(sent_at, &r.loans);
-            self.absorb(now, Some(sent_at), r);
+            self.apply_message(now, Some(sent_at), r);
         }
     }
 
     /// Takes note that an exchange failed.
-    pub fn on_failed(&mut self, to: &HostId) {
-        self.pulls.failed(to);
+    pub fn on_exchange_failed(&mut self, to: &HostId) {
+        self.config_pull.on_failure(to);
         if let Some(link) = self.links.get_mut(to) {
-            link.waiting = false;
-            link.items.narrow();
+            link.is_awaiting_reply = false;
+            link.item_limit.halve();
         }
     }
 
-    /// Merges what the other side says. `asked_at` is there if this is a reply.
-    fn absorb(&mut self, now: Millis, asked_at: Option<Millis>, message: Exchange) {
-        let own_life = self.own.clone();
+    /// Merges what the other side says. `requested_at` is there if this is a reply.
+    fn apply_message(&mut self, now: Millis, requested_at: Option<Millis>, message: Exchange) {
+        let own_incarnation = self.incarnation.clone();
         let link = self.links.entry(message.from.host.clone()).or_default();
-        if link.peer_life.as_ref() != Some(&message.from) {
+        if link.peer_incarnation.as_ref() != Some(&message.from) {
             *link = Link { sent_at: link.sent_at, ..Link::default() };
-            link.peer_life = Some(message.from.clone());
+            link.peer_incarnation = Some(message.from.clone());
         }
-        link.heard_at = now;
-        link.probed = false;
-        if message.acked > link.acked_by_peer {
-            let is_late = asked_at.is_some_and(|at| now - at > ANSWER_AIM);
-            link.items.acknowledged(is_late, self.options.items_most);
-            link.acked_by_peer = message.acked;
+        link.last_received_at = now;
+        link.is_probed = false;
+        if message.acked_seq > link.acked_by_peer {
+            let is_late = requested_at.is_some_and(|at| now - at > TARGET_RESPONSE_TIME);
+            link.item_limit.on_acknowledged(is_late, self.options.max_items);
+            link.acked_by_peer = message.acked_seq;
         }
         link.peer_complete_to = link.peer_complete_to.max(message.complete_to);
         // Items that begin past what this life has would leave a gap: they count for nothing.
-        if message.after <= link.acked_of_peer {
-            link.acked_of_peer = link.acked_of_peer.max(message.seq);
+        if message.after_seq <= link.received_seq {
+            link.received_seq = link.received_seq.max(message.last_seq);
         }
-        debug_assert!(message.from != own_life);
-        let (complete_to, fresh) = (message.complete_to, message.fresh_age_ms);
-        if let Some(delta) = message.objects {
+        debug_assert!(message.from != own_incarnation);
+        let (complete_to, fresh) = (message.complete_to, message.confirmation_age_ms);
+        if let Some(delta) = message.changes {
             self.merge_objects(delta);
         }
         self.suspects.hear(now, &message.suspects);
@@ -141,9 +145,9 @@
             self.merge_item(now, &from, item);
         }
         // The other side's word holds from when it was asked, never from when it arrived.
-        if let (Some(asked_at), Some(age)) = (asked_at, fresh) {
+        if let (Some(requested_at), Some(age)) = (requested_at, fresh) {
             if complete_to <= self.store.complete_to() {
-                self.confirm(asked_at, Millis(age));
+                self.confirm(requested_at, Millis(age));
             }
         }
     }
--- a/crates/tidetrack-core/src/node/items.rs
+++ b/crates/tidetrack-core/src/node/item_limit.rs
@@ -10,41 +10,41 @@
 use super::{Link, Node};
 
 /// Items of a link's first message: about 3 KB, a few packets.
-const FIRST_ITEMS: usize = 50;
+const INITIAL_ITEMS: usize = 50;
 
 /// Fewest items of a message: about 1 KB, one packet.
-const LEAST_ITEMS: usize = 16;
+const MIN_ITEMS: usize = 16;
 
 /// How many items a message of a link carries.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct ItemRoom {
-    most: usize,
-    is_cut: bool,
+pub(super) struct ItemLimit {
+    max_items: usize,
+    is_truncated: bool,
 }
 
-impl Default for ItemRoom {
+impl Default for ItemLimit {
     fn default() -> Self {
-        ItemRoom { most: FIRST_ITEMS, is_cut: false }
+        ItemLimit { max_items: INITIAL_ITEMS, is_truncated: false }
     }
 }
 
-impl ItemRoom {
+impl ItemLimit {
     /// Tells whether the last message left items out: the next one follows soon, not with a beat.
-    pub(super) fn is_cut(&self) -> bool {
-        self.is_cut
+    pub(super) fn is_truncated(&self) -> bool {
+        self.is_truncated
     }
 
     /// Takes note that items were acknowledged.
-    pub(super) fn acknowledged(&mut self, is_late: bool, most: usize) {
+    pub(super) fn on_acknowledged(&mut self, is_late: bool, max_items: usize) {
         match is_late {
-            true => self.narrow(),
-            false => self.most = (self.most * 2).min(most),
+            true => self.halve(),
+            false => self.max_items = (self.max_items * 2).min(max_items),
         }
     }
 
     /// Halves the items of the next message.
-    pub(super) fn narrow(&mut self) {
-        self.most = (self.most / 2).max(LEAST_ITEMS);
+    pub(super) fn halve(&mut self) {
+        self.max_items = (self.max_items / 2).max(MIN_ITEMS);
     }
 }
 
@@ -52,25 +52,25 @@
     /// Chooses the items of a message, and the sequence number up to which they leave nothing out.
     pub(super) fn items_for(&mut self, host: &HostId, link: &Link) -> (u64, Vec<Item>) {
         let cursor = link.acked_by_peer;
-        let most = link.items.most.min(self.options.items_most);
-        let mut news = self.items.news_for(link.peer_life.as_ref(), cursor);
+        let max_items = link.item_limit.max_items.min(self.options.max_items);
+        let mut pending = self.items.news_for(link.peer_incarnation.as_ref(), cursor);
         let mut items = Vec::new();
         let mut seq = cursor;
-        for (at, item) in news.by_ref().take(most) {
-            seq = at;
+        for (item_seq, item) in pending.by_ref().take(max_items) {
+            seq = item_seq;
             items.push(item.clone());
         }
-        let mut is_cut = false;
-        for (_, item) in news {
-            is_cut = true;
+        let mut is_truncated = false;
+        for (_, item) in pending {
+            is_truncated = true;
             // They merge as a maximum: one that comes again with its turn does no harm.
             if matches!(item, Item::Fact(_)) {
                 items.push(item.clone());
             }
         }
         if let Some(link) = self.links.get_mut(host) {
-            link.items.is_cut = is_cut;
+            link.item_limit.is_truncated = is_truncated;
         }
-        (if is_cut { seq } else { self.items.seq() }, items)
+        (if is_truncated { seq } else { self.items.seq() }, items)
     }
 }
--- a/crates/tidetrack-core/src/node/links.rs
+++ b/crates/tidetrack-core/src/node/links.rs
@@ -3,15 +3,15 @@
 use std::collections::BTreeSet;
 
 use crate::ids::HostId;
-use crate::membership::{Member, MemberState, LINKS};
+use crate::membership::{Member, MemberState, LINKS_PER_HOST};
 use crate::units::Millis;
 
+use super::config_pull::SMALL_DELTA_ONLY;
 use super::messages::{Item, ItemKey};
-use super::pulls::NO_ROOM;
 use super::{Action, Link, Node};
 
 /// Hosts asked to probe a silent one.
-const PROBES: usize = 2;
+const INDIRECT_PROBES: usize = 2;
 
 impl Node {
     /// Lists the hosts to talk to, with addresses. Worked out anew only when the members change.
@@ -30,41 +30,42 @@
     fn choose_peers(&self) -> Vec<(HostId, String)> {
         let links = self.members.links();
         let mut peers: Vec<(HostId, String)> =
-            links.iter().map(|m| (m.incarnation.host.clone(), m.peer.clone())).collect();
+            links.iter().map(|m| (m.incarnation.host.clone(), m.peer_address.clone())).collect();
         // A host that is not connected yet asks the listed ones until it is.
-        let lacking = LINKS.saturating_sub(peers.len());
-        let dead = |h: &HostId| self.members.lookup(h).is_some_and(|m| !m.is_live());
-        let known: BTreeSet<HostId> = peers.iter().map(|(h, _)| h.clone()).collect();
-        let more = self.seeds.iter().filter(|(h, _)| !known.contains(*h) && !dead(h));
-        peers.extend(more.take(lacking).map(|(h, a)| (h.clone(), a.clone())));
+        let missing = LINKS_PER_HOST.saturating_sub(peers.len());
+        let is_dead = |h: &HostId| self.members.lookup(h).is_some_and(|m| !m.is_live());
+        let linked: BTreeSet<HostId> = peers.iter().map(|(h, _)| h.clone()).collect();
+        let listed = self.seeds.iter().filter(|(h, _)| !linked.contains(*h) && !is_dead(h));
+        peers.extend(listed.take(missing).map(|(h, a)| (h.clone(), a.clone())));
         peers
     }
 
-    pub(super) fn exchange_due(&mut self, now: Millis) -> Vec<Action> {
+    pub(super) fn due_exchanges(&mut self, now: Millis) -> Vec<Action> {
         let mut actions = Vec::new();
-        let mut wanted = self.peers();
-        let pull = self.source(now);
-        if let Some(lost) = self.lost_host(now) {
-            wanted.push(lost);
+        let mut targets = self.peers();
+        let source = self.pull_source(now);
+        if let Some(candidate) = self.reconnect_candidate(now) {
+            targets.push(candidate);
         }
-        if let Some(pull) = &pull {
-            wanted.retain(|(h, _)| *h != pull.0);
-            wanted.push(pull.clone());
+        if let Some(source) = &source {
+            targets.retain(|(h, _)| *h != source.0);
+            targets.push(source.clone());
         }
-        let asks = if wanted.is_empty() { Vec::new() } else { self.limits().asks(now) };
-        let asked = (self.nonce as usize) % wanted.len().max(1);
-        let opened = wanted.len();
-        wanted.extend(self.callers_with_news(now, &wanted));
-        for (i, (host, address)) in wanted.into_iter().enumerate() {
-            let asks = if i == asked { asks.clone() } else { Vec::new() };
-            let pulls = pull.as_ref().is_some_and(|(h, _)| *h == host);
-            let beats = i < opened;
-            if self.is_due(now, &host, !asks.is_empty(), pulls, beats) {
-                let room = if pulls { self.pulls.begin(now, &host) } else { NO_ROOM };
-                let message = self.message_for(now, &host, asks, room);
+        let loan_requests = if targets.is_empty() { Vec::new() } else { self.limits().asks(now) };
+        let loan_target = (self.nonce as usize) % targets.len().max(1);
+        let own_links = targets.len();
+        targets.extend(self.inbound_peers_to_update(now, &targets));
+        for (i, (host, address)) in targets.into_iter().enumerate() {
+            let loan_requests = if i == loan_target { loan_requests.clone() } else { Vec::new() };
+            let is_pull = source.as_ref().is_some_and(|(h, _)| *h == host);
+            let has_heartbeat = i < own_links;
+            if self.is_exchange_due(now, &host, !loan_requests.is_empty(), is_pull, has_heartbeat) {
+                let max_reply_bytes =
+                    if is_pull { self.config_pull.begin(now, &host) } else { SMALL_DELTA_ONLY };
+                let message = self.message_for(now, &host, loan_requests, max_reply_bytes);
                 let link = self.links.entry(host.clone()).or_default();
                 link.sent_at = now;
-                link.waiting = true;
+                link.is_awaiting_reply = true;
                 actions.push(Action::Exchange { to: host, address, message });
             }
         }
@@ -72,147 +73,159 @@
     }
 
     /// Gets the time within which a host that calls this one is heard again.
-    pub(super) fn heard_lately(&self) -> Millis {
-        Millis(self.options.beat_ms * 2 + self.options.beat_ms / 2)
+    pub(super) fn recent_contact_window(&self) -> Millis {
+        Millis(self.options.heartbeat_ms * 2 + self.options.heartbeat_ms / 2)
     }
 
     /// Lists the hosts that call this one and that it has no link of its own to, if there is news.
     ///
     /// They are told at once like the others: a host that nobody links to would otherwise learn of a
     /// change only with its own next beat.
-    fn callers_with_news(&self, now: Millis, known: &[(HostId, String)]) -> Vec<(HostId, String)> {
-        let heard = self.heard_lately();
-        let calls = |(host, link): &(&HostId, &Link)| {
-            let told = link.told_complete_to.max(link.peer_complete_to);
-            let news = link.acked_by_peer < self.urgent_seq || told < self.store.complete_to();
-            news && now - link.heard_at <= heard && !known.iter().any(|(h, _)| h == *host)
+    fn inbound_peers_to_update(
+        &self,
+        now: Millis,
+        excluded: &[(HostId, String)],
+    ) -> Vec<(HostId, String)> {
+        let window = self.recent_contact_window();
+        let needs_update = |(host, link): &(&HostId, &Link)| {
+            let reported = link.reported_complete_to.max(link.peer_complete_to);
+            let has_update =
+                link.acked_by_peer < self.urgent_seq || reported < self.store.complete_to();
+            has_update
+                && now - link.last_received_at <= window
+                && !excluded.iter().any(|(h, _)| h == *host)
         };
         let address = |host: &HostId| {
             let member = self.members.lookup(host).filter(|m| m.is_live())?;
-            Some((host.clone(), member.peer.clone()))
+            Some((host.clone(), member.peer_address.clone()))
         };
-        self.links.iter().filter(calls).filter_map(|(h, _)| address(h)).collect()
+        self.links.iter().filter(needs_update).filter_map(|(h, _)| address(h)).collect()
     }
 
     /// Picks, now and then, a host that is held dead or was never met: after a partition both sides
     /// hold each other dead, and without this neither would call the other.
-    pub(super) fn lost_host(&mut self, now: Millis) -> Option<(HostId, String)> {
-        if now - self.sought_at < Millis(self.options.seek_ms) {
+    pub(super) fn reconnect_candidate(&mut self, now: Millis) -> Option<(HostId, String)> {
+        if now - self.last_reconnect_at < Millis(self.options.reconnect_interval_ms) {
             return None;
         }
-        self.sought_at = now;
+        self.last_reconnect_at = now;
         // This host itself is held dead once it has left.
-        let is_other = |m: &&Member| m.incarnation.host != self.own.host;
+        let is_other = |m: &&Member| m.incarnation.host != self.incarnation.host;
         let dead = self.members.iter().filter(|m| !m.is_live()).filter(is_other);
-        let dead = dead.map(|m| (m.incarnation.host.clone(), m.peer.clone()));
+        let dead = dead.map(|m| (m.incarnation.host.clone(), m.peer_address.clone()));
         let unmet = self.seeds.iter().filter(|(h, _)| self.members.lookup(h).is_none());
-        let lost: Vec<(HostId, String)> =
+        let candidates: Vec<(HostId, String)> =
             dead.chain(unmet.map(|(h, a)| (h.clone(), a.clone()))).collect();
-        let turn = self.nonce as usize % lost.len().max(1);
-        lost.into_iter().nth(turn)
+        let index = self.nonce as usize % candidates.len().max(1);
+        candidates.into_iter().nth(index)
     }
 
-    fn is_due(
+    fn is_exchange_due(
         &mut self,
         now: Millis,
         host: &HostId,
-        asking: bool,
-        pulls: bool,
-        beats: bool,
+        has_loan_requests: bool,
+        is_pull: bool,
+        has_heartbeat: bool,
     ) -> bool {
-        let urgent = self.urgent_seq;
+        let urgent_seq = self.urgent_seq;
         let has_suspects = self.suspects.has_news(now);
         let complete_to = self.store.complete_to();
-        let beat = Millis(self.options.beat_ms);
+        let heartbeat = Millis(self.options.heartbeat_ms);
         let link = self.links.entry(host.clone()).or_insert_with(|| Link {
-            heard_at: now,
-            sent_at: now - beat,
+            last_received_at: now,
+            sent_at: now - heartbeat,
             ..Link::default()
         });
-        let passed = now - link.sent_at;
-        if link.waiting && passed < Millis(self.options.beat_ms * 2) {
+        let elapsed = now - link.sent_at;
+        if link.is_awaiting_reply && elapsed < Millis(self.options.heartbeat_ms * 2) {
             return false;
         }
-        let told = link.told_complete_to.max(link.peer_complete_to);
-        let news = link.acked_by_peer < urgent
-            || told < complete_to
-            || link.items.is_cut()
+        let reported = link.reported_complete_to.max(link.peer_complete_to);
+        let has_updates = link.acked_by_peer < urgent_seq
+            || reported < complete_to
+            || link.item_limit.is_truncated()
             || has_suspects;
-        pulls
-            || (beats && passed.0 >= self.options.beat_ms)
-            || ((news || asking) && passed.0 >= self.options.news_ms)
-            || (beats && link.peer_life.is_none() && passed.0 >= self.options.beat_ms / 4)
+        is_pull
+            || (has_heartbeat && elapsed.0 >= self.options.heartbeat_ms)
+            || ((has_updates || has_loan_requests) && elapsed.0 >= self.options.update_delay_ms)
+            || (has_heartbeat
+                && link.peer_incarnation.is_none()
+                && elapsed.0 >= self.options.heartbeat_ms / 4)
     }
 
-    pub(super) fn judge_members(&mut self, now: Millis) {
-        for host in self.members.suspected_for(now, Millis(self.options.suspect_ms)) {
+    pub(super) fn expire_members(&mut self, now: Millis) {
+        for host in self.members.suspected_for(now, Millis(self.options.suspect_timeout_ms)) {
             if let Some(member) = self.members.set_state(now, &host, MemberState::Dead) {
-                self.pass_on_member(member);
+                self.publish_member(member);
             }
         }
-        for host in self.members.forget_dead(now, Millis(self.options.forget_ms)) {
+        for host in self.members.forget_dead(now, Millis(self.options.dead_retention_ms)) {
             self.items.remove(&ItemKey::Member(host.clone()));
             self.links.remove(&host);
         }
     }
 
-    pub(super) fn pass_on_member(&mut self, member: Member) {
-        self.say_member(&member);
-        self.put_urgent(Item::Member(member), None);
+    pub(super) fn publish_member(&mut self, member: Member) {
+        self.log_member_state(&member);
+        self.publish_urgent(Item::Member(member), None);
     }
 
     /// Lists the probes for links that have gone silent.
-    pub(super) fn probes_due(&mut self, now: Millis) -> Vec<Action> {
-        let silent = Millis(self.options.silent_ms);
-        let quiet = |(host, link): (&HostId, &Link)| {
-            let live = self.members.lookup(host).is_some_and(|m| m.state < MemberState::Suspect);
-            (live && !link.probed && now - link.heard_at >= silent).then(|| host.clone())
+    pub(super) fn due_probes(&mut self, now: Millis) -> Vec<Action> {
+        let timeout = Millis(self.options.silence_timeout_ms);
+        let silent = |(host, link): (&HostId, &Link)| {
+            let is_live = self.members.lookup(host).is_some_and(|m| m.state < MemberState::Suspect);
+            (is_live && !link.is_probed && now - link.last_received_at >= timeout)
+                .then(|| host.clone())
         };
-        let quiet: Vec<HostId> = self.links.iter().filter_map(quiet).collect();
-        quiet.into_iter().flat_map(|host| self.probe(now, &host)).collect()
+        let silent: Vec<HostId> = self.links.iter().filter_map(silent).collect();
+        silent.into_iter().flat_map(|host| self.probe(now, &host)).collect()
     }
 
     fn probe(&mut self, now: Millis, target: &HostId) -> Vec<Action> {
         if let Some(link) = self.links.get_mut(target) {
-            link.probed = true;
+            link.is_probed = true;
         }
         let Some(target_member) = self.members.lookup(target).cloned() else { return Vec::new() };
-        let vias: Vec<Member> = self
+        let relays: Vec<Member> = self
             .members
             .ranked(target.as_str())
             .into_iter()
-            .filter(|m| m.incarnation.host != *target && m.incarnation.host != self.own.host)
-            .take(PROBES)
+            .filter(|m| {
+                m.incarnation.host != *target && m.incarnation.host != self.incarnation.host
+            })
+            .take(INDIRECT_PROBES)
             .cloned()
             .collect();
-        if vias.is_empty() {
+        if relays.is_empty() {
             self.on_probe(now, target, false);
         }
-        let probe_of = |via: Member| Action::Probe {
+        let to_probe = |via: Member| Action::Probe {
             via: via.incarnation.host,
-            via_address: via.peer,
+            via_address: via.peer_address,
             target: target.clone(),
-            target_address: target_member.peer.clone(),
+            target_address: target_member.peer_address.clone(),
         };
-        vias.into_iter().map(probe_of).collect()
+        relays.into_iter().map(to_probe).collect()
     }
 
     /// Takes the outcome of a probe: a host that others reach is left alone for a while.
-    pub fn on_probe(&mut self, now: Millis, target: &HostId, reached: bool) {
-        let silent = Millis(self.options.silent_ms);
-        let linked = self.peers().iter().any(|(h, _)| h == target);
-        if reached && !linked {
+    pub fn on_probe(&mut self, now: Millis, target: &HostId, is_reachable: bool) {
+        let timeout = Millis(self.options.silence_timeout_ms);
+        let is_linked = self.peers().iter().any(|(h, _)| h == target);
+        if is_reachable && !is_linked {
             // It lives and has chosen other hosts to call.
             self.links.remove(target);
             return;
         }
         let Some(link) = self.links.get_mut(target) else { return };
-        if reached {
-            link.heard_at = now;
-            link.probed = false;
-        } else if now - link.heard_at >= silent {
+        if is_reachable {
+            link.last_received_at = now;
+            link.is_probed = false;
+        } else if now - link.last_received_at >= timeout {
             if let Some(member) = self.members.set_state(now, target, MemberState::Suspect) {
-                self.pass_on_member(member);
+                self.publish_member(member);
             }
         }
     }
--- a/crates/tidetrack-core/src/node/messages.rs
+++ b/crates/tidetrack-core/src/node/messages.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::evidence::{CellKey, Counts};
+use crate::evidence::{EvidenceKey, VersionCounts};
 use crate::facts::{Fact, Subject};
 use crate::ids::{HostId, Incarnation};
 use crate::limits::{Loan, LoanAsk};
@@ -19,14 +19,14 @@
     /// A narrowing fact.
     Fact(Fact),
     /// A cell of evidence.
-    Evidence(CellKey, Counts),
+    Evidence(EvidenceKey, VersionCounts),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum ItemKey {
     Fact(Subject),
     Member(HostId),
-    Evidence(CellKey),
+    Evidence(EvidenceKey),
 }
 
 impl Item {
@@ -50,26 +50,26 @@
     pub nonce: u64,
     /// The sender's sequence number after which `items` begin.
     #[serde(rename = "a")]
-    pub after: u64,
+    pub after_seq: u64,
     /// The sender's sequence number up to which `items` reach.
     #[serde(rename = "s")]
-    pub seq: u64,
+    pub last_seq: u64,
     /// The receiver's sequence number up to which the sender has everything.
     #[serde(rename = "k")]
-    pub acked: u64,
+    pub acked_seq: u64,
     /// The sender's configuration is whole up to this revision.
     #[serde(rename = "c")]
     pub complete_to: u64,
     /// Time since the sender's configuration was confirmed to be the newest.
     #[serde(rename = "g", default, skip_serializing_if = "Option::is_none")]
-    pub fresh_age_ms: Option<u64>,
+    pub confirmation_age_ms: Option<u64>,
     /// Bytes of changes that the asker has room for in the reply; 0 is room for a small run only, and
     /// absent is what hosts of an earlier release say.
     #[serde(rename = "r", default, skip_serializing_if = "Option::is_none")]
-    pub room: Option<usize>,
+    pub max_reply_bytes: Option<usize>,
     /// Changes of the configuration that the receiver lacks.
     #[serde(rename = "o", default, skip_serializing_if = "Option::is_none")]
-    pub objects: Option<Delta>,
+    pub changes: Option<Delta>,
     /// What else changed.
     #[serde(rename = "i", default, skip_serializing_if = "Vec::is_empty")]
     pub items: Vec<Item>,
@@ -78,7 +78,7 @@
     pub suspects: Vec<ToldSuspect>,
     /// Shares wanted.
     #[serde(rename = "q", default, skip_serializing_if = "Vec::is_empty")]
-    pub asks: Vec<LoanAsk>,
+    pub loan_requests: Vec<LoanAsk>,
     /// Shares lent.
     #[serde(rename = "l", default, skip_serializing_if = "Vec::is_empty")]
     pub loans: Vec<Loan>,
--- a/crates/tidetrack-core/src/node/mod.rs
+++ b/crates/tidetrack-core/src/node/mod.rs
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 
 use crate::events::Event;
-use crate::evidence::{Counts, Evidence};
+use crate::evidence::{Evidence, VersionCounts};
 use crate::facts::Facts;
 use crate::ids::{HostId, Incarnation, VersionRef};
 use crate::journal::Journal;
@@ -19,22 +19,22 @@
 use crate::store::Store;
 use crate::traffic::suspects::Suspects;
 use crate::units::Millis;
-use crate::view::{Confirmation, View, ViewBuilder};
+use crate::view::{ConfigConfirmation, View, ViewBuilder};
 
-mod duties;
+mod config_pull;
 mod exchange;
-mod items;
-mod knowledge;
+mod item_limit;
 mod links;
+mod merge;
 mod messages;
 mod options;
-mod pulls;
+mod rollout_control;
 
-use items::ItemRoom;
+use config_pull::ConfigPull;
+use item_limit::ItemLimit;
 use messages::ItemKey;
 pub use messages::{Exchange, Item};
 pub use options::NodeOptions;
-use pulls::Pulls;
 
 /// What a node wants done.
 #[derive(Clone, Debug, PartialEq)]
@@ -65,33 +65,33 @@
 
 #[derive(Clone, Debug, Default)]
 struct Link {
-    peer_life: Option<Incarnation>,
+    peer_incarnation: Option<Incarnation>,
     acked_by_peer: u64,
-    acked_of_peer: u64,
+    received_seq: u64,
     peer_complete_to: u64,
     /// What the peer was told that this host has.
-    told_complete_to: u64,
-    heard_at: Millis,
+    reported_complete_to: u64,
+    last_received_at: Millis,
     sent_at: Millis,
-    waiting: bool,
-    probed: bool,
-    items: ItemRoom,
+    is_awaiting_reply: bool,
+    is_probed: bool,
+    item_limit: ItemLimit,
 }
 
 /// What this host saw of a version, and what it has told of it.
 #[derive(Clone, Copy, Debug, Default)]
-struct OwnCounts {
-    counts: Counts,
-    told_at: Millis,
-    untold: bool,
-    unproven: bool,
+struct LocalCounts {
+    counts: VersionCounts,
+    published_at: Millis,
+    is_unpublished: bool,
+    is_canary: bool,
 }
 
 /// The control state of one host.
 #[derive(Debug)]
 pub struct Node {
     options: NodeOptions,
-    own: Incarnation,
+    incarnation: Incarnation,
     /// Who is alive.
     pub members: Members,
     /// The configuration.
@@ -104,60 +104,60 @@
     pub limits: Arc<Mutex<Limits>>,
     /// Requests under which endpoints crashed; traffic threads use them too.
     pub suspects: Arc<Suspects>,
-    own_counts: BTreeMap<(VersionRef, u64), OwnCounts>,
+    local_counts: BTreeMap<(VersionRef, u64), LocalCounts>,
     /// Versions that a running roll-out is about.
-    watched: BTreeSet<VersionRef>,
+    rollout_versions: BTreeSet<VersionRef>,
     /// Sequence number of the last news that should not wait for a beat.
     urgent_seq: u64,
-    pulls: Pulls,
-    sought_at: Millis,
+    config_pull: ConfigPull,
+    last_reconnect_at: Millis,
     items: Journal<ItemKey, Item>,
     links: BTreeMap<HostId, Link>,
     seeds: BTreeMap<HostId, String>,
     peers: Option<(u64, Vec<(HostId, String)>)>,
-    watcher: Cell<Option<(u64, bool)>>,
-    confirmed: Option<Confirmation>,
-    changed: bool,
+    watcher_cache: Cell<Option<(u64, bool)>>,
+    confirmation: Option<ConfigConfirmation>,
+    has_changed: bool,
     nonce: u64,
-    log: Vec<Action>,
+    pending_log: Vec<Action>,
 }
 
 impl Node {
     /// Makes the state of a host that has just started.
     pub fn new(own: Member, options: NodeOptions, nonce: u64) -> Node {
-        let incarnation = own.incarnation.clone();
+        let own_incarnation = own.incarnation.clone();
         let mut items = Journal::default();
         let item = Item::Member(own.clone());
         items.put(item.key(), item);
         Node {
             options,
-            own: incarnation,
+            incarnation: own_incarnation,
             members: Members::new(own),
             store: Store::default(),
             facts: Facts::default(),
             evidence: Evidence::default(),
             limits: Arc::default(),
             suspects: Arc::default(),
-            own_counts: BTreeMap::new(),
-            watched: BTreeSet::new(),
+            local_counts: BTreeMap::new(),
+            rollout_versions: BTreeSet::new(),
             urgent_seq: 0,
-            pulls: Pulls::default(),
-            sought_at: Millis(0),
+            config_pull: ConfigPull::default(),
+            last_reconnect_at: Millis(0),
             items,
             links: BTreeMap::new(),
             seeds: BTreeMap::new(),
             peers: None,
-            watcher: Cell::new(None),
-            confirmed: None,
-            changed: false,
+            watcher_cache: Cell::new(None),
+            confirmation: None,
+            has_changed: false,
             nonce,
-            log: Vec::new(),
+            pending_log: Vec::new(),
         }
     }
 
     /// Gets this host's incarnation.
-    pub fn own(&self) -> &Incarnation {
-        &self.own
+    pub fn incarnation(&self) -> &Incarnation {
+        &self.incarnation
     }
 
     fn limits(&self) -> MutexGuard<'_, Limits> {
@@ -167,28 +167,28 @@
     /// Takes the platform's list of hosts: places to talk to.
     pub fn set_seeds(&mut self, seeds: BTreeMap<HostId, String>) {
         self.seeds = seeds;
-        self.seeds.remove(&self.own.host);
+        self.seeds.remove(&self.incarnation.host);
         self.peers = None;
     }
 
     /// Tells, once, whether the view must be built again.
     pub fn take_changed(&mut self) -> bool {
-        std::mem::take(&mut self.changed)
+        std::mem::take(&mut self.has_changed)
     }
 
     /// Gets the time since the configuration was confirmed to be the newest.
-    pub fn fresh_age(&self, now: Millis) -> Option<Millis> {
-        self.fresh_at().map(|at| now - at)
+    pub fn confirmation_age(&self, now: Millis) -> Option<Millis> {
+        self.confirmed_at().map(|at| now - at)
     }
 
     /// Gets the instant at which the configuration was last confirmed.
-    pub fn fresh_at(&self) -> Option<Millis> {
-        self.confirmed.map(|c| c.fresh_at)
+    pub fn confirmed_at(&self) -> Option<Millis> {
+        self.confirmation.map(|c| c.confirmed_at)
     }
 
     /// Gets when the configuration was last confirmed, and when that was asked for.
-    pub fn confirmed(&self) -> Option<Confirmation> {
-        self.confirmed
+    pub fn confirmation(&self) -> Option<ConfigConfirmation> {
+        self.confirmation
     }
 
     /// Tells whether this host should keep a watch on the object API.
@@ -196,60 +196,62 @@
     /// Worked out anew only when the members change.
     pub fn is_watcher(&self) -> bool {
         let epoch = self.members.epoch();
-        match self.watcher.get() {
-            Some((at, watcher)) if at == epoch => watcher,
+        match self.watcher_cache.get() {
+            Some((at, is_watcher)) if at == epoch => is_watcher,
             _ => {
-                let watcher = self.members.own_rank_in_domain("watch") < self.options.watchers;
-                self.watcher.set(Some((epoch, watcher)));
-                watcher
+                let is_watcher =
+                    self.members.rank_in_domain("watch") < self.options.watchers_per_domain;
+                self.watcher_cache.set(Some((epoch, is_watcher)));
+                is_watcher
             }
         }
     }
 
     /// Tells whether this host should read the object API now, watcher or not.
-    pub fn wants_poll(&self, now: Millis) -> bool {
-        let age = self.fresh_age(now);
-        !self.store.is_ready() || age.is_none_or(|a| a.0 > self.options.poll_ms)
+    pub fn needs_poll(&self, now: Millis) -> bool {
+        let age = self.confirmation_age(now);
+        !self.store.is_ready() || age.is_none_or(|a| a.0 > self.options.max_confirmation_age_ms)
     }
 
     /// Counts the hosts that share limits: all that are known and not dead.
-    pub fn hosts(&self) -> usize {
+    pub fn live_host_count(&self) -> usize {
         self.members.live().count()
     }
 
     /// Does what is due.
     pub fn tick(&mut self, now: Millis) -> Vec<Action> {
         self.publish_evidence(now);
-        self.note_suspects();
-        self.judge_members(now);
+        self.log_suspect_changes();
+        self.expire_members(now);
         // A host that has met few others yet goes by the platform's list, lest its share be too large.
         let hosts = self.members.iter().count().max(self.seeds.len() + 1);
         self.limits().set_hosts(hosts);
-        let mut actions = self.exchange_due(now);
-        actions.extend(self.probes_due(now));
-        actions.append(&mut self.log);
+        let mut actions = self.due_exchanges(now);
+        actions.extend(self.due_probes(now));
+        actions.append(&mut self.pending_log);
         actions
     }
 
     /// Logs which requests under suspicion were barred or cleared.
-    fn note_suspects(&mut self) {
+    fn log_suspect_changes(&mut self) {
         for change in self.suspects.take_changes() {
-            self.say(change.event(), change.to_string());
+            self.push_log(change.event(), change.to_string());
         }
     }
 
-    fn say(&mut self, event: Event, text: String) {
-        self.log.push(Action::Log(event, text));
+    fn push_log(&mut self, event: Event, text: String) {
+        self.pending_log.push(Action::Log(event, text));
     }
 
     /// Builds the traffic threads' view.
     pub fn view(&mut self, now: Millis, builder: &mut ViewBuilder) -> View {
-        let (view, unreadable) = builder.build(&self.own, &self.store, &self.facts);
-        for (key, why) in unreadable {
-            self.say(Event::ConfigRejected, format!("{key}: {why}"));
+        let (view, unreadable) = builder.build(&self.incarnation, &self.store, &self.facts);
+        for (key, reason) in unreadable {
+            self.push_log(Event::ConfigRejected, format!("{key}: {reason}"));
         }
-        let running = view.rollouts.iter().filter(|r| r.is_running());
-        self.watched = running.flat_map(|r| [r.spec.from.clone(), r.spec.to.clone()]).collect();
+        let running_rollouts = view.rollouts.iter().filter(|r| r.is_running());
+        self.rollout_versions =
+            running_rollouts.flat_map(|r| [r.spec.from.clone(), r.spec.to.clone()]).collect();
         let mut limits = self.limits();
         for (id, w) in &view.workspaces {
             limits.set_limit(now, id, w.requests_per_second, w.concurrency);
@@ -260,12 +262,12 @@
     }
 
     /// Lists the links: the host and how long it has been silent.
-    pub fn link_ages(&self, now: Millis) -> Vec<(HostId, Millis)> {
-        self.links.iter().map(|(h, l)| (h.clone(), now - l.heard_at)).collect()
+    pub fn link_silences(&self, now: Millis) -> Vec<(HostId, Millis)> {
+        self.links.iter().map(|(h, l)| (h.clone(), now - l.last_received_at)).collect()
     }
 
     /// Counts the entries told to others.
-    pub fn items(&self) -> usize {
+    pub fn item_count(&self) -> usize {
         self.items.len()
     }
 }
@@ -273,27 +275,27 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::config::{Kind, ObjectKey};
+    use crate::config::{ObjectKey, ObjectKind};
     use crate::facts::{Fact, Subject};
     use crate::membership::MemberState;
     use crate::store::Entry;
 
-    use super::pulls::NO_ROOM;
+    use super::config_pull::SMALL_DELTA_ONLY;
 
     fn node(host: &str) -> Node {
         let own = Member {
             incarnation: format!("{host}~1").parse().expect("an incarnation"),
-            beat: 1,
+            state_version: 1,
             state: MemberState::Alive,
-            peer: host.to_string(),
-            caller: String::new(),
+            peer_address: host.to_string(),
+            caller_address: String::new(),
             failure_domain: "a".parse().expect("a failure domain"),
         };
         Node::new(own, NodeOptions::default(), 1)
     }
 
     /// Lets `a` exchange with `b` as often as it wants at one time.
-    fn talk(now: Millis, a: &mut Node, b: &mut Node) {
+    fn exchange_between(now: Millis, a: &mut Node, b: &mut Node) {
         for action in a.tick(now) {
             if let Action::Exchange { to, message, .. } = action {
                 let nonce = message.nonce;
@@ -303,49 +305,50 @@
         }
     }
 
-    fn pair() -> (Node, Node) {
+    fn connected_pair() -> (Node, Node) {
         let (mut a, mut b) = (node("a"), node("b"));
         a.set_seeds([("b".parse().expect("a host"), "b".to_string())].into());
-        talk(Millis(10_000), &mut a, &mut b);
+        exchange_between(Millis(10_000), &mut a, &mut b);
         (a, b)
     }
 
     fn entry(name: &str, version: u64) -> Entry {
-        Entry { key: ObjectKey::new(Kind::Model, name), version, body: Some("{}".into()) }
+        Entry { key: ObjectKey::new(ObjectKind::Model, name), version, body: Some("{}".into()) }
     }
 
     #[test]
-    fn two_hosts_learn_of_each_other_and_of_the_configuration() {
-        let (mut a, mut b) = pair();
-        assert_eq!((a.hosts(), b.hosts()), (2, 2));
+    fn two_hosts_exchange_membership_and_configuration() {
+        let (mut a, mut b) = connected_pair();
+        assert_eq!((a.live_host_count(), b.live_host_count()), (2, 2));
         a.on_list(Millis(10_000), 7, vec![entry("m", 7)]);
-        talk(Millis(10_100), &mut a, &mut b);
+        exchange_between(Millis(10_100), &mut a, &mut b);
         assert_eq!(b.store.complete_to(), 7);
     }
 
     #[test]
-    fn a_fact_goes_both_ways_without_the_platform() {
-        let (mut a, mut b) = pair();
+    fn facts_spread_between_hosts_without_the_platform() {
+        let (mut a, mut b) = connected_pair();
         let subject = Subject::Withdrawn("m@1".parse().expect("a version"));
-        b.learn(Fact { subject: subject.clone(), generation: 1 });
-        talk(Millis(12_100), &mut a, &mut b);
-        assert!(a.facts.bars_version(&"m@1".parse().expect("a version"), 1));
+        b.add_fact(Fact { subject: subject.clone(), generation: 1 });
+        exchange_between(Millis(12_100), &mut a, &mut b);
+        assert!(a.facts.is_version_barred(&"m@1".parse().expect("a version"), 1));
     }
 
     #[test]
-    fn freshness_counts_from_when_it_was_asked() {
-        let (mut a, mut b) = pair();
+    fn confirmation_age_counts_from_the_request() {
+        let (mut a, mut b) = connected_pair();
         b.on_list(Millis(10_500), 7, vec![]);
-        let message = a.message_for(Millis(11_000), &"b".parse().expect("a host"), vec![], NO_ROOM);
+        let message =
+            a.message_for(Millis(11_000), &"b".parse().expect("a host"), vec![], SMALL_DELTA_ONLY);
         let nonce = message.nonce;
         let reply = b.on_exchange(Millis(11_500), message);
         a.on_reply(Millis(60_000), &"b".parse().expect("a host"), Millis(11_000), nonce, reply);
-        assert_eq!(a.fresh_at(), Some(Millis(10_000)));
+        assert_eq!(a.confirmed_at(), Some(Millis(10_000)));
     }
 
     #[test]
-    fn two_hosts_that_hold_each_other_dead_find_each_other_again() {
-        let (mut a, mut b) = pair();
+    fn two_hosts_that_consider_each_other_dead_reconnect() {
+        let (mut a, mut b) = connected_pair();
         for now in (15_000..22_000).step_by(500) {
             a.tick(Millis(now));
             b.tick(Millis(now));
@@ -353,15 +356,15 @@
         let dead = |n: &Node| n.members.iter().filter(|m| !m.is_live()).count();
         assert_eq!((dead(&a), dead(&b)), (1, 1));
         for now in (25_000..33_000).step_by(500) {
-            talk(Millis(now), &mut a, &mut b);
+            exchange_between(Millis(now), &mut a, &mut b);
         }
         assert_eq!((dead(&a), dead(&b)), (0, 0));
     }
 
     #[test]
     fn a_host_that_has_left_does_not_call_itself() {
-        let (mut a, _) = pair();
-        let own = a.own().host.clone();
+        let (mut a, _) = connected_pair();
+        let own = a.incarnation().host.clone();
         a.announce(MemberState::Dead);
 
         let called: Vec<HostId> = (12_000..40_000)
@@ -378,8 +381,8 @@
     }
 
     #[test]
-    fn a_silent_host_is_suspected_and_then_dead() {
-        let (mut a, _) = pair();
+    fn a_silent_host_becomes_suspect_and_then_dead() {
+        let (mut a, _) = connected_pair();
         let b: HostId = "b".parse().expect("a host");
         a.tick(Millis(15_000));
         assert_eq!(a.members.lookup(&b).expect("b").state, MemberState::Suspect);
--- a/crates/tidetrack-core/src/retry.rs
+++ b/crates/tidetrack-core/src/retry.rs
@@ -4,7 +4,7 @@
 //! nothing of an answer has gone to the caller. Retries draw on a budget that grows with first
 //! attempts, so they cannot multiply an overload.
 
-use crate::codes::Ran;
+use crate::codes::Executed;
 
 /// Retries allowed for each first attempt, in thousandths.
 const EARNED_PER_REQUEST: u64 = 100;
@@ -47,7 +47,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Failed {
     /// Whether it ran.
-    pub ran: Ran,
+    pub ran: Executed,
     /// Whether the call may be repeated.
     pub repeatable: bool,
     /// Whether a part of an answer went to the caller.
@@ -57,8 +57,8 @@
 /// Tells whether a failed attempt may be made again, budget aside.
 pub fn may_retry(failed: Failed) -> bool {
     match failed.ran {
-        Ran::No => !failed.answered_in_part,
-        Ran::Unknown | Ran::Yes => failed.repeatable && !failed.answered_in_part,
+        Executed::No => !failed.answered_in_part,
+        Executed::Unknown | Executed::Yes => failed.repeatable && !failed.answered_in_part,
     }
 }
 
@@ -68,10 +68,10 @@
 
     #[test]
     fn what_may_have_run_is_repeated_only_if_repeatable() {
-        let failed = Failed { ran: Ran::Unknown, repeatable: false, answered_in_part: false };
+        let failed = Failed { ran: Executed::Unknown, repeatable: false, answered_in_part: false };
         assert!(!may_retry(failed));
         assert!(may_retry(Failed { repeatable: true, ..failed }));
-        assert!(may_retry(Failed { ran: Ran::No, ..failed }));
+        assert!(may_retry(Failed { ran: Executed::No, ..failed }));
         assert!(!may_retry(Failed { repeatable: true, answered_in_part: true, ..failed }));
     }
 
--- a/crates/tidetrack-core/src/rollout.rs
+++ b/crates/tidetrack-core/src/rollout.rs
@@ -10,15 +10,15 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use crate::config::{Rollout, RolloutPhase, RolloutState};
-use crate::evidence::{compare, CellKey, Evidence, Verdict, DEFAULT_ALPHA};
+use crate::evidence::{compare, Evidence, EvidenceKey, Verdict, DEFAULT_ALPHA};
 use crate::ids::Incarnation;
 use crate::placement::rendezvous;
 
 /// Least hosts that get credits, if there are so many.
-const LEAST_PARTICIPANTS: usize = 8;
+const MIN_PARTICIPANTS: usize = 8;
 
 /// A write is worth it when this share of the cap can be granted.
-const GRANT_WORTH: u64 = 4;
+const MIN_GRANT_DIVISOR: u64 = 4;
 
 /// One host's credits for one generation of a version under roll-out.
 #[derive(Debug, Default)]
@@ -29,14 +29,14 @@
 
 impl Credits {
     /// Takes one credit; tells whether there was one.
-    pub fn take(&self) -> bool {
+    pub fn try_spend(&self) -> bool {
         let granted = self.granted.load(Ordering::Acquire);
-        let one = |spent: u64| (spent < granted).then_some(spent + 1);
-        self.spent.fetch_update(Ordering::AcqRel, Ordering::Acquire, one).is_ok()
+        let increment = |spent: u64| (spent < granted).then_some(spent + 1);
+        self.spent.fetch_update(Ordering::AcqRel, Ordering::Acquire, increment).is_ok()
     }
 
     /// Gives back a credit whose request never left the host.
-    pub fn give_back(&self) {
+    pub fn refund(&self) {
         self.spent.fetch_sub(1, Ordering::AcqRel);
     }
 
@@ -58,115 +58,118 @@
 
 /// What the writer of a roll-out's state knows.
 #[derive(Clone, Debug)]
-pub struct Known<'a> {
+pub struct RolloutContext<'a> {
     /// The declared roll-out.
     pub spec: &'a Rollout,
     /// Name of the roll-out, for the order of hosts.
-    pub name: &'a str,
+    pub rollout_name: &'a str,
     /// Generation of the new version.
-    pub generation: u64,
+    pub canary_generation: u64,
     /// Generation of the proven version.
-    pub proven_generation: u64,
+    pub stable_generation: u64,
     /// The evidence.
     pub evidence: &'a Evidence,
     /// Incarnations that are alive.
     pub alive: &'a BTreeSet<Incarnation>,
     /// Whether the new version is barred.
-    pub barred: bool,
+    pub is_canary_barred: bool,
 }
 
 /// Makes the first state of a roll-out.
-pub fn first_state(generation: u64) -> RolloutState {
+pub fn initial_state(generation: u64) -> RolloutState {
     RolloutState {
         phase: RolloutPhase::Running,
         stage: 0,
         generation,
         granted: BTreeMap::new(),
         judged: BTreeMap::new(),
-        op: String::new(),
+        operation_id: String::new(),
     }
 }
 
 /// Tells whether the evidence finds the new version worse than the proven one.
-pub fn verdict(known: &Known<'_>) -> Verdict {
-    let new = known.evidence.total(&known.spec.to, known.generation);
-    let proven = known.evidence.total(&known.spec.from, known.proven_generation);
-    compare(&new, &proven, DEFAULT_ALPHA)
+pub fn verdict(context: &RolloutContext<'_>) -> Verdict {
+    let canary = context.evidence.total(&context.spec.to, context.canary_generation);
+    let stable = context.evidence.total(&context.spec.from, context.stable_generation);
+    compare(&canary, &stable, DEFAULT_ALPHA)
 }
 
 /// Works out the state that should be written next; `None` if the present one stands.
-pub fn next_state(known: &Known<'_>, state: &RolloutState) -> Option<RolloutState> {
+pub fn next_state(context: &RolloutContext<'_>, state: &RolloutState) -> Option<RolloutState> {
     if state.phase != RolloutPhase::Running {
         return None;
     }
     let mut next = state.clone();
-    if known.barred || verdict(known) == Verdict::Bad {
+    if context.is_canary_barred || verdict(context) == Verdict::Bad {
         next.phase = RolloutPhase::Aborted;
         return Some(next);
     }
-    for (incarnation, counts) in known.evidence.cells_of(&known.spec.to, known.generation) {
+    for (incarnation, counts) in
+        context.evidence.counts_by_incarnation(&context.spec.to, context.canary_generation)
+    {
         let judged = next.judged.entry(incarnation.clone()).or_default();
-        *judged = (*judged).max(counts.judged());
+        *judged = (*judged).max(counts.judged_count());
     }
     let judged: u64 = next.judged.values().sum();
-    let stage = known.spec.stages.get(state.stage)?;
+    let stage = context.spec.stages.get(state.stage)?;
     if judged >= stage.judged {
         next.stage += 1;
-        if next.stage >= known.spec.stages.len() {
+        if next.stage >= context.spec.stages.len() {
             next.stage = state.stage;
             next.phase = RolloutPhase::Done;
             return Some(next);
         }
     }
-    let granted_now = grant(known, &mut next, judged);
-    let cap = known.spec.stages.get(next.stage)?.cap;
-    let worth = granted_now >= cap.div_ceil(GRANT_WORTH) || next.stage != state.stage;
-    worth.then_some(next)
+    let newly_granted = grant(context, &mut next, judged);
+    let cap = context.spec.stages.get(next.stage)?.cap;
+    let is_worth_writing =
+        newly_granted >= cap.div_ceil(MIN_GRANT_DIVISOR) || next.stage != state.stage;
+    is_worth_writing.then_some(next)
 }
 
 /// Grants what the cap leaves; gets how much that was.
-fn grant(known: &Known<'_>, next: &mut RolloutState, judged: u64) -> u64 {
-    let Some(stage) = known.spec.stages.get(next.stage) else { return 0 };
+fn grant(context: &RolloutContext<'_>, next: &mut RolloutState, judged: u64) -> u64 {
+    let Some(stage) = context.spec.stages.get(next.stage) else { return 0 };
     let granted: u64 = next.granted.values().sum();
-    let room = (stage.cap + judged).saturating_sub(granted);
-    let hosts = participants(known, stage.share);
-    if hosts.is_empty() || room == 0 {
+    let grantable = (stage.cap + judged).saturating_sub(granted);
+    let hosts = participants(context, stage.share);
+    if hosts.is_empty() || grantable == 0 {
         return 0;
     }
     let spent = |i: &Incarnation| {
-        let key = CellKey {
-            version: known.spec.to.clone(),
-            generation: known.generation,
-            seen_by: i.clone(),
+        let key = EvidenceKey {
+            version: context.spec.to.clone(),
+            generation: context.canary_generation,
+            observer: i.clone(),
         };
-        known.evidence.cell(&key).started
+        context.evidence.counts(&key).started
     };
-    let mut left: Vec<(u64, Incarnation)> = hosts
+    let mut unspent: Vec<(u64, Incarnation)> = hosts
         .into_iter()
         .map(|i| {
             let granted = next.granted.get(&i).copied().unwrap_or(0);
             (granted.saturating_sub(spent(&i)), i)
         })
         .collect();
-    for _ in 0..room {
-        let least = left.iter_mut().min().expect("there is a participant");
-        least.0 += 1;
-        *next.granted.entry(least.1.clone()).or_default() += 1;
+    for _ in 0..grantable {
+        let fewest = unspent.iter_mut().min().expect("there is a participant");
+        fewest.0 += 1;
+        *next.granted.entry(fewest.1.clone()).or_default() += 1;
     }
-    room
+    grantable
 }
 
 /// Chooses the hosts that get credits: as many as the stage's share of the fleet, and a few.
-fn participants(known: &Known<'_>, share: f64) -> Vec<Incarnation> {
-    let wanted = (known.alive.len() as f64 * share).ceil() as usize;
-    let count = wanted.max(LEAST_PARTICIPANTS);
-    let mut ranked: Vec<&Incarnation> = known.alive.iter().collect();
-    ranked.sort_by_key(|i| std::cmp::Reverse(rendezvous(known.name, i.host.as_str())));
+fn participants(context: &RolloutContext<'_>, share: f64) -> Vec<Incarnation> {
+    let proportional_count = (context.alive.len() as f64 * share).ceil() as usize;
+    let count = proportional_count.max(MIN_PARTICIPANTS);
+    let mut ranked: Vec<&Incarnation> = context.alive.iter().collect();
+    ranked.sort_by_key(|i| std::cmp::Reverse(rendezvous(context.rollout_name, i.host.as_str())));
     ranked.into_iter().take(count).cloned().collect()
 }
 
 /// Gets the exposure that a state can lead to at most: granted and not known to be judged.
-pub fn most_unjudged(state: &RolloutState) -> u64 {
+pub fn max_unjudged(state: &RolloutState) -> u64 {
     let granted: u64 = state.granted.values().sum();
     granted.saturating_sub(state.judged.values().sum())
 }
@@ -175,7 +178,7 @@
 mod tests {
     use super::*;
     use crate::config::{Stage, WhenStale};
-    use crate::evidence::Counts;
+    use crate::evidence::VersionCounts;
 
     fn spec() -> Rollout {
         let stage = |share, cap, judged| Stage { share, cap, judged };
@@ -183,7 +186,7 @@
             from: "m@1".parse().expect("a version"),
             to: "m@2".parse().expect("a version"),
             stages: vec![stage(0.1, 20, 50), stage(0.5, 80, 200)],
-            when_stale: WhenStale::ProvenOnly,
+            when_stale: WhenStale::StableOnly,
             stale_ms: 10_000,
         }
     }
@@ -192,55 +195,65 @@
         (0..n).map(|i| format!("h{i}~1").parse().expect("an incarnation")).collect()
     }
 
-    fn known<'a>(
+    fn context<'a>(
         spec: &'a Rollout,
         evidence: &'a Evidence,
         alive: &'a BTreeSet<Incarnation>,
-    ) -> Known<'a> {
-        let (generation, proven_generation) = (1, 1);
-        Known { spec, name: "r", generation, proven_generation, evidence, alive, barred: false }
+    ) -> RolloutContext<'a> {
+        let (canary_generation, stable_generation) = (1, 1);
+        RolloutContext {
+            spec,
+            rollout_name: "r",
+            canary_generation,
+            stable_generation,
+            evidence,
+            alive,
+            is_canary_barred: false,
+        }
     }
 
-    fn rated(n: u64, score: f64) -> Counts {
-        let mut counts = Counts { started: n, answered: n, ..Counts::default() };
-        (0..n).for_each(|_| counts.rate(score));
+    fn rated(n: u64, score: f64) -> VersionCounts {
+        let mut counts = VersionCounts { started: n, answered: n, ..VersionCounts::default() };
+        (0..n).for_each(|_| counts.add_rating(score));
         counts
     }
 
-    fn cell(version: &str, host: &str) -> CellKey {
-        CellKey {
+    fn key_of(version: &str, host: &str) -> EvidenceKey {
+        EvidenceKey {
             version: version.parse().expect("a version"),
             generation: 1,
-            seen_by: host.parse().expect("an incarnation"),
+            observer: host.parse().expect("an incarnation"),
         }
     }
 
     #[test]
-    fn grants_stay_within_the_cap_and_follow_judgement() {
+    fn grants_stay_within_the_cap_and_grow_with_judged_responses() {
         let (spec, alive) = (spec(), alive(7));
         let mut evidence = Evidence::default();
-        let first = next_state(&known(&spec, &evidence, &alive), &first_state(1)).expect("grants");
-        assert_eq!(most_unjudged(&first), 20);
-        assert_eq!(next_state(&known(&spec, &evidence, &alive), &first), None);
-        evidence.merge(cell("m@2", "h1~1"), &rated(10, 0.8));
-        let second = next_state(&known(&spec, &evidence, &alive), &first).expect("more grants");
-        assert_eq!(most_unjudged(&second), 20);
+        let first =
+            next_state(&context(&spec, &evidence, &alive), &initial_state(1)).expect("grants");
+        assert_eq!(max_unjudged(&first), 20);
+        assert_eq!(next_state(&context(&spec, &evidence, &alive), &first), None);
+        evidence.merge(key_of("m@2", "h1~1"), &rated(10, 0.8));
+        let second = next_state(&context(&spec, &evidence, &alive), &first).expect("more grants");
+        assert_eq!(max_unjudged(&second), 20);
     }
 
     #[test]
     fn a_roll_out_advances_to_its_end_and_stops_when_bad() {
         let (spec, alive) = (spec(), alive(7));
         let mut evidence = Evidence::default();
-        evidence.merge(cell("m@1", "h0~1"), &rated(300, 0.8));
-        evidence.merge(cell("m@2", "h1~1"), &rated(60, 0.8));
-        let next = next_state(&known(&spec, &evidence, &alive), &first_state(1)).expect("a stage");
+        evidence.merge(key_of("m@1", "h0~1"), &rated(300, 0.8));
+        evidence.merge(key_of("m@2", "h1~1"), &rated(60, 0.8));
+        let next =
+            next_state(&context(&spec, &evidence, &alive), &initial_state(1)).expect("a stage");
         assert_eq!(next.stage, 1);
         let mut bad = evidence.clone();
-        bad.merge(cell("m@2", "h2~1"), &rated(200, 0.2));
-        let stopped = next_state(&known(&spec, &bad, &alive), &next).expect("an end");
+        bad.merge(key_of("m@2", "h2~1"), &rated(200, 0.2));
+        let stopped = next_state(&context(&spec, &bad, &alive), &next).expect("an end");
         assert_eq!(stopped.phase, RolloutPhase::Aborted);
-        evidence.merge(cell("m@2", "h2~1"), &rated(200, 0.8));
-        let done = next_state(&known(&spec, &evidence, &alive), &next).expect("an end");
+        evidence.merge(key_of("m@2", "h2~1"), &rated(200, 0.8));
+        let done = next_state(&context(&spec, &evidence, &alive), &next).expect("an end");
         assert_eq!(done.phase, RolloutPhase::Done);
     }
 
@@ -249,8 +262,8 @@
         let credits = Credits::default();
         credits.grant(3);
         credits.grant(2);
-        assert_eq!((0..10).filter(|_| credits.take()).count(), 3);
-        credits.give_back();
-        assert!(credits.take());
+        assert_eq!((0..10).filter(|_| credits.try_spend()).count(), 3);
+        credits.refund();
+        assert!(credits.try_spend());
     }
 }
--- a/crates/tidetrack-core/src/store.rs
+++ b/crates/tidetrack-core/src/store.rs
@@ -34,10 +34,10 @@
 }
 
 /// An object that was read, with its version.
-pub type Read = (ObjectKey, u64, Object);
+pub type ParsedObject = (ObjectKey, u64, Object);
 
 /// An object that cannot be read, with the reason.
-pub type Unreadable = (ObjectKey, String);
+pub type InvalidObject = (ObjectKey, String);
 
 impl Delta {
     /// Gets the bytes of the bodies.
@@ -97,26 +97,26 @@
     pub fn merge_list(&mut self, revision: u64, entries: Vec<Entry>) -> bool {
         let listed: std::collections::BTreeSet<ObjectKey> =
             entries.iter().map(|e| e.key.clone()).collect();
-        let gone: Vec<ObjectKey> = self
+        let deleted: Vec<ObjectKey> = self
             .objects
             .values()
             .filter(|e| e.body.is_some() && e.version <= revision && !listed.contains(&e.key))
             .map(|e| e.key.clone())
             .collect();
         let mut changed = self.merge(Delta { from: 0, to: revision, entries });
-        for key in gone {
+        for key in deleted {
             changed |= self.merge_entry(Entry { key, version: revision, body: None });
         }
         changed
     }
 
     /// Gets the changes after `from`, at most `max` objects and `max_bytes` of them.
-    pub fn since(&self, from: u64, max: usize, max_bytes: usize) -> Delta {
+    pub fn changes_since(&self, from: u64, max_objects: usize, max_bytes: usize) -> Delta {
         let mut entries: Vec<Entry> = Vec::new();
         let mut bytes = 0;
         let mut to = self.complete_to;
-        for (version, key) in self.by_version.range((from + 1, first_key())..).map(|(k, _)| k) {
-            if entries.len() >= max || (bytes > max_bytes && !entries.is_empty()) {
+        for (version, key) in self.by_version.range((from + 1, min_key())..).map(|(k, _)| k) {
+            if entries.len() >= max_objects || (bytes > max_bytes && !entries.is_empty()) {
                 to = to.min(entries.last().map_or(from, |e| e.version));
                 break;
             }
@@ -139,73 +139,73 @@
     }
 
     /// Reads every object that is there; the unreadable are given back apart.
-    pub fn objects(&self) -> (Vec<Read>, Vec<Unreadable>) {
-        let mut good = Vec::new();
-        let mut bad = Vec::new();
+    pub fn objects(&self) -> (Vec<ParsedObject>, Vec<InvalidObject>) {
+        let mut parsed = Vec::new();
+        let mut invalid = Vec::new();
         for entry in self.objects.values() {
             let Some(body) = &entry.body else { continue };
             match Object::from_json(entry.key.kind, body) {
-                Ok(object) => good.push((entry.key.clone(), entry.version, object)),
-                Err(e) => bad.push((entry.key.clone(), e.to_string())),
+                Ok(object) => parsed.push((entry.key.clone(), entry.version, object)),
+                Err(e) => invalid.push((entry.key.clone(), e.to_string())),
             }
         }
-        (good, bad)
+        (parsed, invalid)
     }
 }
 
-fn first_key() -> ObjectKey {
-    ObjectKey::new(crate::config::Kind::Workspace, "")
+fn min_key() -> ObjectKey {
+    ObjectKey::new(crate::config::ObjectKind::Workspace, "")
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::config::Kind;
+    use crate::config::ObjectKind;
 
     fn entry(name: &str, version: u64, body: Option<&str>) -> Entry {
-        Entry { key: ObjectKey::new(Kind::Model, name), version, body: body.map(Arc::from) }
+        Entry { key: ObjectKey::new(ObjectKind::Model, name), version, body: body.map(Arc::from) }
     }
 
-    fn run(from: u64, to: u64, entries: Vec<Entry>) -> Delta {
+    fn delta(from: u64, to: u64, entries: Vec<Entry>) -> Delta {
         Delta { from, to, entries }
     }
 
     #[test]
     fn an_older_version_never_comes_back() {
         let mut store = Store::default();
-        store.merge(run(0, 5, vec![entry("m", 5, None)]));
-        assert!(!store.merge(run(0, 4, vec![entry("m", 4, Some("{}"))])));
-        let key = ObjectKey::new(Kind::Model, "m");
+        store.merge(delta(0, 5, vec![entry("m", 5, None)]));
+        assert!(!store.merge(delta(0, 4, vec![entry("m", 4, Some("{}"))])));
+        let key = ObjectKey::new(ObjectKind::Model, "m");
         assert_eq!(store.lookup(&key).expect("an entry").version, 5);
     }
 
     #[test]
     fn a_gap_does_not_count_as_complete() {
         let mut store = Store::default();
-        store.merge(run(0, 5, vec![]));
-        store.merge(run(7, 9, vec![entry("m", 9, Some("{}"))]));
+        store.merge(delta(0, 5, vec![]));
+        store.merge(delta(7, 9, vec![entry("m", 9, Some("{}"))]));
         assert_eq!(store.complete_to(), 5);
-        store.merge(run(5, 9, vec![]));
+        store.merge(delta(5, 9, vec![]));
         assert_eq!(store.complete_to(), 9);
     }
 
     #[test]
-    fn a_list_tells_of_deletions() {
+    fn a_list_implies_deletions() {
         let mut store = Store::default();
         store.merge_list(5, vec![entry("a", 3, Some("{}")), entry("b", 5, Some("{}"))]);
         store.merge_list(8, vec![entry("b", 5, Some("{}"))]);
-        let key = ObjectKey::new(Kind::Model, "a");
+        let key = ObjectKey::new(ObjectKind::Model, "a");
         assert_eq!(store.lookup(&key).expect("an entry").body, None);
     }
 
     #[test]
-    fn batches_join_up() {
+    fn partial_deltas_add_up() {
         let mut full = Store::default();
         let entries = (1..=10).map(|v| entry(&format!("m{v}"), v, Some("{}"))).collect();
-        full.merge(run(0, 10, entries));
+        full.merge(delta(0, 10, entries));
         let mut copy = Store::default();
         while copy.complete_to() < 10 {
-            copy.merge(full.since(copy.complete_to(), 3, 1 << 20));
+            copy.merge(full.changes_since(copy.complete_to(), 3, 1 << 20));
         }
         assert_eq!(copy.iter().count(), 10);
     }
--- a/crates/tidetrack-core/src/tickets.rs
+++ b/crates/tidetrack-core/src/tickets.rs
@@ -7,7 +7,7 @@
 
 use std::collections::HashMap;
 
-use crate::codes::{Code, Ran};
+use crate::codes::{Code, Executed};
 use crate::errors::{Error, Result};
 use crate::ids::{Incarnation, WorkspaceId};
 use crate::seal::{KeyRing, Purpose};
@@ -146,7 +146,7 @@
             }
             Some(TicketState::Unused { .. }) => {
                 let message = "the ticket lapsed without being used";
-                Err(Error::new(Code::TicketSpent, message).with_ran(Ran::No))
+                Err(Error::new(Code::TicketSpent, message).with_executed(Executed::No))
             }
             Some(TicketState::Running | TicketState::Unknown { .. }) => {
                 Err(Error::new(Code::TicketSpent, "the call is running or its end is not known"))
@@ -226,7 +226,10 @@
         let ticket = book.make(Millis(0), &workspace()).expect("a ticket");
         book.sweep(Millis(1_000_000));
         assert!(book.is_empty());
-        assert_eq!(book.admit(Millis(1_000_001), &ticket).expect_err("gone").ran, Ran::Unknown);
+        assert_eq!(
+            book.admit(Millis(1_000_001), &ticket).expect_err("gone").executed,
+            Executed::Unknown
+        );
     }
 
     #[test]
--- a/crates/tidetrack-core/src/units.rs
+++ b/crates/tidetrack-core/src/units.rs
@@ -123,12 +123,12 @@
 }
 
 /// Tokens that a price is quoted for.
-pub const PRICE_UNIT: u64 = 1000;
+pub const TOKENS_PER_PRICE_UNIT: u64 = 1000;
 
 impl Micros {
     /// Gets the cost of `tokens` at this price for each thousand, rounded up.
     pub fn cost_of(self, tokens: Tokens) -> Micros {
-        Micros(self.0.saturating_mul(tokens.0).div_ceil(PRICE_UNIT))
+        Micros(self.0.saturating_mul(tokens.0).div_ceil(TOKENS_PER_PRICE_UNIT))
     }
 }
 
@@ -144,7 +144,7 @@
     }
 
     #[test]
-    fn a_link_passes_bytes_by_its_bandwidth() {
+    fn bandwidth_converts_to_bytes() {
         assert_eq!(Bandwidth(10.0).bytes_in(Millis(200)), 250_000);
         assert_eq!("200 Mbit/s".parse::<Bandwidth>().expect("a bandwidth"), Bandwidth(200.0));
     }
--- a/crates/tidetrack-core/src/view.rs
+++ b/crates/tidetrack-core/src/view.rs
@@ -9,10 +9,10 @@
 
 use crate::codes::Code;
 use crate::config::{
-    Endpoint, Kind, Model, Object, ObjectKey, Objective, Policy, Rollout, RolloutPhase,
+    Endpoint, Model, Object, ObjectKey, ObjectKind, Objective, Policy, Rollout, RolloutPhase,
     RolloutState, Service, Version, WhenStale, Workspace,
 };
-use crate::errors::{unknown, Error, Result};
+use crate::errors::{unknown_name, Error, Result};
 use crate::facts::{Fact, Facts, Subject};
 use crate::ids::{
     EndpointId, Incarnation, ModelId, PoolId, RolloutId, RouteId, ServiceId, VersionRef,
@@ -31,9 +31,9 @@
     /// The declaration.
     pub spec: Version,
     /// Whether it takes no new work.
-    pub barred: bool,
+    pub is_barred: bool,
     /// Credits, while a roll-out of it is not done.
-    pub unproven: Option<Arc<Credits>>,
+    pub canary_credits: Option<Arc<Credits>>,
 }
 
 /// A roll-out as traffic sees it.
@@ -56,13 +56,13 @@
     }
 
     /// Tells whether a host so sure of its configuration counts as stale.
-    fn is_stale(&self, fresh: Freshness) -> bool {
-        fresh.age.0 > self.spec.stale_ms
+    fn is_stale(&self, freshness: Freshness) -> bool {
+        freshness.age.0 > self.spec.stale_ms
     }
 
     /// Tells whether such a host may put work on the new version.
-    fn may_use_new(&self, fresh: Freshness) -> bool {
-        !self.is_stale(fresh) || self.spec.when_stale == WhenStale::GoOn
+    fn allows_canary(&self, freshness: Freshness) -> bool {
+        !self.is_stale(freshness) || self.spec.when_stale == WhenStale::Continue
     }
 }
 
@@ -105,9 +105,9 @@
     /// Nothing is missing up to this revision.
     pub revision: u64,
     /// The fleet's keys.
-    pub ring: Option<KeyRing>,
+    pub key_ring: Option<KeyRing>,
     /// Workspaces by key digest.
-    pub keys: HashMap<String, WorkspaceId>,
+    pub workspaces_by_key_digest: HashMap<String, WorkspaceId>,
     /// Workspaces.
     pub workspaces: HashMap<WorkspaceId, Workspace>,
     /// Models.
@@ -127,17 +127,17 @@
 }
 
 /// Slots of a pool whose work is not bounded: plain services say themselves when they are full.
-const NO_BOUND: u32 = 0;
+const UNLIMITED_SLOTS: u32 = 0;
 
 /// When to come back to a version that takes no work now, in milliseconds: by then routers have looked at
 /// the roll-out again, which they do every 300 ms.
-const RETRY_VERSION_MS: u64 = 1_000;
+const VERSION_RETRY_AFTER_MS: u64 = 1_000;
 
 /// What is shared from one view to the next.
 #[derive(Debug, Default)]
 pub struct ViewBuilder {
     /// Endpoints' load and health, by name and address.
-    live: HashMap<(EndpointId, String), Arc<EndpointLive>>,
+    endpoint_states: HashMap<(EndpointId, String), Arc<EndpointLive>>,
     /// Credits, by version and generation.
     credits: HashMap<(VersionRef, u64), Arc<Credits>>,
     /// Policies, each with the revision that it was compiled from.
@@ -148,7 +148,7 @@
     /// Builds the view of a store and facts; also lists the objects that cannot be read.
     pub fn build(
         &mut self,
-        own: &Incarnation,
+        own_incarnation: &Incarnation,
         store: &Store,
         facts: &Facts,
     ) -> (View, Vec<(ObjectKey, String)>) {
@@ -169,8 +169,9 @@
         }
         for (version, v) in &mut view.versions {
             let generation = v.spec.generation;
-            let by_object = withdrawn.get(&version.to_string()).is_some_and(|g| *g >= generation);
-            v.barred = by_object || facts.bars_version(version, generation);
+            let is_withdrawn =
+                withdrawn.get(&version.to_string()).is_some_and(|g| *g >= generation);
+            v.is_barred = is_withdrawn || facts.is_version_barred(version, generation);
         }
         for rollout in &mut view.rollouts {
             if let Some((version, state)) = states.remove(rollout.id.as_str()) {
@@ -178,7 +179,7 @@
                 rollout.state = Some(state);
             }
         }
-        self.join_rollouts(own, &mut view);
+        self.apply_rollouts(own_incarnation, &mut view);
         (view, unreadable)
     }
 
@@ -203,27 +204,28 @@
         match object {
             Object::Workspace(w) => {
                 let id: WorkspaceId = name!();
-                view.keys.extend(w.key_digests.iter().map(|d| (d.clone(), id.clone())));
+                view.workspaces_by_key_digest
+                    .extend(w.key_digests.iter().map(|d| (d.clone(), id.clone())));
                 view.workspaces.insert(id, w);
             }
             Object::Model(m) => {
                 view.models.insert(name!(), m);
             }
             Object::Version(spec) => {
-                let v = VersionView { spec, barred: false, unproven: None };
+                let v = VersionView { spec, is_barred: false, canary_credits: None };
                 view.versions.insert(name!(), v);
             }
             Object::Pool(p) => {
-                let pool = self.pool(&p.endpoints, p.slots, facts, version);
+                let pool = self.build_pool(&p.endpoints, p.slots, facts, version);
                 view.pools.insert(name!(), Arc::new(pool));
             }
             Object::Service(spec) => {
-                let pool = self.pool(&spec.endpoints, NO_BOUND, facts, version);
+                let pool = self.build_pool(&spec.endpoints, UNLIMITED_SLOTS, facts, version);
                 view.services.insert(name!(), Arc::new(ServiceView { spec, pool }));
             }
             Object::Policy(spec) => {
                 let id: RouteId = name!();
-                let policy = self.policy(&id, version, spec);
+                let policy = self.compile_policy(&id, version, spec);
                 view.policies.insert(id, policy);
             }
             Object::Rollout(spec) => {
@@ -231,21 +233,22 @@
                 view.rollouts.push(rollout);
             }
             Object::Objective(o) => view.objectives.push(o),
-            Object::KeyRing(ring) => view.ring = Some(ring),
+            Object::KeyRing(key_ring) => view.key_ring = Some(key_ring),
             Object::Withdrawal(_) | Object::RolloutState(_) => {}
         }
     }
 
     /// Makes the view of a pool that was declared at a revision.
-    fn pool(
+    fn build_pool(
         &mut self,
         endpoints: &BTreeMap<EndpointId, Endpoint>,
         slots: u32,
         facts: &Facts,
         declared_at: u64,
     ) -> PoolView {
-        let view_of = |(id, e): (&EndpointId, &Endpoint)| {
-            let live = self.live.entry((id.clone(), e.address.clone())).or_default().clone();
+        let to_pool_endpoint = |(id, e): (&EndpointId, &Endpoint)| {
+            let live =
+                self.endpoint_states.entry((id.clone(), e.address.clone())).or_default().clone();
             live.set_leaving(facts.is_leaving(id, declared_at));
             PoolEndpoint {
                 id: id.clone(),
@@ -254,11 +257,11 @@
                 live,
             }
         };
-        PoolView::new(endpoints.iter().map(view_of).collect(), slots)
+        PoolView::new(endpoints.iter().map(to_pool_endpoint).collect(), slots)
     }
 
     /// Compiles a policy, unless that was done for the same revision.
-    fn policy(&mut self, id: &RouteId, version: u64, spec: Policy) -> Arc<PolicyView> {
+    fn compile_policy(&mut self, id: &RouteId, version: u64, spec: Policy) -> Arc<PolicyView> {
         match self.policies.get(id) {
             Some((v, policy)) if *v == version => policy.clone(),
             _ => {
@@ -271,7 +274,7 @@
     }
 
     /// Gives versions under roll-out their credits and bars those that were given up.
-    fn join_rollouts(&mut self, own: &Incarnation, view: &mut View) {
+    fn apply_rollouts(&mut self, own_incarnation: &Incarnation, view: &mut View) {
         for rollout in &view.rollouts {
             let Some(v) = view.versions.get_mut(&rollout.spec.to) else { continue };
             let generation = v.spec.generation;
@@ -280,11 +283,11 @@
             let state = rollout.state.as_ref().filter(|s| s.generation == generation);
             match state.map(|s| s.phase) {
                 Some(RolloutPhase::Done) => {}
-                Some(RolloutPhase::Aborted) => v.barred = true,
-                _ => v.unproven = Some(credits.clone()),
+                Some(RolloutPhase::Aborted) => v.is_barred = true,
+                _ => v.canary_credits = Some(credits.clone()),
             }
             if let Some(state) = state {
-                credits.grant(state.granted.get(own).copied().unwrap_or(0));
+                credits.grant(state.granted.get(own_incarnation).copied().unwrap_or(0));
             }
         }
     }
@@ -297,11 +300,11 @@
 
 /// When the configuration was last confirmed to be the newest, as a host has it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Confirmation {
+pub struct ConfigConfirmation {
     /// It was the newest at this time.
-    pub fresh_at: Millis,
+    pub confirmed_at: Millis,
     /// The question whose answer confirmed it was asked at this time.
-    pub asked_at: Millis,
+    pub requested_at: Millis,
 }
 
 /// How sure this host is of its configuration, read at the moment of dispatch.
@@ -313,7 +316,7 @@
 
 /// A version chosen for a request.
 #[derive(Clone, Debug)]
-pub struct Chosen {
+pub struct ChosenVersion {
     /// The version.
     pub version: VersionRef,
     /// Its generation.
@@ -326,15 +329,15 @@
 
 impl View {
     /// Finds the workspace of a key's digest.
-    pub fn workspace_of(&self, digest: &str) -> Result<(&WorkspaceId, &Workspace)> {
+    pub fn workspace_by_key_digest(&self, digest: &str) -> Result<(&WorkspaceId, &Workspace)> {
         let no_key = || Error::new(Code::NoKey, "the key is not known");
-        let id = self.keys.get(digest).ok_or_else(no_key)?;
+        let id = self.workspaces_by_key_digest.get(digest).ok_or_else(no_key)?;
         Ok((id, self.workspaces.get(id).ok_or_else(no_key)?))
     }
 
     /// Finds a route's policy.
     pub fn policy(&self, route: &RouteId) -> Result<&Arc<PolicyView>> {
-        self.policies.get(route).ok_or_else(|| unknown(Code::UnknownRoute, "route", route))
+        self.policies.get(route).ok_or_else(|| unknown_name(Code::UnknownRoute, "route", route))
     }
 
     /// Checks that a version may take new work for a workspace, without taking a credit.
@@ -344,112 +347,117 @@
             return Err(Error::new(Code::NotAllowed, message));
         }
         let found = self.versions.get(v);
-        let found = found.ok_or_else(|| unknown(Code::NoVersion, "version", v))?;
-        if found.barred {
+        let found = found.ok_or_else(|| unknown_name(Code::NoVersion, "version", v))?;
+        if found.is_barred {
             return Err(Error::new(Code::NoVersion, format!("{v} takes no new work")));
         }
         Ok(found)
     }
 
     /// Finds the roll-out that a model's requests meet: of those under way or done, the one written last.
-    fn rollout_of(&self, model: &ModelId) -> Option<(&RolloutView, &RolloutState)> {
-        let running = |r: &&RolloutView| {
+    fn current_rollout(&self, model: &ModelId) -> Option<(&RolloutView, &RolloutState)> {
+        let is_relevant = |r: &&RolloutView| {
             r.spec.from.model == *model
                 && r.state
                     .as_ref()
                     .is_some_and(|s| matches!(s.phase, RolloutPhase::Running | RolloutPhase::Done))
         };
-        let found = self.rollouts.iter().filter(running).max_by_key(|r| r.state_version)?;
+        let found = self.rollouts.iter().filter(is_relevant).max_by_key(|r| r.state_version)?;
         Some((found, found.state.as_ref()?))
     }
 
     /// Chooses the version that answers a new request for a model.
     ///
-    /// `draw` is from 0 up to 1 and decides who meets a version under roll-out.
-    pub fn choose(
+    /// `hash_fraction` is from 0 up to 1 and decides who meets a version under roll-out.
+    pub fn choose_version(
         &self,
         workspace: &Workspace,
         model: &ModelId,
-        draw: f64,
-        fresh: Freshness,
-    ) -> Result<Chosen> {
-        let m = self.models.get(model).ok_or_else(|| unknown(Code::NoVersion, "model", model))?;
-        let Some((rollout, state)) = self.rollout_of(model) else {
-            return self.chosen(workspace, &m.serving);
+        hash_fraction: f64,
+        freshness: Freshness,
+    ) -> Result<ChosenVersion> {
+        let m =
+            self.models.get(model).ok_or_else(|| unknown_name(Code::NoVersion, "model", model))?;
+        let Some((rollout, state)) = self.current_rollout(model) else {
+            return self.reserve_version(workspace, &m.serving);
         };
         if state.phase == RolloutPhase::Done {
-            let to = self.chosen(workspace, &rollout.spec.to);
-            return to.or_else(|_| self.chosen(workspace, &rollout.spec.from));
+            let to = self.reserve_version(workspace, &rollout.spec.to);
+            return to.or_else(|_| self.reserve_version(workspace, &rollout.spec.from));
         }
-        if rollout.is_stale(fresh) && rollout.spec.when_stale == WhenStale::Stop {
-            let message = format!("configuration not confirmed for {}", fresh.age);
-            return Err(Error::new(Code::Stale, message).with_retry_after(RETRY_VERSION_MS));
+        if rollout.is_stale(freshness) && rollout.spec.when_stale == WhenStale::Stop {
+            let message = format!("configuration not confirmed for {}", freshness.age);
+            return Err(Error::new(Code::Stale, message).with_retry_after(VERSION_RETRY_AFTER_MS));
         }
         let stage = rollout.spec.stages.get(state.stage);
-        let meets_new = stage.is_some_and(|s| draw < s.share);
-        if meets_new && rollout.may_use_new(fresh) {
-            if let Ok(chosen) = self.chosen(workspace, &rollout.spec.to) {
+        let is_in_canary_share = stage.is_some_and(|s| hash_fraction < s.share);
+        if is_in_canary_share && rollout.allows_canary(freshness) {
+            if let Ok(chosen) = self.reserve_version(workspace, &rollout.spec.to) {
                 return Ok(chosen);
             }
         }
-        self.chosen(workspace, &rollout.spec.from)
+        self.reserve_version(workspace, &rollout.spec.from)
     }
 
     /// Chooses the version that a session keeps.
-    pub fn choose_kept(
+    pub fn choose_session_version(
         &self,
         workspace: &Workspace,
         version: &VersionRef,
         generation: u64,
-        fresh: Freshness,
-    ) -> Result<Chosen> {
-        let ended = || {
+        freshness: Freshness,
+    ) -> Result<ChosenVersion> {
+        let session_ended = || {
             Error::new(Code::SessionEnded, format!("{version} is withdrawn; start a new session"))
         };
-        let found = self.versions.get(version).ok_or_else(ended)?;
-        if found.barred || found.spec.generation != generation {
-            return Err(ended());
+        let found = self.versions.get(version).ok_or_else(session_ended)?;
+        if found.is_barred || found.spec.generation != generation {
+            return Err(session_ended());
         }
-        if found.unproven.is_some() {
-            self.check_unproven(version, fresh)?;
+        if found.canary_credits.is_some() {
+            self.check_canary(version, freshness)?;
         }
-        self.chosen(workspace, version)
+        self.reserve_version(workspace, version)
     }
 
     /// Checks that work on a version under roll-out may go on.
-    fn check_unproven(&self, version: &VersionRef, fresh: Freshness) -> Result<()> {
+    fn check_canary(&self, version: &VersionRef, freshness: Freshness) -> Result<()> {
         let Some(rollout) = self.rollouts.iter().find(|r| r.spec.to == *version) else {
             return Ok(());
         };
         let is_running = rollout.is_running();
-        if is_running && rollout.may_use_new(fresh) {
+        if is_running && rollout.allows_canary(freshness) {
             return Ok(());
         }
         let code = if is_running { Code::Stale } else { Code::NoVersion };
         let message = format!("{version} takes no work now; the session keeps it");
-        Err(Error::new(code, message).with_retry_after(RETRY_VERSION_MS))
+        Err(Error::new(code, message).with_retry_after(VERSION_RETRY_AFTER_MS))
     }
 
     /// Checks a version and takes a credit where it is unproven.
-    fn chosen(&self, workspace: &Workspace, version: &VersionRef) -> Result<Chosen> {
+    fn reserve_version(
+        &self,
+        workspace: &Workspace,
+        version: &VersionRef,
+    ) -> Result<ChosenVersion> {
         let v = self.check_version(workspace, version)?;
-        if let Some(credits) = &v.unproven {
-            if !credits.take() {
+        if let Some(credits) = &v.canary_credits {
+            if !credits.try_spend() {
                 let message = format!("the exposure cap of {version} is reached");
                 let refusal = Error::new(Code::NoVersion, message);
-                return Err(refusal.with_retry_after(RETRY_VERSION_MS));
+                return Err(refusal.with_retry_after(VERSION_RETRY_AFTER_MS));
             }
         }
-        Ok(Chosen {
+        Ok(ChosenVersion {
             version: version.clone(),
             generation: v.spec.generation,
             pool: v.spec.pool.clone(),
-            credit: v.unproven.clone(),
+            credit: v.canary_credits.clone(),
         })
     }
 
     /// Checks a chosen version again, at the last moment before its work leaves the host.
-    pub fn still_good(&self, workspace: &Workspace, chosen: &Chosen) -> Result<()> {
+    pub fn check_still_valid(&self, workspace: &Workspace, chosen: &ChosenVersion) -> Result<()> {
         let v = self.check_version(workspace, &chosen.version)?;
         match v.spec.generation == chosen.generation {
             true => Ok(()),
@@ -464,15 +472,15 @@
 }
 
 /// Lists the facts that follow from accepted withdrawals, so that they spread host to host.
-pub fn facts_of_store(store: &Store) -> Vec<Fact> {
-    let entries = store.iter().filter(|e| e.key.kind == Kind::Withdrawal);
-    let fact_of = |e: &Entry| {
+pub fn withdrawal_facts(store: &Store) -> Vec<Fact> {
+    let entries = store.iter().filter(|e| e.key.kind == ObjectKind::Withdrawal);
+    let to_fact = |e: &Entry| {
         let body = e.body.as_ref()?;
-        let Ok(Object::Withdrawal(w)) = Object::from_json(Kind::Withdrawal, body) else {
+        let Ok(Object::Withdrawal(w)) = Object::from_json(ObjectKind::Withdrawal, body) else {
             return None;
         };
         let subject = Subject::Withdrawn(e.key.name.parse().ok()?);
         Some(Fact { subject, generation: w.generation })
     };
-    entries.filter_map(fact_of).collect()
+    entries.filter_map(to_fact).collect()
 }
--- a/crates/tidetrack-core/tests/properties.rs
+++ b/crates/tidetrack-core/tests/properties.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 
-use tidetrack_core::config::{Kind, ObjectKey};
+use tidetrack_core::config::{ObjectKey, ObjectKind};
 use tidetrack_core::declare::read_folder;
 use tidetrack_core::ids::RequestId;
 use tidetrack_core::ledger::{total_up, Bill, Ended, Segment};
@@ -85,7 +85,7 @@
             .iter()
             .enumerate()
             .map(|(i, (n, there))| Entry {
-                key: ObjectKey::new(Kind::Model, format!("m{n}")),
+                key: ObjectKey::new(ObjectKind::Model, format!("m{n}")),
                 version: i as u64 + 1,
                 body: there.then(|| format!("{{\"n\":{i}}}").into()),
             })
--- a/crates/tidetrack-core/tests/slow_link.rs
+++ b/crates/tidetrack-core/tests/slow_link.rs
@@ -9,8 +9,8 @@
 
 use std::collections::BTreeMap;
 
-use tidetrack_core::config::{Kind, ObjectKey};
-use tidetrack_core::evidence::{CellKey, Counts};
+use tidetrack_core::config::{ObjectKey, ObjectKind};
+use tidetrack_core::evidence::{EvidenceKey, VersionCounts};
 use tidetrack_core::facts::{Fact, Subject};
 use tidetrack_core::ids::{HostId, VersionRef};
 use tidetrack_core::membership::{Member, MemberState};
@@ -50,10 +50,10 @@
 fn node(i: usize) -> Node {
     let own = Member {
         incarnation: format!("h{i}~1").parse().expect("an incarnation"),
-        beat: 1,
+        state_version: 1,
         state: MemberState::Alive,
-        peer: format!("h{i}"),
-        caller: String::new(),
+        peer_address: format!("h{i}"),
+        caller_address: String::new(),
         failure_domain: format!("d{}", i % 3).parse().expect("a failure domain"),
     };
     let mut node = Node::new(own, NodeOptions::default(), i as u64);
@@ -64,7 +64,7 @@
 fn objects(count: u64, revision: u64) -> Vec<Entry> {
     let body = |n: u64| format!("{{\"about\":\"{n:0width$}\"}}", width = OBJECT_BYTES - 12);
     let entry = |n: u64| Entry {
-        key: ObjectKey::new(Kind::Model, format!("m{n}")),
+        key: ObjectKey::new(ObjectKind::Model, format!("m{n}")),
         version: revision + n,
         body: Some(body(n).into()),
     };
@@ -78,23 +78,23 @@
 /// What a host that nobody else meets says of `count` others' requests on a version.
 fn evidence(count: u64) -> Exchange {
     let item = |n: u64| {
-        let seen_by = format!("host-{n:04}~1").parse().expect("an incarnation");
-        let counts = Counts { started: 1, ..Counts::default() };
-        Item::Evidence(CellKey { version: version(), generation: 1, seen_by }, counts)
+        let observer = format!("host-{n:04}~1").parse().expect("an incarnation");
+        let counts = VersionCounts { started: 1, ..VersionCounts::default() };
+        Item::Evidence(EvidenceKey { version: version(), generation: 1, observer }, counts)
     };
     Exchange {
         from: "x~1".parse().expect("an incarnation"),
         nonce: 1,
-        after: 0,
-        seq: count,
-        acked: 0,
+        after_seq: 0,
+        last_seq: count,
+        acked_seq: 0,
         complete_to: 0,
-        fresh_age_ms: None,
-        room: Some(0),
-        objects: None,
+        confirmation_age_ms: None,
+        max_reply_bytes: Some(0),
+        changes: None,
         items: (0..count).map(item).collect(),
         suspects: Vec::new(),
-        asks: Vec::new(),
+        loan_requests: Vec::new(),
         loans: Vec::new(),
     }
 }
@@ -170,7 +170,7 @@
             node.on_list(Millis(CLOCK), 1, Vec::new());
         }
         net.run_until(CHANGE_AT);
-        assert_eq!(net.nodes[SLOW].hosts(), HOSTS);
+        assert_eq!(net.nodes[SLOW].live_host_count(), HOSTS);
         (net.begun, net.most_copies, net.failed) = (0, 0, 0);
         net
     }
@@ -223,7 +223,7 @@
             // The connection is closed: what is left of its message is not sent.
             self.flows.retain(|f| f.call != id);
             self.failed += 1;
-            self.nodes[call.from].on_failed(&call.to);
+            self.nodes[call.from].on_exchange_failed(&call.to);
         }
         self.carry();
         for i in 0..HOSTS {
@@ -246,7 +246,7 @@
     fn send(&mut self, call: u64, from: usize, to: usize, is_reply: bool, message: Exchange) {
         let bytes = serde_json::to_string(&message).expect("JSON").len();
         if to == SLOW {
-            self.begun += message.objects.as_ref().map_or(0, Delta::body_bytes);
+            self.begun += message.changes.as_ref().map_or(0, Delta::body_bytes);
         }
         let over_the_link = from == SLOW || to == SLOW;
         // Other links carry a message within a step.
@@ -270,7 +270,7 @@
                 budget -= carried;
             }
         }
-        let with_objects = |f: &&Flow| f.to == SLOW && f.message.objects.is_some();
+        let with_objects = |f: &&Flow| f.to == SLOW && f.message.changes.is_some();
         self.most_copies = self.most_copies.max(self.flows.iter().filter(with_objects).count());
         let arrived: Vec<Flow> =
             self.flows.extract_if(.., |f| f.left <= 0.0 && self.paused != Some(f.to)).collect();
@@ -291,7 +291,7 @@
     }
 
     fn knows_withdrawal(&self) -> bool {
-        self.nodes[SLOW].facts.bars_version(&version(), 1)
+        self.nodes[SLOW].facts.is_version_barred(&version(), 1)
     }
 }
 
@@ -315,7 +315,7 @@
     let to = net.change(count);
     let began = net.now;
     net.run_until(began + 300);
-    net.nodes[at].learn(withdrawal());
+    net.nodes[at].add_fact(withdrawal());
     let withdrawn_ms = net.run_while(60_000, |net| !net.knows_withdrawal());
     let whole = |net: &Net| net.nodes[SLOW].store.complete_to() >= to;
     net.run_while(60_000, |net| !whole(net));
@@ -397,7 +397,7 @@
             let now = net.clock();
             (1..HOSTS).for_each(|i| drop(net.nodes[i].on_exchange(now, evidence(1_080))));
             net.run_until(net.now + 100);
-            net.nodes[at].learn(withdrawal());
+            net.nodes[at].add_fact(withdrawal());
             net.run_while(60_000, |net| !net.knows_withdrawal())
         })
         .collect();
--- a/crates/tidetrack-ctl/src/apply.rs
+++ b/crates/tidetrack-ctl/src/apply.rs
@@ -9,8 +9,8 @@
 
 use serde::Serialize;
 use tidetrack_core::codes::Code;
-use tidetrack_core::config::{Kind, Object, ObjectKey};
-use tidetrack_core::declare::Declared;
+use tidetrack_core::config::{Object, ObjectKey, ObjectKind};
+use tidetrack_core::declare::DeclaredObjects;
 use tidetrack_core::errors::{Error, Result};
 use tidetrack_core::store::Entry;
 use tidetrack_wire::platform::{config_name, PlatformClient};
@@ -61,24 +61,28 @@
 }
 
 /// Objects that others name come first, so that no host sees a name without its object.
-const ORDER: [Kind; 9] = [
-    Kind::KeyRing,
-    Kind::Pool,
-    Kind::Version,
-    Kind::Model,
-    Kind::Workspace,
-    Kind::Service,
-    Kind::Policy,
-    Kind::Rollout,
-    Kind::Objective,
+const ORDER: [ObjectKind; 9] = [
+    ObjectKind::KeyRing,
+    ObjectKind::Pool,
+    ObjectKind::Version,
+    ObjectKind::Model,
+    ObjectKind::Workspace,
+    ObjectKind::Service,
+    ObjectKind::Policy,
+    ObjectKind::Rollout,
+    ObjectKind::Objective,
 ];
 
-fn order_of(kind: Kind) -> usize {
+fn order_of(kind: ObjectKind) -> usize {
     ORDER.iter().position(|k| *k == kind).unwrap_or(ORDER.len())
 }
 
 /// Compares what is declared with what is there.
-pub fn diff(platform: &PlatformClient, declared: &Declared, prune: bool) -> Result<Vec<DiffLine>> {
+pub fn diff(
+    platform: &PlatformClient,
+    declared: &DeclaredObjects,
+    prune: bool,
+) -> Result<Vec<DiffLine>> {
     let (_, entries) = platform.list_config()?;
     let there: BTreeMap<ObjectKey, Entry> =
         entries.into_iter().map(|e| (e.key.clone(), e)).collect();
--- a/crates/tidetrack-ctl/src/dry_run.rs
+++ b/crates/tidetrack-ctl/src/dry_run.rs
@@ -5,9 +5,9 @@
 use serde::{Deserialize, Serialize};
 
 use tidetrack_core::codes::Code;
-use tidetrack_core::config::{Kind, Object, ObjectKey};
-use tidetrack_core::declare::Declared;
-use tidetrack_core::errors::{unknown, Error, Result};
+use tidetrack_core::config::{Object, ObjectKey, ObjectKind};
+use tidetrack_core::declare::DeclaredObjects;
+use tidetrack_core::errors::{unknown_name, Error, Result};
 use tidetrack_core::ids::RouteId;
 use tidetrack_core::policy::{Features, Program};
 
@@ -45,10 +45,10 @@
 }
 
 /// Runs a route's policy on recorded lines; a line that does not read is an error that names it.
-pub fn run(declared: &Declared, route: &RouteId, file: &str, lines: &str) -> Result<DryRun> {
-    let key = ObjectKey::new(Kind::Policy, route);
+pub fn run(declared: &DeclaredObjects, route: &RouteId, file: &str, lines: &str) -> Result<DryRun> {
+    let key = ObjectKey::new(ObjectKind::Policy, route);
     let Some(Object::Policy(policy)) = declared.get(&key) else {
-        return Err(unknown(Code::UnknownRoute, "route", route));
+        return Err(unknown_name(Code::UnknownRoute, "route", route));
     };
     let program = Program::compile(policy)?;
     let mut out = DryRun::default();
--- a/crates/tidetrack-ctl/src/folder.rs
+++ b/crates/tidetrack-ctl/src/folder.rs
@@ -5,10 +5,10 @@
 use anyhow::{Context, Result};
 
 use tidetrack_core::codes::Code;
-use tidetrack_core::declare::{faults_error, read_folder, Declared};
+use tidetrack_core::declare::{faults_error, read_folder, DeclaredObjects};
 
 /// Reads and checks all `.toml` files of a folder and the folders in it.
-pub fn read(dir: &Path) -> Result<Declared> {
+pub fn read(dir: &Path) -> Result<DeclaredObjects> {
     let mut files = Vec::new();
     collect(dir, &mut files)?;
     files.sort();
--- a/crates/tidetrack-ctl/src/rollout.rs
+++ b/crates/tidetrack-ctl/src/rollout.rs
@@ -2,11 +2,11 @@
 
 use tidetrack_core::codes::Code;
 use tidetrack_core::config::{
-    Kind, Object, ObjectKey, RolloutPhase, RolloutState, Version, Withdrawal,
+    Object, ObjectKey, ObjectKind, RolloutPhase, RolloutState, Version, Withdrawal,
 };
 use tidetrack_core::errors::{Error, Result};
 use tidetrack_core::ids::{RolloutId, VersionRef};
-use tidetrack_core::rollout::first_state;
+use tidetrack_core::rollout::initial_state;
 use tidetrack_wire::platform::{config_name, PlatformClient};
 
 /// Updates tried against hosts that write to the same object. Each of them writes at most every few
@@ -58,7 +58,7 @@
 }
 
 fn version_of(platform: &PlatformClient, version: &VersionRef) -> Result<Version> {
-    match read(platform, &ObjectKey::new(Kind::Version, version))?.1 {
+    match read(platform, &ObjectKey::new(ObjectKind::Version, version))?.1 {
         Object::Version(v) => Ok(v),
         _ => Err(Error::new(Code::Internal, "a version of another kind")),
     }
@@ -67,7 +67,7 @@
 /// Withdraws a version's present generation.
 pub fn withdraw(platform: &PlatformClient, version: &VersionRef, reason: &str) -> Result<u64> {
     let generation = version_of(platform, version)?.generation;
-    let key = ObjectKey::new(Kind::Withdrawal, version);
+    let key = ObjectKey::new(ObjectKind::Withdrawal, version);
     let there = match read(platform, &key) {
         Ok((at, Object::Withdrawal(w))) if w.generation >= generation => return Ok(at),
         Ok((at, _)) => at,
@@ -89,11 +89,12 @@
 
 impl Standing {
     fn read(platform: &PlatformClient, id: &RolloutId) -> Result<Standing> {
-        let Object::Rollout(spec) = read(platform, &ObjectKey::new(Kind::Rollout, id))?.1 else {
+        let Object::Rollout(spec) = read(platform, &ObjectKey::new(ObjectKind::Rollout, id))?.1
+        else {
             return Err(Error::new(Code::Internal, "a roll-out of another kind"));
         };
         let generation = version_of(platform, &spec.to)?.generation;
-        let key = ObjectKey::new(Kind::RolloutState, id);
+        let key = ObjectKey::new(ObjectKind::RolloutState, id);
         let (at, state) = match read(platform, &key) {
             Ok((at, Object::RolloutState(state))) => (at, Some(state)),
             Ok(_) => return Err(Error::new(Code::Internal, "a state of another kind")),
@@ -125,7 +126,7 @@
     for _ in 0..WRITE_TRIES {
         let state = standing.state.clone();
         let mut next = next(state, verb, standing.generation, standing.stages)?;
-        next.op = format!("ctl-{:016x}", rand::random::<u64>());
+        next.operation_id = format!("ctl-{:016x}", rand::random::<u64>());
         let body = Object::RolloutState(next.clone()).to_json();
         match platform.write_settled(&config_name(&standing.key), standing.at, &body) {
             Ok(_) => return Ok(next),
@@ -149,7 +150,7 @@
     let refuse = |why: String| Err(Error::new(Code::Conflict, why));
     let Some(mut state) = state else {
         return match verb {
-            Verb::Start => Ok(first_state(generation)),
+            Verb::Start => Ok(initial_state(generation)),
             _ => refuse("the roll-out was not started".to_string()),
         };
     };
@@ -161,7 +162,7 @@
                     format!("generation {generation} ended {phase:?}; raise it to start again");
                 return refuse(why);
             }
-            return Ok(first_state(generation));
+            return Ok(initial_state(generation));
         }
         (Verb::Pause, RolloutPhase::Running) => state.phase = RolloutPhase::Paused,
         (Verb::Resume, RolloutPhase::Paused) => state.phase = RolloutPhase::Running,
--- a/crates/tidetrack-ctl/src/status.rs
+++ b/crates/tidetrack-ctl/src/status.rs
@@ -57,8 +57,8 @@
                 r.to,
                 r.new.answered,
                 r.new.rated,
-                r.new.mean(),
-                r.proven.mean()
+                r.new.mean_score(),
+                r.proven.mean_score()
             );
             out.push_str(&line);
         }
--- a/crates/tidetrack-ctl/tests/rollouts.rs
+++ b/crates/tidetrack-ctl/tests/rollouts.rs
@@ -1,7 +1,7 @@
 //! The verbs of `rollout` against writers that come between.
 
 use tidetrack_core::codes::Code;
-use tidetrack_core::config::{Kind, Object, ObjectKey, RolloutPhase, RolloutState};
+use tidetrack_core::config::{Object, ObjectKey, ObjectKind, RolloutPhase, RolloutState};
 use tidetrack_core::declare::read_folder;
 use tidetrack_core::ids::RolloutId;
 use tidetrack_ctl::{apply, rollout};
@@ -38,10 +38,10 @@
 }
 
 fn state(world: &World) -> RolloutState {
-    let key = ObjectKey::new(Kind::RolloutState, &world.id);
+    let key = ObjectKey::new(ObjectKind::RolloutState, &world.id);
     let stored = world.client.fetch(&config_name(&key)).expect("a state");
     let body = stored.body.expect("a body");
-    match Object::from_json(Kind::RolloutState, &body).expect("a sound state") {
+    match Object::from_json(ObjectKind::RolloutState, &body).expect("a sound state") {
         Object::RolloutState(state) => state,
         other => panic!("{other:?}"),
     }
--- a/crates/tidetrack-load/src/caller.rs
+++ b/crates/tidetrack-load/src/caller.rs
@@ -4,7 +4,7 @@
 
 use serde_json::{json, Value};
 
-use tidetrack_core::codes::Ran;
+use tidetrack_core::codes::Executed;
 use tidetrack_wire::headers;
 
 /// Seconds that a call may take.
@@ -42,7 +42,7 @@
     }
 
     /// Gets whether a refusal says that the request was run.
-    pub fn ran(&self) -> Option<Ran> {
+    pub fn ran(&self) -> Option<Executed> {
         let refusal: Value = serde_json::from_str(&self.body).ok()?;
         serde_json::from_value(refusal["error"]["ran"].clone()).ok()
     }
--- a/crates/tidetrack-plane/src/attempt.rs
+++ b/crates/tidetrack-plane/src/attempt.rs
@@ -9,7 +9,7 @@
 use hyper::body::Incoming;
 
 use tidetrack_core::broke::{with_causes, Broke};
-use tidetrack_core::codes::{Code, Ran};
+use tidetrack_core::codes::{Code, Executed};
 use tidetrack_core::errors::{Error, Result};
 
 use crate::dialect::AnswerFacts;
@@ -74,8 +74,8 @@
     pub until: Instant,
 }
 
-fn failed(code: Code, text: impl Into<String>, ran: Ran) -> Error {
-    Error::new(code, text).with_ran(ran)
+fn failed(code: Code, text: impl Into<String>, ran: Executed) -> Error {
+    Error::new(code, text).with_executed(ran)
 }
 
 /// Sends a request and waits for the head of its answer.
@@ -89,13 +89,13 @@
     loop {
         let taken = attempt.pool.take(attempt.endpoint, attempt.address, attempt.most_rest);
         let mut lease = tokio::time::timeout_at(until, taken).await.map_err(|_| {
-            let e = failed(Code::EndpointUnreachable, "no connection in time", Ran::No);
-            e.with_broke(Broke::Silence)
+            let e = failed(Code::EndpointUnreachable, "no connection in time", Executed::No);
+            e.with_disconnect_cause(Broke::Silence)
         })??;
         lease.waits(!attempt.is_repeatable);
         let sent = lease.sender.try_send_request(make());
         match tokio::time::timeout_at(until, sent).await {
-            Err(_) => return Err(failed(Code::Deadline, "no answer in time", Ran::Unknown)),
+            Err(_) => return Err(failed(Code::Deadline, "no answer in time", Executed::Unknown)),
             Ok(Ok(resp)) => return judge_head(attempt, resp, lease).await,
             Ok(Err(mut e)) => {
                 let (text, broke) = (with_causes(e.error()), broke(e.error()));
@@ -103,12 +103,12 @@
                     // The other end had closed the connection before anything was sent.
                     (Some(_), true) => {}
                     (Some(_), false) => {
-                        let e = failed(Code::EndpointUnreachable, text, Ran::No);
-                        return Err(e.with_broke(broke));
+                        let e = failed(Code::EndpointUnreachable, text, Executed::No);
+                        return Err(e.with_disconnect_cause(broke));
                     }
                     (None, _) => {
-                        let e = failed(Code::EndpointFailed, text, Ran::Unknown);
-                        return Err(e.with_broke(broke));
+                        let e = failed(Code::EndpointFailed, text, Executed::Unknown);
+                        return Err(e.with_disconnect_cause(broke));
                     }
                 }
             }
@@ -127,7 +127,7 @@
     let may_lack = attempt.echo == Echo::IfKnown && facts.attempt_id.is_none();
     if !may_lack && facts.attempt_id.as_deref() != attempt.attempt_id {
         let text = format!("the answer is for {:?}", facts.attempt_id);
-        return Err(failed(Code::WrongAnswer, text, Ran::Unknown));
+        return Err(failed(Code::WrongAnswer, text, Executed::Unknown));
     }
     if head.status != StatusCode::MISDIRECTED_REQUEST {
         (attempt.seen)(&facts);
@@ -138,7 +138,7 @@
             StatusCode::MISDIRECTED_REQUEST => Code::EndpointMoved,
             _ => Code::EndpointRefused,
         };
-        let refused = failed(code, text, Ran::No);
+        let refused = failed(code, text, Executed::No);
         let answered = Answered { head, facts, body, lease };
         keep_after_refusal(attempt, answered).await;
         return Err(refused);
@@ -146,10 +146,14 @@
     let is_success = head.status.is_success();
     if !facts.is_sealed || (is_success && facts.is_encoded) {
         let text = format!("an answer with {} that nobody vouches for", head.status);
-        return Err(failed(Code::EndpointFailed, text, Ran::Unknown));
+        return Err(failed(Code::EndpointFailed, text, Executed::Unknown));
     }
     if head.status == StatusCode::SWITCHING_PROTOCOLS {
-        return Err(failed(Code::EndpointFailed, "the endpoint changed protocols", Ran::Unknown));
+        return Err(failed(
+            Code::EndpointFailed,
+            "the endpoint changed protocols",
+            Executed::Unknown,
+        ));
     }
     Ok(Answered { head, facts, body, lease })
 }
@@ -165,9 +169,9 @@
 pub async fn collect(body: Incoming, lease: Lease) -> Result<(Bytes, Lease)> {
     let whole = Limited::new(body, MOST_COLLECTED).collect().await;
     let whole = whole.map_err(|e| {
-        let failed = failed(Code::EndpointFailed, with_causes(e.as_ref()), Ran::Yes);
+        let failed = failed(Code::EndpointFailed, with_causes(e.as_ref()), Executed::Yes);
         match e.downcast_ref::<hyper::Error>() {
-            Some(e) => failed.with_broke(broke(e)),
+            Some(e) => failed.with_disconnect_cause(broke(e)),
             None => failed,
         }
     })?;
--- a/crates/tidetrack-plane/src/call.rs
+++ b/crates/tidetrack-plane/src/call.rs
@@ -11,7 +11,7 @@
 use tokio::time::Instant;
 
 use tidetrack_core::broke::with_causes;
-use tidetrack_core::codes::{Code, Ran};
+use tidetrack_core::codes::{Code, Executed};
 use tidetrack_core::errors::{Error, Result};
 use tidetrack_core::traffic::feeds::LARGE_REPLY;
 
@@ -38,12 +38,12 @@
 /// Makes the error of a reply that is not read to its end.
 fn too_large() -> Error {
     let text = format!("the reply is larger than {MOST_REPLY} bytes");
-    Error::new(Code::ReplyTooLarge, text).with_ran(Ran::Unknown)
+    Error::new(Code::ReplyTooLarge, text).with_executed(Executed::Unknown)
 }
 
 /// Makes the error of a call that led to no usable reply.
 pub fn down(text: impl Into<String>) -> Error {
-    Error::new(Code::PlatformDown, text).with_ran(Ran::Unknown)
+    Error::new(Code::PlatformDown, text).with_executed(Executed::Unknown)
 }
 
 /// Makes the error of a reply that became needless before it had come.
--- a/crates/tidetrack-plane/src/crash.rs
+++ b/crates/tidetrack-plane/src/crash.rs
@@ -13,7 +13,7 @@
 use tokio::sync::{oneshot, OnceCell};
 
 use tidetrack_core::broke::Broke;
-use tidetrack_core::codes::Ran;
+use tidetrack_core::codes::Executed;
 use tidetrack_core::errors::Error;
 use tidetrack_core::events::Event;
 use tidetrack_core::ids::EndpointId;
@@ -79,8 +79,8 @@
     e: &Error,
     sent_at: Instant,
 ) {
-    let is_cut = matches!(e.broke, Some(Broke::Closed | Broke::Reset));
-    if !is_cut || e.ran == Ran::No {
+    let is_cut = matches!(e.disconnect_cause, Some(Broke::Closed | Broke::Reset));
+    if !is_cut || e.executed == Executed::No {
         return;
     }
     let look = traffic.looks.at(&chosen.id);
@@ -141,7 +141,7 @@
 async fn has_ended(traffic: &Traffic, chosen: &Chosen, most_rest: Duration) -> bool {
     let opened = traffic.pool.prepare(chosen.id.as_str(), &chosen.address, most_rest);
     match tokio::time::timeout(LOOK_WITHIN, opened).await {
-        Ok(Err(e)) => e.broke == Some(Broke::Refused),
+        Ok(Err(e)) => e.disconnect_cause == Some(Broke::Refused),
         Ok(Ok(())) | Err(_) => false,
     }
 }
--- a/crates/tidetrack-plane/src/exchange.rs
+++ b/crates/tidetrack-plane/src/exchange.rs
@@ -12,7 +12,7 @@
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
 
-use tidetrack_core::codes::{Code, Ran};
+use tidetrack_core::codes::{Code, Executed};
 use tidetrack_core::errors::{Error, Result};
 use tidetrack_core::events::Event;
 use tidetrack_core::ids::ModelId;
@@ -106,7 +106,7 @@
     e: &Error,
 ) -> Response<AnswerBody> {
     let shared = &traffic.shared;
-    let ran = format!("{:?}", e.ran);
+    let ran = format!("{:?}", e.executed);
     let ms = began.elapsed().as_millis();
     let retry_after_ms = e.retry_after_ms.unwrap_or(0);
     shared.journal.line(
@@ -246,7 +246,7 @@
                 // The second run was taken from the budget, and its endpoint reached, before the answer
                 // at hand is dropped.
                 tries.is_paid = true;
-                tries.note_ran(Ran::Yes);
+                tries.note_ran(Executed::Yes);
                 chosen.live.note(traffic.shared.now(), true);
                 let seen = Seen::ended(AttemptEnd::Dropped, began.elapsed());
                 observe(traffic, job, &chosen, model.as_ref(), &seen);
@@ -258,7 +258,7 @@
             match pass_on(traffic, job, &mut tries, model.as_ref(), sent).await {
                 Ok(resp) => return Ok(resp),
                 Err(e) => {
-                    tries.note_ran(Ran::Yes);
+                    tries.note_ran(Executed::Yes);
                     if !may_go_on(job, &tries) {
                         return Err(gave_up(job, &tries, e));
                     }
@@ -266,7 +266,7 @@
                 }
             }
         }
-        tries.note_ran(Ran::Yes);
+        tries.note_ran(Executed::Yes);
         let is_failure = status.is_server_error();
         let end = if is_failure { AttemptEnd::Failed } else { AttemptEnd::Whole };
         let seen = Seen::ended(end, began.elapsed());
@@ -327,7 +327,7 @@
         Err(e) => {
             failed_attempt(traffic, job, &chosen, model, &e, began.elapsed());
             note_crash(traffic, job, &chosen, &e, began).await;
-            tries.note_ran(e.ran);
+            tries.note_ran(e.executed);
             match may_go_on(job, tries) {
                 true => Err(Stop::Again),
                 false => Err(Stop::Final(gave_up(job, tries, e))),
@@ -340,7 +340,7 @@
 fn may_go_on(job: &Job, tries: &Tries) -> bool {
     let route = &job.admitted.route;
     let failed = Failed {
-        ran: tries.ran.unwrap_or(Ran::No),
+        ran: tries.ran.unwrap_or(Executed::No),
         repeatable: route.work.is_repeatable(),
         answered_in_part: false,
     };
@@ -349,19 +349,19 @@
 
 /// Makes the final error of a request: it says whether the request may have run.
 fn gave_up(job: &Job, tries: &Tries, last: Error) -> Error {
-    let ran = tries.ran.unwrap_or(Ran::No);
+    let ran = tries.ran.unwrap_or(Executed::No);
     if job.is_over() {
-        return Error::new(Code::Deadline, last.message).with_ran(ran);
+        return Error::new(Code::Deadline, last.message).with_executed(ran);
     }
     match ran {
         // It is no use to come back, whatever became of it.
-        _ if last.code == Code::CrashesEndpoints => last.with_ran(ran),
-        Ran::No if last.retry_after_ms.is_some() => last.with_ran(Ran::No),
-        Ran::No if last.code.status() == 503 => {
-            last.with_ran(Ran::No).with_retry_after(RETRY_FULL_MS)
+        _ if last.code == Code::CrashesEndpoints => last.with_executed(ran),
+        Executed::No if last.retry_after_ms.is_some() => last.with_executed(Executed::No),
+        Executed::No if last.code.status() == 503 => {
+            last.with_executed(Executed::No).with_retry_after(RETRY_FULL_MS)
         }
-        Ran::No => full(&last.message),
-        _ => Error::new(Code::EndpointFailed, last.message).with_ran(ran),
+        Executed::No => full(&last.message),
+        _ => Error::new(Code::EndpointFailed, last.message).with_executed(ran),
     }
 }
 
--- a/crates/tidetrack-plane/src/job.rs
+++ b/crates/tidetrack-plane/src/job.rs
@@ -12,7 +12,7 @@
 use http::{HeaderMap, Method, Uri};
 use tokio::sync::Notify;
 
-use tidetrack_core::codes::Ran;
+use tidetrack_core::codes::Executed;
 use tidetrack_core::ids::{EndpointId, FailureDomain, ModelId, ServiceId, VersionName};
 use tidetrack_core::placement::{work_of, EndpointLive};
 use tidetrack_core::traffic::budget::SendBudget;
@@ -382,7 +382,7 @@
     /// Endpoints that were not reached.
     pub not_reached: Vec<EndpointId>,
     /// Whether the request has run, as far as is known.
-    pub ran: Option<Ran>,
+    pub ran: Option<Executed>,
     /// Whether the next send was taken from the budget already: what is at hand is given up only once
     /// the next send is sure to be allowed.
     pub is_paid: bool,
@@ -407,11 +407,11 @@
     }
 
     /// Takes note of whether an attempt ran.
-    pub fn note_ran(&mut self, ran: Ran) {
+    pub fn note_ran(&mut self, ran: Executed) {
         let worst = match (self.ran, ran) {
-            (Some(Ran::Yes), _) | (_, Ran::Yes) => Ran::Yes,
-            (Some(Ran::Unknown), _) | (_, Ran::Unknown) => Ran::Unknown,
-            _ => Ran::No,
+            (Some(Executed::Yes), _) | (_, Executed::Yes) => Executed::Yes,
+            (Some(Executed::Unknown), _) | (_, Executed::Unknown) => Executed::Unknown,
+            _ => Executed::No,
         };
         self.ran = Some(worst);
     }
--- a/crates/tidetrack-plane/src/pool.rs
+++ b/crates/tidetrack-plane/src/pool.rs
@@ -16,7 +16,7 @@
 use tokio::task::JoinHandle;
 
 use tidetrack_core::broke::{with_causes, Broke};
-use tidetrack_core::codes::{Code, Ran};
+use tidetrack_core::codes::{Code, Executed};
 use tidetrack_core::errors::{Error, Result};
 use tidetrack_core::traffic::reach::PROMPT;
 
@@ -199,7 +199,9 @@
 
 fn unreachable(address: &str, why: &str, broke: Broke) -> Error {
     let text = format!("connect to {address}: {why}");
-    Error::new(Code::EndpointUnreachable, text).with_ran(Ran::No).with_broke(broke)
+    Error::new(Code::EndpointUnreachable, text)
+        .with_executed(Executed::No)
+        .with_disconnect_cause(broke)
 }
 
 /// Tells how a connection broke from the HTTP library's error.
--- a/crates/tidetrack-plane/src/relay.rs
+++ b/crates/tidetrack-plane/src/relay.rs
@@ -19,7 +19,7 @@
 use tokio::sync::mpsc;
 
 use tidetrack_core::broke::{with_causes, Broke};
-use tidetrack_core::codes::{Code, Ran};
+use tidetrack_core::codes::{Code, Executed};
 use tidetrack_core::errors::{Error, Result};
 use tidetrack_core::events::Event;
 use tidetrack_core::ids::ModelId;
@@ -119,7 +119,7 @@
         let first = match self.next(tries).await {
             Ok(next) => next,
             Err(e) => {
-                let e = e.with_ran(Ran::Yes);
+                let e = e.with_executed(Executed::Yes);
                 self.source_failed(&e).await;
                 return Err(e);
             }
@@ -170,7 +170,7 @@
         if let (Some(id), Some(last)) = (event.id, self.last_event) {
             if id <= last {
                 let text = format!("event {id} came after {last}");
-                return Err(Error::new(Code::WrongAnswer, text).with_ran(Ran::Yes));
+                return Err(Error::new(Code::WrongAnswer, text).with_executed(Executed::Yes));
             }
         }
         self.last_event = event.id.or(self.last_event);
@@ -365,7 +365,7 @@
                 ("events", &self.events),
                 ("code", &why.code),
                 ("why", &why.message),
-                ("broke", &why.broke.map_or("-", Broke::as_str)),
+                ("broke", &why.disconnect_cause.map_or("-", Broke::as_str)),
             ],
         );
         // A caller that has left needs no sign.
@@ -374,7 +374,7 @@
 }
 
 fn late(text: &str) -> Error {
-    Error::new(Code::Deadline, text).with_ran(Ran::Yes)
+    Error::new(Code::Deadline, text).with_executed(Executed::Yes)
 }
 
 /// Waits until a silent stream is to go on elsewhere.
@@ -410,7 +410,7 @@
             }
             Ok(answered) => {
                 let text = format!("going on was answered with {}", answered.head.status);
-                Error::new(Code::EndpointFailed, text).with_ran(Ran::Yes)
+                Error::new(Code::EndpointFailed, text).with_executed(Executed::Yes)
             }
             Err(e) => e,
         };
@@ -460,7 +460,8 @@
     }
 
     async fn next(&mut self) -> Result<Next> {
-        let broken = |text: String| Error::new(Code::EndpointFailed, text).with_ran(Ran::Yes);
+        let broken =
+            |text: String| Error::new(Code::EndpointFailed, text).with_executed(Executed::Yes);
         loop {
             if let Some(event) = self.splitter.next_event() {
                 self.events += 1;
@@ -476,9 +477,11 @@
                         self.splitter.push(data);
                     }
                 }
-                Some(Err(e)) => return Err(broken(with_causes(&e)).with_broke(broke(&e))),
+                Some(Err(e)) => {
+                    return Err(broken(with_causes(&e)).with_disconnect_cause(broke(&e)))
+                }
                 None if self.splitter.has_part() => {
-                    return Err(broken("half an event".into()).with_broke(Broke::Closed));
+                    return Err(broken("half an event".into()).with_disconnect_cause(Broke::Closed));
                 }
                 None => return Ok(Next::End),
             }
--- a/crates/tidetrack-plane/src/report.rs
+++ b/crates/tidetrack-plane/src/report.rs
@@ -25,7 +25,7 @@
     took: Duration,
 ) {
     let shared = &traffic.shared;
-    let ran = format!("{:?}", e.ran);
+    let ran = format!("{:?}", e.executed);
     shared.journal.line(
         Event::AttemptFailed,
         &[
@@ -33,13 +33,13 @@
             ("endpoint", &chosen.id),
             ("code", &e.code),
             ("why", &e.message),
-            ("broke", &e.broke.map_or("-", Broke::as_str)),
+            ("broke", &e.disconnect_cause.map_or("-", Broke::as_str)),
             ("ran", &ran),
             ("ms", &took.as_millis()),
         ],
     );
     shared.metrics.attempt("failed");
-    if let Some(broke) = e.broke {
+    if let Some(broke) = e.disconnect_cause {
         shared.metrics.broke(broke);
     }
     match e.code {
@@ -55,7 +55,7 @@
                 chosen.live.note_silent(shared.now());
             }
         }
-        Code::EndpointUnreachable if e.broke == Some(Broke::Silence) => {
+        Code::EndpointUnreachable if e.disconnect_cause == Some(Broke::Silence) => {
             gave_no_sign(traffic, chosen, took);
         }
         Code::EndpointUnreachable | Code::EndpointMoved => {
--- a/crates/tidetrack-plane/src/send.rs
+++ b/crates/tidetrack-plane/src/send.rs
@@ -6,7 +6,7 @@
 use http::Request;
 use http_body_util::Full;
 
-use tidetrack_core::codes::{Code, Ran};
+use tidetrack_core::codes::{Code, Executed};
 use tidetrack_core::errors::{Error, Result};
 use tidetrack_core::events::Event;
 use tidetrack_core::ids::{ModelId, VersionName};
@@ -113,7 +113,7 @@
         biased;
         sent = attempt::send(&attempt, make) => sent,
         () = impatience(traffic, job, tries, chosen, model) => {
-            Err(Error::new(Code::Deadline, "no answer in time").with_ran(Ran::Unknown))
+            Err(Error::new(Code::Deadline, "no answer in time").with_executed(Executed::Unknown))
         }
     };
     match &sent {
--- a/crates/tidetrack-quickstart/src/main.rs
+++ b/crates/tidetrack-quickstart/src/main.rs
@@ -12,7 +12,7 @@
 use serde_json::{json, Value};
 
 use tidetrack_core::config::RolloutPhase;
-use tidetrack_core::declare::{read_folder, Declared};
+use tidetrack_core::declare::{read_folder, DeclaredObjects};
 use tidetrack_ctl::{apply, bill, rollout};
 use tidetrack_router::{logging, Router, Settings};
 use tidetrack_standin::engine::{Engine, EngineOptions};
@@ -52,7 +52,7 @@
     _engines: Vec<Running>,
     _others: Vec<Running>,
     rater: String,
-    declared: Declared,
+    declared: DeclaredObjects,
 }
 
 fn engine(version: &str, quality: f64) -> Result<Running> {
--- a/crates/tidetrack-router/src/billing.rs
+++ b/crates/tidetrack-router/src/billing.rs
@@ -7,7 +7,7 @@
 
 use flume::{Receiver, RecvTimeoutError, Sender};
 
-use tidetrack_core::codes::{Code, Ran};
+use tidetrack_core::codes::{Code, Executed};
 use tidetrack_core::errors::{Error, Result};
 use tidetrack_core::events::Event;
 use tidetrack_core::ids::Incarnation;
@@ -117,7 +117,7 @@
         let sent = self.sender.send(BillMsg::Keep { bill, safe: tx });
         let lost = || {
             let message = "the bill could not be made safe; the answer is not finished";
-            Error::new(Code::BillUnsafe, message).with_ran(Ran::Yes)
+            Error::new(Code::BillUnsafe, message).with_executed(Executed::Yes)
         };
         sent.map_err(|_| lost())?;
         rx.recv_timeout(self.patience).map_err(|_| lost())
