--- a/crates/tidetrack-router/src/chat/attempts.rs
+++ b/crates/tidetrack-router/src/chat/attempts.rs
@@ -2,17 +2,17 @@
 
 use std::time::Instant;
 
-use tidetrack_core::codes::{Code, Ran};
+use tidetrack_core::codes::{Code, Executed};
 use tidetrack_core::config::Workspace;
 use tidetrack_core::errors::{Error, Result};
 use tidetrack_core::events::Event;
-use tidetrack_core::evidence::Counts;
+use tidetrack_core::evidence::VersionCounts;
 use tidetrack_core::ids::{EndpointId, ModelId};
 use tidetrack_core::ledger::Ended;
 use tidetrack_core::placement::{place_of, rendezvous, work_of, Ask, PoolEndpoint};
 use tidetrack_core::retry::{may_retry, Failed};
 use tidetrack_core::units::Tokens;
-use tidetrack_core::view::{Chosen, View};
+use tidetrack_core::view::{ChosenVersion, View};
 use tidetrack_wire::caller::{AnswerPart, StreamOptions, Usage};
 use tidetrack_wire::headers;
 
@@ -42,7 +42,7 @@
         out: &mut Out,
     ) -> Result<bool> {
         let mut tried: Vec<EndpointId> = Vec::new();
-        let mut chosen: Option<Chosen> = None;
+        let mut chosen: Option<ChosenVersion> = None;
         let mut first: Option<Error> = None;
         loop {
             let tried_before = tried.len();
@@ -54,14 +54,15 @@
                 }
                 Err(e) => e,
             };
-            self.may_have_run |= e.ran != Ran::No;
+            self.may_have_run |= e.executed != Executed::No;
             // That no other endpoint is left says less than why one is looked for.
             let e = match first.take() {
                 Some(first) if e.code == Code::Overloaded => first,
                 _ => e,
             };
             first = Some(e.clone());
-            let failed = Failed { ran: e.ran, repeatable: true, answered_in_part: out.has_begun() };
+            let failed =
+                Failed { ran: e.executed, repeatable: true, answered_in_part: out.has_begun() };
             let again = tried.len() > tried_before
                 && tried.len() < MOST_ATTEMPTS
                 && is_attempts_fault(e.code)
@@ -75,10 +76,10 @@
     }
 
     /// Gives the credit back if no attempt of the request can have run.
-    fn give_back(&self, chosen: &Option<Chosen>) {
+    fn give_back(&self, chosen: &Option<ChosenVersion>) {
         let credit = chosen.as_ref().and_then(|c| c.credit.as_ref());
         if let Some(credit) = credit.filter(|_| !self.may_have_run) {
-            credit.give_back();
+            credit.refund();
         }
     }
 
@@ -90,7 +91,7 @@
     fn attempt(
         &mut self,
         model: &ModelId,
-        chosen: &mut Option<Chosen>,
+        chosen: &mut Option<ChosenVersion>,
         tried: &mut Vec<EndpointId>,
         judged: Option<f64>,
         out: &mut Out,
@@ -101,8 +102,10 @@
         let workspace = self.workspace(&view)?;
         if chosen.is_none() {
             *chosen = Some(match &self.session {
-                Some(s) => view.choose_kept(workspace, &s.version, s.generation, fresh)?,
-                None => view.choose(workspace, model, self.draw, fresh)?,
+                Some(s) => {
+                    view.choose_session_version(workspace, &s.version, s.generation, fresh)?
+                }
+                None => view.choose_version(workspace, model, self.draw, fresh)?,
             });
         }
         let chosen = chosen.as_ref().expect("a version was chosen").clone();
@@ -113,7 +116,7 @@
         let attempt = format!("{}/{}-{}", self.caller.id, chosen.version.model, tried.len());
         // The last look before work leaves: a withdrawal that came meanwhile counts.
         let view = self.shared().view.load_full();
-        view.still_good(self.workspace(&view)?, &chosen)?;
+        view.check_still_valid(self.workspace(&view)?, &chosen)?;
         let begin = Begin {
             shared: self.shared(),
             upstream: self.caller.upstream,
@@ -134,11 +137,11 @@
     }
 
     /// Counts the end of an attempt as evidence about the version.
-    fn count(&self, chosen: &Chosen, result: &Result<bool>) {
+    fn count(&self, chosen: &ChosenVersion, result: &Result<bool>) {
         let counts = match result {
-            Ok(_) => Counts { answered: 1, ..Counts::default() },
-            Err(e) if e.ran != Ran::No && e.code == Code::EndpointFailed => {
-                Counts { errors: 1, ..Counts::default() }
+            Ok(_) => VersionCounts { answered: 1, ..VersionCounts::default() },
+            Err(e) if e.executed != Executed::No && e.code == Code::EndpointFailed => {
+                VersionCounts { errors: 1, ..VersionCounts::default() }
             }
             Err(_) => return,
         };
@@ -155,7 +158,12 @@
         self.chat.max_tokens.unwrap_or(ASSUMED_ANSWER)
     }
 
-    fn pick(&self, view: &View, chosen: &Chosen, tried: &[EndpointId]) -> Result<PoolEndpoint> {
+    fn pick(
+        &self,
+        view: &View,
+        chosen: &ChosenVersion,
+        tried: &[EndpointId],
+    ) -> Result<PoolEndpoint> {
         let need = self.chat.prompt_tokens() + self.answer_tokens();
         let context = view.versions.get(&chosen.version).map_or(0, |v| v.spec.context_tokens);
         if need > context {
@@ -186,7 +194,11 @@
     }
 
     /// Makes the request that an endpoint gets.
-    fn upstream_request(&self, chosen: &Chosen, stream: bool) -> (http::request::Builder, Vec<u8>) {
+    fn upstream_request(
+        &self,
+        chosen: &ChosenVersion,
+        stream: bool,
+    ) -> (http::request::Builder, Vec<u8>) {
         let mut chat = self.chat.clone();
         chat.model = chosen.version.model.to_string();
         chat.stream = stream;
@@ -200,7 +212,7 @@
     }
 
     /// Gets a whole answer.
-    fn whole(&self, begin: Begin<'_>, chosen: &Chosen) -> Result<Answer> {
+    fn whole(&self, begin: Begin<'_>, chosen: &ChosenVersion) -> Result<Answer> {
         let (request, body) = self.upstream_request(chosen, false);
         let (mut attempt, mut reply) = Attempt::send(begin, request, body)?;
         let parsed = attempt.read_body(&mut reply, LARGEST_ANSWER).and_then(|body| {
@@ -234,7 +246,7 @@
         &mut self,
         begin: Begin<'_>,
         view: &View,
-        chosen: &Chosen,
+        chosen: &ChosenVersion,
         out: &mut Out,
     ) -> Result<bool> {
         let (request, body) = self.upstream_request(chosen, true);
--- a/crates/tidetrack-router/src/chat/judged.rs
+++ b/crates/tidetrack-router/src/chat/judged.rs
@@ -2,9 +2,9 @@
 
 use tidetrack_core::errors::Result;
 use tidetrack_core::events::Event;
-use tidetrack_core::evidence::Counts;
+use tidetrack_core::evidence::VersionCounts;
 use tidetrack_core::ledger::Ended;
-use tidetrack_core::view::{Chosen, View};
+use tidetrack_core::view::{ChosenVersion, View};
 use tidetrack_wire::caller::DONE;
 use tidetrack_wire::endpoint::RateAsk;
 
@@ -61,14 +61,14 @@
         let Some(address) = self.shared().settings.rating.as_deref() else { return false };
         let ask = self.rate_ask(&answer.chosen, &answer.text);
         let Ok(score) = rating::rate(address, &ask, JUDGE_SECONDS) else { return false };
-        let mut counts = Counts::default();
-        counts.rate(score);
-        let Chosen { version, generation, credit, .. } = &answer.chosen;
+        let mut counts = VersionCounts::default();
+        counts.add_rating(score);
+        let ChosenVersion { version, generation, credit, .. } = &answer.chosen;
         self.shared().count(version, *generation, credit.is_some(), counts);
         score >= accept
     }
 
-    fn rate_ask(&self, chosen: &Chosen, text: &str) -> RateAsk {
+    fn rate_ask(&self, chosen: &ChosenVersion, text: &str) -> RateAsk {
         let last = self.chat.messages.last().and_then(|m| m.content.as_str()).unwrap_or_default();
         RateAsk {
             request: self.caller.id.to_string(),
@@ -78,7 +78,7 @@
         }
     }
 
-    pub(super) fn offer_rating(&self, chosen: &Chosen, text: &str) {
+    pub(super) fn offer_rating(&self, chosen: &ChosenVersion, text: &str) {
         let job = RateJob {
             ask: self.rate_ask(chosen, text),
             version: chosen.version.clone(),
--- a/crates/tidetrack-router/src/chat/mod.rs
+++ b/crates/tidetrack-router/src/chat/mod.rs
@@ -6,7 +6,7 @@
 use std::cell::Cell;
 use std::time::{Duration, Instant};
 
-use tidetrack_core::codes::{Code, Ran};
+use tidetrack_core::codes::{Code, Executed};
 use tidetrack_core::errors::{Error, Result};
 use tidetrack_core::events::Event;
 use tidetrack_core::ids::{ModelId, RequestId, RouteId, WorkspaceId};
@@ -16,7 +16,7 @@
 use tidetrack_core::session::Session;
 use tidetrack_core::traffic::fingerprint::{Fingerprint, Repeated};
 use tidetrack_core::units::Tokens;
-use tidetrack_core::view::{Chosen, View};
+use tidetrack_core::view::{ChosenVersion, View};
 use tidetrack_wire::caller::{ChatRequest, Usage};
 use tidetrack_wire::headers;
 
@@ -65,7 +65,7 @@
 
 /// What one rung gave.
 struct Answer {
-    chosen: Chosen,
+    chosen: ChosenVersion,
     endpoint: PoolEndpoint,
     text: String,
     usage: Usage,
@@ -120,7 +120,7 @@
             let shown: String = chat.model.chars().take(80).collect();
             Error::new(Code::UnknownRoute, format!("no route named {shown:?}"))
         })?;
-        let session = match (header_of(request, headers::SESSION), &view.ring) {
+        let session = match (header_of(request, headers::SESSION), &view.key_ring) {
             (Some(token), Some(ring)) => {
                 Some(Session::from_token(token.trim(), &caller.workspace, ring)?)
             }
@@ -169,7 +169,9 @@
         let result = self.answer_by_plan(view, out);
         // A refusal after an attempt that may have run must not say that nothing was.
         match result {
-            Err(e) if e.ran == Ran::No && self.may_have_run => Err(e.with_ran(Ran::Unknown)),
+            Err(e) if e.executed == Executed::No && self.may_have_run => {
+                Err(e.with_executed(Executed::Unknown))
+            }
             other => other,
         }
     }
@@ -218,7 +220,7 @@
         }
         let script = header_of(request, headers::SCRIPT_CHOICE);
         match script {
-            Some(choice) if !policy.spec.mode.is_in_force(self.draw) => {
+            Some(choice) if !policy.spec.mode.is_enforced(self.draw) => {
                 let text = format!(
                     "{} {}: policy {:?}, script {choice}",
                     self.caller.id, self.route, plan.rungs
@@ -239,7 +241,7 @@
         }
     }
 
-    fn add_part(&mut self, view: &View, chosen: &Chosen, usage: Usage) {
+    fn add_part(&mut self, view: &View, chosen: &ChosenVersion, usage: Usage) {
         let Some(v) = view.versions.get(&chosen.version) else { return };
         let (tokens_in, tokens_out) =
             (Tokens(usage.prompt_tokens), Tokens(usage.completion_tokens));
@@ -258,7 +260,13 @@
         kept
     }
 
-    fn set_headers(&self, view: &View, chosen: &Chosen, endpoint: &PoolEndpoint, out: &mut Out) {
+    fn set_headers(
+        &self,
+        view: &View,
+        chosen: &ChosenVersion,
+        endpoint: &PoolEndpoint,
+        out: &mut Out,
+    ) {
         if out.has_begun() {
             return;
         }
@@ -266,7 +274,7 @@
         let mut headers = AnswerHeaders::new(&self.caller.id, request);
         headers.add(headers::VERSION, chosen.version.to_string());
         headers.add(headers::ENDPOINT, endpoint.id.to_string());
-        if let Some(ring) = &view.ring {
+        if let Some(ring) = &view.key_ring {
             let session = self.session.clone().unwrap_or_else(|| Session {
                 workspace: self.caller.workspace.clone(),
                 route: self.route.clone(),
--- a/crates/tidetrack-router/src/control.rs
+++ b/crates/tidetrack-router/src/control.rs
@@ -9,9 +9,9 @@
 use flume::{Receiver, Sender};
 use serde::{Deserialize, Serialize};
 
-use tidetrack_core::config::{Kind, ObjectKey, RolloutState};
+use tidetrack_core::config::{ObjectKey, ObjectKind, RolloutState};
 use tidetrack_core::events::Event;
-use tidetrack_core::evidence::Counts;
+use tidetrack_core::evidence::VersionCounts;
 use tidetrack_core::facts::{Fact, Subject};
 use tidetrack_core::ids::{HostId, Incarnation, RolloutId, VersionRef};
 use tidetrack_core::keeper::Holder;
@@ -95,7 +95,7 @@
         /// Whether a roll-out of it is not done.
         unproven: bool,
         /// What was seen.
-        counts: Counts,
+        counts: VersionCounts,
     },
     /// A narrowing fact.
     Learn(Fact),
@@ -169,9 +169,9 @@
     /// The accepted state; absent before it is started.
     pub state: Option<RolloutState>,
     /// What is known of the new version.
-    pub new: Counts,
+    pub new: VersionCounts,
     /// What is known of the proven version.
-    pub proven: Counts,
+    pub proven: VersionCounts,
 }
 
 /// The control thread's state.
@@ -250,7 +250,7 @@
             Msg::PeerReply { to, sent_at, nonce, reply } => {
                 self.node.on_reply(now, &to, sent_at, nonce, reply);
             }
-            Msg::PeerFailed { to } => self.node.on_failed(&to),
+            Msg::PeerFailed { to } => self.node.on_exchange_failed(&to),
             Msg::Probed { target, reached } => self.node.on_probe(now, &target, reached),
             Msg::List { asked_at, revision, entries } => {
                 self.node.on_list(asked_at, revision, entries);
@@ -262,10 +262,10 @@
             }
             Msg::Hosts(hosts) => self.take_hosts(hosts),
             Msg::Count { version, generation, unproven, counts } => {
-                self.node.count(&version, generation, unproven, &counts);
+                self.node.record_counts(&version, generation, unproven, &counts);
             }
             Msg::Learn(fact) => {
-                self.node.learn(fact);
+                self.node.add_fact(fact);
             }
             Msg::EndpointLeaving(name) => self.endpoint_leaving(&name),
             Msg::StateWritten { rollout, version, state } => {
@@ -295,7 +295,7 @@
         if now - self.duty_at >= DUTY_EVERY {
             self.duty_at = now;
             let view = self.shared.view.load_full();
-            self.node.quarantine(&view);
+            self.node.quarantine_bad_versions(&view);
             self.rollouts(now, &view);
         }
         self.publish(now);
@@ -328,12 +328,12 @@
         }
         // What is known counts once traffic decides on it.
         let ready = self.shared.view.load().revision > 0;
-        self.shared.gate.tick(now, self.node.confirmed(), ready);
+        self.shared.gate.tick(now, self.node.confirmation(), ready);
         self.shared.gate.set_duty(PlatformDuty {
             watcher: self.node.is_watcher(),
             // After a pause the answer to a short read is the first that tells.
-            poll: self.node.wants_poll(now) || self.shared.gate.is_unconfirmed(now),
-            alone: self.node.hosts() <= 1,
+            poll: self.node.needs_poll(now) || self.shared.gate.is_unconfirmed(now),
+            alone: self.node.live_host_count() <= 1,
             complete_to: self.node.store.complete_to(),
         });
     }
@@ -352,12 +352,12 @@
     fn endpoint_leaving(&mut self, name: &str) {
         let Ok(endpoint) = name.parse() else { return };
         let declared = self.node.store.iter().filter(|e| {
-            matches!(e.key.kind, Kind::Pool | Kind::Service)
+            matches!(e.key.kind, ObjectKind::Pool | ObjectKind::Service)
                 && e.body.as_ref().is_some_and(|b| b.contains(&format!("{name:?}")))
         });
         let generation = declared.map(|e| e.version).max().unwrap_or(0);
         if generation > 0 {
-            self.node.learn(Fact { subject: Subject::Leaving(endpoint), generation });
+            self.node.add_fact(Fact { subject: Subject::Leaving(endpoint), generation });
         }
     }
 
@@ -369,8 +369,8 @@
         }
         self.holders_epoch = Some(epoch);
         let holders = self.node.members.holders().into_iter();
-        let holders =
-            holders.map(|m| Holder { life: m.incarnation.clone(), address: m.peer.clone() });
+        let holders = holders
+            .map(|m| Holder { life: m.incarnation.clone(), address: m.peer_address.clone() });
         let _ = self.bills.send(BillMsg::Holders(holders.collect()));
     }
 
@@ -385,9 +385,9 @@
             let spent = credits.spent();
             let told = self.spent.entry((version.clone(), generation)).or_default();
             if spent > *told {
-                let counts = Counts { started: spent - *told, ..Counts::default() };
+                let counts = VersionCounts { started: spent - *told, ..VersionCounts::default() };
                 *told = spent;
-                self.node.count(version, generation, true, &counts);
+                self.node.record_counts(version, generation, true, &counts);
             }
         }
     }
@@ -406,10 +406,10 @@
             if self.writing.get(&rollout.id) == Some(&rollout.state_version) {
                 continue;
             }
-            let Some(mut state) = self.node.rollout_duty(now, view, rollout, since) else {
+            let Some(mut state) = self.node.rollout_update(now, view, rollout, since) else {
                 continue;
             };
-            state.op = format!("{}-{}-{}", self.shared.own, rollout.state_version, now.0);
+            state.operation_id = format!("{}-{}-{}", self.shared.own, rollout.state_version, now.0);
             self.writing.insert(rollout.id.clone(), rollout.state_version);
             let expected = rollout.state_version;
             let job = StateJob { rollout: rollout.id.clone(), expected, state };
@@ -423,18 +423,18 @@
         if version == 0 {
             return;
         }
-        let key = ObjectKey::new(Kind::RolloutState, rollout);
+        let key = ObjectKey::new(ObjectKind::RolloutState, rollout);
         let body = serde_json::to_string(state).expect("a state has text keys");
         let entry = Entry { key, version, body: Some(body.into()) };
         // Ahead of the watch: the entry counts, and the run stays as whole as it was.
         let delta = Delta { from: u64::MAX, to: 0, entries: vec![entry] };
-        self.node.on_written(delta);
+        self.node.on_object_written(delta);
     }
 
     fn locate(&self, incarnation: &Incarnation) -> Option<String> {
         let member = self.node.members.lookup(&incarnation.host)?;
         let lives = member.incarnation == *incarnation && member.is_live();
-        lives.then(|| member.caller.clone())
+        lives.then(|| member.caller_address.clone())
     }
 
     fn status(&self, now: Millis) -> Status {
@@ -455,10 +455,10 @@
             incarnation: self.shared.own.clone(),
             failure_domain: self.shared.settings.failure_domain.to_string(),
             in_force: view.revision,
-            confirmed_ms_ago: self.node.fresh_age(now).map(|a| a.0),
+            confirmed_ms_ago: self.node.confirmation_age(now).map(|a| a.0),
             watcher: self.node.is_watcher(),
             members: self.node.members.iter().cloned().collect(),
-            links: self.node.link_ages(now).into_iter().map(|(h, a)| (h, a.0)).collect(),
+            links: self.node.link_silences(now).into_iter().map(|(h, a)| (h, a.0)).collect(),
             facts: self.node.facts.iter().collect(),
             rollouts: rollouts.collect(),
             shares: shares.into_iter().map(|(w, r)| (w.to_string(), r)).collect(),
--- a/crates/tidetrack-router/src/errands.rs
+++ b/crates/tidetrack-router/src/errands.rs
@@ -14,7 +14,7 @@
 use http_body_util::{BodyExt, Full};
 use tokio::sync::{mpsc, oneshot};
 
-use tidetrack_core::codes::{Code, Ran};
+use tidetrack_core::codes::{Code, Executed};
 use tidetrack_core::errors::{Error, Result};
 use tidetrack_core::ids::EndpointId;
 use tidetrack_plane::attempt::{self, Answered, Attempt, Echo};
@@ -124,7 +124,7 @@
             },
             Ok(None) => return true,
             Ok(Some(Err(e))) => {
-                Err(broken(Code::EndpointFailed, &e.to_string()).with_broke(broke(&e)))
+                Err(broken(Code::EndpointFailed, &e.to_string()).with_disconnect_cause(broke(&e)))
             }
             Err(_) => Err(broken(Code::Deadline, "the answer was not whole in time")),
         };
@@ -136,7 +136,7 @@
 }
 
 fn broken(code: Code, why: &str) -> Error {
-    Error::new(code, why).with_ran(Ran::Unknown)
+    Error::new(code, why).with_executed(Executed::Unknown)
 }
 
 /// Reads what the plane's client has to know of an answer. Refusals and load are read by whoever
--- a/crates/tidetrack-router/src/outcome.rs
+++ b/crates/tidetrack-router/src/outcome.rs
@@ -123,7 +123,7 @@
         }
         Err(e) => {
             shared.metrics.request(labels, &e.code.to_string());
-            let ran = format!("{:?}", e.ran).to_lowercase();
+            let ran = format!("{:?}", e.executed).to_lowercase();
             shared.log(Event::RequestRefused, &format!("{id} {e} ran={ran}"));
         }
     }
--- a/crates/tidetrack-router/src/platform_io.rs
+++ b/crates/tidetrack-router/src/platform_io.rs
@@ -10,7 +10,7 @@
 use rand::RngExt;
 
 use tidetrack_core::codes::Code;
-use tidetrack_core::config::{Kind, ObjectKey, RolloutState};
+use tidetrack_core::config::{ObjectKey, ObjectKind, RolloutState};
 use tidetrack_core::errors::Result;
 use tidetrack_core::events::Event;
 use tidetrack_core::ids::RolloutId;
@@ -142,7 +142,7 @@
 /// Writes roll-out states until all senders are gone.
 pub fn write_loop(shared: Arc<Shared>, jobs: Receiver<StateJob>) {
     for job in jobs {
-        let name = config_name(&ObjectKey::new(Kind::RolloutState, &job.rollout));
+        let name = config_name(&ObjectKey::new(ObjectKind::RolloutState, &job.rollout));
         let body = serde_json::to_string(&job.state).expect("a state has text keys");
         let written = shared.platform.write_settled(&name, job.expected, &body);
         let version = written.map_or(0, |w| w.version);
--- a/crates/tidetrack-router/src/rating.rs
+++ b/crates/tidetrack-router/src/rating.rs
@@ -9,7 +9,7 @@
 
 use tidetrack_core::codes::Code;
 use tidetrack_core::errors::{Error, Result};
-use tidetrack_core::evidence::Counts;
+use tidetrack_core::evidence::VersionCounts;
 use tidetrack_core::ids::VersionRef;
 use tidetrack_core::placement::draw;
 use tidetrack_wire::endpoint::{RateAsk, Rating};
@@ -66,8 +66,8 @@
         let Some(address) = shared.settings.rating.as_deref() else { continue };
         match rate(address, &job.ask, RATE_SECONDS) {
             Ok(score) => {
-                let mut counts = Counts::default();
-                counts.rate(score);
+                let mut counts = VersionCounts::default();
+                counts.add_rating(score);
                 shared.count(&job.version, job.generation, job.unproven, counts);
             }
             Err(_) => shared.metrics.event("rating_failed"),
--- a/crates/tidetrack-router/src/router.rs
+++ b/crates/tidetrack-router/src/router.rs
@@ -83,13 +83,16 @@
         let caller_address = callers.local_addr()?.to_string();
         let peer_address = others.local_addr()?.to_string();
         let own =
-            Incarnation { host: settings.host.clone(), life: u64::from(rand::random::<u32>()) };
+            Incarnation { host: settings.host.clone(), nonce: u64::from(rand::random::<u32>()) };
         let member = Member {
             incarnation: own.clone(),
-            beat: 1,
+            state_version: 1,
             state: MemberState::Alive,
-            peer: settings.advertised_peer_address.clone().unwrap_or(peer_address.clone()),
-            caller: settings.advertised_caller_address.clone().unwrap_or(caller_address.clone()),
+            peer_address: settings.advertised_peer_address.clone().unwrap_or(peer_address.clone()),
+            caller_address: settings
+                .advertised_caller_address
+                .clone()
+                .unwrap_or(caller_address.clone()),
             failure_domain: settings.failure_domain.clone(),
         };
         let node = Node::new(member, settings.control.clone(), rand::random());
@@ -226,7 +229,7 @@
         let safe = wait_until(LAST_FLUSH, || shared.billing.flush());
         let _ = shared.control.send(Msg::Announce(MemberState::Dead));
         // One beat of the links carries the farewell; without it the others find out by silence.
-        std::thread::sleep(Duration::from_millis(shared.settings.control.beat_ms));
+        std::thread::sleep(Duration::from_millis(shared.settings.control.heartbeat_ms));
         shared.log(Event::Stopped, &format!("drained={drained} bills_safe={safe}"));
         self.end();
         drained && safe
--- a/crates/tidetrack-router/src/server.rs
+++ b/crates/tidetrack-router/src/server.rs
@@ -23,7 +23,7 @@
 use tokio::task::LocalSet;
 
 use tidetrack_core::codes::Code;
-use tidetrack_core::errors::{unknown, Error, Result};
+use tidetrack_core::errors::{unknown_name, Error, Result};
 use tidetrack_core::events::Event;
 use tidetrack_core::ids::{RouteId, WorkspaceId};
 use tidetrack_core::limits::Room;
@@ -304,7 +304,7 @@
         _ if path.starts_with(SERVICES_PATH) => (Page::Service, request.method().clone()),
         _ => {
             let shown: String = path.chars().take(80).collect();
-            return Err(unknown(Code::UnknownRoute, "path", &shown));
+            return Err(unknown_name(Code::UnknownRoute, "path", &shown));
         }
     };
     match *request.method() == method {
@@ -353,7 +353,7 @@
 fn authenticate(view: &View, request: &Request) -> Result<WorkspaceId> {
     let no_key = || Error::new(Code::NoKey, "the request carries no bearer key");
     let key = admin::bearer(request).ok_or_else(no_key)?;
-    Ok(view.workspace_of(&digest(key.as_bytes()))?.0.clone())
+    Ok(view.workspace_by_key_digest(&digest(key.as_bytes()))?.0.clone())
 }
 
 fn caller(shared: &Shared, mut taken: Taken, upstream: &Upstream, page: &Page) {
@@ -451,20 +451,20 @@
     let ask: SessionAsk = serde_json::from_slice(body).map_err(outcome::bad_body)?;
     let route: RouteId = ask.model.parse()?;
     let no_ring = || Error::new(Code::NotReady, "no key ring yet");
-    let ring = view.ring.as_ref().ok_or_else(no_ring)?;
+    let ring = view.key_ring.as_ref().ok_or_else(no_ring)?;
     let workspace = view.workspaces.get(&caller.workspace);
     let workspace = workspace.ok_or_else(|| Error::new(Code::NoKey, "the workspace is gone"))?;
     let model = match view.policies.get(&route) {
         Some(policy) => policy.spec.fallback.first().cloned(),
         None => ask.model.parse().ok().filter(|m| view.models.contains_key(m)),
     };
-    let model = model.ok_or_else(|| unknown(Code::UnknownRoute, "route", &route))?;
+    let model = model.ok_or_else(|| unknown_name(Code::UnknownRoute, "route", &route))?;
     let id = caller.id.to_string();
     let draw = draw("version", &id);
-    let chosen = view.choose(workspace, &model, draw, caller.shared.confirm())?;
+    let chosen = view.choose_version(workspace, &model, draw, caller.shared.confirm())?;
     // Nothing runs yet: the credit is taken again by each of the session's requests.
     if let Some(credit) = &chosen.credit {
-        credit.give_back();
+        credit.refund();
     }
     let session = Session {
         workspace: caller.workspace.clone(),
@@ -481,7 +481,7 @@
         return Err(Error::new(Code::Draining, "the host is leaving; ask another"));
     }
     let no_ring = || Error::new(Code::NotReady, "no key ring yet");
-    let ring = view.ring.as_ref().ok_or_else(no_ring)?;
+    let ring = view.key_ring.as_ref().ok_or_else(no_ring)?;
     let ticket = caller.shared.tickets().make(caller.shared.now(), &caller.workspace)?;
     Ok(TicketMade { ticket: ticket.to_token(ring) })
 }
--- a/crates/tidetrack-router/src/services.rs
+++ b/crates/tidetrack-router/src/services.rs
@@ -4,8 +4,8 @@
 
 use http::Method;
 
-use tidetrack_core::codes::{Code, Ran};
-use tidetrack_core::errors::{unknown, Error, Result};
+use tidetrack_core::codes::{Code, Executed};
+use tidetrack_core::errors::{unknown_name, Error, Result};
 use tidetrack_core::ids::{EndpointId, ServiceId};
 use tidetrack_core::placement::{rendezvous, Ask};
 use tidetrack_core::retry::{may_retry, Failed};
@@ -128,7 +128,7 @@
     let rest = request.url().strip_prefix(SERVICES_PATH).unwrap_or_default();
     let (name, path) = rest.split_at(rest.find(['/', '?']).unwrap_or(rest.len()));
     let no_service =
-        || unknown(Code::UnknownRoute, "service", &name.chars().take(64).collect::<String>());
+        || unknown_name(Code::UnknownRoute, "service", &name.chars().take(64).collect::<String>());
     let id: ServiceId = name.parse().map_err(|_| no_service())?;
     let service = view.services.get(&id).ok_or_else(no_service)?;
     if !service.spec.workspaces.contains(&caller.workspace) {
@@ -141,7 +141,7 @@
 
 impl Call<'_, '_> {
     fn answer(&mut self, view: &View, request: &Request) -> Result<ServiceAnswer> {
-        let once = match self.service.spec.is_once(self.method.as_str(), &self.path) {
+        let once = match self.service.spec.is_non_repeatable(self.method.as_str(), &self.path) {
             false => Once::Free,
             true => match self.admit_once(view, request)? {
                 Some(once) => once,
@@ -163,7 +163,7 @@
     fn admit_once(&self, view: &View, request: &Request) -> Result<Option<Once>> {
         if let Some(token) = header_of(request, headers::TICKET) {
             let no_ring = || Error::new(Code::NotReady, "no key ring yet");
-            let ring = view.ring.as_ref().ok_or_else(no_ring)?;
+            let ring = view.key_ring.as_ref().ok_or_else(no_ring)?;
             let ticket = Ticket::from_token(token.trim(), &self.caller.workspace, ring)?;
             let ours = ticket.made_by == self.caller.shared.own;
             return Ok(ours.then_some(Once::Ticket(ticket)));
@@ -187,14 +187,14 @@
                 Err(Error::new(Code::KeyReused, message))
             }
             // Nothing was handed on, whatever became of the claim.
-            Err(e) => Err(e.with_ran(Ran::No).with_retry_after(RETRY_CLAIM_MS)),
+            Err(e) => Err(e.with_executed(Executed::No).with_retry_after(RETRY_CLAIM_MS)),
         }
     }
 
     /// Records the end of a call that must not be repeated.
     fn settle(&self, once: &Once, result: &Result<ServiceAnswer>) {
         let shared = self.caller.shared;
-        let not_run = matches!(result, Err(e) if e.ran == Ran::No);
+        let not_run = matches!(result, Err(e) if e.executed == Executed::No);
         match once {
             Once::Ticket(ticket) if not_run => shared.tickets().not_run(shared.now(), ticket),
             Once::Ticket(ticket) => {
@@ -219,8 +219,8 @@
                 Ok(answer) => return Ok(answer),
                 Err(e) => e,
             };
-            may_have_run |= e.ran != Ran::No;
-            let failed = Failed { ran: e.ran, repeatable, answered_in_part: false };
+            may_have_run |= e.executed != Executed::No;
+            let failed = Failed { ran: e.executed, repeatable, answered_in_part: false };
             let again = tried.len() < MOST_ATTEMPTS
                 && may_retry(failed)
                 && !matches!(e.code, Code::Overloaded | Code::CrashesEndpoints)
@@ -230,8 +230,8 @@
                 retries.expect("no holder of the lock panics").take()
             };
             if !again {
-                return Err(if may_have_run && e.ran == Ran::No {
-                    e.with_ran(Ran::Unknown)
+                return Err(if may_have_run && e.executed == Executed::No {
+                    e.with_executed(Executed::Unknown)
                 } else {
                     e
                 });
@@ -324,7 +324,7 @@
         let view = shared.view.load();
         let token = header_of(request, headers::TICKET).unwrap_or_default();
         let no_ring = || Error::new(Code::NotReady, "no key ring yet");
-        let ring = view.ring.as_ref().ok_or_else(no_ring)?;
+        let ring = view.key_ring.as_ref().ok_or_else(no_ring)?;
         let ticket = Ticket::from_token(token.trim(), &self.caller.workspace, ring)?;
         let (tx, rx) = flume::bounded(1);
         let msg = Msg::Locate { incarnation: ticket.made_by, reply: tx };
@@ -337,7 +337,7 @@
 fn repeat(kept: KeptAnswer) -> Result<ServiceAnswer> {
     let body = kept.body.ok_or_else(|| {
         let message = "the call ran; its answer was too large to keep";
-        Error::new(Code::TicketSpent, message).with_ran(Ran::Yes)
+        Error::new(Code::TicketSpent, message).with_executed(Executed::Yes)
     })?;
     Ok(ServiceAnswer {
         status: kept.status,
--- a/crates/tidetrack-router/src/shared.rs
+++ b/crates/tidetrack-router/src/shared.rs
@@ -11,14 +11,14 @@
 use tidetrack_core::codes::Code;
 use tidetrack_core::errors::{Error, Result};
 use tidetrack_core::events::Event;
-use tidetrack_core::evidence::Counts;
+use tidetrack_core::evidence::VersionCounts;
 use tidetrack_core::ids::{Incarnation, RequestId, VersionRef};
 use tidetrack_core::limits::Limits;
 use tidetrack_core::retry::RetryBudget;
 use tidetrack_core::tickets::TicketBook;
 use tidetrack_core::traffic::suspects::Suspects;
 use tidetrack_core::units::Millis;
-use tidetrack_core::view::{Confirmation, Freshness, View};
+use tidetrack_core::view::{ConfigConfirmation, Freshness, View};
 pub use tidetrack_plane::clock::Clock;
 use tidetrack_wire::platform::PlatformClient;
 
@@ -79,11 +79,11 @@
 
 impl Gate {
     /// Takes note of a tick of the control thread.
-    pub fn tick(&self, now: Millis, confirmed: Option<Confirmation>, ready: bool) {
+    pub fn tick(&self, now: Millis, confirmed: Option<ConfigConfirmation>, ready: bool) {
         let last = self.ticked_at.load(Ordering::Acquire);
         let confirmed = confirmed.unwrap_or_default();
-        self.fresh_at.store(confirmed.fresh_at.0, Ordering::Release);
-        self.asked_at.store(confirmed.asked_at.0, Ordering::Release);
+        self.fresh_at.store(confirmed.confirmed_at.0, Ordering::Release);
+        self.asked_at.store(confirmed.requested_at.0, Ordering::Release);
         if last > 0 && now - Millis(last) >= PAUSE {
             self.paused_at.store(now.0, Ordering::Release);
         }
@@ -221,7 +221,13 @@
     }
 
     /// Counts what was seen of a version.
-    pub fn count(&self, version: &VersionRef, generation: u64, unproven: bool, counts: Counts) {
+    pub fn count(
+        &self,
+        version: &VersionRef,
+        generation: u64,
+        unproven: bool,
+        counts: VersionCounts,
+    ) {
         let version = version.clone();
         // The control thread is gone only when the process ends.
         let _ = self.control.send(Msg::Count { version, generation, unproven, counts });
--- a/crates/tidetrack-router/src/upstream.rs
+++ b/crates/tidetrack-router/src/upstream.rs
@@ -16,7 +16,7 @@
 use tokio::sync::oneshot;
 
 use tidetrack_core::broke::Broke;
-use tidetrack_core::codes::{Code, Ran};
+use tidetrack_core::codes::{Code, Executed};
 use tidetrack_core::errors::{Error, Result};
 use tidetrack_core::events::Event;
 use tidetrack_core::placement::PoolEndpoint;
@@ -167,7 +167,7 @@
         };
         let ends = || Error::new(Code::Draining, "the host ends");
         self.upstream.errands.send(errand).map_err(|_| ends())?;
-        let answer = answer.blocking_recv().map_err(|_| ends().with_ran(Ran::Unknown))?;
+        let answer = answer.blocking_recv().map_err(|_| ends().with_executed(Executed::Unknown))?;
         answer.map_err(|e| self.named(e))
     }
 
@@ -189,7 +189,7 @@
     /// Makes the error of an answer that broke off.
     pub fn cut(&self, why: &str) -> Error {
         let message = format!("{}: {why}", self.endpoint.id);
-        Error::new(Code::EndpointFailed, message).with_ran(Ran::Unknown)
+        Error::new(Code::EndpointFailed, message).with_executed(Executed::Unknown)
     }
 
     /// Gets the next part of a body; `None` at its end.
@@ -246,12 +246,14 @@
         if ill {
             self.endpoint.live.note(self.shared.now(), false);
         }
-        if e.ran != Ran::No && matches!(e.broke, Some(Broke::Closed | Broke::Reset)) {
+        if e.executed != Executed::No
+            && matches!(e.disconnect_cause, Some(Broke::Closed | Broke::Reset))
+        {
             self.note_crash();
         }
         self.shared.metrics.event("attempt_failed");
         self.shared.log(Event::AttemptFailed, &format!("{} {e}", self.id));
-        self.finish(e.ran != Ran::No);
+        self.finish(e.executed != Executed::No);
     }
 
     /// Takes note of the crash of an endpoint at whose address nobody listens any more.
--- a/crates/tidetrack-router/tests/path.rs
+++ b/crates/tidetrack-router/tests/path.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use tidetrack_core::codes::Ran;
+use tidetrack_core::codes::Executed;
 use tidetrack_standin::engine::EngineFaults;
 use tidetrack_testkit::caller::send;
 use tidetrack_testkit::fleet::{Fleet, FleetOptions, KEY};
@@ -87,7 +87,7 @@
 
     // One endpoint only: the attempt cannot be made elsewhere.
     assert_eq!(reply.code(), "TT-3005");
-    assert_eq!(reply.ran(), Some(Ran::Unknown));
+    assert_eq!(reply.ran(), Some(Executed::Unknown));
     assert!(send(caller.chat("chat", "mine", false, 3)).text().contains("mine"));
 }
 
@@ -148,7 +148,7 @@
     for (request, code) in cases {
         let reply = send(request);
         assert_eq!(reply.code(), code, "{reply:?}");
-        assert_eq!(reply.ran(), Some(Ran::No), "{reply:?}");
+        assert_eq!(reply.ran(), Some(Executed::No), "{reply:?}");
     }
     assert_eq!(fleet.old.counts().started, 0);
     assert_eq!(send(caller.chat("chat", "still here", false, 3)).status, 200);
@@ -189,7 +189,7 @@
 
     let reply = send(caller.chat("chat", "refused", false, 3));
 
-    assert_eq!((reply.code().as_str(), reply.ran()), ("TT-3001", Some(Ran::No)), "{reply:?}");
+    assert_eq!((reply.code().as_str(), reply.ran()), ("TT-3001", Some(Executed::No)), "{reply:?}");
     assert_eq!(fleet.old.counts().started, 0);
 }
 
--- a/crates/tidetrack-router/tests/pause.rs
+++ b/crates/tidetrack-router/tests/pause.rs
@@ -15,7 +15,7 @@
 //! the host may also have met nobody and gone on as in an outage: the two are not told apart.
 
 use tidetrack_core::units::Millis;
-use tidetrack_core::view::Confirmation;
+use tidetrack_core::view::ConfigConfirmation;
 use tidetrack_router::shared::Gate;
 
 /// The last look of the control thread before the pause.
@@ -24,8 +24,8 @@
 /// The first one after it.
 const RESUMED: u64 = 12_500;
 
-fn confirmed(fresh_at: u64, asked_at: u64) -> Option<Confirmation> {
-    Some(Confirmation { fresh_at: Millis(fresh_at), asked_at: Millis(asked_at) })
+fn confirmed(fresh_at: u64, asked_at: u64) -> Option<ConfigConfirmation> {
+    Some(ConfigConfirmation { confirmed_at: Millis(fresh_at), requested_at: Millis(asked_at) })
 }
 
 /// The gate of a host that was confirmed 1.5 s before its pause.
--- a/crates/tidetrack-router/tests/promises.rs
+++ b/crates/tidetrack-router/tests/promises.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use tidetrack_core::codes::Ran;
+use tidetrack_core::codes::Executed;
 use tidetrack_core::config::RolloutPhase;
 use tidetrack_core::membership::MemberState;
 use tidetrack_ctl::{bill, rollout};
@@ -116,7 +116,7 @@
     let reply = waiting.join().expect("a caller");
 
     assert_eq!(reply.code(), "TT-2005", "{reply:?}");
-    assert_eq!(reply.ran(), Some(Ran::No));
+    assert_eq!(reply.ran(), Some(Executed::No));
     assert_eq!(fleet.old.counts().started, before);
 }
 
@@ -170,7 +170,7 @@
     assert_eq!((first.version(), fresh.version()), ("model@1", "model@2"));
     assert_eq!(kept, vec!["model@1"; HOSTS]);
     assert_eq!(forged.code(), "TT-1008");
-    assert_eq!((ended.code().as_str(), ended.ran()), ("TT-1009", Some(Ran::No)));
+    assert_eq!((ended.code().as_str(), ended.ran()), ("TT-1009", Some(Executed::No)));
 }
 
 #[test]
@@ -232,7 +232,7 @@
     let gone_elsewhere = grant(&fleet, 3, "shield", (headers::TICKET, &orphan));
 
     let ran = fleet.service.ran();
-    assert_eq!(lost.ran(), Some(Ran::Unknown), "{lost:?}");
+    assert_eq!(lost.ran(), Some(Executed::Unknown), "{lost:?}");
     assert!(again.iter().all(|r| r.code() == "TT-1012"), "{again:?}");
     assert_eq!(ran.get("sword"), Some(&1));
     assert_eq!((gone.code().as_str(), gone_elsewhere.code().as_str()), ("TT-1013", "TT-1013"));
@@ -263,8 +263,11 @@
     assert_eq!(replies.iter().filter(|r| r.status == 200).count(), 1, "{replies:?}");
     assert!(replies.iter().all(|r| r.status == 200 || r.code() == "TT-1011"), "{replies:?}");
     assert_eq!(ran.get("helmet"), Some(&1));
-    assert_eq!((refused.ran(), retried.status, ran.get("boots")), (Some(Ran::No), 200, Some(&1)));
-    assert_eq!((outage.code().as_str(), outage.ran()), ("TT-4001", Some(Ran::No)));
+    assert_eq!(
+        (refused.ran(), retried.status, ran.get("boots")),
+        (Some(Executed::No), 200, Some(&1))
+    );
+    assert_eq!((outage.code().as_str(), outage.ran()), ("TT-4001", Some(Executed::No)));
     assert_eq!(ran.get("ring"), None);
 }
 
@@ -413,7 +416,7 @@
         }
         let reply = send(caller.chat("chat", "x", false, 1));
         if reply.status != 200 {
-            assert_eq!((reply.code().as_str(), reply.ran()), ("TT-2001", Some(Ran::No)));
+            assert_eq!((reply.code().as_str(), reply.ran()), ("TT-2001", Some(Executed::No)));
         }
         calls.push((second, from.elapsed() - began, reply.status == 200));
     }
--- a/crates/tidetrack-router/tests/reads.rs
+++ b/crates/tidetrack-router/tests/reads.rs
@@ -8,7 +8,7 @@
 
 use std::path::Path;
 
-use tidetrack_core::config::{Kind, Model, Object, ObjectKey};
+use tidetrack_core::config::{Model, Object, ObjectKey, ObjectKind};
 use tidetrack_testkit::fleet::{Fleet, FleetOptions};
 use tidetrack_wire::platform::config_name;
 
@@ -32,8 +32,8 @@
 /// Writes an object of about so many bytes; gives its version.
 fn write(fleet: &Fleet, n: usize, bytes: usize) -> u64 {
     let serving = "model@1".parse().expect("a version");
-    let object = Object::Model(Model { serving, about: "x".repeat(bytes) });
-    let name = config_name(&ObjectKey::new(Kind::Model, format!("model-{bytes}-{n}")));
+    let object = Object::Model(Model { serving, description: "x".repeat(bytes) });
+    let name = config_name(&ObjectKey::new(ObjectKind::Model, format!("model-{bytes}-{n}")));
     fleet.platform.write(&name, 0, &object.to_json()).expect("a write").version
 }
 
--- a/crates/tidetrack-router/tests/slow_store.rs
+++ b/crates/tidetrack-router/tests/slow_store.rs
@@ -9,7 +9,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use tidetrack_core::config::{Kind, Model, Object, ObjectKey};
+use tidetrack_core::config::{Model, Object, ObjectKey, ObjectKind};
 use tidetrack_router::settings::Times;
 use tidetrack_standin::objects::{Platform, PlatformFaults};
 use tidetrack_testkit::fleet::{Fleet, FleetOptions};
@@ -32,8 +32,8 @@
     let fleet =
         Fleet::start(Path::new(env!("CARGO_BIN_EXE_tidetrack-router")), options).expect("a fleet");
     let serving = "model@1".parse().expect("a version");
-    let object = Object::Model(Model { serving, about: "x".repeat(LARGE) });
-    let name = config_name(&ObjectKey::new(Kind::Model, "large"));
+    let object = Object::Model(Model { serving, description: "x".repeat(LARGE) });
+    let name = config_name(&ObjectKey::new(ObjectKind::Model, "large"));
     fleet.hosts[0].to_platform.set(Fault::Rate(SLOW));
     let (began, before) = (Instant::now(), fleet.hosts[0].to_platform.bytes());
 
@@ -95,11 +95,11 @@
     fleet.objects.set_hosts((0..4_740).map(endpoint).collect());
     fleet.hosts[0].to_platform.set(Fault::Rate(SLOW));
     let serving = "model@1".parse().expect("a version");
-    let small = Object::Model(Model { serving, about: String::new() }).to_json();
+    let small = Object::Model(Model { serving, description: String::new() }).to_json();
 
     let took: Vec<Duration> = (0..12)
         .map(|n| {
-            let name = config_name(&ObjectKey::new(Kind::Model, format!("small-{n}")));
+            let name = config_name(&ObjectKey::new(ObjectKind::Model, format!("small-{n}")));
             let began = Instant::now();
             let version = fleet.platform.write(&name, 0, &small).expect("a write").version;
             wait_for("the change in force", || {
--- a/crates/tidetrack-testkit/src/fleet.rs
+++ b/crates/tidetrack-testkit/src/fleet.rs
@@ -4,7 +4,7 @@
 
 use anyhow::{anyhow, Result};
 
-use tidetrack_core::declare::{read_folder, Declared};
+use tidetrack_core::declare::{read_folder, DeclaredObjects};
 use tidetrack_core::node::NodeOptions;
 use tidetrack_core::seal::{digest, Key, KeyRing};
 use tidetrack_core::traffic::suspects::SuspectOptions;
@@ -129,7 +129,7 @@
     /// The hosts.
     pub hosts: Vec<Host>,
     /// What is declared.
-    pub declared: Declared,
+    pub declared: DeclaredObjects,
     platform_address: String,
     rater_address: String,
     binary: PathBuf,
--- a/crates/tidetrack-wire/src/caller.rs
+++ b/crates/tidetrack-wire/src/caller.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value};
 
-use tidetrack_core::codes::Ran;
+use tidetrack_core::codes::Executed;
 use tidetrack_core::errors::Error;
 
 /// A chat request. Members that the router does not need are kept in `rest`.
@@ -171,7 +171,7 @@
     #[serde(rename = "type")]
     pub kind: String,
     /// Whether the request had been run.
-    pub ran: Ran,
+    pub ran: Executed,
 }
 
 impl Refusal {
@@ -183,7 +183,7 @@
                 code: e.code.to_string(),
                 message: e.message.clone(),
                 kind: kind.to_string(),
-                ran: e.ran,
+                ran: e.executed,
             },
         }
     }
--- a/crates/tidetrack-wire/src/platform.rs
+++ b/crates/tidetrack-wire/src/platform.rs
@@ -13,7 +13,7 @@
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-use tidetrack_core::codes::{Code, Ran};
+use tidetrack_core::codes::{Code, Executed};
 use tidetrack_core::config::ObjectKey;
 use tidetrack_core::errors::{Error, Result};
 use tidetrack_core::store::{Delta, Entry};
@@ -132,7 +132,7 @@
                 self.0.store(next, Ordering::Relaxed);
             }
             let message = format!("an answer was cut after {} bytes: {e}", body.len());
-            return Err(Error::new(Code::PlatformDown, message).with_ran(Ran::Unknown));
+            return Err(Error::new(Code::PlatformDown, message).with_executed(Executed::Unknown));
         }
         if began.elapsed() < Duration::from_secs(seconds) {
             self.0.store(0, Ordering::Relaxed);
@@ -142,7 +142,7 @@
 }
 
 fn down(e: minreq::Error) -> Error {
-    Error::new(Code::PlatformDown, e.to_string()).with_ran(Ran::Unknown)
+    Error::new(Code::PlatformDown, e.to_string()).with_executed(Executed::Unknown)
 }
 
 fn check(status: u16) -> Result<()> {
@@ -153,7 +153,7 @@
         429 => Err(Error::new(Code::PlatformBusy, "over its rate").with_retry_after(RETRY_BUSY_MS)),
         status => {
             let message = format!("the object API answered {status}");
-            Err(Error::new(Code::PlatformDown, message).with_ran(Ran::Unknown))
+            Err(Error::new(Code::PlatformDown, message).with_executed(Executed::Unknown))
         }
     }
 }
@@ -165,7 +165,7 @@
 
 fn parse<T: DeserializeOwned>(body: &[u8]) -> Result<T> {
     serde_json::from_slice(body)
-        .map_err(|e| Error::new(Code::PlatformDown, e.to_string()).with_ran(Ran::Unknown))
+        .map_err(|e| Error::new(Code::PlatformDown, e.to_string()).with_executed(Executed::Unknown))
 }
 
 impl PlatformClient {
