--- a/crates/tidetrack-core/src/membership.rs
+++ b/crates/tidetrack-core/src/membership.rs
@@ -1,9 +1,10 @@
-//! Membership: who is alive, as each host sees it.
+//! Membership: which hosts are alive, as seen by each host.
 //!
-//! Every host talks with a few others, chosen by rendezvous so that the links make one connected
-//! graph, and passes on what it learns. A host that a link finds silent is asked for through two
-//! others, then suspected, then held dead; it refutes with a higher beat. The platform's list names
-//! hosts to talk to; it decides nothing by itself, for it lags.
+//! Every host exchanges messages with a few others, chosen by rendezvous hashing so that the links form
+//! one connected graph, and forwards the updates that it receives. A host that is silent on a link is
+//! first probed through two others, then marked as suspect, then as dead. It refutes such reports with
+//! a higher state version. The platform's list of hosts only supplies addresses for first contacts: it
+//! lags behind and does not decide which hosts are alive.
 
 use std::collections::BTreeMap;
 
@@ -13,82 +14,86 @@
 use crate::placement::rendezvous;
 use crate::units::Millis;
 
-/// Links that each host opens.
+/// Number of links that each host opens.
 pub const LINKS_PER_HOST: usize = 3;
 
-/// Hosts that may hold a host's bills: when one fails the next is asked at once.
+/// Maximum number of hosts that may hold copies of a host's bills. When one fails, the next one is asked
+/// at once.
 pub const MAX_HOLDERS: usize = 3;
 
-/// How a host is seen. Later in the list wins at the same beat.
+/// The state of a host. At equal state versions, the later state in this list takes precedence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MemberState {
-    /// It answers.
+    /// The host responds.
     Alive,
-    /// It says itself that it is leaving.
+    /// The host reported that it is shutting down.
     Leaving,
-    /// A link finds it silent.
+    /// The host is silent on a link and could not be probed.
     Suspect,
-    /// It stayed silent, or said that it left.
+    /// The host stayed silent, or reported that it has left.
     Dead,
 }
 
-/// What is known of one host.
+/// What is known about one host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// The host's present life.
+    /// Current incarnation of the host.
     pub incarnation: Incarnation,
-    /// Raised by the host itself to refute, or to replace an earlier life.
+    /// Version of this entry. The host itself raises it to refute a report about it, or to replace the
+    /// entry of an earlier incarnation.
     #[serde(rename = "beat")]
     pub state_version: u64,
-    /// How it is seen.
+    /// State of the host.
     pub state: MemberState,
-    /// `ip:port` for other hosts.
+    /// Address for other hosts, as `ip:port`.
     #[serde(rename = "peer")]
     pub peer_address: String,
-    /// `ip:port` for callers.
+    /// Address for callers, as `ip:port`.
     #[serde(rename = "caller")]
     pub caller_address: String,
-    /// Where it stands.
+    /// Failure domain that the host runs in.
     pub failure_domain: FailureDomain,
 }
 
 impl Member {
-    /// Tells whether this is news beside `old`.
+    /// Reports whether this entry replaces `old`.
     fn supersedes(&self, old: &Member) -> bool {
         let rank = |m: &Member| (m.state_version, m.state, m.incarnation.nonce);
         rank(self) > rank(old)
     }
 
-    /// Tells whether the host may be talked to and counted on.
+    /// Reports whether the host is not considered dead.
     pub fn is_live(&self) -> bool {
         self.state != MemberState::Dead
     }
 }
 
-/// What a host knows of all hosts, itself included.
+/// The member list of one host, which includes the host itself.
 #[derive(Clone, Debug)]
 pub struct Members {
     own_host: HostId,
     by_host: BTreeMap<HostId, Member>,
+    /// When each suspect host became suspect.
     suspected_at: BTreeMap<HostId, Millis>,
+    /// When each dead host was marked as dead.
     dead_at: BTreeMap<HostId, Millis>,
     epoch: u64,
 }
 
-/// What came of merging a member.
+/// The result of merging a member entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberUpdate {
-    /// Nothing new.
+    /// The entry was not newer than the known one.
     Old,
-    /// News to pass on.
+    /// The entry was newer and must be forwarded.
     New,
-    /// Someone else's word about this host itself: it must be refuted.
+    /// The entry is a wrong report about this host, which must be refuted.
     Refute,
 }
 
 impl Members {
-    /// Makes a list that holds only this host.
+    /// Creates a member list that contains only this host.
     pub fn new(own_member: Member) -> Members {
         let host = own_member.incarnation.host.clone();
         Members {
@@ -100,17 +105,17 @@
         }
     }
 
-    /// Gets a number that grows whenever anything of the list changes.
+    /// Returns a number that increases with every change of the list.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// Gets this host's own entry.
+    /// Returns this host's own entry.
     pub fn own_member(&self) -> &Member {
         &self.by_host[&self.own_host]
     }
 
-    /// Merges what another host says.
+    /// Merges a member entry received from another host.
     pub fn merge(&mut self, now: Millis, member: Member) -> MemberUpdate {
         let host = member.incarnation.host.clone();
         if host == self.own_host {
@@ -125,10 +130,12 @@
         MemberUpdate::New
     }
 
-    /// Raises the own beat past what others believe of this host.
+    /// Raises the state version of this host above that of a wrong report about it.
     fn merge_own(&mut self, reported: &Member) -> MemberUpdate {
-        let own_member =
-            self.by_host.get_mut(&self.own_host).expect("the own entry is always there");
+        let own_member = self
+            .by_host
+            .get_mut(&self.own_host)
+            .expect("the member list always contains its own host");
         let same =
             reported.incarnation == own_member.incarnation && reported.state == own_member.state;
         if reported.state_version < own_member.state_version
@@ -140,6 +147,7 @@
         MemberUpdate::Refute
     }
 
+    /// Records when a host became suspect or dead, and clears the times that no longer apply.
     fn record_state_time(&mut self, now: Millis, host: &HostId, state: MemberState) {
         match state {
             MemberState::Suspect => {
@@ -157,17 +165,20 @@
         }
     }
 
-    /// Sets the own state, such as leaving; gets the entry to pass on.
+    /// Sets this host's state, such as leaving, and returns the entry to publish.
     pub fn set_own_state(&mut self, state: MemberState) -> Member {
-        let own_member =
-            self.by_host.get_mut(&self.own_host).expect("the own entry is always there");
+        let own_member = self
+            .by_host
+            .get_mut(&self.own_host)
+            .expect("the member list always contains its own host");
         own_member.state = state;
         own_member.state_version += 1;
         self.epoch += 1;
         own_member.clone()
     }
 
-    /// Sets another host's state at its present beat; gets the entry if that is news.
+    /// Raises another host's state at its current state version. Returns the entry to publish, or `None` if
+    /// the host is unknown or already in that state or a later one.
     pub fn set_state(&mut self, now: Millis, host: &HostId, state: MemberState) -> Option<Member> {
         let member = self.by_host.get(host)?;
         if *host == self.own_host || member.state >= state {
@@ -180,13 +191,13 @@
         Some(member)
     }
 
-    /// Lists hosts suspected for `duration` or longer.
+    /// Returns the hosts that have been suspect for `duration` or longer.
     pub fn suspected_for(&self, now: Millis, duration: Millis) -> Vec<HostId> {
         let overdue = self.suspected_at.iter().filter(|(_, at)| now - **at >= duration);
         overdue.map(|(h, _)| h.clone()).collect()
     }
 
-    /// Forgets hosts held dead for `duration` or longer; lists them.
+    /// Removes the hosts that have been dead for `duration` or longer, and returns them.
     pub fn forget_dead(&mut self, now: Millis, duration: Millis) -> Vec<HostId> {
         let expired = self.dead_at.iter().filter(|(_, at)| now - **at >= duration);
         let expired: Vec<HostId> = expired.map(|(h, _)| h.clone()).collect();
@@ -198,22 +209,23 @@
         expired
     }
 
-    /// Gets what is known of a host.
+    /// Returns the entry of a host, or `None` if the host is unknown.
     pub fn lookup(&self, host: &HostId) -> Option<&Member> {
         self.by_host.get(host)
     }
 
-    /// Lists all hosts known, this one included.
+    /// Iterates over all known hosts, this one included.
     pub fn iter(&self) -> impl Iterator<Item = &Member> {
         self.by_host.values()
     }
 
-    /// Lists the hosts not held dead, this one included.
+    /// Iterates over the hosts that are not considered dead, this one included.
     pub fn live(&self) -> impl Iterator<Item = &Member> {
         self.by_host.values().filter(|m| m.is_live())
     }
 
-    /// Tells whether an incarnation is gone: dead, or replaced by another life of its host.
+    /// Reports whether an incarnation is gone: it is dead, or another incarnation of its host replaced it.
+    /// An incarnation of an unknown host is not gone.
     pub fn is_gone(&self, incarnation: &Incarnation) -> bool {
         match self.by_host.get(&incarnation.host) {
             None => false,
@@ -221,14 +233,14 @@
         }
     }
 
-    /// Ranks the live hosts for a job, best first.
+    /// Returns the hosts in state `Alive`, ordered by rendezvous hash for `key`, highest first.
     pub fn ranked(&self, key: &str) -> Vec<&Member> {
         let mut all: Vec<&Member> = self.live().filter(|m| m.state == MemberState::Alive).collect();
         all.sort_by_key(|m| std::cmp::Reverse(rendezvous(key, m.incarnation.host.as_str())));
         all
     }
 
-    /// Gets this host's rank for a job among the live hosts; 0 is first.
+    /// Returns this host's rank for `key` among the hosts in state `Alive`; 0 is the first.
     pub fn rank_for(&self, key: &str) -> usize {
         let own_hash = rendezvous(key, self.own_host.as_str());
         self.live()
@@ -237,7 +249,7 @@
             .count()
     }
 
-    /// Gets this host's rank for a job within its own failure domain.
+    /// Returns this host's rank for `key` among the hosts in state `Alive` of its own failure domain.
     pub fn rank_in_domain(&self, key: &str) -> usize {
         let domain = &self.own_member().failure_domain;
         let own_hash = rendezvous(key, self.own_host.as_str());
@@ -248,8 +260,8 @@
             .count()
     }
 
-    /// Chooses the hosts that this one opens links to: the nearest by a hash that both ends share,
-    /// the first of them in another failure domain.
+    /// Chooses the hosts that this one opens links to: those with the highest hash of the pair of hosts,
+    /// which is the same at both ends. The first one is in another failure domain if there is any.
     pub fn links(&self) -> Vec<&Member> {
         let mut others: Vec<&Member> =
             self.live().filter(|m| m.incarnation.host != self.own_host).collect();
@@ -263,13 +275,14 @@
         others
     }
 
+    /// Returns the hash of the pair of this host and another, independent of their order.
     fn link_hash(&self, other: &HostId) -> u64 {
         let (a, b) = (self.own_host.as_str(), other.as_str());
         rendezvous(a.min(b), a.max(b))
     }
 
-    /// Chooses the hosts that may hold this one's bills, best first: those of other failure domains
-    /// come before those of the own.
+    /// Returns the hosts that may hold copies of this host's bills, in order of preference. Hosts in other
+    /// failure domains precede those in this host's own.
     pub fn holders(&self) -> Vec<&Member> {
         let domain = &self.own_member().failure_domain;
         let eligible =
--- a/crates/tidetrack-core/src/node/config_pull.rs
+++ b/crates/tidetrack-core/src/node/config_pull.rs
@@ -1,35 +1,38 @@
-//! From whom this host gets the changes of the configuration that it lacks, and how much at a time.
+//! Pulls missing configuration changes from one other host at a time, with an adaptive size.
 //!
-//! Many hosts have the same changes. One of them is asked at a time: copies that share a link only
-//! make each other late, and what is small and urgent with them. An ask names the bytes that there is
-//! room for, which follow what the path has lately carried in a short while; an ask that failed is
-//! made again for half as much, so that a slow path carries something before the call is given up.
+//! Many hosts have the same changes. Only one is requested at a time, because copies that share a
+//! network link delay each other and any small urgent messages. A request names the maximum bytes of
+//! the response. That size doubles when responses arrive within `TARGET_RESPONSE_TIME` and is halved
+//! when they are late or fail, so that even a slow path delivers something before the call times out.
 
 use crate::ids::HostId;
 use crate::units::Millis;
 
 use super::{Link, Node};
 
-/// Bytes asked for at first: a link of 1 Mbit/s carries them in about 0.3 s.
+/// Size of the first request; a 1 Mbit/s link transfers it in about 0.3 s.
 const INITIAL_PULL_BYTES: usize = 32 * 1024;
 
-/// Fewest bytes asked for: a link of 1 Mbit/s carries them in 16 ms, a call's frame in the same.
+/// Minimum size of a request. A 1 Mbit/s link transfers it in 16 ms, about the time that the framing of
+/// a call takes as well.
 const MIN_PULL_BYTES: usize = 2 * 1024;
 
-/// An answer should take no longer than this, for what is urgent may have to wait behind it.
+/// Target time for a response, since urgent messages may have to wait behind it.
 pub(super) const TARGET_RESPONSE_TIME: Millis = Millis(250);
 
-/// A host that has not answered for so long, three times the aim, is held silent: another is asked.
+/// Time after which an unanswered request is abandoned and another host is asked: three times the
+/// target.
 const PULL_TIMEOUT: Millis = Millis(750);
 
-/// Room for no more than what is small enough to be told to everyone.
+/// Size limit that requests no more than the changes that are small enough to be pushed.
 pub(super) const SMALL_DELTA_ONLY: usize = 0;
 
-/// What is asked for, and of whom.
+/// State of the pull request and its size limit.
 #[derive(Clone, Debug)]
 pub(super) struct ConfigPull {
-    /// The host that is being asked, and since when.
+    /// The host that was asked and the time of the request, while the response is pending.
     in_flight: Option<(HostId, Millis)>,
+    /// Maximum bytes of the next response.
     max_bytes: usize,
 }
 
@@ -40,12 +43,13 @@
 }
 
 impl ConfigPull {
-    /// Tells whether a host may be asked now.
+    /// Reports whether a new request may be sent now.
     fn can_start(&self, now: Millis) -> bool {
         self.in_flight.as_ref().is_none_or(|(_, at)| now - *at >= PULL_TIMEOUT)
     }
 
-    /// Takes note that a host is asked; gives the room for its answer.
+    /// Records a request to a host and returns the size limit for its response. The limit is halved if the
+    /// previous request is still unanswered.
     pub(super) fn begin(&mut self, now: Millis, from: &HostId) -> usize {
         if self.in_flight.is_some() {
             self.halve_size();
@@ -54,7 +58,7 @@
         self.max_bytes
     }
 
-    /// Takes note of an answer, if it is that of the host being asked.
+    /// Adapts the size limit to a response, if it comes from the host that was asked.
     pub(super) fn on_response(&mut self, now: Millis, from: &HostId, upper_limit: usize) {
         let Some((_, at)) = self.in_flight.take_if(|(host, _)| host == from) else { return };
         match now - at <= TARGET_RESPONSE_TIME {
@@ -63,7 +67,7 @@
         }
     }
 
-    /// Takes note that a call to a host failed.
+    /// Halves the size limit after a failed call, if it was to the host that was asked.
     pub(super) fn on_failure(&mut self, from: &HostId) {
         if self.in_flight.take_if(|(host, _)| host == from).is_some() {
             self.halve_size();
@@ -76,8 +80,8 @@
 }
 
 impl Node {
-    /// Chooses the host to ask for changes that this one lacks: the last that was heard of those that
-    /// have them. `None` while another is being asked.
+    /// Returns the host to request missing changes from: of those that have them, the one whose last
+    /// message is the most recent. Returns `None` while a request is pending.
     pub(super) fn pull_source(&self, now: Millis) -> Option<(HostId, String)> {
         if !self.config_pull.can_start(now) {
             return None;
--- a/crates/tidetrack-core/src/node/exchange.rs
+++ b/crates/tidetrack-core/src/node/exchange.rs
@@ -1,4 +1,4 @@
-//! The two halves of an exchange: what a node says to another host, and what it takes from one.
+//! The exchange protocol: builds the request and the reply, and applies what the other host sent.
 
 use crate::ids::HostId;
 use crate::limits::LoanAsk;
@@ -11,6 +11,8 @@
 use super::{Link, Node};
 
 impl Node {
+    /// Builds the request half of an exchange with `host`. The reply may carry configuration changes of
+    /// up to `max_reply_bytes`.
     pub(super) fn message_for(
         &mut self,
         now: Millis,
@@ -23,7 +25,8 @@
         let (last_seq, items) = self.items_for(host, &link);
         let complete_to = self.store.complete_to();
         let is_peer_behind = link.peer_incarnation.is_some() && link.peer_complete_to < complete_to;
-        // A large run of changes is only announced: of many who have it, one will be asked for it.
+        // Large changes are only announced by `complete_to`. Many hosts have them, and the receiver
+        // requests them from one.
         let changes =
             is_peer_behind.then(|| self.small_delta_since(link.peer_complete_to)).flatten();
         if let Some(link) = self.links.get_mut(host) {
@@ -46,15 +49,16 @@
         }
     }
 
-    /// Gets the changes after `from` if they are few enough to be told to whoever lacks them.
+    /// Returns the changes after revision `from` if they are at most `max_push_bytes`, and so small
+    /// enough to be sent unrequested.
     fn small_delta_since(&self, from: u64) -> Option<Delta> {
         let delta = self.delta_for(from, None)?;
         let is_complete = delta.to == self.store.complete_to();
         (is_complete && delta.body_bytes() <= self.options.max_push_bytes).then_some(delta)
     }
 
-    /// Gets the changes after `from` that the other side has room for; one that names none is a host
-    /// of an earlier release, which takes what it is given.
+    /// Returns the changes after revision `from` up to the size that the other host accepts. A host of an
+    /// earlier release names no size and accepts up to `max_object_bytes`.
     fn delta_for(&self, from: u64, max_reply_bytes: Option<usize>) -> Option<Delta> {
         let bytes = match max_reply_bytes {
             Some(SMALL_DELTA_ONLY) => return self.small_delta_since(from),
@@ -64,7 +68,7 @@
         Some(self.store.changes_since(from, self.options.max_objects, bytes))
     }
 
-    /// Answers another host's half of an exchange.
+    /// Applies the request half of an exchange from another host and returns the reply.
     pub fn on_exchange(&mut self, now: Millis, message: Exchange) -> Exchange {
         let host = message.from.host.clone();
         let (nonce, peer_complete_to, max_reply_bytes) =
@@ -93,7 +97,8 @@
         }
     }
 
-    /// Takes the reply to an exchange that was sent at `sent_at` with `nonce`.
+    /// Applies the reply to the exchange that was sent to host `to` at `sent_at` with `nonce`. A reply from
+    /// another host or with another nonce is ignored.
     pub fn on_reply(&mut self, now: Millis, to: &HostId, sent_at: Millis, nonce: u64, r: Exchange) {
         if let Some(link) = self.links.get_mut(to) {
             link.is_awaiting_reply = false;
@@ -105,7 +110,7 @@
         }
     }
 
-    /// Takes note that an exchange failed.
+    /// Records that an exchange with a host failed; the next messages to it are smaller.
     pub fn on_exchange_failed(&mut self, to: &HostId) {
         self.config_pull.on_failure(to);
         if let Some(link) = self.links.get_mut(to) {
@@ -114,7 +119,7 @@
         }
     }
 
-    /// Merges what the other side says. `requested_at` is there if this is a reply.
+    /// Merges a message of another host. `requested_at` is the time of the request if this is a reply.
     fn apply_message(&mut self, now: Millis, requested_at: Option<Millis>, message: Exchange) {
         let own_incarnation = self.incarnation.clone();
         let link = self.links.entry(message.from.host.clone()).or_default();
@@ -130,7 +135,8 @@
             link.acked_by_peer = message.acked_seq;
         }
         link.peer_complete_to = link.peer_complete_to.max(message.complete_to);
-        // Items that begin past what this life has would leave a gap: they count for nothing.
+        // Items that start after what this incarnation has received leave a gap, so they are merged
+        // but not acknowledged.
         if message.after_seq <= link.received_seq {
             link.received_seq = link.received_seq.max(message.last_seq);
         }
@@ -144,7 +150,8 @@
         for item in message.items {
             self.merge_item(now, &from, item);
         }
-        // The other side's word holds from when it was asked, never from when it arrived.
+        // The age in a reply is counted from the time of the request, not from the arrival of the
+        // reply: the other host may have computed it at any time in between.
         if let (Some(requested_at), Some(age)) = (requested_at, fresh) {
             if complete_to <= self.store.complete_to() {
                 self.confirm(requested_at, Millis(age));
--- a/crates/tidetrack-core/src/node/item_limit.rs
+++ b/crates/tidetrack-core/src/node/item_limit.rs
@@ -1,21 +1,22 @@
-//! How many items a message to another host carries, and which go first.
+//! Limits the number of items in a message to another host, and orders them by priority.
 //!
-//! After a partition or a start there may be thousands of them, and all neighbours have the same. A
-//! link begins with few and carries more as they are acknowledged in time, so that together they do
-//! not fill a slow path with what can wait. Narrowing facts go ahead of everything else.
+//! After a partition or a start, thousands of items may be pending, and all neighbours send the same
+//! ones. Each link starts with few items per message and doubles them while they are acknowledged in
+//! time, so that the links together do not fill a slow network path with items that can wait. Facts
+//! are sent regardless of the limit.
 
 use crate::ids::HostId;
 
 use super::messages::Item;
 use super::{Link, Node};
 
-/// Items of a link's first message: about 3 KB, a few packets.
+/// Items in the first message of a link: about 3 KB, a few packets.
 const INITIAL_ITEMS: usize = 50;
 
-/// Fewest items of a message: about 1 KB, one packet.
+/// Minimum limit on the items in a message: about 1 KB, one packet.
 const MIN_ITEMS: usize = 16;
 
-/// How many items a message of a link carries.
+/// Limit on the items in a message of a link, adapted to the acknowledgements.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ItemLimit {
     max_items: usize,
@@ -29,12 +30,14 @@
 }
 
 impl ItemLimit {
-    /// Tells whether the last message left items out: the next one follows soon, not with a beat.
+    /// Reports whether the last message left items out. The next message is then sent without waiting for
+    /// the heartbeat.
     pub(super) fn is_truncated(&self) -> bool {
         self.is_truncated
     }
 
-    /// Takes note that items were acknowledged.
+    /// Adapts the limit to an acknowledgement: halves it if that was late, else doubles it up to
+    /// `max_items`.
     pub(super) fn on_acknowledged(&mut self, is_late: bool, max_items: usize) {
         match is_late {
             true => self.halve(),
@@ -42,14 +45,14 @@
         }
     }
 
-    /// Halves the items of the next message.
+    /// Halves the limit for the next message, down to `MIN_ITEMS`.
     pub(super) fn halve(&mut self) {
         self.max_items = (self.max_items / 2).max(MIN_ITEMS);
     }
 }
 
 impl Node {
-    /// Chooses the items of a message, and the sequence number up to which they leave nothing out.
+    /// Returns the items of a message and the sequence number up to which no item is left out.
     pub(super) fn items_for(&mut self, host: &HostId, link: &Link) -> (u64, Vec<Item>) {
         let cursor = link.acked_by_peer;
         let max_items = link.item_limit.max_items.min(self.options.max_items);
@@ -63,7 +66,8 @@
         let mut is_truncated = false;
         for (_, item) in pending {
             is_truncated = true;
-            // They merge as a maximum: one that comes again with its turn does no harm.
+            // A fact may be sent again in its regular place: merging takes the maximum, so duplicates
+            // have no effect.
             if matches!(item, Item::Fact(_)) {
                 items.push(item.clone());
             }
--- a/crates/tidetrack-core/src/node/links.rs
+++ b/crates/tidetrack-core/src/node/links.rs
@@ -1,4 +1,4 @@
-//! Which hosts a node talks with, when, and what it makes of their silence.
+//! Chooses the hosts that a node exchanges with, schedules the exchanges and detects silent hosts.
 
 use std::collections::BTreeSet;
 
@@ -10,11 +10,12 @@
 use super::messages::{Item, ItemKey};
 use super::{Action, Link, Node};
 
-/// Hosts asked to probe a silent one.
+/// Number of hosts that are asked to probe a silent host.
 const INDIRECT_PROBES: usize = 2;
 
 impl Node {
-    /// Lists the hosts to talk to, with addresses. Worked out anew only when the members change.
+    /// Returns the hosts that this one exchanges with, and their addresses. The result is recomputed only
+    /// when the members change.
     pub(super) fn peers(&mut self) -> Vec<(HostId, String)> {
         let epoch = self.members.epoch();
         match &self.peers {
@@ -31,7 +32,7 @@
         let links = self.members.links();
         let mut peers: Vec<(HostId, String)> =
             links.iter().map(|m| (m.incarnation.host.clone(), m.peer_address.clone())).collect();
-        // A host that is not connected yet asks the listed ones until it is.
+        // With fewer links than `LINKS_PER_HOST`, the host also contacts hosts that the platform lists.
         let missing = LINKS_PER_HOST.saturating_sub(peers.len());
         let is_dead = |h: &HostId| self.members.lookup(h).is_some_and(|m| !m.is_live());
         let linked: BTreeSet<HostId> = peers.iter().map(|(h, _)| h.clone()).collect();
@@ -40,6 +41,8 @@
         peers
     }
 
+    /// Starts the exchanges that are due. One of them carries the loan requests, and the one with the pull
+    /// source requests the missing configuration changes.
     pub(super) fn due_exchanges(&mut self, now: Millis) -> Vec<Action> {
         let mut actions = Vec::new();
         let mut targets = self.peers();
@@ -72,15 +75,16 @@
         actions
     }
 
-    /// Gets the time within which a host that calls this one is heard again.
+    /// Returns the time since its last message within which a host counts as connected: two and a half
+    /// heartbeats.
     pub(super) fn recent_contact_window(&self) -> Millis {
         Millis(self.options.heartbeat_ms * 2 + self.options.heartbeat_ms / 2)
     }
 
-    /// Lists the hosts that call this one and that it has no link of its own to, if there is news.
+    /// Returns the hosts that recently called this one, are not in `excluded` and lack an update.
     ///
-    /// They are told at once like the others: a host that nobody links to would otherwise learn of a
-    /// change only with its own next beat.
+    /// They are sent the update at once. A host that no other host links to would otherwise receive a
+    /// change only with its own next heartbeat.
     fn inbound_peers_to_update(
         &self,
         now: Millis,
@@ -102,14 +106,15 @@
         self.links.iter().filter(needs_update).filter_map(|(h, _)| address(h)).collect()
     }
 
-    /// Picks, now and then, a host that is held dead or was never met: after a partition both sides
-    /// hold each other dead, and without this neither would call the other.
+    /// Returns a host that is considered dead, or is listed by the platform but unknown, at most once per
+    /// `reconnect_interval_ms`. After a partition both sides consider each other dead, and without these
+    /// attempts neither would contact the other again.
     pub(super) fn reconnect_candidate(&mut self, now: Millis) -> Option<(HostId, String)> {
         if now - self.last_reconnect_at < Millis(self.options.reconnect_interval_ms) {
             return None;
         }
         self.last_reconnect_at = now;
-        // This host itself is held dead once it has left.
+        // A host that has left marks itself as dead and must not contact itself.
         let is_other = |m: &&Member| m.incarnation.host != self.incarnation.host;
         let dead = self.members.iter().filter(|m| !m.is_live()).filter(is_other);
         let dead = dead.map(|m| (m.incarnation.host.clone(), m.peer_address.clone()));
@@ -120,6 +125,8 @@
         candidates.into_iter().nth(index)
     }
 
+    /// Reports whether an exchange with a host is due. `has_heartbeat` is set for the host's own links,
+    /// which exchange at every heartbeat even without updates.
     fn is_exchange_due(
         &mut self,
         now: Millis,
@@ -154,6 +161,7 @@
                 && elapsed.0 >= self.options.heartbeat_ms / 4)
     }
 
+    /// Marks hosts that stayed suspect for too long as dead, and forgets hosts that have long been dead.
     pub(super) fn expire_members(&mut self, now: Millis) {
         for host in self.members.suspected_for(now, Millis(self.options.suspect_timeout_ms)) {
             if let Some(member) = self.members.set_state(now, &host, MemberState::Dead) {
@@ -166,12 +174,13 @@
         }
     }
 
+    /// Logs and publishes the new state of a host.
     pub(super) fn publish_member(&mut self, member: Member) {
         self.log_member_state(&member);
         self.publish_urgent(Item::Member(member), None);
     }
 
-    /// Lists the probes for links that have gone silent.
+    /// Returns the probes of live hosts whose links have been silent for `silence_timeout_ms`.
     pub(super) fn due_probes(&mut self, now: Millis) -> Vec<Action> {
         let timeout = Millis(self.options.silence_timeout_ms);
         let silent = |(host, link): (&HostId, &Link)| {
@@ -183,6 +192,8 @@
         silent.into_iter().flat_map(|host| self.probe(now, &host)).collect()
     }
 
+    /// Asks `INDIRECT_PROBES` other hosts to probe the target. If there is no other host, the probe counts
+    /// as failed.
     fn probe(&mut self, now: Millis, target: &HostId) -> Vec<Action> {
         if let Some(link) = self.links.get_mut(target) {
             link.is_probed = true;
@@ -210,12 +221,14 @@
         relays.into_iter().map(to_probe).collect()
     }
 
-    /// Takes the outcome of a probe: a host that others reach is left alone for a while.
+    /// Applies the outcome of a probe. A host that another one could reach is not probed again until its
+    /// link has been silent once more; a host that could not be reached and
+    /// is still silent becomes suspect.
     pub fn on_probe(&mut self, now: Millis, target: &HostId, is_reachable: bool) {
         let timeout = Millis(self.options.silence_timeout_ms);
         let is_linked = self.peers().iter().any(|(h, _)| h == target);
         if is_reachable && !is_linked {
-            // It lives and has chosen other hosts to call.
+            // The host is alive but has links to other hosts, so no messages are expected from it.
             self.links.remove(target);
             return;
         }
--- a/crates/tidetrack-core/src/node/merge.rs
+++ b/crates/tidetrack-core/src/node/merge.rs
@@ -1,6 +1,6 @@
-//! What a node knows, and how it merges what the object API, other hosts and its own traffic tell it.
+//! Merges updates from the object API, from other hosts and from this host's own traffic.
 //!
-//! Every merge is a maximum; what was news is passed on.
+//! Every merge takes the maximum of two states. Updates that change the state are forwarded.
 
 use crate::events::Event;
 use crate::evidence::{EvidenceKey, VersionCounts};
@@ -14,11 +14,12 @@
 use super::messages::Item;
 use super::Node;
 
-/// Evidence of the proven version is passed on so much more seldom than of the new one.
+/// The counts of a stable version are published at an interval this many times that of a canary.
 const STABLE_INTERVAL_FACTOR: u64 = 3;
 
 impl Node {
-    /// Takes note that an answer confirmed the configuration as it was `age` before the question.
+    /// Records that the response to a request sent at `requested_at` confirmed the configuration to have
+    /// been the newest `age` before that request.
     pub(super) fn confirm(&mut self, requested_at: Millis, age: Millis) {
         let old = self.confirmation.unwrap_or_default();
         self.confirmation = Some(ConfigConfirmation {
@@ -33,7 +34,7 @@
         }
     }
 
-    /// Has the view built anew, and lets accepted withdrawals spread as facts.
+    /// Marks the view for a rebuild and publishes the withdrawals in the configuration as facts.
     fn on_configuration_changed(&mut self) {
         self.has_changed = true;
         for fact in withdrawal_facts(&self.store) {
@@ -68,7 +69,8 @@
         }
     }
 
-    /// Records news that should not wait for a beat.
+    /// Publishes an item without waiting for the next heartbeat. `from` is the host it was received from,
+    /// to which it is not sent back.
     pub(super) fn publish_urgent(&mut self, item: Item, from: Option<Incarnation>) {
         self.items.put_from(item.key(), item, from);
         self.urgent_seq = self.items.seq();
@@ -83,7 +85,7 @@
         self.push_log(event, format!("{} {:?}", member.incarnation, member.state));
     }
 
-    /// Learns a narrowing fact; tells whether it was news.
+    /// Adds a fact of this host and publishes it; reports whether it was new.
     pub fn add_fact(&mut self, fact: Fact) -> bool {
         self.add_fact_from(fact, None)
     }
@@ -98,7 +100,7 @@
         is_new
     }
 
-    /// Takes a full list from the object API, asked for at `requested_at`.
+    /// Merges the full list that the object API returned for a request sent at `requested_at`.
     pub fn on_list(&mut self, requested_at: Millis, revision: u64, entries: Vec<Entry>) {
         if self.store.merge_list(revision, entries) {
             self.on_configuration_changed();
@@ -108,7 +110,7 @@
         }
     }
 
-    /// Takes the changes that the object API gave for a question asked at `requested_at`.
+    /// Merges the changes that the object API returned for a request sent at `requested_at`.
     pub fn on_changes(&mut self, requested_at: Millis, delta: Delta) {
         let to = delta.to;
         self.merge_objects(delta);
@@ -117,12 +119,12 @@
         }
     }
 
-    /// Takes an object that this host wrote itself, ahead of the watch.
+    /// Merges an object that this host wrote itself, before the watch delivers it.
     pub fn on_object_written(&mut self, delta: Delta) {
         self.merge_objects(delta);
     }
 
-    /// Counts what this host saw of a version. An unproven version's counts are passed on sooner.
+    /// Adds to this host's counts for a version. The counts of a canary are published more often.
     pub fn record_counts(
         &mut self,
         version: &VersionRef,
@@ -140,7 +142,7 @@
             .merge(EvidenceKey { version: version.clone(), generation, observer }, &counts);
     }
 
-    /// Passes on own evidence of the versions that a running roll-out is about.
+    /// Publishes this host's changed counts of the versions in running roll-outs, when they are due.
     pub(super) fn publish_evidence(&mut self, now: Millis) {
         let interval = self.live_host_count() as u64 * self.options.evidence_interval_per_host_ms;
         for ((version, generation), local) in &mut self.local_counts {
@@ -159,7 +161,7 @@
         }
     }
 
-    /// Says to all that this host is leaving, or has left.
+    /// Publishes a new state of this host: it is leaving, or has left.
     pub fn announce(&mut self, state: MemberState) {
         let own = Item::Member(self.members.set_own_state(state));
         self.publish_urgent(own, None);
--- a/crates/tidetrack-core/src/node/messages.rs
+++ b/crates/tidetrack-core/src/node/messages.rs
@@ -1,4 +1,4 @@
-//! What two hosts say to each other in an exchange.
+//! Messages that two hosts send each other in an exchange.
 
 use serde::{Deserialize, Serialize};
 
@@ -10,18 +10,19 @@
 use crate::store::Delta;
 use crate::traffic::suspects::ToldSuspect;
 
-/// Something that hosts tell each other.
+/// A piece of state that hosts gossip.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Item {
-    /// A host as it is seen.
+    /// A host and its state.
     Member(Member),
-    /// A narrowing fact.
+    /// A fact that bars a version or an endpoint from new work.
     Fact(Fact),
-    /// A cell of evidence.
+    /// The counts that one incarnation observed for one generation of a version.
     Evidence(EvidenceKey, VersionCounts),
 }
 
+/// Key of an item: an item replaces an older one with the same key.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum ItemKey {
     Fact(Subject),
@@ -39,47 +40,49 @@
     }
 }
 
-/// One half of an exchange between two hosts. Its names are short on the wire: it is sent every beat.
+/// One half of an exchange between two hosts: the request or the reply. The field names are short on the
+/// wire because an exchange is sent with every heartbeat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Exchange {
-    /// Who says it.
+    /// Incarnation of the sender.
     #[serde(rename = "f")]
     pub from: Incarnation,
-    /// Drawn by the asker; the reply gives it back.
+    /// Number chosen by the requesting host and returned in the reply.
     #[serde(rename = "n")]
     pub nonce: u64,
-    /// The sender's sequence number after which `items` begin.
+    /// Sequence number of the sender after which `items` start.
     #[serde(rename = "a")]
     pub after_seq: u64,
-    /// The sender's sequence number up to which `items` reach.
+    /// Sequence number of the sender up to which `items` are complete.
     #[serde(rename = "s")]
     pub last_seq: u64,
-    /// The receiver's sequence number up to which the sender has everything.
+    /// Sequence number of the receiver up to which the sender has all items.
     #[serde(rename = "k")]
     pub acked_seq: u64,
-    /// The sender's configuration is whole up to this revision.
+    /// Revision up to which the sender's configuration is complete.
     #[serde(rename = "c")]
     pub complete_to: u64,
-    /// Time since the sender's configuration was confirmed to be the newest.
+    /// Milliseconds since the sender's configuration was confirmed to be the newest; `None` if it never
+    /// was.
     #[serde(rename = "g", default, skip_serializing_if = "Option::is_none")]
     pub confirmation_age_ms: Option<u64>,
-    /// Bytes of changes that the asker has room for in the reply; 0 is room for a small run only, and
-    /// absent is what hosts of an earlier release say.
+    /// Maximum bytes of configuration changes that the requesting host accepts in the reply. 0 accepts
+    /// only changes small enough to be pushed; hosts of an earlier release do not send the field.
     #[serde(rename = "r", default, skip_serializing_if = "Option::is_none")]
     pub max_reply_bytes: Option<usize>,
-    /// Changes of the configuration that the receiver lacks.
+    /// Configuration changes that the receiver lacks.
     #[serde(rename = "o", default, skip_serializing_if = "Option::is_none")]
     pub changes: Option<Delta>,
-    /// What else changed.
+    /// Other state that changed since the receiver's last acknowledgement.
     #[serde(rename = "i", default, skip_serializing_if = "Vec::is_empty")]
     pub items: Vec<Item>,
-    /// Requests under which endpoints crashed.
+    /// Requests that may have crashed endpoints.
     #[serde(rename = "u", default, skip_serializing_if = "Vec::is_empty")]
     pub suspects: Vec<ToldSuspect>,
-    /// Shares wanted.
+    /// Loans of workspace limits that the sender requests.
     #[serde(rename = "q", default, skip_serializing_if = "Vec::is_empty")]
     pub loan_requests: Vec<LoanAsk>,
-    /// Shares lent.
+    /// Loans of workspace limits that the sender grants.
     #[serde(rename = "l", default, skip_serializing_if = "Vec::is_empty")]
     pub loans: Vec<Loan>,
 }
--- a/crates/tidetrack-core/src/node/mod.rs
+++ b/crates/tidetrack-core/src/node/mod.rs
@@ -1,9 +1,10 @@
-//! The control state of one host: what it knows and what it says to others.
+//! The control state of one host and the gossip protocol that keeps the hosts in agreement.
 //!
-//! A node takes messages and the time and gives back actions; it never waits. Two hosts exchange
-//! what changed since the other's last acknowledgement: members, narrowing facts, evidence and loans.
-//! Configuration travels as the run of changes after the other's `complete_to`. Every merge is a
-//! maximum, so messages may be lost, repeated, late or out of order.
+//! A node is a state machine without I/O: it takes messages and the current time, returns actions
+//! and never blocks. In an exchange, two hosts send each other what changed since the other's last
+//! acknowledgement: members, facts that restrict what may run, evidence about versions and loans.
+//! Configuration is sent as the consecutive changes after the other host's `complete_to`. Every
+//! merge takes the maximum of two states, so messages may be lost, duplicated, delayed or reordered.
 
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -36,40 +37,45 @@
 pub use messages::{Exchange, Item};
 pub use options::NodeOptions;
 
-/// What a node wants done.
+/// An action that the caller of a node must carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Exchange with a host.
+    /// Send one half of an exchange to a host.
     Exchange {
-        /// The host.
+        /// Receiver of the message.
         to: HostId,
-        /// `ip:port`.
+        /// Peer address of the receiver, as `ip:port`.
         address: String,
-        /// What to say.
+        /// The message to send.
         message: Exchange,
     },
-    /// Ask `via` to call `target`.
+    /// Ask `via` to check whether it can reach `target` (an indirect probe).
     Probe {
-        /// Who is asked.
+        /// Host that makes the check.
         via: HostId,
-        /// `ip:port` of who is asked.
+        /// Peer address of `via`, as `ip:port`.
         via_address: String,
-        /// Who is called.
+        /// Host that is checked.
         target: HostId,
-        /// `ip:port` of who is called.
+        /// Peer address of `target`, as `ip:port`.
         target_address: String,
     },
-    /// Write a log line.
+    /// Write a log line with the given detail text.
     Log(Event, String),
 }
 
+/// State of the exchanges with one other host.
 #[derive(Clone, Debug, Default)]
 struct Link {
+    /// Incarnation that sent the last message; `None` before the first one.
     peer_incarnation: Option<Incarnation>,
+    /// Sequence number in this host's journal up to which the peer has all items.
     acked_by_peer: u64,
+    /// Sequence number in the peer's journal up to which this host has all items.
     received_seq: u64,
+    /// Revision up to which the peer's configuration is complete, as last reported.
     peer_complete_to: u64,
-    /// What the peer was told that this host has.
+    /// Revision that this host last reported to the peer as its own `complete_to`.
     reported_complete_to: u64,
     last_received_at: Millis,
     sent_at: Millis,
@@ -78,12 +84,13 @@
     item_limit: ItemLimit,
 }
 
-/// What this host saw of a version, and what it has told of it.
+/// What this host observed of a version, and when it last published that to other hosts.
 #[derive(Clone, Copy, Debug, Default)]
 struct LocalCounts {
     counts: VersionCounts,
     published_at: Millis,
     is_unpublished: bool,
+    /// Whether the version is the canary of a roll-out, whose counts are published more often.
     is_canary: bool,
 }
 
@@ -92,38 +99,45 @@
 pub struct Node {
     options: NodeOptions,
     incarnation: Incarnation,
-    /// Who is alive.
+    /// The known hosts and their states.
     pub members: Members,
-    /// The configuration.
+    /// This host's copy of the configuration.
     pub store: Store,
-    /// Narrowing facts.
+    /// Facts that bar versions and endpoints from new work.
     pub facts: Facts,
-    /// Evidence about versions.
+    /// Counts of requests, errors and ratings per version, from all hosts.
     pub evidence: Evidence,
-    /// Shares of the workspaces' limits; traffic threads use them too.
+    /// This host's shares of the workspaces' limits, shared with the traffic threads.
     pub limits: Arc<Mutex<Limits>>,
-    /// Requests under which endpoints crashed; traffic threads use them too.
+    /// Requests that may have crashed endpoints, shared with the traffic threads.
     pub suspects: Arc<Suspects>,
     local_counts: BTreeMap<(VersionRef, u64), LocalCounts>,
-    /// Versions that a running roll-out is about.
+    /// Stable and canary versions of the running roll-outs.
     rollout_versions: BTreeSet<VersionRef>,
-    /// Sequence number of the last news that should not wait for a beat.
+    /// Sequence number of the last item that is sent without waiting for the next heartbeat.
     urgent_seq: u64,
     config_pull: ConfigPull,
     last_reconnect_at: Millis,
+    /// The items that this host gossips.
     items: Journal<ItemKey, Item>,
     links: BTreeMap<HostId, Link>,
+    /// Peer addresses of the other hosts that the platform lists.
     seeds: BTreeMap<HostId, String>,
+    /// Cached result of `peers()` with the membership epoch that it was computed for.
     peers: Option<(u64, Vec<(HostId, String)>)>,
+    /// Cached result of `is_watcher()` with the membership epoch that it was computed for.
     watcher_cache: Cell<Option<(u64, bool)>>,
     confirmation: Option<ConfigConfirmation>,
+    /// Whether the view must be rebuilt.
     has_changed: bool,
+    /// Number of the last exchange that this host started.
     nonce: u64,
+    /// Log lines to return from the next tick.
     pending_log: Vec<Action>,
 }
 
 impl Node {
-    /// Makes the state of a host that has just started.
+    /// Creates the state of a host that has just started. Its exchanges are numbered from `nonce` on.
     pub fn new(own: Member, options: NodeOptions, nonce: u64) -> Node {
         let own_incarnation = own.incarnation.clone();
         let mut items = Journal::default();
@@ -155,7 +169,7 @@
         }
     }
 
-    /// Gets this host's incarnation.
+    /// Returns this host's incarnation.
     pub fn incarnation(&self) -> &Incarnation {
         &self.incarnation
     }
@@ -164,36 +178,37 @@
         self.limits.lock().expect("no holder of the lock panics")
     }
 
-    /// Takes the platform's list of hosts: places to talk to.
+    /// Sets the addresses of the hosts that the platform lists, used to make the first contacts.
     pub fn set_seeds(&mut self, seeds: BTreeMap<HostId, String>) {
         self.seeds = seeds;
         self.seeds.remove(&self.incarnation.host);
         self.peers = None;
     }
 
-    /// Tells, once, whether the view must be built again.
+    /// Reports whether the view must be rebuilt, and clears that flag.
     pub fn take_changed(&mut self) -> bool {
         std::mem::take(&mut self.has_changed)
     }
 
-    /// Gets the time since the configuration was confirmed to be the newest.
+    /// Returns the time since the configuration was last confirmed to be the newest, or `None` if it
+    /// never was.
     pub fn confirmation_age(&self, now: Millis) -> Option<Millis> {
         self.confirmed_at().map(|at| now - at)
     }
 
-    /// Gets the instant at which the configuration was last confirmed.
+    /// Returns the time at which the configuration was last known to be the newest.
     pub fn confirmed_at(&self) -> Option<Millis> {
         self.confirmation.map(|c| c.confirmed_at)
     }
 
-    /// Gets when the configuration was last confirmed, and when that was asked for.
+    /// Returns the last confirmation of the configuration, or `None` if there was none.
     pub fn confirmation(&self) -> Option<ConfigConfirmation> {
         self.confirmation
     }
 
-    /// Tells whether this host should keep a watch on the object API.
+    /// Reports whether this host is one of those that watch the object API for its failure domain.
     ///
-    /// Worked out anew only when the members change.
+    /// The result is recomputed only when the members change.
     pub fn is_watcher(&self) -> bool {
         let epoch = self.members.epoch();
         match self.watcher_cache.get() {
@@ -207,23 +222,25 @@
         }
     }
 
-    /// Tells whether this host should read the object API now, watcher or not.
+    /// Reports whether this host must read the object API itself because its configuration is missing
+    /// or has not been confirmed for `max_confirmation_age_ms`. This does not depend on `is_watcher()`.
     pub fn needs_poll(&self, now: Millis) -> bool {
         let age = self.confirmation_age(now);
         !self.store.is_ready() || age.is_none_or(|a| a.0 > self.options.max_confirmation_age_ms)
     }
 
-    /// Counts the hosts that share limits: all that are known and not dead.
+    /// Returns the number of hosts that are known and not dead, this one included.
     pub fn live_host_count(&self) -> usize {
         self.members.live().count()
     }
 
-    /// Does what is due.
+    /// Runs the periodic work and returns the actions that are due.
     pub fn tick(&mut self, now: Millis) -> Vec<Action> {
         self.publish_evidence(now);
         self.log_suspect_changes();
         self.expire_members(now);
-        // A host that has met few others yet goes by the platform's list, lest its share be too large.
+        // A host that has just started knows few members. It also counts the hosts that the platform
+        // lists, since its share of the limits would otherwise be too large.
         let hosts = self.members.iter().count().max(self.seeds.len() + 1);
         self.limits().set_hosts(hosts);
         let mut actions = self.due_exchanges(now);
@@ -232,7 +249,7 @@
         actions
     }
 
-    /// Logs which requests under suspicion were barred or cleared.
+    /// Logs which suspect requests were barred or cleared.
     fn log_suspect_changes(&mut self) {
         for change in self.suspects.take_changes() {
             self.push_log(change.event(), change.to_string());
@@ -243,7 +260,8 @@
         self.pending_log.push(Action::Log(event, text));
     }
 
-    /// Builds the traffic threads' view.
+    /// Builds the view for the traffic threads, logs the objects that cannot be parsed and applies the
+    /// workspaces' limits.
     pub fn view(&mut self, now: Millis, builder: &mut ViewBuilder) -> View {
         let (view, unreadable) = builder.build(&self.incarnation, &self.store, &self.facts);
         for (key, reason) in unreadable {
@@ -261,12 +279,12 @@
         view
     }
 
-    /// Lists the links: the host and how long it has been silent.
+    /// Returns each linked host with the time since its last message.
     pub fn link_silences(&self, now: Millis) -> Vec<(HostId, Millis)> {
         self.links.iter().map(|(h, l)| (h.clone(), now - l.last_received_at)).collect()
     }
 
-    /// Counts the entries told to others.
+    /// Returns the number of items that this host gossips.
     pub fn item_count(&self) -> usize {
         self.items.len()
     }
@@ -294,7 +312,7 @@
         Node::new(own, NodeOptions::default(), 1)
     }
 
-    /// Lets `a` exchange with `b` as often as it wants at one time.
+    /// Delivers all exchanges that `a` starts at `now` to `b`, and the replies to `a`.
     fn exchange_between(now: Millis, a: &mut Node, b: &mut Node) {
         for action in a.tick(now) {
             if let Action::Exchange { to, message, .. } = action {
--- a/crates/tidetrack-core/src/node/options.rs
+++ b/crates/tidetrack-core/src/node/options.rs
@@ -1,49 +1,51 @@
-//! Times and sizes of a node, as the settings give them.
+//! Timing and size options of a node, as given in the settings.
 
 use serde::{Deserialize, Serialize};
 
-/// Times and sizes of a node.
+/// Timing and size options of a node. Times are in milliseconds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct NodeOptions {
-    /// A link exchanges at least this often, in milliseconds.
+    /// Heartbeat interval: maximum time between two exchanges on a link.
     #[serde(rename = "beat_ms")]
     pub heartbeat_ms: u64,
-    /// A link with news exchanges after this many milliseconds.
+    /// Minimum time between two exchanges on a link that has updates to send.
     #[serde(rename = "news_ms")]
     pub update_delay_ms: u64,
-    /// Silence on a link after which others are asked to probe.
+    /// Time without a message on a link after which other hosts are asked to probe its peer.
     #[serde(rename = "silent_ms")]
     pub silence_timeout_ms: u64,
-    /// A suspect is held dead after this many milliseconds.
+    /// Time after which a suspect host is considered dead.
     #[serde(rename = "suspect_ms")]
     pub suspect_timeout_ms: u64,
-    /// A host held dead, or listed and never met, is called this often, one at a time.
+    /// Interval of the attempts to contact hosts that are considered dead, or are listed by the platform
+    /// but unknown; each attempt contacts one host.
     #[serde(rename = "seek_ms")]
     pub reconnect_interval_ms: u64,
-    /// A dead host is forgotten after this many milliseconds.
+    /// Time after which a dead host is removed from the member list.
     #[serde(rename = "forget_ms")]
     pub dead_retention_ms: u64,
-    /// Hosts of each failure domain that watch the object API.
+    /// Number of hosts in each failure domain that watch the object API.
     #[serde(rename = "watchers")]
     pub watchers_per_domain: usize,
-    /// The other hosts read the object API when nothing confirmed their copy for so long.
+    /// Time without a confirmation of its configuration after which any host reads the object API.
     #[serde(rename = "poll_ms")]
     pub max_confirmation_age_ms: u64,
-    /// Own evidence of a version under roll-out is passed on at most this often; the time is
-    /// multiplied by the number of hosts, so that what all of them send each host stays the same.
+    /// Minimum interval, per host of the fleet, at which a host publishes its counts of a canary version.
+    /// It grows with the number of hosts so that the traffic that each host receives stays constant.
     #[serde(rename = "evidence_ms_a_host")]
     pub evidence_interval_per_host_ms: u64,
-    /// Larger runs of changes are announced, and sent to those who ask.
+    /// Maximum bytes of configuration changes that are sent unrequested; larger ones are announced and
+    /// sent on request.
     #[serde(rename = "push_bytes")]
     pub max_push_bytes: usize,
-    /// Most objects in one message.
+    /// Maximum number of objects in one message.
     #[serde(rename = "objects_most")]
     pub max_objects: usize,
-    /// Most bytes of objects in one message.
+    /// Maximum bytes of objects in one message.
     #[serde(rename = "object_bytes")]
     pub max_object_bytes: usize,
-    /// Most items in one message.
+    /// Maximum number of items in one message.
     #[serde(rename = "items_most")]
     pub max_items: usize,
 }
--- a/crates/tidetrack-core/src/node/rollout_control.rs
+++ b/crates/tidetrack-core/src/node/rollout_control.rs
@@ -1,4 +1,4 @@
-//! What a host does for roll-outs: writes the next state in its turn, quarantines what is bad.
+//! Roll-out control on each host: writes the next roll-out state and quarantines bad canary versions.
 
 use std::collections::BTreeSet;
 
@@ -12,17 +12,18 @@
 
 use super::Node;
 
-/// Each later host in a roll-out's order waits so much longer.
+/// Additional delay of each host by its rank for a roll-out before it writes the state, in milliseconds.
 const WRITER_STAGGER_MS: u64 = 1_500;
 
-/// Grants follow each other by at least so many milliseconds for each host of the fleet.
+/// Minimum interval between two writes that only add grants, in milliseconds per host of the fleet.
 const GRANT_INTERVAL_PER_HOST_MS: u64 = 20;
 
 impl Node {
-    /// Works out the state that this host should write for a roll-out, if it is its turn.
+    /// Returns the state that this host should write for a roll-out, or `None` if nothing is due.
+    /// `changed_at` is the time of the last state change.
     ///
-    /// The first host in rendezvous order writes at once, the next ones only after a while, so that
-    /// a roll-out goes on when the first is gone.
+    /// The first host in rendezvous order writes at once. Each following host waits longer, so that the
+    /// roll-out continues when the first ones are down and there is normally one writer.
     pub fn rollout_update(
         &mut self,
         now: Millis,
@@ -53,13 +54,14 @@
             is_canary_barred: version.is_barred,
         };
         let next = rollout::next_state(&context, state)?;
-        // Each write of the state goes to every host: new grants alone wait longer in a larger fleet.
+        // Every host receives each written state, so writes that only add grants are spaced further
+        // apart in a larger fleet.
         let is_new_stage = next.phase != state.phase || next.stage != state.stage;
         let min_interval = Millis(self.live_host_count() as u64 * GRANT_INTERVAL_PER_HOST_MS);
         (is_new_stage || now - changed_at >= min_interval).then_some(next)
     }
 
-    /// Quarantines every version under roll-out that the evidence finds bad.
+    /// Quarantines every canary version that the evidence shows to be worse than its stable version.
     pub fn quarantine_bad_versions(&mut self, view: &View) {
         let mut bad = Vec::new();
         for rollout in &view.rollouts {
--- a/crates/tidetrack-core/src/view.rs
+++ b/crates/tidetrack-core/src/view.rs
@@ -1,8 +1,9 @@
-//! The view that a router's traffic threads decide on: the configuration, compiled. Hosts on the users'
-//! platform have `traffic::view` in its place.
+//! The compiled configuration on which a router's traffic threads make their decisions. Hosts on the
+//! users' platform use `traffic::view` instead.
 //!
-//! The control thread builds a view whenever the configuration or a narrowing fact changes. What
-//! must outlive a view (endpoint load, credits, compiled programs) is shared from one to the next.
+//! The control thread builds a view whenever the configuration or a fact that bars something changes.
+//! State that must outlive a view (endpoint load, credits, compiled programs) is shared between
+//! successive views.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -25,62 +26,64 @@
 use crate::store::{Entry, Store};
 use crate::units::Millis;
 
-/// A version as traffic sees it.
+/// A version in the compiled configuration.
 #[derive(Clone, Debug)]
 pub struct VersionView {
-    /// The declaration.
+    /// The declared version.
     pub spec: Version,
-    /// Whether it takes no new work.
+    /// Whether the version is withdrawn, quarantined or aborted and takes no new work.
     pub is_barred: bool,
-    /// Credits, while a roll-out of it is not done.
+    /// Credits for new requests while the version is the canary of an unfinished roll-out; `None` for a
+    /// stable version.
     pub canary_credits: Option<Arc<Credits>>,
 }
 
-/// A roll-out as traffic sees it.
+/// A roll-out in the compiled configuration.
 #[derive(Clone, Debug)]
 pub struct RolloutView {
-    /// Its name.
+    /// Name of the roll-out.
     pub id: RolloutId,
-    /// The declaration.
+    /// The declared roll-out.
     pub spec: Rollout,
-    /// Where it stands; absent before it is started.
+    /// Current state; `None` before the roll-out is started.
     pub state: Option<RolloutState>,
-    /// Revision of the state, for conditional updates; 0 if absent.
+    /// Revision of the state, for conditional updates; 0 if there is no state.
     pub state_version: u64,
 }
 
 impl RolloutView {
-    /// Tells whether its stages are being run.
+    /// Reports whether the roll-out is in phase `Running`.
     pub fn is_running(&self) -> bool {
         self.state.as_ref().is_some_and(|s| s.phase == RolloutPhase::Running)
     }
 
-    /// Tells whether a host so sure of its configuration counts as stale.
+    /// Reports whether a configuration of this freshness is stale for the roll-out.
     fn is_stale(&self, freshness: Freshness) -> bool {
         freshness.age.0 > self.spec.stale_ms
     }
 
-    /// Tells whether such a host may put work on the new version.
+    /// Reports whether a host with a configuration of this freshness may send work to the canary version.
     fn allows_canary(&self, freshness: Freshness) -> bool {
         !self.is_stale(freshness) || self.spec.when_stale == WhenStale::Continue
     }
 }
 
-/// A policy as traffic sees it.
+/// A policy in the compiled configuration.
 #[derive(Debug)]
 pub struct PolicyView {
-    /// The declaration.
+    /// The declared policy.
     pub spec: Policy,
-    /// The compiled program; absent if it does not compile.
+    /// The compiled program; `None` if it does not compile.
     pub program: Option<Program>,
 }
 
 impl PolicyView {
-    /// Decides; on failure gives the declared fallback and the reason.
+    /// Runs the policy's program. On failure, returns the plan of the declared fallback models and the
+    /// error.
     pub fn decide(&self, features: &Features, load: &[(ModelId, f64)]) -> (Plan, Option<Error>) {
         let fallback = || Plan { rungs: self.spec.fallback.clone(), accept: None };
         let Some(program) = &self.program else {
-            let err = Error::new(Code::BadPolicy, "the program does not compile");
+            let err = Error::new(Code::BadPolicy, "the policy's program does not compile");
             return (fallback(), Some(err));
         };
         match program.decide(features, load) {
@@ -90,62 +93,64 @@
     }
 }
 
-/// A service as traffic sees it.
+/// A service in the compiled configuration.
 #[derive(Clone, Debug)]
 pub struct ServiceView {
-    /// The declaration.
+    /// The declared service.
     pub spec: Service,
-    /// Its endpoints.
+    /// The service's endpoints.
     pub pool: PoolView,
 }
 
-/// The configuration, compiled for traffic threads.
+/// The configuration, compiled for the traffic threads.
 #[derive(Clone, Debug, Default)]
 pub struct View {
-    /// Nothing is missing up to this revision.
+    /// Revision of the object API up to which the configuration is complete.
     pub revision: u64,
-    /// The fleet's keys.
+    /// Keys that sign tokens of the fleet; `None` if none are declared.
     pub key_ring: Option<KeyRing>,
-    /// Workspaces by key digest.
+    /// Workspaces by the SHA-256 digests of their keys, in hexadecimal.
     pub workspaces_by_key_digest: HashMap<String, WorkspaceId>,
-    /// Workspaces.
+    /// Workspaces by name.
     pub workspaces: HashMap<WorkspaceId, Workspace>,
-    /// Models.
+    /// Models by name.
     pub models: HashMap<ModelId, Model>,
-    /// Versions.
+    /// Versions of models.
     pub versions: HashMap<VersionRef, VersionView>,
-    /// Pools.
+    /// Pools of endpoints by name.
     pub pools: HashMap<PoolId, Arc<PoolView>>,
-    /// Services.
+    /// Plain services by name.
     pub services: HashMap<ServiceId, Arc<ServiceView>>,
-    /// Policies.
+    /// Policies by route.
     pub policies: HashMap<RouteId, Arc<PolicyView>>,
-    /// Roll-outs.
+    /// Declared roll-outs, whether started or not.
     pub rollouts: Vec<RolloutView>,
-    /// Objectives.
+    /// Service-level objectives.
     pub objectives: Vec<Objective>,
 }
 
-/// Slots of a pool whose work is not bounded: plain services say themselves when they are full.
+/// Slot count that stands for no limit. It is used for plain services, which report themselves when they
+/// are at capacity.
 const UNLIMITED_SLOTS: u32 = 0;
 
-/// When to come back to a version that takes no work now, in milliseconds: by then routers have looked at
-/// the roll-out again, which they do every 300 ms.
+/// Retry delay for a version that takes no work at present, in milliseconds. Routers evaluate a roll-out
+/// every 300 ms, so its state has been evaluated again by then.
 const VERSION_RETRY_AFTER_MS: u64 = 1_000;
 
-/// What is shared from one view to the next.
+/// Builds views and holds the state that successive views share.
 #[derive(Debug, Default)]
 pub struct ViewBuilder {
-    /// Endpoints' load and health, by name and address.
+    /// Load and health of endpoints, by name and address.
     endpoint_states: HashMap<(EndpointId, String), Arc<EndpointLive>>,
-    /// Credits, by version and generation.
+    /// Credits by version and generation.
     credits: HashMap<(VersionRef, u64), Arc<Credits>>,
-    /// Policies, each with the revision that it was compiled from.
+    /// Compiled policies with the revisions that they were compiled from.
     policies: HashMap<RouteId, (u64, Arc<PolicyView>)>,
 }
 
 impl ViewBuilder {
-    /// Builds the view of a store and facts; also lists the objects that cannot be read.
+    /// Builds the view of a configuration and facts. Also returns the objects that cannot be parsed, with
+    /// the reasons.
     pub fn build(
         &mut self,
         own_incarnation: &Incarnation,
@@ -183,7 +188,7 @@
         (view, unreadable)
     }
 
-    /// Adds an object to a view.
+    /// Adds an object of the configuration to a view.
     fn add(
         &mut self,
         view: &mut View,
@@ -192,7 +197,7 @@
         version: u64,
         object: Object,
     ) {
-        // Names were checked when the object was accepted; one that does not parse is left out.
+        // Names are checked when an object is accepted. An object whose name does not parse is skipped.
         macro_rules! name {
             () => {
                 match key.name.parse() {
@@ -238,7 +243,7 @@
         }
     }
 
-    /// Makes the view of a pool that was declared at a revision.
+    /// Builds the view of a pool that was declared at revision `declared_at`.
     fn build_pool(
         &mut self,
         endpoints: &BTreeMap<EndpointId, Endpoint>,
@@ -260,7 +265,7 @@
         PoolView::new(endpoints.iter().map(to_pool_endpoint).collect(), slots)
     }
 
-    /// Compiles a policy, unless that was done for the same revision.
+    /// Compiles a policy, or returns the cached one if its revision is unchanged.
     fn compile_policy(&mut self, id: &RouteId, version: u64, spec: Policy) -> Arc<PolicyView> {
         match self.policies.get(id) {
             Some((v, policy)) if *v == version => policy.clone(),
@@ -273,7 +278,8 @@
         }
     }
 
-    /// Gives versions under roll-out their credits and bars those that were given up.
+    /// Attaches credits to the canary versions, applies the grants to this host, and bars the canary
+    /// versions of aborted roll-outs.
     fn apply_rollouts(&mut self, own_incarnation: &Incarnation, view: &mut View) {
         for rollout in &view.rollouts {
             let Some(v) = view.versions.get_mut(&rollout.spec.to) else { continue };
@@ -292,69 +298,73 @@
         }
     }
 
-    /// Gets the credits of a version's generation, if any were ever made.
+    /// Returns the credits of a generation of a version, or `None` if it was never in a roll-out.
     pub fn credits(&self, version: &VersionRef, generation: u64) -> Option<&Arc<Credits>> {
         self.credits.get(&(version.clone(), generation))
     }
 }
 
-/// When the configuration was last confirmed to be the newest, as a host has it.
+/// When a host's configuration was last confirmed to be the newest. Times are of the host's own clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ConfigConfirmation {
-    /// It was the newest at this time.
+    /// Time at which the configuration was the newest.
     pub confirmed_at: Millis,
-    /// The question whose answer confirmed it was asked at this time.
+    /// Time of the request whose response confirmed it.
     pub requested_at: Millis,
 }
 
-/// How sure this host is of its configuration, read at the moment of dispatch.
+/// The age of this host's configuration, read when a request is dispatched.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Freshness {
-    /// Time since the configuration was last confirmed.
+    /// Time since the configuration was last known to be the newest.
     pub age: Millis,
 }
 
 /// A version chosen for a request.
 #[derive(Clone, Debug)]
 pub struct ChosenVersion {
-    /// The version.
+    /// The model and version.
     pub version: VersionRef,
-    /// Its generation.
+    /// Generation of the version.
     pub generation: u64,
-    /// Its pool.
+    /// Pool of endpoints that serve the version.
     pub pool: PoolId,
-    /// The credit taken, if the version is unproven.
+    /// Credits from which one was spent for the request; `None` unless the version is a canary.
     pub credit: Option<Arc<Credits>>,
 }
 
 impl View {
-    /// Finds the workspace of a key's digest.
+    /// Returns the workspace to which the key with this digest belongs, or an error with `NoKey`.
     pub fn workspace_by_key_digest(&self, digest: &str) -> Result<(&WorkspaceId, &Workspace)> {
-        let no_key = || Error::new(Code::NoKey, "the key is not known");
+        let no_key = || Error::new(Code::NoKey, "the key does not belong to any workspace");
         let id = self.workspaces_by_key_digest.get(digest).ok_or_else(no_key)?;
         Ok((id, self.workspaces.get(id).ok_or_else(no_key)?))
     }
 
-    /// Finds a route's policy.
+    /// Returns the policy of a route, or an error with `UnknownRoute`.
     pub fn policy(&self, route: &RouteId) -> Result<&Arc<PolicyView>> {
         self.policies.get(route).ok_or_else(|| unknown_name(Code::UnknownRoute, "route", route))
     }
 
-    /// Checks that a version may take new work for a workspace, without taking a credit.
+    /// Returns a version if it may take new work for a workspace. Does not spend a credit.
     pub fn check_version(&self, workspace: &Workspace, v: &VersionRef) -> Result<&VersionView> {
         if !workspace.allow.contains(v) {
-            let message = format!("the workspace does not allow {v}");
+            let message = format!("the workspace does not allow version {v}");
             return Err(Error::new(Code::NotAllowed, message));
         }
         let found = self.versions.get(v);
         let found = found.ok_or_else(|| unknown_name(Code::NoVersion, "version", v))?;
         if found.is_barred {
-            return Err(Error::new(Code::NoVersion, format!("{v} takes no new work")));
+            return Err(Error::new(
+                Code::NoVersion,
+                format!("version {v} is barred from new work"),
+            ));
         }
         Ok(found)
     }
 
-    /// Finds the roll-out that a model's requests meet: of those under way or done, the one written last.
+    /// Returns the roll-out that applies to a model's requests: of those that are running or done, the one
+    /// whose state was written last.
     fn current_rollout(&self, model: &ModelId) -> Option<(&RolloutView, &RolloutState)> {
         let is_relevant = |r: &&RolloutView| {
             r.spec.from.model == *model
@@ -366,9 +376,10 @@
         Some((found, found.state.as_ref()?))
     }
 
-    /// Chooses the version that answers a new request for a model.
+    /// Chooses the version that serves a new request for a model.
     ///
-    /// `hash_fraction` is from 0 up to 1 and decides who meets a version under roll-out.
+    /// `hash_fraction` is a uniform value in [0, 1). The canary version is chosen if it is below the share
+    /// of the current stage.
     pub fn choose_version(
         &self,
         workspace: &Workspace,
@@ -386,7 +397,7 @@
             return to.or_else(|_| self.reserve_version(workspace, &rollout.spec.from));
         }
         if rollout.is_stale(freshness) && rollout.spec.when_stale == WhenStale::Stop {
-            let message = format!("configuration not confirmed for {}", freshness.age);
+            let message = format!("the configuration has not been confirmed for {}", freshness.age);
             return Err(Error::new(Code::Stale, message).with_retry_after(VERSION_RETRY_AFTER_MS));
         }
         let stage = rollout.spec.stages.get(state.stage);
@@ -399,7 +410,7 @@
         self.reserve_version(workspace, &rollout.spec.from)
     }
 
-    /// Chooses the version that a session keeps.
+    /// Returns the version to which a session is bound, or an error if it can no longer serve the session.
     pub fn choose_session_version(
         &self,
         workspace: &Workspace,
@@ -408,7 +419,10 @@
         freshness: Freshness,
     ) -> Result<ChosenVersion> {
         let session_ended = || {
-            Error::new(Code::SessionEnded, format!("{version} is withdrawn; start a new session"))
+            Error::new(
+                Code::SessionEnded,
+                format!("version {version} is withdrawn; start a new session"),
+            )
         };
         let found = self.versions.get(version).ok_or_else(session_ended)?;
         if found.is_barred || found.spec.generation != generation {
@@ -420,7 +434,7 @@
         self.reserve_version(workspace, version)
     }
 
-    /// Checks that work on a version under roll-out may go on.
+    /// Checks that a canary version may serve more requests of a session.
     fn check_canary(&self, version: &VersionRef, freshness: Freshness) -> Result<()> {
         let Some(rollout) = self.rollouts.iter().find(|r| r.spec.to == *version) else {
             return Ok(());
@@ -430,11 +444,13 @@
             return Ok(());
         }
         let code = if is_running { Code::Stale } else { Code::NoVersion };
-        let message = format!("{version} takes no work now; the session keeps it");
+        let message = format!(
+            "canary version {version} takes no work at present; the session stays bound to it"
+        );
         Err(Error::new(code, message).with_retry_after(VERSION_RETRY_AFTER_MS))
     }
 
-    /// Checks a version and takes a credit where it is unproven.
+    /// Checks a version and spends a credit if it is a canary.
     fn reserve_version(
         &self,
         workspace: &Workspace,
@@ -443,7 +459,7 @@
         let v = self.check_version(workspace, version)?;
         if let Some(credits) = &v.canary_credits {
             if !credits.try_spend() {
-                let message = format!("the exposure cap of {version} is reached");
+                let message = format!("the exposure cap of canary version {version} is reached");
                 let refusal = Error::new(Code::NoVersion, message);
                 return Err(refusal.with_retry_after(VERSION_RETRY_AFTER_MS));
             }
@@ -456,22 +472,25 @@
         })
     }
 
-    /// Checks a chosen version again, at the last moment before its work leaves the host.
+    /// Checks a chosen version again immediately before its request is sent to an endpoint.
     pub fn check_still_valid(&self, workspace: &Workspace, chosen: &ChosenVersion) -> Result<()> {
         let v = self.check_version(workspace, &chosen.version)?;
         match v.spec.generation == chosen.generation {
             true => Ok(()),
-            false => Err(Error::new(Code::NoVersion, "the version was replaced meanwhile")),
+            false => {
+                Err(Error::new(Code::NoVersion, "the version was replaced by another generation"))
+            }
         }
     }
 
-    /// Lists the endpoints of all pools, for reads of their loads.
+    /// Iterates over the endpoints of all pools, so that their loads can be read.
     pub fn pool_endpoints(&self) -> impl Iterator<Item = &PoolEndpoint> {
         self.pools.values().flat_map(|p| p.endpoints().iter())
     }
 }
 
-/// Lists the facts that follow from accepted withdrawals, so that they spread host to host.
+/// Returns the facts for the withdrawals in the configuration, which hosts gossip so that a withdrawal
+/// also reaches hosts that cannot read the object API.
 pub fn withdrawal_facts(store: &Store) -> Vec<Fact> {
     let entries = store.iter().filter(|e| e.key.kind == ObjectKind::Withdrawal);
     let to_fact = |e: &Entry| {
