--- a/crates/tidetrack-core/src/membership.rs
+++ b/crates/tidetrack-core/src/membership.rs
@@ -136,10 +136,10 @@
             .by_host
             .get_mut(&self.own_host)
             .expect("the member list always contains its own host");
-        let same =
+        let is_unchanged =
             reported.incarnation == own_member.incarnation && reported.state == own_member.state;
         if reported.state_version < own_member.state_version
-            || (reported.state_version == own_member.state_version && same)
+            || (reported.state_version == own_member.state_version && is_unchanged)
         {
             return MemberUpdate::Old;
         }
@@ -296,6 +296,7 @@
         eligible
     }
 
+    /// Returns the hash key that orders the possible holders of this host's bills.
     fn holder_hash_key(&self, m: &Member) -> String {
         format!("{}>{}", self.own_host, m.incarnation.host)
     }
--- a/crates/tidetrack-core/src/node/exchange.rs
+++ b/crates/tidetrack-core/src/node/exchange.rs
@@ -49,8 +49,8 @@
         }
     }
 
-    /// Returns the changes after revision `from` if they are at most `max_push_bytes`, and so small
-    /// enough to be sent unrequested.
+    /// Returns the changes after revision `from` if they are small enough to be sent without a
+    /// request, that is, at most `max_push_bytes`.
     fn small_delta_since(&self, from: u64) -> Option<Delta> {
         let delta = self.delta_for(from, None)?;
         let is_complete = delta.to == self.store.complete_to();
@@ -99,14 +99,21 @@
 
     /// Applies the reply to the exchange that was sent to host `to` at `sent_at` with `nonce`. A reply from
     /// another host or with another nonce is ignored.
-    pub fn on_reply(&mut self, now: Millis, to: &HostId, sent_at: Millis, nonce: u64, r: Exchange) {
+    pub fn on_reply(
+        &mut self,
+        now: Millis,
+        to: &HostId,
+        sent_at: Millis,
+        nonce: u64,
+        reply: Exchange,
+    ) {
         if let Some(link) = self.links.get_mut(to) {
             link.is_awaiting_reply = false;
         }
         self.config_pull.on_response(now, to, self.options.max_object_bytes);
-        if r.from.host == *to && r.nonce == nonce {
-            self.limits().accept(sent_at, &r.loans);
-            self.apply_message(now, Some(sent_at), r);
+        if reply.from.host == *to && reply.nonce == nonce {
+            self.limits().accept(sent_at, &reply.loans);
+            self.apply_message(now, Some(sent_at), reply);
         }
     }
 
@@ -141,7 +148,7 @@
             link.received_seq = link.received_seq.max(message.last_seq);
         }
         debug_assert!(message.from != own_incarnation);
-        let (complete_to, fresh) = (message.complete_to, message.confirmation_age_ms);
+        let (complete_to, confirmation_age_ms) = (message.complete_to, message.confirmation_age_ms);
         if let Some(delta) = message.changes {
             self.merge_objects(delta);
         }
@@ -152,7 +159,7 @@
         }
         // The age in a reply is counted from the time of the request, not from the arrival of the
         // reply: the other host may have computed it at any time in between.
-        if let (Some(requested_at), Some(age)) = (requested_at, fresh) {
+        if let (Some(requested_at), Some(age)) = (requested_at, confirmation_age_ms) {
             if complete_to <= self.store.complete_to() {
                 self.confirm(requested_at, Millis(age));
             }
--- a/crates/tidetrack-core/src/node/item_limit.rs
+++ b/crates/tidetrack-core/src/node/item_limit.rs
@@ -52,7 +52,8 @@
 }
 
 impl Node {
-    /// Returns the items of a message and the sequence number up to which no item is left out.
+    /// Returns the items of a message and the sequence number up to which no item is left out. Facts beyond
+    /// the limit are included.
     pub(super) fn items_for(&mut self, host: &HostId, link: &Link) -> (u64, Vec<Item>) {
         let cursor = link.acked_by_peer;
         let max_items = link.item_limit.max_items.min(self.options.max_items);
--- a/crates/tidetrack-core/src/node/links.rs
+++ b/crates/tidetrack-core/src/node/links.rs
@@ -28,6 +28,7 @@
         }
     }
 
+    /// Chooses the hosts to exchange with: this host's links, and listed hosts if there are too few links.
     fn choose_peers(&self) -> Vec<(HostId, String)> {
         let links = self.members.links();
         let mut peers: Vec<(HostId, String)> =
@@ -56,12 +57,12 @@
         }
         let loan_requests = if targets.is_empty() { Vec::new() } else { self.limits().asks(now) };
         let loan_target = (self.nonce as usize) % targets.len().max(1);
-        let own_links = targets.len();
+        let heartbeat_targets = targets.len();
         targets.extend(self.inbound_peers_to_update(now, &targets));
         for (i, (host, address)) in targets.into_iter().enumerate() {
             let loan_requests = if i == loan_target { loan_requests.clone() } else { Vec::new() };
             let is_pull = source.as_ref().is_some_and(|(h, _)| *h == host);
-            let has_heartbeat = i < own_links;
+            let has_heartbeat = i < heartbeat_targets;
             if self.is_exchange_due(now, &host, !loan_requests.is_empty(), is_pull, has_heartbeat) {
                 let max_reply_bytes =
                     if is_pull { self.config_pull.begin(now, &host) } else { SMALL_DELTA_ONLY };
@@ -118,15 +119,16 @@
         let is_other = |m: &&Member| m.incarnation.host != self.incarnation.host;
         let dead = self.members.iter().filter(|m| !m.is_live()).filter(is_other);
         let dead = dead.map(|m| (m.incarnation.host.clone(), m.peer_address.clone()));
-        let unmet = self.seeds.iter().filter(|(h, _)| self.members.lookup(h).is_none());
+        let unknown = self.seeds.iter().filter(|(h, _)| self.members.lookup(h).is_none());
         let candidates: Vec<(HostId, String)> =
-            dead.chain(unmet.map(|(h, a)| (h.clone(), a.clone()))).collect();
+            dead.chain(unknown.map(|(h, a)| (h.clone(), a.clone()))).collect();
         let index = self.nonce as usize % candidates.len().max(1);
         candidates.into_iter().nth(index)
     }
 
-    /// Reports whether an exchange with a host is due. `has_heartbeat` is set for the host's own links,
-    /// which exchange at every heartbeat even without updates.
+    /// Reports whether an exchange with a host is due. `has_heartbeat` is set for the hosts that this one
+    /// contacts at every heartbeat even without updates; the others are contacted only with updates or
+    /// loan requests.
     fn is_exchange_due(
         &mut self,
         now: Millis,
@@ -222,8 +224,8 @@
     }
 
     /// Applies the outcome of a probe. A host that another one could reach is not probed again until its
-    /// link has been silent once more; a host that could not be reached and
-    /// is still silent becomes suspect.
+    /// link has been silent once more. A host that could not be reached and is still silent becomes
+    /// suspect.
     pub fn on_probe(&mut self, now: Millis, target: &HostId, is_reachable: bool) {
         let timeout = Millis(self.options.silence_timeout_ms);
         let is_linked = self.peers().iter().any(|(h, _)| h == target);
--- a/crates/tidetrack-core/src/node/merge.rs
+++ b/crates/tidetrack-core/src/node/merge.rs
@@ -28,6 +28,7 @@
         });
     }
 
+    /// Merges configuration changes.
     pub(super) fn merge_objects(&mut self, delta: Delta) {
         if self.store.merge(delta) {
             self.on_configuration_changed();
@@ -42,6 +43,8 @@
         }
     }
 
+    /// Merges an item that incarnation `from` sent, and forwards it if it is new. Facts and members are
+    /// forwarded at once, counts with the next heartbeat.
     pub(super) fn merge_item(&mut self, now: Millis, from: &Incarnation, item: Item) {
         let is_new = match &item {
             Item::Fact(fact) => {
--- a/crates/tidetrack-core/src/node/mod.rs
+++ b/crates/tidetrack-core/src/node/mod.rs
@@ -77,9 +77,12 @@
     peer_complete_to: u64,
     /// Revision that this host last reported to the peer as its own `complete_to`.
     reported_complete_to: u64,
+    /// When this host last received a message from the peer.
     last_received_at: Millis,
+    /// When this host last sent a request to the peer.
     sent_at: Millis,
     is_awaiting_reply: bool,
+    /// Whether the peer has been probed since its last message.
     is_probed: bool,
     item_limit: ItemLimit,
 }
@@ -111,12 +114,14 @@
     pub limits: Arc<Mutex<Limits>>,
     /// Requests that may have crashed endpoints, shared with the traffic threads.
     pub suspects: Arc<Suspects>,
+    /// This host's own counts by version and generation.
     local_counts: BTreeMap<(VersionRef, u64), LocalCounts>,
     /// Stable and canary versions of the running roll-outs.
     rollout_versions: BTreeSet<VersionRef>,
     /// Sequence number of the last item that is sent without waiting for the next heartbeat.
     urgent_seq: u64,
     config_pull: ConfigPull,
+    /// When this host last tried to contact a dead or unknown host.
     last_reconnect_at: Millis,
     /// The items that this host gossips.
     items: Journal<ItemKey, Item>,
@@ -263,8 +268,8 @@
     /// Builds the view for the traffic threads, logs the objects that cannot be parsed and applies the
     /// workspaces' limits.
     pub fn view(&mut self, now: Millis, builder: &mut ViewBuilder) -> View {
-        let (view, unreadable) = builder.build(&self.incarnation, &self.store, &self.facts);
-        for (key, reason) in unreadable {
+        let (view, invalid) = builder.build(&self.incarnation, &self.store, &self.facts);
+        for (key, reason) in invalid {
             self.push_log(Event::ConfigRejected, format!("{key}: {reason}"));
         }
         let running_rollouts = view.rollouts.iter().filter(|r| r.is_running());
--- a/crates/tidetrack-core/src/node/rollout_control.rs
+++ b/crates/tidetrack-core/src/node/rollout_control.rs
@@ -36,7 +36,7 @@
         if now - changed_at < Millis(rank * WRITER_STAGGER_MS) {
             return None;
         }
-        let version = view.versions.get(&rollout.spec.to)?;
+        let canary = view.versions.get(&rollout.spec.to)?;
         let stable = view.versions.get(&rollout.spec.from)?;
         let alive: BTreeSet<Incarnation> = self
             .members
@@ -47,11 +47,11 @@
         let context = rollout::RolloutContext {
             spec: &rollout.spec,
             rollout_name: rollout.id.as_str(),
-            canary_generation: version.spec.generation,
+            canary_generation: canary.spec.generation,
             stable_generation: stable.spec.generation,
             evidence: &self.evidence,
             alive: &alive,
-            is_canary_barred: version.is_barred,
+            is_canary_barred: canary.is_barred,
         };
         let next = rollout::next_state(&context, state)?;
         // Every host receives each written state, so writes that only add grants are spaced further
--- a/crates/tidetrack-core/src/rollout.rs
+++ b/crates/tidetrack-core/src/rollout.rs
@@ -21,7 +21,7 @@
 /// The state is written for new grants alone only if they are at least the cap divided by this number.
 const MIN_GRANT_DIVISOR: u64 = 4;
 
-/// One host's credits for one generation of a version under roll-out.
+/// One host's credits for one generation of a canary version.
 #[derive(Debug, Default)]
 pub struct Credits {
     granted: AtomicU64,
@@ -36,7 +36,7 @@
         self.spent.fetch_update(Ordering::AcqRel, Ordering::Acquire, increment).is_ok()
     }
 
-    /// Returns the credit of a request that was never sent to an endpoint.
+    /// Gives back the credit of a request that was never sent to an endpoint.
     pub fn refund(&self) {
         self.spent.fetch_sub(1, Ordering::AcqRel);
     }
--- a/crates/tidetrack-core/src/store.rs
+++ b/crates/tidetrack-core/src/store.rs
@@ -46,10 +46,11 @@
     }
 }
 
-/// A host's copy of the configuration, see the module documentation.
+/// A host's copy of the configuration; changes may be merged in any order.
 #[derive(Clone, Debug, Default)]
 pub struct Store {
     objects: BTreeMap<ObjectKey, Entry>,
+    /// Keys of all objects, ordered by version.
     by_version: BTreeMap<(u64, ObjectKey), ()>,
     complete_to: u64,
 }
--- a/crates/tidetrack-core/src/view.rs
+++ b/crates/tidetrack-core/src/view.rs
@@ -107,7 +107,7 @@
 pub struct View {
     /// Revision of the object API up to which the configuration is complete.
     pub revision: u64,
-    /// Keys that sign tokens of the fleet; `None` if none are declared.
+    /// Keys that authenticate the tokens issued by the fleet; `None` if none are declared.
     pub key_ring: Option<KeyRing>,
     /// Workspaces by the SHA-256 digests of their keys, in hexadecimal.
     pub workspaces_by_key_digest: HashMap<String, WorkspaceId>,
@@ -129,7 +129,7 @@
     pub objectives: Vec<Objective>,
 }
 
-/// Slot count that stands for no limit. It is used for plain services, which report themselves when they
+/// Slot count that means no limit. It is used for plain services, which refuse calls themselves when they
 /// are at capacity.
 const UNLIMITED_SLOTS: u32 = 0;
 
@@ -157,19 +157,19 @@
         store: &Store,
         facts: &Facts,
     ) -> (View, Vec<(ObjectKey, String)>) {
-        let (objects, unreadable) = store.objects();
+        let (objects, invalid) = store.objects();
         let mut view = View { revision: store.complete_to(), ..View::default() };
         let mut states: BTreeMap<String, (u64, RolloutState)> = BTreeMap::new();
         let mut withdrawn: HashMap<String, u64> = HashMap::new();
-        for (key, version, object) in objects {
+        for (key, revision, object) in objects {
             match object {
                 Object::RolloutState(s) => {
-                    states.insert(key.name, (version, s));
+                    states.insert(key.name, (revision, s));
                 }
                 Object::Withdrawal(w) => {
                     withdrawn.insert(key.name, w.generation);
                 }
-                other => self.add(&mut view, facts, key, version, other),
+                other => self.add(&mut view, facts, key, revision, other),
             }
         }
         for (version, v) in &mut view.versions {
@@ -179,13 +179,13 @@
             v.is_barred = is_withdrawn || facts.is_version_barred(version, generation);
         }
         for rollout in &mut view.rollouts {
-            if let Some((version, state)) = states.remove(rollout.id.as_str()) {
-                rollout.state_version = version;
+            if let Some((revision, state)) = states.remove(rollout.id.as_str()) {
+                rollout.state_version = revision;
                 rollout.state = Some(state);
             }
         }
         self.apply_rollouts(own_incarnation, &mut view);
-        (view, unreadable)
+        (view, invalid)
     }
 
     /// Adds an object of the configuration to a view.
@@ -194,7 +194,7 @@
         view: &mut View,
         facts: &Facts,
         key: ObjectKey,
-        version: u64,
+        revision: u64,
         object: Object,
     ) {
         // Names are checked when an object is accepted. An object whose name does not parse is skipped.
@@ -221,16 +221,16 @@
                 view.versions.insert(name!(), v);
             }
             Object::Pool(p) => {
-                let pool = self.build_pool(&p.endpoints, p.slots, facts, version);
+                let pool = self.build_pool(&p.endpoints, p.slots, facts, revision);
                 view.pools.insert(name!(), Arc::new(pool));
             }
             Object::Service(spec) => {
-                let pool = self.build_pool(&spec.endpoints, UNLIMITED_SLOTS, facts, version);
+                let pool = self.build_pool(&spec.endpoints, UNLIMITED_SLOTS, facts, revision);
                 view.services.insert(name!(), Arc::new(ServiceView { spec, pool }));
             }
             Object::Policy(spec) => {
                 let id: RouteId = name!();
-                let policy = self.compile_policy(&id, version, spec);
+                let policy = self.compile_policy(&id, revision, spec);
                 view.policies.insert(id, policy);
             }
             Object::Rollout(spec) => {
@@ -266,13 +266,13 @@
     }
 
     /// Compiles a policy, or returns the cached one if its revision is unchanged.
-    fn compile_policy(&mut self, id: &RouteId, version: u64, spec: Policy) -> Arc<PolicyView> {
+    fn compile_policy(&mut self, id: &RouteId, revision: u64, spec: Policy) -> Arc<PolicyView> {
         match self.policies.get(id) {
-            Some((v, policy)) if *v == version => policy.clone(),
+            Some((compiled_from, policy)) if *compiled_from == revision => policy.clone(),
             _ => {
                 let program = Program::compile(&spec).ok();
                 let policy = Arc::new(PolicyView { spec, program });
-                self.policies.insert(id.clone(), (version, policy.clone()));
+                self.policies.insert(id.clone(), (revision, policy.clone()));
                 policy
             }
         }
@@ -378,8 +378,8 @@
 
     /// Chooses the version that serves a new request for a model.
     ///
-    /// `hash_fraction` is a uniform value in [0, 1). The canary version is chosen if it is below the share
-    /// of the current stage.
+    /// `hash_fraction` is a uniform value in [0, 1). While a roll-out is running, the canary version is
+    /// chosen if `hash_fraction` is below the share of the current stage and a credit is left.
     pub fn choose_version(
         &self,
         workspace: &Workspace,
