--- a/crates/tidetrack-core/src/node/mod.rs
+++ b/crates/tidetrack-core/src/node/mod.rs
@@ -22,20 +22,20 @@
 use crate::units::Millis;
 use crate::view::{ConfigConfirmation, View, ViewBuilder};
 
-mod config_pull;
+mod duties;
 mod exchange;
-mod item_limit;
+mod items;
+mod knowledge;
 mod links;
-mod merge;
 mod messages;
 mod options;
-mod rollout_control;
+mod pulls;
 
-use config_pull::ConfigPull;
-use item_limit::ItemLimit;
+use items::ItemLimit;
 use messages::ItemKey;
 pub use messages::{Exchange, Item};
 pub use options::NodeOptions;
+use pulls::ConfigPull;
 
 /// An action that the caller of a node must carry out.
 #[derive(Clone, Debug, PartialEq)]
@@ -303,7 +303,7 @@
     use crate::membership::MemberState;
     use crate::store::Entry;
 
-    use super::config_pull::SMALL_DELTA_ONLY;
+    use super::pulls::SMALL_DELTA_ONLY;
 
     fn node(host: &str) -> Node {
         let own = Member {
