--- a/crates/tidetrack-core/src/node/duties.rs
+++ b/crates/tidetrack-core/src/node/duties.rs
@@ -1,4 +1,4 @@
-//! What a host does for roll-outs: writes the next state in its turn, quarantines what is bad.
+//! Roll-out control on each host: writes the next roll-out state and quarantines bad canary versions.
 
 use std::collections::BTreeSet;
 
@@ -12,72 +12,74 @@
 
 use super::Node;
 
-/// Each later host in a roll-out's order waits so much longer.
-const DUTY_STEP_MS: u64 = 1_500;
+/// Additional delay of each host by its rank for a roll-out before it writes the state, in milliseconds.
+const WRITER_STAGGER_MS: u64 = 1_500;
 
-/// Grants follow each other by at least so many milliseconds for each host of the fleet.
-const GRANT_MS_A_HOST: u64 = 20;
+/// Minimum interval between two writes that only add grants, in milliseconds per host of the fleet.
+const GRANT_INTERVAL_PER_HOST_MS: u64 = 20;
 
 impl Node {
-    /// Works out the state that this host should write for a roll-out, if it is its turn.
+    /// Returns the state that this host should write for a roll-out, or `None` if nothing is due.
+    /// `changed_at` is the time of the last state change.
     ///
-    /// The first host in rendezvous order writes at once, the next ones only after a while, so that
-    /// a roll-out goes on when the first is gone.
-    pub fn rollout_duty(
+    /// The first host in rendezvous order writes at once. Each following host waits longer, so that the
+    /// roll-out continues when the first ones are down and there is normally one writer.
+    pub fn rollout_update(
         &mut self,
         now: Millis,
         view: &View,
         rollout: &RolloutView,
-        since: Millis,
+        changed_at: Millis,
     ) -> Option<crate::config::RolloutState> {
         let state = rollout.state.as_ref()?;
-        let rank = self.members.own_rank(rollout.id.as_str()) as u64;
-        if now - since < Millis(rank * DUTY_STEP_MS) {
+        let rank = self.members.rank_for(rollout.id.as_str()) as u64;
+        if now - changed_at < Millis(rank * WRITER_STAGGER_MS) {
             return None;
         }
-        let version = view.versions.get(&rollout.spec.to)?;
-        let proven = view.versions.get(&rollout.spec.from)?;
+        let canary = view.versions.get(&rollout.spec.to)?;
+        let stable = view.versions.get(&rollout.spec.from)?;
         let alive: BTreeSet<Incarnation> = self
             .members
             .live()
             .filter(|m| m.state == MemberState::Alive)
             .map(|m| m.incarnation.clone())
             .collect();
-        let known = rollout::Known {
+        let context = rollout::RolloutContext {
             spec: &rollout.spec,
-            name: rollout.id.as_str(),
-            generation: version.spec.generation,
-            proven_generation: proven.spec.generation,
+            rollout_name: rollout.id.as_str(),
+            canary_generation: canary.spec.generation,
+            stable_generation: stable.spec.generation,
             evidence: &self.evidence,
             alive: &alive,
-            barred: version.barred,
+            is_canary_barred: canary.is_barred,
         };
-        let next = rollout::next_state(&known, state)?;
-        // Each write of the state goes to every host: new grants alone wait longer in a larger fleet.
-        let moves = next.phase != state.phase || next.stage != state.stage;
-        let paced = Millis(self.hosts() as u64 * GRANT_MS_A_HOST);
-        (moves || now - since >= paced).then_some(next)
+        let next = rollout::next_state(&context, state)?;
+        // Every host receives each written state, so writes that only add grants are spaced further
+        // apart in a larger fleet.
+        let is_new_stage = next.phase != state.phase || next.stage != state.stage;
+        let min_interval = Millis(self.live_host_count() as u64 * GRANT_INTERVAL_PER_HOST_MS);
+        (is_new_stage || now - changed_at >= min_interval).then_some(next)
     }
 
-    /// Quarantines every version under roll-out that the evidence finds bad.
-    pub fn quarantine(&mut self, view: &View) {
+    /// Quarantines every canary version that the evidence shows to be worse than its stable version.
+    pub fn quarantine_bad_versions(&mut self, view: &View) {
         let mut bad = Vec::new();
         for rollout in &view.rollouts {
             let versions =
                 (view.versions.get(&rollout.spec.to), view.versions.get(&rollout.spec.from));
             let (Some(to), Some(from)) = versions else { continue };
-            if to.barred || to.unproven.is_none() {
+            if to.is_barred || to.canary_credits.is_none() {
                 continue;
             }
-            let new = self.evidence.total(&rollout.spec.to, to.spec.generation);
-            let proven = self.evidence.total(&rollout.spec.from, from.spec.generation);
-            if compare(&new, &proven, DEFAULT_ALPHA) == Verdict::Bad {
+            let canary = self.evidence.total(&rollout.spec.to, to.spec.generation);
+            let stable = self.evidence.total(&rollout.spec.from, from.spec.generation);
+            if compare(&canary, &stable, DEFAULT_ALPHA) == Verdict::Bad {
                 let subject = Subject::Quarantined(rollout.spec.to.clone());
                 bad.push(Fact { subject, generation: to.spec.generation });
             }
         }
         for fact in bad {
-            self.learn(fact);
+            self.add_fact(fact);
         }
     }
 }
--- a/crates/tidetrack-core/src/node/items.rs
+++ b/crates/tidetrack-core/src/node/items.rs
@@ -1,76 +1,81 @@
-//! How many items a message to another host carries, and which go first.
+//! Limits the number of items in a message to another host, and orders them by priority.
 //!
-//! After a partition or a start there may be thousands of them, and all neighbours have the same. A
-//! link begins with few and carries more as they are acknowledged in time, so that together they do
-//! not fill a slow path with what can wait. Narrowing facts go ahead of everything else.
+//! After a partition or a start, thousands of items may be pending, and all neighbours send the same
+//! ones. Each link starts with few items per message and doubles them while they are acknowledged in
+//! time, so that the links together do not fill a slow network path with items that can wait. Facts
+//! are sent regardless of the limit.
 
 use crate::ids::HostId;
 
 use super::messages::Item;
 use super::{Link, Node};
 
-/// Items of a link's first message: about 3 KB, a few packets.
-const FIRST_ITEMS: usize = 50;
+/// Items in the first message of a link: about 3 KB, a few packets.
+const INITIAL_ITEMS: usize = 50;
 
-/// Fewest items of a message: about 1 KB, one packet.
-const LEAST_ITEMS: usize = 16;
+/// Minimum limit on the items in a message: about 1 KB, one packet.
+const MIN_ITEMS: usize = 16;
 
-/// How many items a message of a link carries.
+/// Limit on the items in a message of a link, adapted to the acknowledgements.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct ItemRoom {
-    most: usize,
-    is_cut: bool,
+pub(super) struct ItemLimit {
+    max_items: usize,
+    is_truncated: bool,
 }
 
-impl Default for ItemRoom {
+impl Default for ItemLimit {
     fn default() -> Self {
-        ItemRoom { most: FIRST_ITEMS, is_cut: false }
+        ItemLimit { max_items: INITIAL_ITEMS, is_truncated: false }
     }
 }
 
-impl ItemRoom {
-    /// Tells whether the last message left items out: the next one follows soon, not with a beat.
-    pub(super) fn is_cut(&self) -> bool {
-        self.is_cut
+impl ItemLimit {
+    /// Reports whether the last message left items out. The next message is then sent without waiting for
+    /// the heartbeat.
+    pub(super) fn is_truncated(&self) -> bool {
+        self.is_truncated
     }
 
-    /// Takes note that items were acknowledged.
-    pub(super) fn acknowledged(&mut self, is_late: bool, most: usize) {
+    /// Adapts the limit to an acknowledgement: halves it if that was late, else doubles it up to
+    /// `max_items`.
+    pub(super) fn on_acknowledged(&mut self, is_late: bool, max_items: usize) {
         match is_late {
-            true => self.narrow(),
-            false => self.most = (self.most * 2).min(most),
+            true => self.halve(),
+            false => self.max_items = (self.max_items * 2).min(max_items),
         }
     }
 
-    /// Halves the items of the next message.
-    pub(super) fn narrow(&mut self) {
-        self.most = (self.most / 2).max(LEAST_ITEMS);
+    /// Halves the limit for the next message, down to `MIN_ITEMS`.
+    pub(super) fn halve(&mut self) {
+        self.max_items = (self.max_items / 2).max(MIN_ITEMS);
     }
 }
 
 impl Node {
-    /// Chooses the items of a message, and the sequence number up to which they leave nothing out.
+    /// Returns the items of a message and the sequence number up to which no item is left out. Facts beyond
+    /// the limit are included.
     pub(super) fn items_for(&mut self, host: &HostId, link: &Link) -> (u64, Vec<Item>) {
         let cursor = link.acked_by_peer;
-        let most = link.items.most.min(self.options.items_most);
-        let mut news = self.items.news_for(link.peer_life.as_ref(), cursor);
+        let max_items = link.item_limit.max_items.min(self.options.max_items);
+        let mut pending = self.items.news_for(link.peer_incarnation.as_ref(), cursor);
         let mut items = Vec::new();
         let mut seq = cursor;
-        for (at, item) in news.by_ref().take(most) {
-            seq = at;
+        for (item_seq, item) in pending.by_ref().take(max_items) {
+            seq = item_seq;
             items.push(item.clone());
         }
-        let mut is_cut = false;
-        for (_, item) in news {
-            is_cut = true;
-            // They merge as a maximum: one that comes again with its turn does no harm.
+        let mut is_truncated = false;
+        for (_, item) in pending {
+            is_truncated = true;
+            // A fact may be sent again in its regular place: merging takes the maximum, so duplicates
+            // have no effect.
             if matches!(item, Item::Fact(_)) {
                 items.push(item.clone());
             }
         }
         if let Some(link) = self.links.get_mut(host) {
-            link.items.is_cut = is_cut;
+            link.item_limit.is_truncated = is_truncated;
         }
-        (if is_cut { seq } else { self.items.seq() }, items)
+        (if is_truncated { seq } else { self.items.seq() }, items)
     }
 }
--- a/crates/tidetrack-core/src/retry.rs
+++ b/crates/tidetrack-core/src/retry.rs
@@ -4,7 +4,7 @@
 //! repeatable; in both cases only if no part of a response was sent to the caller. Retries use a
 //! budget that grows with the number of first attempts, so they cannot amplify an overload.
 
-use crate::codes::Ran;
+use crate::codes::Executed;
 
 /// Retries earned per first attempt, in thousandths.
 const EARNED_PER_REQUEST: u64 = 100;
@@ -47,7 +47,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FailedAttempt {
     /// Whether the attempt was executed.
-    pub ran: Ran,
+    pub ran: Executed,
     /// Whether the call may be executed more than once.
     pub is_repeatable: bool,
     /// Whether part of a response was sent to the caller.
@@ -57,8 +57,8 @@
 /// Reports whether a failed attempt may be retried, regardless of the budget.
 pub fn may_retry(failed: FailedAttempt) -> bool {
     match failed.ran {
-        Ran::No => !failed.has_partial_response,
-        Ran::Unknown | Ran::Yes => failed.is_repeatable && !failed.has_partial_response,
+        Executed::No => !failed.has_partial_response,
+        Executed::Unknown | Executed::Yes => failed.is_repeatable && !failed.has_partial_response,
     }
 }
 
@@ -68,11 +68,14 @@
 
     #[test]
     fn attempts_that_may_have_run_are_retried_only_if_repeatable() {
-        let failed =
-            FailedAttempt { ran: Ran::Unknown, is_repeatable: false, has_partial_response: false };
+        let failed = FailedAttempt {
+            ran: Executed::Unknown,
+            is_repeatable: false,
+            has_partial_response: false,
+        };
         assert!(!may_retry(failed));
         assert!(may_retry(FailedAttempt { is_repeatable: true, ..failed }));
-        assert!(may_retry(FailedAttempt { ran: Ran::No, ..failed }));
+        assert!(may_retry(FailedAttempt { ran: Executed::No, ..failed }));
         assert!(!may_retry(FailedAttempt {
             is_repeatable: true,
             has_partial_response: true,
--- a/crates/tidetrack-core/src/store.rs
+++ b/crates/tidetrack-core/src/store.rs
@@ -1,8 +1,8 @@
 //! A host's copy of the configuration.
 //!
-//! The copy maps each object to the highest version seen; merging takes the higher version per
-//! object, so no path can bring an older value back. A deletion is a version too. `complete_to` is
-//! the platform's revision up to which nothing is missing.
+//! The copy maps each object to the highest version seen. Merging takes the higher version per object, so
+//! an older value cannot return by any network path. A deletion is stored as a version as well.
+//! `complete_to` is the revision of the platform up to which no change is missing.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,61 +11,62 @@
 
 use crate::config::{Object, ObjectKey};
 
-/// One version of one object; no body is a deletion.
+/// One version of one object, or its deletion.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
-    /// The object's key.
+    /// Key of the object.
     pub key: ObjectKey,
-    /// The platform's revision that wrote it.
+    /// Revision of the platform that wrote this version.
     pub version: u64,
-    /// The object as JSON text; absent once deleted.
+    /// The object as JSON text; `None` for a deletion.
     pub body: Option<Arc<str>>,
 }
 
-/// A run of changes that leaves nothing out from `from` to `to`.
+/// The complete changes of a range of revisions.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Delta {
-    /// The run begins after this revision.
+    /// Revision after which the range starts.
     pub from: u64,
-    /// The run ends with this revision.
+    /// Last revision of the range.
     pub to: u64,
-    /// The changed objects at their last version, by version.
+    /// The changed objects in their latest versions, ordered by version.
     pub entries: Vec<Entry>,
 }
 
-/// An object that was read, with its version.
-pub type Read = (ObjectKey, u64, Object);
+/// A parsed object with its key and version.
+pub type ParsedObject = (ObjectKey, u64, Object);
 
-/// An object that cannot be read, with the reason.
-pub type Unreadable = (ObjectKey, String);
+/// Key of an object that cannot be parsed, with the error.
+pub type InvalidObject = (ObjectKey, String);
 
 impl Delta {
-    /// Gets the bytes of the bodies.
+    /// Returns the total size of the bodies in bytes.
     pub fn body_bytes(&self) -> usize {
         self.entries.iter().filter_map(|e| e.body.as_ref()).map(|b| b.len()).sum()
     }
 }
 
-/// A host's copy of the configuration.
+/// A host's copy of the configuration; changes may be merged in any order.
 #[derive(Clone, Debug, Default)]
 pub struct Store {
     objects: BTreeMap<ObjectKey, Entry>,
+    /// Keys of all objects, ordered by version.
     by_version: BTreeMap<(u64, ObjectKey), ()>,
     complete_to: u64,
 }
 
 impl Store {
-    /// Gets the revision up to which nothing is missing; 0 before the first list.
+    /// Returns the revision up to which no change is missing; 0 before the first list was merged.
     pub fn complete_to(&self) -> u64 {
         self.complete_to
     }
 
-    /// Tells whether the copy is whole up to some revision.
+    /// Reports whether the copy is complete up to any revision.
     pub fn is_ready(&self) -> bool {
         self.complete_to > 0
     }
 
-    /// Merges one object; tells whether it was newer.
+    /// Merges one object and reports whether it was newer than the stored one.
     fn merge_entry(&mut self, entry: Entry) -> bool {
         if let Some(old) = self.objects.get(&entry.key) {
             if old.version >= entry.version {
@@ -78,9 +79,9 @@
         true
     }
 
-    /// Merges a run of changes; tells whether anything was newer.
+    /// Merges a range of changes and reports whether the copy changed.
     ///
-    /// `complete_to` moves only when the run joins what is already whole.
+    /// `complete_to` advances only if the range starts at or before it, so that it leaves no gap.
     pub fn merge(&mut self, delta: Delta) -> bool {
         let mut changed = false;
         for entry in delta.entries {
@@ -93,30 +94,32 @@
         changed
     }
 
-    /// Merges a full list taken at `revision`: what it lacks was deleted by then.
+    /// Merges the full list of objects at `revision` and reports whether the copy changed. An object that the
+    /// list does not contain was deleted by that revision.
     pub fn merge_list(&mut self, revision: u64, entries: Vec<Entry>) -> bool {
         let listed: std::collections::BTreeSet<ObjectKey> =
             entries.iter().map(|e| e.key.clone()).collect();
-        let gone: Vec<ObjectKey> = self
+        let deleted: Vec<ObjectKey> = self
             .objects
             .values()
             .filter(|e| e.body.is_some() && e.version <= revision && !listed.contains(&e.key))
             .map(|e| e.key.clone())
             .collect();
         let mut changed = self.merge(Delta { from: 0, to: revision, entries });
-        for key in gone {
+        for key in deleted {
             changed |= self.merge_entry(Entry { key, version: revision, body: None });
         }
         changed
     }
 
-    /// Gets the changes after `from`, at most `max` objects and `max_bytes` of them.
-    pub fn since(&self, from: u64, max: usize, max_bytes: usize) -> Delta {
+    /// Returns the changes after revision `from`: at most `max_objects`, ending with the one that exceeds
+    /// `max_bytes`. Each object counts as its body plus 64 bytes.
+    pub fn changes_since(&self, from: u64, max_objects: usize, max_bytes: usize) -> Delta {
         let mut entries: Vec<Entry> = Vec::new();
         let mut bytes = 0;
         let mut to = self.complete_to;
-        for (version, key) in self.by_version.range((from + 1, first_key())..).map(|(k, _)| k) {
-            if entries.len() >= max || (bytes > max_bytes && !entries.is_empty()) {
+        for (version, key) in self.by_version.range((from + 1, min_key())..).map(|(k, _)| k) {
+            if entries.len() >= max_objects || (bytes > max_bytes && !entries.is_empty()) {
                 to = to.min(entries.last().map_or(from, |e| e.version));
                 break;
             }
@@ -128,84 +131,86 @@
         Delta { from, to, entries }
     }
 
-    /// Gets one object's entry.
+    /// Returns the entry of an object, or `None` if the object is unknown.
     pub fn lookup(&self, key: &ObjectKey) -> Option<&Entry> {
         self.objects.get(key)
     }
 
-    /// Lists all entries, deletions included.
+    /// Iterates over all entries, deletions included.
     pub fn iter(&self) -> impl Iterator<Item = &Entry> {
         self.objects.values()
     }
 
-    /// Reads every object that is there; the unreadable are given back apart.
-    pub fn objects(&self) -> (Vec<Read>, Vec<Unreadable>) {
-        let mut good = Vec::new();
-        let mut bad = Vec::new();
+    /// Parses all objects that are not deleted. Those that cannot be parsed are returned separately with the
+    /// errors.
+    pub fn objects(&self) -> (Vec<ParsedObject>, Vec<InvalidObject>) {
+        let mut parsed = Vec::new();
+        let mut invalid = Vec::new();
         for entry in self.objects.values() {
             let Some(body) = &entry.body else { continue };
             match Object::from_json(entry.key.kind, body) {
-                Ok(object) => good.push((entry.key.clone(), entry.version, object)),
-                Err(e) => bad.push((entry.key.clone(), e.to_string())),
+                Ok(object) => parsed.push((entry.key.clone(), entry.version, object)),
+                Err(e) => invalid.push((entry.key.clone(), e.to_string())),
             }
         }
-        (good, bad)
+        (parsed, invalid)
     }
 }
 
-fn first_key() -> ObjectKey {
-    ObjectKey::new(crate::config::Kind::Workspace, "")
+/// Returns a key that sorts before all keys of objects.
+fn min_key() -> ObjectKey {
+    ObjectKey::new(crate::config::ObjectKind::Workspace, "")
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::config::Kind;
+    use crate::config::ObjectKind;
 
     fn entry(name: &str, version: u64, body: Option<&str>) -> Entry {
-        Entry { key: ObjectKey::new(Kind::Model, name), version, body: body.map(Arc::from) }
+        Entry { key: ObjectKey::new(ObjectKind::Model, name), version, body: body.map(Arc::from) }
     }
 
-    fn run(from: u64, to: u64, entries: Vec<Entry>) -> Delta {
+    fn delta(from: u64, to: u64, entries: Vec<Entry>) -> Delta {
         Delta { from, to, entries }
     }
 
     #[test]
     fn an_older_version_never_comes_back() {
         let mut store = Store::default();
-        store.merge(run(0, 5, vec![entry("m", 5, None)]));
-        assert!(!store.merge(run(0, 4, vec![entry("m", 4, Some("{}"))])));
-        let key = ObjectKey::new(Kind::Model, "m");
+        store.merge(delta(0, 5, vec![entry("m", 5, None)]));
+        assert!(!store.merge(delta(0, 4, vec![entry("m", 4, Some("{}"))])));
+        let key = ObjectKey::new(ObjectKind::Model, "m");
         assert_eq!(store.lookup(&key).expect("an entry").version, 5);
     }
 
     #[test]
     fn a_gap_does_not_count_as_complete() {
         let mut store = Store::default();
-        store.merge(run(0, 5, vec![]));
-        store.merge(run(7, 9, vec![entry("m", 9, Some("{}"))]));
+        store.merge(delta(0, 5, vec![]));
+        store.merge(delta(7, 9, vec![entry("m", 9, Some("{}"))]));
         assert_eq!(store.complete_to(), 5);
-        store.merge(run(5, 9, vec![]));
+        store.merge(delta(5, 9, vec![]));
         assert_eq!(store.complete_to(), 9);
     }
 
     #[test]
-    fn a_list_tells_of_deletions() {
+    fn a_list_implies_deletions() {
         let mut store = Store::default();
         store.merge_list(5, vec![entry("a", 3, Some("{}")), entry("b", 5, Some("{}"))]);
         store.merge_list(8, vec![entry("b", 5, Some("{}"))]);
-        let key = ObjectKey::new(Kind::Model, "a");
+        let key = ObjectKey::new(ObjectKind::Model, "a");
         assert_eq!(store.lookup(&key).expect("an entry").body, None);
     }
 
     #[test]
-    fn batches_join_up() {
+    fn partial_deltas_add_up() {
         let mut full = Store::default();
         let entries = (1..=10).map(|v| entry(&format!("m{v}"), v, Some("{}"))).collect();
-        full.merge(run(0, 10, entries));
+        full.merge(delta(0, 10, entries));
         let mut copy = Store::default();
         while copy.complete_to() < 10 {
-            copy.merge(full.since(copy.complete_to(), 3, 1 << 20));
+            copy.merge(full.changes_since(copy.complete_to(), 3, 1 << 20));
         }
         assert_eq!(copy.iter().count(), 10);
     }
--- a/crates/tidetrack-core/src/view.rs
+++ b/crates/tidetrack-core/src/view.rs
@@ -1,18 +1,19 @@
-//! The view that a router's traffic threads decide on: the configuration, compiled. Hosts on the users'
-//! platform have `traffic::view` in its place.
+//! The compiled configuration on which a router's traffic threads make their decisions. Hosts on the
+//! users' platform use `traffic::view` instead.
 //!
-//! The control thread builds a view whenever the configuration or a narrowing fact changes. What
-//! must outlive a view (endpoint load, credits, compiled programs) is shared from one to the next.
+//! The control thread builds a view whenever the configuration or a fact that bars something changes.
+//! State that must outlive a view (endpoint load, credits, compiled programs) is shared between
+//! successive views.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
 use crate::codes::Code;
 use crate::config::{
-    Endpoint, Kind, Model, Object, ObjectKey, Objective, Policy, Rollout, RolloutPhase,
+    Endpoint, Model, Object, ObjectKey, ObjectKind, Objective, Policy, Rollout, RolloutPhase,
     RolloutState, Service, Version, WhenStale, Workspace,
 };
-use crate::errors::{unknown, Error, Result};
+use crate::errors::{unknown_name, Error, Result};
 use crate::facts::{Fact, Facts, Subject};
 use crate::ids::{
     EndpointId, Incarnation, ModelId, PoolId, RolloutId, RouteId, ServiceId, VersionRef,
@@ -25,62 +26,64 @@
 use crate::store::{Entry, Store};
 use crate::units::Millis;
 
-/// A version as traffic sees it.
+/// A version in the compiled configuration.
 #[derive(Clone, Debug)]
 pub struct VersionView {
-    /// The declaration.
+    /// The declared version.
     pub spec: Version,
-    /// Whether it takes no new work.
-    pub barred: bool,
-    /// Credits, while a roll-out of it is not done.
-    pub unproven: Option<Arc<Credits>>,
+    /// Whether the version is withdrawn, quarantined or aborted and takes no new work.
+    pub is_barred: bool,
+    /// Credits for new requests while the version is the canary of an unfinished roll-out; `None` for a
+    /// stable version.
+    pub canary_credits: Option<Arc<Credits>>,
 }
 
-/// A roll-out as traffic sees it.
+/// A roll-out in the compiled configuration.
 #[derive(Clone, Debug)]
 pub struct RolloutView {
-    /// Its name.
+    /// Name of the roll-out.
     pub id: RolloutId,
-    /// The declaration.
+    /// The declared roll-out.
     pub spec: Rollout,
-    /// Where it stands; absent before it is started.
+    /// Current state; `None` before the roll-out is started.
     pub state: Option<RolloutState>,
-    /// Revision of the state, for conditional updates; 0 if absent.
+    /// Revision of the state, for conditional updates; 0 if there is no state.
     pub state_version: u64,
 }
 
 impl RolloutView {
-    /// Tells whether its stages are being run.
+    /// Reports whether the roll-out is in phase `Running`.
     pub fn is_running(&self) -> bool {
         self.state.as_ref().is_some_and(|s| s.phase == RolloutPhase::Running)
     }
 
-    /// Tells whether a host so sure of its configuration counts as stale.
-    fn is_stale(&self, fresh: Freshness) -> bool {
-        fresh.age.0 > self.spec.stale_ms
+    /// Reports whether a configuration of this freshness is stale for the roll-out.
+    fn is_stale(&self, freshness: Freshness) -> bool {
+        freshness.age.0 > self.spec.stale_ms
     }
 
-    /// Tells whether such a host may put work on the new version.
-    fn may_use_new(&self, fresh: Freshness) -> bool {
-        !self.is_stale(fresh) || self.spec.when_stale == WhenStale::GoOn
+    /// Reports whether a host with a configuration of this freshness may send work to the canary version.
+    fn allows_canary(&self, freshness: Freshness) -> bool {
+        !self.is_stale(freshness) || self.spec.when_stale == WhenStale::Continue
     }
 }
 
-/// A policy as traffic sees it.
+/// A policy in the compiled configuration.
 #[derive(Debug)]
 pub struct PolicyView {
-    /// The declaration.
+    /// The declared policy.
     pub spec: Policy,
-    /// The compiled program; absent if it does not compile.
+    /// The compiled program; `None` if it does not compile.
     pub program: Option<Program>,
 }
 
 impl PolicyView {
-    /// Decides; on failure gives the declared fallback and the reason.
+    /// Runs the policy's program. On failure, returns the plan of the declared fallback models and the
+    /// error.
     pub fn decide(&self, features: &Features, load: &[(ModelId, f64)]) -> (Plan, Option<Error>) {
         let fallback = || Plan { rungs: self.spec.fallback.clone(), accept: None };
         let Some(program) = &self.program else {
-            let err = Error::new(Code::BadPolicy, "the program does not compile");
+            let err = Error::new(Code::BadPolicy, "the policy's program does not compile");
             return (fallback(), Some(err));
         };
         match program.decide(features, load) {
@@ -90,108 +93,111 @@
     }
 }
 
-/// A service as traffic sees it.
+/// A service in the compiled configuration.
 #[derive(Clone, Debug)]
 pub struct ServiceView {
-    /// The declaration.
+    /// The declared service.
     pub spec: Service,
-    /// Its endpoints.
+    /// The service's endpoints.
     pub pool: PoolView,
 }
 
-/// The configuration, compiled for traffic threads.
+/// The configuration, compiled for the traffic threads.
 #[derive(Clone, Debug, Default)]
 pub struct View {
-    /// Nothing is missing up to this revision.
+    /// Revision of the object API up to which the configuration is complete.
     pub revision: u64,
-    /// The fleet's keys.
-    pub ring: Option<KeyRing>,
-    /// Workspaces by key digest.
-    pub keys: HashMap<String, WorkspaceId>,
-    /// Workspaces.
+    /// Keys that authenticate the tokens issued by the fleet; `None` if none are declared.
+    pub key_ring: Option<KeyRing>,
+    /// Workspaces by the SHA-256 digests of their keys, in hexadecimal.
+    pub workspaces_by_key_digest: HashMap<String, WorkspaceId>,
+    /// Workspaces by name.
     pub workspaces: HashMap<WorkspaceId, Workspace>,
-    /// Models.
+    /// Models by name.
     pub models: HashMap<ModelId, Model>,
-    /// Versions.
+    /// Versions of models.
     pub versions: HashMap<VersionRef, VersionView>,
-    /// Pools.
+    /// Pools of endpoints by name.
     pub pools: HashMap<PoolId, Arc<PoolView>>,
-    /// Services.
+    /// Plain services by name.
     pub services: HashMap<ServiceId, Arc<ServiceView>>,
-    /// Policies.
+    /// Policies by route.
     pub policies: HashMap<RouteId, Arc<PolicyView>>,
-    /// Roll-outs.
+    /// Declared roll-outs, whether started or not.
     pub rollouts: Vec<RolloutView>,
-    /// Objectives.
+    /// Service-level objectives.
     pub objectives: Vec<Objective>,
 }
 
-/// Slots of a pool whose work is not bounded: plain services say themselves when they are full.
-const NO_BOUND: u32 = 0;
+/// Slot count that means no limit. It is used for plain services, which refuse calls themselves when they
+/// are at capacity.
+const UNLIMITED_SLOTS: u32 = 0;
 
-/// When to come back to a version that takes no work now, in milliseconds: by then routers have looked at
-/// the roll-out again, which they do every 300 ms.
-const RETRY_VERSION_MS: u64 = 1_000;
+/// Retry delay for a version that takes no work at present, in milliseconds. Routers evaluate a roll-out
+/// every 300 ms, so its state has been evaluated again by then.
+const VERSION_RETRY_AFTER_MS: u64 = 1_000;
 
-/// What is shared from one view to the next.
+/// Builds views and holds the state that successive views share.
 #[derive(Debug, Default)]
 pub struct ViewBuilder {
-    /// Endpoints' load and health, by name and address.
-    live: HashMap<(EndpointId, String), Arc<EndpointState>>,
-    /// Credits, by version and generation.
+    /// Load and health of endpoints, by name and address.
+    endpoint_states: HashMap<(EndpointId, String), Arc<EndpointState>>,
+    /// Credits by version and generation.
     credits: HashMap<(VersionRef, u64), Arc<Credits>>,
-    /// Policies, each with the revision that it was compiled from.
+    /// Compiled policies with the revisions that they were compiled from.
     policies: HashMap<RouteId, (u64, Arc<PolicyView>)>,
 }
 
 impl ViewBuilder {
-    /// Builds the view of a store and facts; also lists the objects that cannot be read.
+    /// Builds the view of a configuration and facts. Also returns the objects that cannot be parsed, with
+    /// the reasons.
     pub fn build(
         &mut self,
-        own: &Incarnation,
+        own_incarnation: &Incarnation,
         store: &Store,
         facts: &Facts,
     ) -> (View, Vec<(ObjectKey, String)>) {
-        let (objects, unreadable) = store.objects();
+        let (objects, invalid) = store.objects();
         let mut view = View { revision: store.complete_to(), ..View::default() };
         let mut states: BTreeMap<String, (u64, RolloutState)> = BTreeMap::new();
         let mut withdrawn: HashMap<String, u64> = HashMap::new();
-        for (key, version, object) in objects {
+        for (key, revision, object) in objects {
             match object {
                 Object::RolloutState(s) => {
-                    states.insert(key.name, (version, s));
+                    states.insert(key.name, (revision, s));
                 }
                 Object::Withdrawal(w) => {
                     withdrawn.insert(key.name, w.generation);
                 }
-                other => self.add(&mut view, facts, key, version, other),
+                other => self.add(&mut view, facts, key, revision, other),
             }
         }
         for (version, v) in &mut view.versions {
             let generation = v.spec.generation;
-            let by_object = withdrawn.get(&version.to_string()).is_some_and(|g| *g >= generation);
-            v.barred = by_object || facts.bars_version(version, generation);
+            let is_withdrawn =
+                withdrawn.get(&version.to_string()).is_some_and(|g| *g >= generation);
+            v.is_barred = is_withdrawn || facts.is_version_barred(version, generation);
         }
         for rollout in &mut view.rollouts {
-            if let Some((version, state)) = states.remove(rollout.id.as_str()) {
-                rollout.state_version = version;
+            if let Some((revision, state)) = states.remove(rollout.id.as_str()) {
+                rollout.state_version = revision;
                 rollout.state = Some(state);
             }
         }
-        self.join_rollouts(own, &mut view);
-        (view, unreadable)
+        self.apply_rollouts(own_incarnation, &mut view);
+        (view, invalid)
     }
 
-    /// Adds an object to a view.
+    /// Adds an object of the configuration to a view.
     fn add(
         &mut self,
         view: &mut View,
         facts: &Facts,
         key: ObjectKey,
-        version: u64,
+        revision: u64,
         object: Object,
     ) {
-        // Names were checked when the object was accepted; one that does not parse is left out.
+        // Names are checked when an object is accepted. An object whose name does not parse is skipped.
         macro_rules! name {
             () => {
                 match key.name.parse() {
@@ -203,27 +209,28 @@
         match object {
             Object::Workspace(w) => {
                 let id: WorkspaceId = name!();
-                view.keys.extend(w.key_digests.iter().map(|d| (d.clone(), id.clone())));
+                view.workspaces_by_key_digest
+                    .extend(w.key_digests.iter().map(|d| (d.clone(), id.clone())));
                 view.workspaces.insert(id, w);
             }
             Object::Model(m) => {
                 view.models.insert(name!(), m);
             }
             Object::Version(spec) => {
-                let v = VersionView { spec, barred: false, unproven: None };
+                let v = VersionView { spec, is_barred: false, canary_credits: None };
                 view.versions.insert(name!(), v);
             }
             Object::Pool(p) => {
-                let pool = self.pool(&p.endpoints, p.slots, facts, version);
+                let pool = self.build_pool(&p.endpoints, p.slots, facts, revision);
                 view.pools.insert(name!(), Arc::new(pool));
             }
             Object::Service(spec) => {
-                let pool = self.pool(&spec.endpoints, NO_BOUND, facts, version);
+                let pool = self.build_pool(&spec.endpoints, UNLIMITED_SLOTS, facts, revision);
                 view.services.insert(name!(), Arc::new(ServiceView { spec, pool }));
             }
             Object::Policy(spec) => {
                 let id: RouteId = name!();
-                let policy = self.policy(&id, version, spec);
+                let policy = self.compile_policy(&id, revision, spec);
                 view.policies.insert(id, policy);
             }
             Object::Rollout(spec) => {
@@ -231,21 +238,22 @@
                 view.rollouts.push(rollout);
             }
             Object::Objective(o) => view.objectives.push(o),
-            Object::KeyRing(ring) => view.ring = Some(ring),
+            Object::KeyRing(key_ring) => view.key_ring = Some(key_ring),
             Object::Withdrawal(_) | Object::RolloutState(_) => {}
         }
     }
 
-    /// Makes the view of a pool that was declared at a revision.
-    fn pool(
+    /// Builds the view of a pool that was declared at revision `declared_at`.
+    fn build_pool(
         &mut self,
         endpoints: &BTreeMap<EndpointId, Endpoint>,
         slots: u32,
         facts: &Facts,
         declared_at: u64,
     ) -> PoolView {
-        let view_of = |(id, e): (&EndpointId, &Endpoint)| {
-            let state = self.live.entry((id.clone(), e.address.clone())).or_default().clone();
+        let to_pool_endpoint = |(id, e): (&EndpointId, &Endpoint)| {
+            let state =
+                self.endpoint_states.entry((id.clone(), e.address.clone())).or_default().clone();
             state.set_leaving(facts.is_leaving(id, declared_at));
             PoolEndpoint {
                 id: id.clone(),
@@ -254,24 +262,25 @@
                 state,
             }
         };
-        PoolView::new(endpoints.iter().map(view_of).collect(), slots)
+        PoolView::new(endpoints.iter().map(to_pool_endpoint).collect(), slots)
     }
 
-    /// Compiles a policy, unless that was done for the same revision.
-    fn policy(&mut self, id: &RouteId, version: u64, spec: Policy) -> Arc<PolicyView> {
+    /// Compiles a policy, or returns the cached one if its revision is unchanged.
+    fn compile_policy(&mut self, id: &RouteId, revision: u64, spec: Policy) -> Arc<PolicyView> {
         match self.policies.get(id) {
-            Some((v, policy)) if *v == version => policy.clone(),
+            Some((compiled_from, policy)) if *compiled_from == revision => policy.clone(),
             _ => {
                 let program = Program::compile(&spec).ok();
                 let policy = Arc::new(PolicyView { spec, program });
-                self.policies.insert(id.clone(), (version, policy.clone()));
+                self.policies.insert(id.clone(), (revision, policy.clone()));
                 policy
             }
         }
     }
 
-    /// Gives versions under roll-out their credits and bars those that were given up.
-    fn join_rollouts(&mut self, own: &Incarnation, view: &mut View) {
+    /// Attaches credits to the canary versions, applies the grants to this host, and bars the canary
+    /// versions of aborted roll-outs.
+    fn apply_rollouts(&mut self, own_incarnation: &Incarnation, view: &mut View) {
         for rollout in &view.rollouts {
             let Some(v) = view.versions.get_mut(&rollout.spec.to) else { continue };
             let generation = v.spec.generation;
@@ -280,199 +289,217 @@
             let state = rollout.state.as_ref().filter(|s| s.generation == generation);
             match state.map(|s| s.phase) {
                 Some(RolloutPhase::Done) => {}
-                Some(RolloutPhase::Aborted) => v.barred = true,
-                _ => v.unproven = Some(credits.clone()),
+                Some(RolloutPhase::Aborted) => v.is_barred = true,
+                _ => v.canary_credits = Some(credits.clone()),
             }
             if let Some(state) = state {
-                credits.grant(state.granted.get(own).copied().unwrap_or(0));
+                credits.grant(state.granted.get(own_incarnation).copied().unwrap_or(0));
             }
         }
     }
 
-    /// Gets the credits of a version's generation, if any were ever made.
+    /// Returns the credits of a generation of a version, or `None` if it was never in a roll-out.
     pub fn credits(&self, version: &VersionRef, generation: u64) -> Option<&Arc<Credits>> {
         self.credits.get(&(version.clone(), generation))
     }
 }
 
-/// When the configuration was last confirmed to be the newest, as a host has it.
+/// When a host's configuration was last confirmed to be the newest. Times are of the host's own clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Confirmation {
-    /// It was the newest at this time.
-    pub fresh_at: Millis,
-    /// The question whose answer confirmed it was asked at this time.
-    pub asked_at: Millis,
+pub struct ConfigConfirmation {
+    /// Time at which the configuration was the newest.
+    pub confirmed_at: Millis,
+    /// Time of the request whose response confirmed it.
+    pub requested_at: Millis,
 }
 
-/// How sure this host is of its configuration, read at the moment of dispatch.
+/// The age of this host's configuration, read when a request is dispatched.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Freshness {
-    /// Time since the configuration was last confirmed.
+    /// Time since the configuration was last known to be the newest.
     pub age: Millis,
 }
 
 /// A version chosen for a request.
 #[derive(Clone, Debug)]
-pub struct Chosen {
-    /// The version.
+pub struct ChosenVersion {
+    /// The model and version.
     pub version: VersionRef,
-    /// Its generation.
+    /// Generation of the version.
     pub generation: u64,
-    /// Its pool.
+    /// Pool of endpoints that serve the version.
     pub pool: PoolId,
-    /// The credit taken, if the version is unproven.
+    /// Credits from which one was spent for the request; `None` unless the version is a canary.
     pub credit: Option<Arc<Credits>>,
 }
 
 impl View {
-    /// Finds the workspace of a key's digest.
-    pub fn workspace_of(&self, digest: &str) -> Result<(&WorkspaceId, &Workspace)> {
-        let no_key = || Error::new(Code::NoKey, "the key is not known");
-        let id = self.keys.get(digest).ok_or_else(no_key)?;
+    /// Returns the workspace to which the key with this digest belongs, or an error with `NoKey`.
+    pub fn workspace_by_key_digest(&self, digest: &str) -> Result<(&WorkspaceId, &Workspace)> {
+        let no_key = || Error::new(Code::NoKey, "the key does not belong to any workspace");
+        let id = self.workspaces_by_key_digest.get(digest).ok_or_else(no_key)?;
         Ok((id, self.workspaces.get(id).ok_or_else(no_key)?))
     }
 
-    /// Finds a route's policy.
+    /// Returns the policy of a route, or an error with `UnknownRoute`.
     pub fn policy(&self, route: &RouteId) -> Result<&Arc<PolicyView>> {
-        self.policies.get(route).ok_or_else(|| unknown(Code::UnknownRoute, "route", route))
+        self.policies.get(route).ok_or_else(|| unknown_name(Code::UnknownRoute, "route", route))
     }
 
-    /// Checks that a version may take new work for a workspace, without taking a credit.
+    /// Returns a version if it may take new work for a workspace. Does not spend a credit.
     pub fn check_version(&self, workspace: &Workspace, v: &VersionRef) -> Result<&VersionView> {
         if !workspace.allow.contains(v) {
-            let message = format!("the workspace does not allow {v}");
+            let message = format!("the workspace does not allow version {v}");
             return Err(Error::new(Code::NotAllowed, message));
         }
         let found = self.versions.get(v);
-        let found = found.ok_or_else(|| unknown(Code::NoVersion, "version", v))?;
-        if found.barred {
-            return Err(Error::new(Code::NoVersion, format!("{v} takes no new work")));
+        let found = found.ok_or_else(|| unknown_name(Code::NoVersion, "version", v))?;
+        if found.is_barred {
+            return Err(Error::new(
+                Code::NoVersion,
+                format!("version {v} is barred from new work"),
+            ));
         }
         Ok(found)
     }
 
-    /// Finds the roll-out that a model's requests meet: of those under way or done, the one written last.
-    fn rollout_of(&self, model: &ModelId) -> Option<(&RolloutView, &RolloutState)> {
-        let running = |r: &&RolloutView| {
+    /// Returns the roll-out that applies to a model's requests: of those that are running or done, the one
+    /// whose state was written last.
+    fn current_rollout(&self, model: &ModelId) -> Option<(&RolloutView, &RolloutState)> {
+        let is_relevant = |r: &&RolloutView| {
             r.spec.from.model == *model
                 && r.state
                     .as_ref()
                     .is_some_and(|s| matches!(s.phase, RolloutPhase::Running | RolloutPhase::Done))
         };
-        let found = self.rollouts.iter().filter(running).max_by_key(|r| r.state_version)?;
+        let found = self.rollouts.iter().filter(is_relevant).max_by_key(|r| r.state_version)?;
         Some((found, found.state.as_ref()?))
     }
 
-    /// Chooses the version that answers a new request for a model.
+    /// Chooses the version that serves a new request for a model.
     ///
-    /// `draw` is from 0 up to 1 and decides who meets a version under roll-out.
-    pub fn choose(
+    /// `hash_fraction` is a uniform value in [0, 1). While a roll-out is running, the canary version is
+    /// chosen if `hash_fraction` is below the share of the current stage and a credit is left.
+    pub fn choose_version(
         &self,
         workspace: &Workspace,
         model: &ModelId,
-        draw: f64,
-        fresh: Freshness,
-    ) -> Result<Chosen> {
-        let m = self.models.get(model).ok_or_else(|| unknown(Code::NoVersion, "model", model))?;
-        let Some((rollout, state)) = self.rollout_of(model) else {
-            return self.chosen(workspace, &m.serving);
+        hash_fraction: f64,
+        freshness: Freshness,
+    ) -> Result<ChosenVersion> {
+        let m =
+            self.models.get(model).ok_or_else(|| unknown_name(Code::NoVersion, "model", model))?;
+        let Some((rollout, state)) = self.current_rollout(model) else {
+            return self.reserve_version(workspace, &m.serving);
         };
         if state.phase == RolloutPhase::Done {
-            let to = self.chosen(workspace, &rollout.spec.to);
-            return to.or_else(|_| self.chosen(workspace, &rollout.spec.from));
+            let to = self.reserve_version(workspace, &rollout.spec.to);
+            return to.or_else(|_| self.reserve_version(workspace, &rollout.spec.from));
         }
-        if rollout.is_stale(fresh) && rollout.spec.when_stale == WhenStale::Stop {
-            let message = format!("configuration not confirmed for {}", fresh.age);
-            return Err(Error::new(Code::Stale, message).with_retry_after(RETRY_VERSION_MS));
+        if rollout.is_stale(freshness) && rollout.spec.when_stale == WhenStale::Stop {
+            let message = format!("the configuration has not been confirmed for {}", freshness.age);
+            return Err(Error::new(Code::Stale, message).with_retry_after(VERSION_RETRY_AFTER_MS));
         }
         let stage = rollout.spec.stages.get(state.stage);
-        let meets_new = stage.is_some_and(|s| draw < s.share);
-        if meets_new && rollout.may_use_new(fresh) {
-            if let Ok(chosen) = self.chosen(workspace, &rollout.spec.to) {
+        let is_in_canary_share = stage.is_some_and(|s| hash_fraction < s.share);
+        if is_in_canary_share && rollout.allows_canary(freshness) {
+            if let Ok(chosen) = self.reserve_version(workspace, &rollout.spec.to) {
                 return Ok(chosen);
             }
         }
-        self.chosen(workspace, &rollout.spec.from)
+        self.reserve_version(workspace, &rollout.spec.from)
     }
 
-    /// Chooses the version that a session keeps.
-    pub fn choose_kept(
+    /// Returns the version to which a session is bound, or an error if it can no longer serve the session.
+    pub fn choose_session_version(
         &self,
         workspace: &Workspace,
         version: &VersionRef,
         generation: u64,
-        fresh: Freshness,
-    ) -> Result<Chosen> {
-        let ended = || {
-            Error::new(Code::SessionEnded, format!("{version} is withdrawn; start a new session"))
+        freshness: Freshness,
+    ) -> Result<ChosenVersion> {
+        let session_ended = || {
+            Error::new(
+                Code::SessionEnded,
+                format!("version {version} is withdrawn; start a new session"),
+            )
         };
-        let found = self.versions.get(version).ok_or_else(ended)?;
-        if found.barred || found.spec.generation != generation {
-            return Err(ended());
+        let found = self.versions.get(version).ok_or_else(session_ended)?;
+        if found.is_barred || found.spec.generation != generation {
+            return Err(session_ended());
         }
-        if found.unproven.is_some() {
-            self.check_unproven(version, fresh)?;
+        if found.canary_credits.is_some() {
+            self.check_canary(version, freshness)?;
         }
-        self.chosen(workspace, version)
+        self.reserve_version(workspace, version)
     }
 
-    /// Checks that work on a version under roll-out may go on.
-    fn check_unproven(&self, version: &VersionRef, fresh: Freshness) -> Result<()> {
+    /// Checks that a canary version may serve more requests of a session.
+    fn check_canary(&self, version: &VersionRef, freshness: Freshness) -> Result<()> {
         let Some(rollout) = self.rollouts.iter().find(|r| r.spec.to == *version) else {
             return Ok(());
         };
         let is_running = rollout.is_running();
-        if is_running && rollout.may_use_new(fresh) {
+        if is_running && rollout.allows_canary(freshness) {
             return Ok(());
         }
         let code = if is_running { Code::Stale } else { Code::NoVersion };
-        let message = format!("{version} takes no work now; the session keeps it");
-        Err(Error::new(code, message).with_retry_after(RETRY_VERSION_MS))
+        let message = format!(
+            "canary version {version} takes no work at present; the session stays bound to it"
+        );
+        Err(Error::new(code, message).with_retry_after(VERSION_RETRY_AFTER_MS))
     }
 
-    /// Checks a version and takes a credit where it is unproven.
-    fn chosen(&self, workspace: &Workspace, version: &VersionRef) -> Result<Chosen> {
+    /// Checks a version and spends a credit if it is a canary.
+    fn reserve_version(
+        &self,
+        workspace: &Workspace,
+        version: &VersionRef,
+    ) -> Result<ChosenVersion> {
         let v = self.check_version(workspace, version)?;
-        if let Some(credits) = &v.unproven {
-            if !credits.take() {
-                let message = format!("the exposure cap of {version} is reached");
+        if let Some(credits) = &v.canary_credits {
+            if !credits.try_spend() {
+                let message = format!("the exposure cap of canary version {version} is reached");
                 let refusal = Error::new(Code::NoVersion, message);
-                return Err(refusal.with_retry_after(RETRY_VERSION_MS));
+                return Err(refusal.with_retry_after(VERSION_RETRY_AFTER_MS));
             }
         }
-        Ok(Chosen {
+        Ok(ChosenVersion {
             version: version.clone(),
             generation: v.spec.generation,
             pool: v.spec.pool.clone(),
-            credit: v.unproven.clone(),
+            credit: v.canary_credits.clone(),
         })
     }
 
-    /// Checks a chosen version again, at the last moment before its work leaves the host.
-    pub fn still_good(&self, workspace: &Workspace, chosen: &Chosen) -> Result<()> {
+    /// Checks a chosen version again immediately before its request is sent to an endpoint.
+    pub fn check_still_valid(&self, workspace: &Workspace, chosen: &ChosenVersion) -> Result<()> {
         let v = self.check_version(workspace, &chosen.version)?;
         match v.spec.generation == chosen.generation {
             true => Ok(()),
-            false => Err(Error::new(Code::NoVersion, "the version was replaced meanwhile")),
+            false => {
+                Err(Error::new(Code::NoVersion, "the version was replaced by another generation"))
+            }
         }
     }
 
-    /// Lists the endpoints of all pools, for reads of their loads.
+    /// Iterates over the endpoints of all pools, so that their loads can be read.
     pub fn pool_endpoints(&self) -> impl Iterator<Item = &PoolEndpoint> {
         self.pools.values().flat_map(|p| p.endpoints().iter())
     }
 }
 
-/// Lists the facts that follow from accepted withdrawals, so that they spread host to host.
-pub fn facts_of_store(store: &Store) -> Vec<Fact> {
-    let entries = store.iter().filter(|e| e.key.kind == Kind::Withdrawal);
-    let fact_of = |e: &Entry| {
+/// Returns the facts for the withdrawals in the configuration, which hosts gossip so that a withdrawal
+/// also reaches hosts that cannot read the object API.
+pub fn withdrawal_facts(store: &Store) -> Vec<Fact> {
+    let entries = store.iter().filter(|e| e.key.kind == ObjectKind::Withdrawal);
+    let to_fact = |e: &Entry| {
         let body = e.body.as_ref()?;
-        let Ok(Object::Withdrawal(w)) = Object::from_json(Kind::Withdrawal, body) else {
+        let Ok(Object::Withdrawal(w)) = Object::from_json(ObjectKind::Withdrawal, body) else {
             return None;
         };
         let subject = Subject::Withdrawn(e.key.name.parse().ok()?);
         Some(Fact { subject, generation: w.generation })
     };
-    entries.filter_map(fact_of).collect()
+    entries.filter_map(to_fact).collect()
 }
