--- a/crates/tidetrack-bench/src/state.rs
+++ b/crates/tidetrack-bench/src/state.rs
@@ -5,16 +5,16 @@
 
 use anyhow::Result;
 
+use tidetrack_core::bill_replicator::HoldCall;
 use tidetrack_core::config::{Endpoint, Kind, Model, Object, ObjectKey, Pool, Version};
 use tidetrack_core::evidence::{CellKey, Counts};
 use tidetrack_core::facts::Facts;
 use tidetrack_core::ids::Incarnation;
-use tidetrack_core::keeper::HoldCall;
 use tidetrack_core::ledger::{Bill, Ended, Part, Segment};
 use tidetrack_core::membership::{Member, MemberState, Members};
+use tidetrack_core::message_auth::{Key, KeyRing};
 use tidetrack_core::node::Item;
 use tidetrack_core::placement::{rendezvous, Ask};
-use tidetrack_core::seal::{Key, KeyRing};
 use tidetrack_core::session::Session;
 use tidetrack_core::store::{Delta, Entry, Store};
 use tidetrack_core::tickets::{TicketBook, TicketOptions};
--- a/crates/tidetrack-bench/src/virtual_fleet/event.rs
+++ b/crates/tidetrack-bench/src/virtual_fleet/event.rs
@@ -2,9 +2,9 @@
 
 use std::time::Instant;
 
+use tidetrack_core::bill_replicator::HoldCall;
 use tidetrack_core::config::RolloutState;
 use tidetrack_core::ids::{HostId, Incarnation};
-use tidetrack_core::keeper::HoldCall;
 use tidetrack_core::ledger::Segment;
 use tidetrack_core::node::Exchange;
 use tidetrack_core::store::{Delta, Entry};
--- a/crates/tidetrack-bench/src/virtual_fleet/host.rs
+++ b/crates/tidetrack-bench/src/virtual_fleet/host.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeMap;
 
+use tidetrack_core::bill_replicator::Keeper;
 use tidetrack_core::config::ObjectKey;
 use tidetrack_core::ids::{HostId, Incarnation};
-use tidetrack_core::keeper::Keeper;
 use tidetrack_core::membership::{Member, MemberState};
 use tidetrack_core::node::{Node, NodeOptions};
 use tidetrack_core::tickets::{TicketBook, TicketOptions};
--- a/crates/tidetrack-bench/src/virtual_fleet/requests.rs
+++ b/crates/tidetrack-bench/src/virtual_fleet/requests.rs
@@ -2,9 +2,9 @@
 
 use rand::RngExt;
 
+use tidetrack_core::bill_replicator::KeeperAction;
 use tidetrack_core::evidence::Counts;
 use tidetrack_core::ids::{Incarnation, RequestId};
-use tidetrack_core::keeper::KeeperAction;
 use tidetrack_core::ledger::{Bill, Ended, Part, Segment};
 use tidetrack_core::tickets::{Admission, Ticket};
 use tidetrack_core::units::{Micros, Tokens};
--- a/crates/tidetrack-bench/src/virtual_fleet/steps.rs
+++ b/crates/tidetrack-bench/src/virtual_fleet/steps.rs
@@ -2,8 +2,8 @@
 
 use std::time::Instant;
 
+use tidetrack_core::bill_replicator::Holder;
 use tidetrack_core::evidence::Counts;
-use tidetrack_core::keeper::Holder;
 use tidetrack_core::node::{Action, Exchange};
 use tidetrack_core::units::Millis;
 
--- a/crates/tidetrack-burn/src/main.rs
+++ b/crates/tidetrack-burn/src/main.rs
@@ -4,7 +4,7 @@
 #![warn(rust_2018_idioms)]
 
 mod burn;
-mod picture;
+mod chart;
 mod scrape;
 
 use std::path::Path;
@@ -50,7 +50,7 @@
             let text = std::fs::read_to_string(file).with_context(|| file.to_string())?;
             let report = burn::report(&scrape::read(file, &text)?, &declared);
             if let Some(svg) = matches.opt_str("svg") {
-                picture::draw(&report, Path::new(&svg))?;
+                chart::draw(&report, Path::new(&svg))?;
             }
             match matches.opt_present("json") {
                 true => println!("{}", serde_json::to_string_pretty(&report)?),
--- a/crates/tidetrack-core/src/keeper/passing.rs
+++ b/crates/tidetrack-core/src/bill_replicator/forwarding.rs
@@ -1,6 +1,6 @@
 //! The bills of a gone host that cannot be written: the own holder is given a copy of them too.
 
-use super::holding::HOLD_AIM;
+use super::replication::HOLD_AIM;
 use super::{HoldCall, Keeper, KeeperAction};
 use crate::ids::Incarnation;
 use crate::ledger::Bill;
--- a/crates/tidetrack-core/src/keeper/mod.rs
+++ b/crates/tidetrack-core/src/bill_replicator/mod.rs
@@ -7,8 +7,8 @@
 //! - `segments`: writes bills to the object API, the own ones and those of hosts that are gone.
 //! - `passing`: has the holder hold what a gone host left, while it cannot be written.
 
-mod holding;
-mod passing;
+mod forwarding;
+mod replication;
 mod segments;
 #[cfg(test)]
 mod tests;
@@ -21,8 +21,8 @@
 use crate::ledger::{Bill, Held, Pending, Segment};
 use crate::units::Millis;
 
-use self::holding::{Holding, HOLD_MOST};
-use self::passing::Passing;
+use self::forwarding::Passing;
+use self::replication::{Holding, HOLD_MOST};
 
 /// Segments that stand in for a holder are written at most this often: after the loss of a failure
 /// domain many hosts lack one at the same time, and the object API takes about 100 writes a second.
--- a/crates/tidetrack-core/src/config.rs
+++ b/crates/tidetrack-core/src/config.rs
@@ -15,7 +15,7 @@
 use crate::ids::{
     EndpointId, FailureDomain, Incarnation, ModelId, PoolId, RouteId, VersionRef, WorkspaceId,
 };
-use crate::seal::KeyRing;
+use crate::message_auth::KeyRing;
 use crate::units::Micros;
 
 /// Makes the kinds and their objects of one table: a kind's type, its name in keys, and whether operators
--- a/crates/tidetrack-core/src/declare.rs
+++ b/crates/tidetrack-core/src/declare.rs
@@ -16,8 +16,8 @@
 };
 use crate::errors::Error;
 use crate::ids::{ModelId, PoolId, RolloutId, RouteId, ServiceId, VersionRef, WorkspaceId};
+use crate::message_auth::KeyRing;
 use crate::policy;
-use crate::seal::KeyRing;
 
 /// Most faults reported for one file.
 const MAX_FAULTS: usize = 50;
--- a/crates/tidetrack-core/src/errors.rs
+++ b/crates/tidetrack-core/src/errors.rs
@@ -6,8 +6,8 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::broke::Broke;
 use crate::codes::{Code, Ran};
+use crate::disconnect::Broke;
 
 /// A coded error.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
--- a/crates/tidetrack-core/src/facts.rs
+++ b/crates/tidetrack-core/src/facts.rs
@@ -6,8 +6,8 @@
 
 use serde::{Deserialize, Serialize};
 
+use crate::change_log::Journal;
 use crate::ids::{EndpointId, VersionRef};
-use crate::journal::Journal;
 
 /// What a fact is about.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
--- a/crates/tidetrack-core/src/lib.rs
+++ b/crates/tidetrack-core/src/lib.rs
@@ -7,26 +7,26 @@
 #![forbid(unsafe_code)]
 #![warn(rust_2018_idioms)]
 
-pub mod broke;
+pub mod bill_replicator;
+pub mod change_log;
 pub mod codes;
 pub mod config;
 pub mod declare;
+pub mod disconnect;
 pub mod errors;
 pub mod events;
 pub mod evidence;
 pub mod facts;
 pub mod ids;
-pub mod journal;
-pub mod keeper;
 pub mod ledger;
 pub mod limits;
 pub mod membership;
+pub mod message_auth;
 pub mod node;
 pub mod placement;
 pub mod policy;
 pub mod retry;
 pub mod rollout;
-pub mod seal;
 pub mod session;
 pub mod store;
 pub mod tickets;
--- a/crates/tidetrack-core/src/node/mod.rs
+++ b/crates/tidetrack-core/src/node/mod.rs
@@ -9,11 +9,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, MutexGuard};
 
+use crate::change_log::Journal;
 use crate::events::Event;
 use crate::evidence::{Counts, Evidence};
 use crate::facts::Facts;
 use crate::ids::{HostId, Incarnation, VersionRef};
-use crate::journal::Journal;
 use crate::limits::Limits;
 use crate::membership::{Member, Members};
 use crate::store::Store;
--- a/crates/tidetrack-core/src/session.rs
+++ b/crates/tidetrack-core/src/session.rs
@@ -8,7 +8,7 @@
 use crate::codes::Code;
 use crate::errors::{Error, Result};
 use crate::ids::{RouteId, VersionRef, WorkspaceId};
-use crate::seal::{KeyRing, Purpose};
+use crate::message_auth::{KeyRing, Purpose};
 
 /// The form of token made here.
 const FORM: &str = "s1";
@@ -58,7 +58,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::seal::Key;
+    use crate::message_auth::Key;
 
     fn ring(id: &str) -> KeyRing {
         KeyRing {
--- a/crates/tidetrack-core/src/tickets.rs
+++ b/crates/tidetrack-core/src/tickets.rs
@@ -10,7 +10,7 @@
 use crate::codes::{Code, Ran};
 use crate::errors::{Error, Result};
 use crate::ids::{Incarnation, WorkspaceId};
-use crate::seal::{KeyRing, Purpose};
+use crate::message_auth::{KeyRing, Purpose};
 use crate::units::Millis;
 
 /// When to come back for a ticket when too many are open, in milliseconds.
--- a/crates/tidetrack-core/src/view.rs
+++ b/crates/tidetrack-core/src/view.rs
@@ -18,10 +18,10 @@
     EndpointId, Incarnation, ModelId, PoolId, RolloutId, RouteId, ServiceId, VersionRef,
     WorkspaceId,
 };
+use crate::message_auth::KeyRing;
 use crate::placement::{EndpointLive, PoolEndpoint, PoolView};
 use crate::policy::{Features, Plan, Program};
 use crate::rollout::Credits;
-use crate::seal::KeyRing;
 use crate::store::{Entry, Store};
 use crate::units::Millis;
 
--- a/crates/tidetrack-core/tests/keeper.rs
+++ b/crates/tidetrack-core/tests/keeper.rs
@@ -6,8 +6,8 @@
 //! wait for come last; a call that is too large for the path is given up and made again in the same
 //! size. Evidence: the bills of the calls below.
 
+use tidetrack_core::bill_replicator::{HoldCall, Holder, Keeper, KeeperAction};
 use tidetrack_core::ids::Incarnation;
-use tidetrack_core::keeper::{HoldCall, Holder, Keeper, KeeperAction};
 use tidetrack_core::ledger::{Bill, Ended, Part};
 use tidetrack_core::units::{Micros, Millis, Tokens};
 
--- a/crates/tidetrack-core/tests/properties.rs
+++ b/crates/tidetrack-core/tests/properties.rs
@@ -6,8 +6,8 @@
 use tidetrack_core::declare::read_folder;
 use tidetrack_core::ids::RequestId;
 use tidetrack_core::ledger::{total_up, Bill, Ended, Segment};
+use tidetrack_core::message_auth::{Key, KeyRing};
 use tidetrack_core::policy::{Features, Program};
-use tidetrack_core::seal::{Key, KeyRing};
 use tidetrack_core::session::Session;
 use tidetrack_core::store::{Delta, Entry, Store};
 
--- a/crates/tidetrack-plane/src/attempt.rs
+++ b/crates/tidetrack-plane/src/attempt.rs
@@ -8,8 +8,8 @@
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
 
-use tidetrack_core::broke::{with_causes, Broke};
 use tidetrack_core::codes::{Code, Ran};
+use tidetrack_core::disconnect::{with_causes, Broke};
 use tidetrack_core::errors::{Error, Result};
 
 use crate::dialect::AnswerFacts;
--- a/crates/tidetrack-plane/src/call.rs
+++ b/crates/tidetrack-plane/src/call.rs
@@ -10,8 +10,8 @@
 use tokio::sync::{Semaphore, SemaphorePermit};
 use tokio::time::Instant;
 
-use tidetrack_core::broke::with_causes;
 use tidetrack_core::codes::{Code, Ran};
+use tidetrack_core::disconnect::with_causes;
 use tidetrack_core::errors::{Error, Result};
 use tidetrack_core::traffic::feeds::LARGE_REPLY;
 
--- a/crates/tidetrack-plane/src/crash.rs
+++ b/crates/tidetrack-plane/src/crash.rs
@@ -12,8 +12,8 @@
 
 use tokio::sync::{oneshot, OnceCell};
 
-use tidetrack_core::broke::Broke;
 use tidetrack_core::codes::Ran;
+use tidetrack_core::disconnect::Broke;
 use tidetrack_core::errors::Error;
 use tidetrack_core::events::Event;
 use tidetrack_core::ids::EndpointId;
--- a/crates/tidetrack-plane/src/metrics.rs
+++ b/crates/tidetrack-plane/src/metrics.rs
@@ -7,7 +7,7 @@
 use opentelemetry_sdk::metrics::SdkMeterProvider;
 use prometheus::{Encoder, Registry, TextEncoder};
 
-use tidetrack_core::broke::Broke;
+use tidetrack_core::disconnect::Broke;
 
 use crate::store::Purpose;
 
--- a/crates/tidetrack-plane/src/pool.rs
+++ b/crates/tidetrack-plane/src/pool.rs
@@ -15,8 +15,8 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinHandle;
 
-use tidetrack_core::broke::{with_causes, Broke};
 use tidetrack_core::codes::{Code, Ran};
+use tidetrack_core::disconnect::{with_causes, Broke};
 use tidetrack_core::errors::{Error, Result};
 use tidetrack_core::traffic::reach::PROMPT;
 
--- a/crates/tidetrack-plane/src/relay.rs
+++ b/crates/tidetrack-plane/src/relay.rs
@@ -18,8 +18,8 @@
 use hyper::body::Incoming;
 use tokio::sync::mpsc;
 
-use tidetrack_core::broke::{with_causes, Broke};
 use tidetrack_core::codes::{Code, Ran};
+use tidetrack_core::disconnect::{with_causes, Broke};
 use tidetrack_core::errors::{Error, Result};
 use tidetrack_core::events::Event;
 use tidetrack_core::ids::ModelId;
--- a/crates/tidetrack-plane/src/report.rs
+++ b/crates/tidetrack-plane/src/report.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use tidetrack_core::broke::Broke;
 use tidetrack_core::codes::Code;
+use tidetrack_core::disconnect::Broke;
 use tidetrack_core::errors::Error;
 use tidetrack_core::events::Event;
 use tidetrack_core::ids::ModelId;
--- a/crates/tidetrack-router/src/admin.rs
+++ b/crates/tidetrack-router/src/admin.rs
@@ -7,7 +7,7 @@
 use tidetrack_core::codes::Code;
 use tidetrack_core::errors::{Error, Result};
 use tidetrack_core::facts::Fact;
-use tidetrack_core::seal::digest;
+use tidetrack_core::message_auth::digest;
 
 use crate::callers::Request;
 use crate::control::{Msg, Status};
--- a/crates/tidetrack-router/src/billing.rs
+++ b/crates/tidetrack-router/src/billing.rs
@@ -7,11 +7,11 @@
 
 use flume::{Receiver, RecvTimeoutError, Sender};
 
+use tidetrack_core::bill_replicator::{HoldCall, Holder, Keeper, KeeperAction};
 use tidetrack_core::codes::{Code, Ran};
 use tidetrack_core::errors::{Error, Result};
 use tidetrack_core::events::Event;
 use tidetrack_core::ids::Incarnation;
-use tidetrack_core::keeper::{HoldCall, Holder, Keeper, KeeperAction};
 use tidetrack_core::ledger::{Bill, Segment};
 use tidetrack_wire::platform::{PlatformClient, LEDGER_PREFIX};
 
--- a/crates/tidetrack-router/src/control.rs
+++ b/crates/tidetrack-router/src/control.rs
@@ -9,12 +9,12 @@
 use flume::{Receiver, Sender};
 use serde::{Deserialize, Serialize};
 
+use tidetrack_core::bill_replicator::Holder;
 use tidetrack_core::config::{Kind, ObjectKey, RolloutState};
 use tidetrack_core::events::Event;
 use tidetrack_core::evidence::Counts;
 use tidetrack_core::facts::{Fact, Subject};
 use tidetrack_core::ids::{HostId, Incarnation, RolloutId, VersionRef};
-use tidetrack_core::keeper::Holder;
 use tidetrack_core::membership::{Member, MemberState};
 use tidetrack_core::node::{Action, Exchange, Node};
 use tidetrack_core::store::{Delta, Entry};
--- a/crates/tidetrack-router/src/peers.rs
+++ b/crates/tidetrack-router/src/peers.rs
@@ -18,12 +18,12 @@
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
+use tidetrack_core::bill_replicator::HoldCall;
 use tidetrack_core::errors::{Error, Result};
 use tidetrack_core::events::Event;
 use tidetrack_core::ids::HostId;
-use tidetrack_core::keeper::HoldCall;
+use tidetrack_core::message_auth::KeyRing;
 use tidetrack_core::node::Exchange;
-use tidetrack_core::seal::KeyRing;
 use tidetrack_core::units::Millis;
 use tidetrack_wire::peer::{
     ExchangeCall, HoldReply, ProbeCall, ProbeReply, Sealed, METHOD_EXCHANGE, METHOD_HOLD,
--- a/crates/tidetrack-router/src/router.rs
+++ b/crates/tidetrack-router/src/router.rs
@@ -10,9 +10,9 @@
 use arc_swap::ArcSwap;
 use flume::Sender;
 
+use tidetrack_core::bill_replicator::Keeper;
 use tidetrack_core::events::Event;
 use tidetrack_core::ids::Incarnation;
-use tidetrack_core::keeper::Keeper;
 use tidetrack_core::membership::{Member, MemberState};
 use tidetrack_core::node::Node;
 use tidetrack_core::tickets::{TicketBook, TicketOptions};
--- a/crates/tidetrack-router/src/settings.rs
+++ b/crates/tidetrack-router/src/settings.rs
@@ -6,8 +6,8 @@
 use tidetrack_core::declare::{faults_error, read_toml, Fault};
 use tidetrack_core::errors::Result;
 use tidetrack_core::ids::{FailureDomain, HostId};
+use tidetrack_core::message_auth::KeyRing;
 use tidetrack_core::node::NodeOptions;
-use tidetrack_core::seal::KeyRing;
 use tidetrack_core::traffic::suspects::SuspectOptions;
 
 /// Least characters of a secret.
--- a/crates/tidetrack-router/src/upstream.rs
+++ b/crates/tidetrack-router/src/upstream.rs
@@ -15,8 +15,8 @@
 use http_body_util::Full;
 use tokio::sync::oneshot;
 
-use tidetrack_core::broke::Broke;
 use tidetrack_core::codes::{Code, Ran};
+use tidetrack_core::disconnect::Broke;
 use tidetrack_core::errors::{Error, Result};
 use tidetrack_core::events::Event;
 use tidetrack_core::placement::PoolEndpoint;
--- a/crates/tidetrack-testkit/src/fleet.rs
+++ b/crates/tidetrack-testkit/src/fleet.rs
@@ -5,8 +5,8 @@
 use anyhow::{anyhow, Result};
 
 use tidetrack_core::declare::{read_folder, Declared};
+use tidetrack_core::message_auth::{digest, Key, KeyRing};
 use tidetrack_core::node::NodeOptions;
-use tidetrack_core::seal::{digest, Key, KeyRing};
 use tidetrack_core::traffic::suspects::SuspectOptions;
 use tidetrack_ctl::{apply, status};
 use tidetrack_router::control::Status;
--- a/crates/tidetrack-wire/src/peer.rs
+++ b/crates/tidetrack-wire/src/peer.rs
@@ -11,8 +11,8 @@
 use tidetrack_core::codes::Code;
 use tidetrack_core::errors::{Error, Result};
 use tidetrack_core::ids::HostId;
+use tidetrack_core::message_auth::{KeyRing, Purpose};
 use tidetrack_core::node::Exchange;
-use tidetrack_core::seal::{KeyRing, Purpose};
 
 /// The method that exchanges what changed.
 pub const METHOD_EXCHANGE: &str = "exchange";
@@ -93,7 +93,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use tidetrack_core::seal::Key;
+    use tidetrack_core::message_auth::Key;
 
     #[test]
     fn a_changed_body_or_another_method_does_not_open() {
