--- a/crates/tidetrack-bench/src/control.rs
+++ b/crates/tidetrack-bench/src/control.rs
@@ -7,7 +7,7 @@
 
 use tidetrack_core::config::{Kind, Object, ObjectKey};
 use tidetrack_testkit::fleet::{Fleet, FleetOptions};
-use tidetrack_wire::platform::config_name;
+use tidetrack_wire::platform::config_object_name;
 
 use crate::record::{Gather, Record};
 
@@ -85,12 +85,12 @@
 /// Changes an object that no decision rests on; gets the new revision.
 fn change(fleet: &Fleet, text: &str) -> Result<u64> {
     let key = ObjectKey::new(Kind::Model, "model");
-    let there = fleet.platform.fetch(&config_name(&key))?;
+    let there = fleet.platform.fetch(&config_object_name(&key))?;
     let mut object = Object::from_json(Kind::Model, &there.body.unwrap_or_default())?;
     if let Object::Model(model) = &mut object {
         model.about = text.to_string();
     }
-    Ok(fleet.platform.write(&config_name(&key), there.version, &object.to_json())?.version)
+    Ok(fleet.platform.write(&config_object_name(&key), there.version, &object.to_json())?.version)
 }
 
 /// Times the spread of one change; gets milliseconds for each host.
--- a/crates/tidetrack-bench/src/state.rs
+++ b/crates/tidetrack-bench/src/state.rs
@@ -10,14 +10,14 @@
 use tidetrack_core::evidence::{CellKey, Counts};
 use tidetrack_core::facts::Facts;
 use tidetrack_core::ids::Incarnation;
-use tidetrack_core::ledger::{Bill, Ended, Part, Segment};
+use tidetrack_core::ledger::{Bill, BillOutcome, LineItem, Segment};
 use tidetrack_core::membership::{Member, MemberState, Members};
 use tidetrack_core::message_auth::{Key, KeyRing};
 use tidetrack_core::node::Item;
 use tidetrack_core::placement::{rendezvous, Ask};
 use tidetrack_core::session::Session;
 use tidetrack_core::store::{Delta, Entry, Store};
-use tidetrack_core::tickets::{TicketBook, TicketOptions};
+use tidetrack_core::tickets::{TicketOptions, TicketRegistry};
 use tidetrack_core::units::{Micros, Millis, Tokens};
 use tidetrack_core::view::ViewBuilder;
 
@@ -96,8 +96,8 @@
 
 fn bill(n: u64) -> Bill {
     let version = "model-12@3".parse().expect("a version");
-    let part = Part(version, Tokens(1_200), Tokens(420), Micros(5_300));
-    Bill(n, "school-north".parse().expect("a workspace"), vec![part], Ended::Whole)
+    let part = LineItem(version, Tokens(1_200), Tokens(420), Micros(5_300));
+    Bill(n, "school-north".parse().expect("a workspace"), vec![part], BillOutcome::Complete)
 }
 
 /// Times `f` over `count` runs; gets microseconds for each.
@@ -253,10 +253,10 @@
         let read = timed(count, |_| {
             std::hint::black_box(Session::from_token(&token, &session.workspace, &ring).is_ok());
         });
-        let options = TicketOptions { most: count as usize, ..TicketOptions::default() };
-        let mut book = TicketBook::new(incarnation(1), options);
+        let options = TicketOptions { max_tickets: count as usize, ..TicketOptions::default() };
+        let mut book = TicketRegistry::new(incarnation(1), options);
         let made = timed(count, |_| {
-            let ticket = book.make(Millis(1), &session.workspace).expect("a ticket");
+            let ticket = book.issue(Millis(1), &session.workspace).expect("a ticket");
             std::hint::black_box(ticket.to_token(&ring));
         });
         gather.point("session-read", ("us", "sessions", COMMAND), n, read);
--- a/crates/tidetrack-bench/src/virtual_fleet/checks.rs
+++ b/crates/tidetrack-bench/src/virtual_fleet/checks.rs
@@ -4,7 +4,7 @@
 
 use tidetrack_core::config::{Kind, ObjectKey};
 use tidetrack_core::ids::RequestId;
-use tidetrack_core::ledger::{total_up, Bill};
+use tidetrack_core::ledger::{sum_segments, Bill};
 use tidetrack_core::view::Chosen;
 
 use super::platform::{new_version, workspace};
@@ -125,7 +125,7 @@
         if let Some(extra) = billed.difference(&self.made).next() {
             return self.fail(format!("{extra} was billed and never made"));
         }
-        let totals = total_up(self.platform.segments.values());
+        let totals = sum_segments(self.platform.segments.values());
         if totals.requests != billed.len() as u64 {
             return self.fail(format!("{} requests, {} counted", billed.len(), totals.requests));
         }
--- a/crates/tidetrack-bench/src/virtual_fleet/event.rs
+++ b/crates/tidetrack-bench/src/virtual_fleet/event.rs
@@ -8,7 +8,7 @@
 use tidetrack_core::ledger::Segment;
 use tidetrack_core::node::Exchange;
 use tidetrack_core::store::{Delta, Entry};
-use tidetrack_core::tickets::{KeptAnswer, Ticket};
+use tidetrack_core::tickets::{StoredResponse, Ticket};
 use tidetrack_core::units::Millis;
 use tidetrack_core::view::Chosen;
 
@@ -216,8 +216,8 @@
             Event::TicketCall { to, ticket, hops } => self.ticket_call(to, ticket, hops)?,
             Event::TicketDone { at, ticket, lost, .. } => {
                 let now = self.local(at);
-                let answer = (!lost).then_some(KeptAnswer { status: 200, body: None });
-                self.hosts[at].tickets.done(now, &ticket, answer);
+                let answer = (!lost).then_some(StoredResponse { status: 200, body: None });
+                self.hosts[at].tickets.record_outcome(now, &ticket, answer);
             }
             Event::Operator => self.operate(),
             Event::Fault => self.fault(),
--- a/crates/tidetrack-bench/src/virtual_fleet/faults.rs
+++ b/crates/tidetrack-bench/src/virtual_fleet/faults.rs
@@ -55,7 +55,7 @@
     fn copies_are_elsewhere(&self, domain: usize) -> bool {
         let elsewhere = |h: &Host| {
             let holder = h.keeper.holder().map(|i| self.index(&i.host));
-            h.keeper.on_the_move() == 0
+            h.keeper.bills_to_transfer() == 0
                 && holder.is_some_and(|i| self.hosts[i].domain != domain && self.hosts[i].up)
         };
         self.hosts.iter().filter(|h| h.up && h.domain == domain).all(elsewhere)
--- a/crates/tidetrack-bench/src/virtual_fleet/host.rs
+++ b/crates/tidetrack-bench/src/virtual_fleet/host.rs
@@ -2,12 +2,12 @@
 
 use std::collections::BTreeMap;
 
-use tidetrack_core::bill_replicator::Keeper;
+use tidetrack_core::bill_replicator::BillReplicator;
 use tidetrack_core::config::ObjectKey;
 use tidetrack_core::ids::{HostId, Incarnation};
 use tidetrack_core::membership::{Member, MemberState};
 use tidetrack_core::node::{Node, NodeOptions};
-use tidetrack_core::tickets::{TicketBook, TicketOptions};
+use tidetrack_core::tickets::{TicketOptions, TicketRegistry};
 use tidetrack_core::units::Millis;
 use tidetrack_core::view::{View, ViewBuilder};
 
@@ -25,9 +25,9 @@
     pub(super) node: Node,
     pub(super) builder: ViewBuilder,
     pub(super) view: View,
-    pub(super) keeper: Keeper,
+    pub(super) keeper: BillReplicator,
     pub(super) holders_epoch: Option<u64>,
-    pub(super) tickets: TicketBook,
+    pub(super) tickets: TicketRegistry,
     pub(super) asked_platform_at: u64,
     pub(super) writing_state: bool,
     pub(super) rollout_since: (u64, u64),
@@ -75,9 +75,9 @@
             node,
             builder: ViewBuilder::default(),
             view: View::default(),
-            keeper: Keeper::new(Millis(now + offset), incarnation.clone(), Millis(2_000)),
+            keeper: BillReplicator::new(Millis(now + offset), incarnation.clone(), Millis(2_000)),
             holders_epoch: None,
-            tickets: TicketBook::new(incarnation, TicketOptions::default()),
+            tickets: TicketRegistry::new(incarnation, TicketOptions::default()),
             asked_platform_at: 0,
             writing_state: false,
             rollout_since: (0, 0),
--- a/crates/tidetrack-bench/src/virtual_fleet/requests.rs
+++ b/crates/tidetrack-bench/src/virtual_fleet/requests.rs
@@ -2,11 +2,11 @@
 
 use rand::RngExt;
 
-use tidetrack_core::bill_replicator::KeeperAction;
+use tidetrack_core::bill_replicator::ReplicatorAction;
 use tidetrack_core::evidence::Counts;
 use tidetrack_core::ids::{Incarnation, RequestId};
-use tidetrack_core::ledger::{Bill, Ended, Part, Segment};
-use tidetrack_core::tickets::{Admission, Ticket};
+use tidetrack_core::ledger::{Bill, BillOutcome, LineItem, Segment};
+use tidetrack_core::tickets::{Ticket, TicketAdmission};
 use tidetrack_core::units::{Micros, Tokens};
 use tidetrack_core::view::{Chosen, Freshness};
 
@@ -58,8 +58,8 @@
         host.node.count(&chosen.version, 1, unproven, &answered);
         host.next_bill += 1;
         let number = host.next_bill;
-        let part = Part(chosen.version.clone(), Tokens(1), Tokens(1), Micros(1));
-        host.keeper.keep(Bill(number, workspace(), vec![part], Ended::Whole));
+        let part = LineItem(chosen.version.clone(), Tokens(1), Tokens(1), Micros(1));
+        host.keeper.add_bill(Bill(number, workspace(), vec![part], BillOutcome::Complete));
         let id = RequestId { incarnation: host.node.own().clone(), number };
         self.made.insert(id.clone());
         match self.schedule.broken {
@@ -87,9 +87,9 @@
     pub(super) fn pump(&mut self, h: usize) {
         let now = self.local(h);
         let life = self.hosts[h].life;
-        for action in self.hosts[h].keeper.pump(now) {
+        for action in self.hosts[h].keeper.poll_actions(now) {
             match action {
-                KeeperAction::Hold { holder, batch, call } => {
+                ReplicatorAction::Hold { holder, batch, call } => {
                     let to = self.index(&holder.parse().expect("a host"));
                     let arrives = self.latency().filter(|_| self.reachable(h, to));
                     let failed = Event::HoldDone { at: h, life, batch, held: false };
@@ -98,18 +98,18 @@
                         self.at(self.now + ms, Event::Hold { to, from: h, life, batch, call });
                     }
                 }
-                KeeperAction::Write(segment) => self.send_segment(h, segment),
-                KeeperAction::Safe(number) => {
+                ReplicatorAction::Write(segment) => self.send_segment(h, segment),
+                ReplicatorAction::ReleaseResponse(number) => {
                     let incarnation = self.hosts[h].node.own().clone();
                     self.answered.insert(RequestId { incarnation, number });
                 }
-                KeeperAction::AskGone(of) => {
+                ReplicatorAction::CheckGone(of) => {
                     let members = &self.hosts[h].node.members;
                     let gone: Vec<Incarnation> =
                         of.into_iter().filter(|i| members.is_gone(i)).collect();
                     self.hosts[h].keeper.take_over(&gone);
                 }
-                KeeperAction::Flushed(_) => {}
+                ReplicatorAction::Flushed(_) => {}
             }
         }
     }
@@ -144,7 +144,7 @@
 
     pub(super) fn start_ticket(&mut self, h: usize) {
         let now = self.local(h);
-        let Ok(ticket) = self.hosts[h].tickets.make(now, &workspace()) else { return };
+        let Ok(ticket) = self.hosts[h].tickets.issue(now, &workspace()) else { return };
         self.seen.tickets += 1;
         let calls = self.rng.random_range(1..4);
         for _ in 0..calls {
@@ -162,9 +162,9 @@
     ) -> Result<(), String> {
         let now = self.local(h);
         let host = &mut self.hosts[h];
-        let ours = ticket.made_by == *host.node.own();
+        let ours = ticket.issued_by == *host.node.own();
         if !ours && self.schedule.broken != Broken::SharedTicket {
-            let maker = self.index(&ticket.made_by.host);
+            let maker = self.index(&ticket.issued_by.host);
             if let Some(ms) = self.latency().filter(|_| hops == 0 && self.reachable(h, maker)) {
                 let event = Event::TicketCall { to: maker, ticket, hops: 1 };
                 self.at(self.now + ms, event);
@@ -174,8 +174,8 @@
         let admitted = host.tickets.admit(now, &ticket);
         let runs = self.runs.entry(ticket.clone()).or_default();
         match admitted {
-            Ok(Admission::Run) => *runs += 1,
-            Ok(Admission::Repeat(_)) => {}
+            Ok(TicketAdmission::Execute) => *runs += 1,
+            Ok(TicketAdmission::Replay(_)) => {}
             Err(_) if self.schedule.broken == Broken::SharedTicket && !ours => *runs += 1,
             Err(e) if e.ran == tidetrack_core::codes::Ran::No && *runs > 0 => {
                 return self.fail(format!("a refusal said that {ticket:?} was not run"));
--- a/crates/tidetrack-bench/src/virtual_fleet/steps.rs
+++ b/crates/tidetrack-bench/src/virtual_fleet/steps.rs
@@ -33,8 +33,8 @@
         if self.hosts[h].holders_epoch != Some(epoch) {
             self.hosts[h].holders_epoch = Some(epoch);
             let holders = self.hosts[h].node.members.holders().into_iter();
-            let holders =
-                holders.map(|m| Holder { life: m.incarnation.clone(), address: m.peer.clone() });
+            let holders = holders
+                .map(|m| Holder { incarnation: m.incarnation.clone(), address: m.peer.clone() });
             let holders = holders.collect();
             self.hosts[h].keeper.set_holders(holders);
         }
--- a/crates/tidetrack-burn/src/burn.rs
+++ b/crates/tidetrack-burn/src/burn.rs
@@ -11,23 +11,23 @@
 use tidetrack_core::config::Object;
 use tidetrack_core::declare::Declared;
 
-use crate::scrape::{steps, Snapshot};
+use crate::scrape::{deltas, Snapshot};
 
 /// Windows in seconds, with the burn rate above which each counts as high.
 pub const WINDOWS: [(u64, f64); 4] = [(300, 14.4), (3_600, 14.4), (21_600, 6.0), (259_200, 1.0)];
 
 /// Requests that met an objective and requests that did not.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct Met {
+pub struct RequestCounts {
     /// They did.
     pub good: f64,
     /// They did not.
     pub bad: f64,
 }
 
-impl Met {
-    fn add(&mut self, good: bool, count: f64) {
-        if good {
+impl RequestCounts {
+    fn add(&mut self, is_good: bool, count: f64) {
+        if is_good {
             self.good += count;
         } else {
             self.bad += count;
@@ -35,7 +35,7 @@
     }
 
     /// Gets the burn rate against a target.
-    pub fn rate(&self, target: f64) -> f64 {
+    pub fn burn_rate(&self, target: f64) -> f64 {
         let all = self.good + self.bad;
         if all > 0.0 {
             self.bad / all / (1.0 - target)
@@ -51,98 +51,103 @@
     /// Its length in seconds.
     pub seconds: u64,
     /// Whether the snapshots reach back that far.
-    pub covered: bool,
+    #[serde(rename = "covered")]
+    pub is_covered: bool,
     /// The burn rate.
     pub rate: f64,
     /// Whether that is high.
-    pub high: bool,
+    #[serde(rename = "high")]
+    pub is_high: bool,
 }
 
 /// The burn of one objective.
 #[derive(Clone, Debug, Serialize)]
-pub struct Burn {
+pub struct ObjectiveReport {
     /// `workspace/route`.
     pub objective: String,
     /// Share that must be met.
     pub target: f64,
     /// Over all snapshots.
-    pub met: Met,
+    #[serde(rename = "met")]
+    pub counts: RequestCounts,
     /// Share of the budget of what was seen that is left; below 0 it is overdrawn.
     pub budget_left: f64,
     /// By window.
     pub windows: Vec<Window>,
     /// Fast and slow windows are both high.
-    pub alarm: bool,
+    #[serde(rename = "alarm")]
+    pub is_alarm: bool,
     /// Burn rate by version.
     pub versions: BTreeMap<String, f64>,
     /// Burn rate by failure domain.
     pub failure_domains: BTreeMap<String, f64>,
     /// Burn rate of each step between snapshots: seconds and rate.
-    pub steps: Vec<(u64, f64)>,
+    #[serde(rename = "steps")]
+    pub interval_rates: Vec<(u64, f64)>,
 }
 
 /// Works out the burn of every declared objective.
-pub fn report(snapshots: &[Snapshot], declared: &Declared) -> Vec<Burn> {
-    let steps = steps(snapshots);
+pub fn report(snapshots: &[Snapshot], declared: &Declared) -> Vec<ObjectiveReport> {
+    let deltas = deltas(snapshots);
     let objectives = declared.values().filter_map(|object| match object {
         Object::Objective(o) => Some((format!("{}/{}", o.workspace, o.route), o.target)),
         _ => None,
     });
-    objectives.map(|(name, target)| burn_of(&name, target, &steps)).collect()
+    objectives.map(|(name, target)| objective_report(&name, target, &deltas)).collect()
 }
 
-fn burn_of(name: &str, target: f64, steps: &[Snapshot]) -> Burn {
-    let end = steps.last().map_or(0, |s| s.at);
-    let begin = steps.first().map_or(0, |s| s.at);
-    let mut met = Met::default();
-    let mut by_version: BTreeMap<String, Met> = BTreeMap::new();
-    let mut by_domain: BTreeMap<String, Met> = BTreeMap::new();
-    let mut by_step: Vec<(u64, Met)> = Vec::new();
-    for step in steps {
-        let mut in_step = Met::default();
-        for row in step.rows.iter().filter(|r| r.objective == name) {
-            met.add(row.good, row.count);
-            in_step.add(row.good, row.count);
-            by_version.entry(row.version.clone()).or_default().add(row.good, row.count);
-            by_domain.entry(row.failure_domain.clone()).or_default().add(row.good, row.count);
+fn objective_report(name: &str, target: f64, deltas: &[Snapshot]) -> ObjectiveReport {
+    let end = deltas.last().map_or(0, |s| s.at);
+    let start = deltas.first().map_or(0, |s| s.at);
+    let mut counts = RequestCounts::default();
+    let mut by_version: BTreeMap<String, RequestCounts> = BTreeMap::new();
+    let mut by_domain: BTreeMap<String, RequestCounts> = BTreeMap::new();
+    let mut by_interval: Vec<(u64, RequestCounts)> = Vec::new();
+    for delta in deltas {
+        let mut in_interval = RequestCounts::default();
+        for row in delta.rows.iter().filter(|r| r.objective == name) {
+            counts.add(row.is_good, row.count);
+            in_interval.add(row.is_good, row.count);
+            by_version.entry(row.version.clone()).or_default().add(row.is_good, row.count);
+            by_domain.entry(row.failure_domain.clone()).or_default().add(row.is_good, row.count);
         }
-        by_step.push((step.at, in_step));
+        by_interval.push((delta.at, in_interval));
     }
     let windows: Vec<Window> = WINDOWS
         .iter()
         .map(|(seconds, limit)| {
-            let mut in_window = Met::default();
-            for (_, m) in by_step.iter().filter(|(at, _)| at + seconds >= end) {
+            let mut in_window = RequestCounts::default();
+            for (_, m) in by_interval.iter().filter(|(at, _)| at + seconds >= end) {
                 in_window.good += m.good;
                 in_window.bad += m.bad;
             }
-            let rate = in_window.rate(target);
+            let rate = in_window.burn_rate(target);
             Window {
                 seconds: *seconds,
-                covered: end - begin >= *seconds,
+                is_covered: end - start >= *seconds,
                 rate,
-                high: rate >= *limit,
+                is_high: rate >= *limit,
             }
         })
         .collect();
-    let rates = |by: BTreeMap<String, Met>| {
-        by.into_iter().map(|(name, m)| (name, m.rate(target))).collect()
+    let rates = |by: BTreeMap<String, RequestCounts>| {
+        by.into_iter().map(|(name, m)| (name, m.burn_rate(target))).collect()
     };
-    Burn {
+    ObjectiveReport {
         objective: name.to_string(),
         target,
-        met,
-        budget_left: 1.0 - met.rate(target),
-        alarm: windows[0].high && windows[1].high,
+        counts,
+        budget_left: 1.0 - counts.burn_rate(target),
+        is_alarm: windows[0].is_high && windows[1].is_high,
         windows,
         versions: rates(by_version),
         failure_domains: rates(by_domain),
-        steps: by_step.iter().map(|(at, m)| (*at, m.rate(target))).collect(),
+        interval_rates: by_interval.iter().map(|(at, m)| (*at, m.burn_rate(target))).collect(),
     }
 }
 
 /// Renders the report for a person.
-pub fn render(report: &[Burn]) -> String {
+pub fn render(report: &[ObjectiveReport]) -> String {
     let mut out = String::new();
     for b in report {
         // Writing to a string does not fail.
@@ -151,15 +156,19 @@
             "{}: target {:.3}; {:.0} of {:.0} met; budget left {:.0}%{}",
             b.objective,
             b.target,
-            b.met.good,
-            b.met.good + b.met.bad,
+            b.counts.good,
+            b.counts.good + b.counts.bad,
             b.budget_left * 100.0,
-            if b.alarm { "; ALARM" } else { "" }
+            if b.is_alarm { "; ALARM" } else { "" }
         );
         for w in &b.windows {
-            let note = if w.covered { "" } else { " (not covered yet)" };
-            let high = if w.high { " HIGH" } else { "" };
-            let _ = writeln!(out, "  last {:>6} s: burn rate {:.2}{high}{note}", w.seconds, w.rate);
+            let note = if w.is_covered { "" } else { " (not covered yet)" };
+            let high_note = if w.is_high { " HIGH" } else { "" };
+            let _ = writeln!(
+                out,
+                "  last {:>6} s: burn rate {:.2}{high_note}{note}",
+                w.seconds, w.rate
+            );
         }
         for (what, rates) in [("version", &b.versions), ("failure domain", &b.failure_domains)] {
             for (name, rate) in rates {
@@ -177,25 +186,27 @@
     use crate::scrape::Row;
 
     fn snapshot(at: u64, good: f64, bad: f64) -> Snapshot {
-        let row = |good: bool, count: f64| Row {
+        let row = |is_good: bool, count: f64| Row {
             host: "h".into(),
             objective: "w/r".into(),
             version: "m@1".into(),
             failure_domain: "d".into(),
-            good,
+            is_good,
             count,
         };
         Snapshot { at, rows: vec![row(true, good), row(false, bad)] }
     }
 
     #[test]
-    fn a_sudden_fault_raises_the_fast_window_only() {
+    fn short_error_burst_raises_short_window_only() {
         let mut all = vec![snapshot(0, 0.0, 0.0), snapshot(10_000, 100_000.0, 0.0)];
         all.push(snapshot(10_100, 100_500.0, 500.0));
-        let burn = burn_of("w/r", 0.95, &steps(&all));
-        assert!((burn.windows[0].rate - 10.0).abs() < 11.0 && burn.windows[0].rate > 0.05);
-        assert!(burn.windows[2].rate < 1.0);
-        assert!(!burn.alarm);
-        assert!((burn.budget_left - (1.0 - 500.0 / 101_000.0 / 0.05)).abs() < 1e-9);
+        let objective = objective_report("w/r", 0.95, &deltas(&all));
+        assert!(
+            (objective.windows[0].rate - 10.0).abs() < 11.0 && objective.windows[0].rate > 0.05
+        );
+        assert!(objective.windows[2].rate < 1.0);
+        assert!(!objective.is_alarm);
+        assert!((objective.budget_left - (1.0 - 500.0 / 101_000.0 / 0.05)).abs() < 1e-9);
     }
 }
--- a/crates/tidetrack-burn/src/chart.rs
+++ b/crates/tidetrack-burn/src/chart.rs
@@ -5,20 +5,20 @@
 use anyhow::{anyhow, Result};
 use plotters::prelude::*;
 
-use crate::burn::Burn;
+use crate::burn::ObjectiveReport;
 
 /// Width and height in pixels.
-const SIZE: (u32, u32) = (900, 420);
+const SIZE_PIXELS: (u32, u32) = (900, 420);
 
 /// The axis reaches at least to this burn rate, so that the line at 1 is always seen.
-const LEAST_TOP: f64 = 2.0;
+const MIN_AXIS_TOP: f64 = 2.0;
 
 /// Draws the burn rate of every objective as SVG.
-pub fn draw(report: &[Burn], file: &Path) -> Result<()> {
-    let points = || report.iter().flat_map(|b| &b.steps);
+pub fn draw(report: &[ObjectiveReport], file: &Path) -> Result<()> {
+    let points = || report.iter().flat_map(|b| &b.interval_rates);
     let end = points().map(|p| p.0).max().unwrap_or(1).max(1);
-    let top = points().map(|p| p.1).fold(LEAST_TOP, f64::max) * 1.1;
-    let root = SVGBackend::new(file, SIZE).into_drawing_area();
+    let top = points().map(|p| p.1).fold(MIN_AXIS_TOP, f64::max) * 1.1;
+    let root = SVGBackend::new(file, SIZE_PIXELS).into_drawing_area();
     let fail = |e: &dyn std::fmt::Display| anyhow!("{}: {e}", file.display());
     root.fill(&WHITE).map_err(|e| fail(&e))?;
     let mut chart = ChartBuilder::on(&root)
@@ -39,13 +39,13 @@
         .map_err(|e| fail(&e))?;
     let limit = [(0, 1.0), (end, 1.0)];
     chart.draw_series(LineSeries::new(limit, BLACK.stroke_width(1))).map_err(|e| fail(&e))?;
-    for (i, burn) in report.iter().enumerate() {
+    for (i, objective) in report.iter().enumerate() {
         let color = Palette99::pick(i).to_rgba();
-        let line = LineSeries::new(burn.steps.iter().copied(), color.stroke_width(2));
+        let line = LineSeries::new(objective.interval_rates.iter().copied(), color.stroke_width(2));
         chart
             .draw_series(line)
             .map_err(|e| fail(&e))?
-            .label(&burn.objective)
+            .label(&objective.objective)
             .legend(move |(x, y)| PathElement::new([(x, y), (x + 18, y)], color));
     }
     chart
--- a/crates/tidetrack-burn/src/main.rs
+++ b/crates/tidetrack-burn/src/main.rs
@@ -35,20 +35,20 @@
         println!("{usage}");
         return Ok(());
     }
-    let words: Vec<&str> = matches.free.iter().map(String::as_str).collect();
-    match words[..] {
+    let positional: Vec<&str> = matches.free.iter().map(String::as_str).collect();
+    match positional[..] {
         ["scrape"] => {
             let out = matches.opt_str("out").ok_or_else(|| anyhow!("no --out\n{usage}"))?;
             let every = Duration::from_secs(matches.opt_get_default("every", 10)?);
             let count = matches.opt_get_default("count", 1u32)?;
-            take(&matches.opt_strs("host"), Path::new(&out), every, count)
+            scrape_hosts(&matches.opt_strs("host"), Path::new(&out), every, count)
         }
         ["report", file] => {
             let dir =
                 matches.opt_str("declared").ok_or_else(|| anyhow!("no --declared\n{usage}"))?;
             let declared = folder::read(Path::new(&dir))?;
             let text = std::fs::read_to_string(file).with_context(|| file.to_string())?;
-            let report = burn::report(&scrape::read(file, &text)?, &declared);
+            let report = burn::report(&scrape::read_snapshots(file, &text)?, &declared);
             if let Some(svg) = matches.opt_str("svg") {
                 chart::draw(&report, Path::new(&svg))?;
             }
@@ -62,14 +62,14 @@
     }
 }
 
-fn take(hosts: &[String], out: &Path, every: Duration, count: u32) -> Result<()> {
+fn scrape_hosts(hosts: &[String], out: &Path, every: Duration, count: u32) -> Result<()> {
     let from = Instant::now();
     for i in 0..count {
         if i > 0 {
             std::thread::sleep(every);
         }
-        let snapshot = scrape::take(hosts, from.elapsed().as_secs())?;
-        scrape::append(out, &snapshot)?;
+        let snapshot = scrape::take_snapshot(hosts, from.elapsed().as_secs())?;
+        scrape::append_snapshot(out, &snapshot)?;
         eprintln!("{}/{count}: {} rows", i + 1, snapshot.rows.len());
     }
     Ok(())
--- a/crates/tidetrack-burn/src/scrape.rs
+++ b/crates/tidetrack-burn/src/scrape.rs
@@ -9,10 +9,10 @@
 use serde::{Deserialize, Serialize};
 
 /// The counter that routers keep for each objective.
-const COUNTER: &str = "tidetrack_objective_total";
+const COUNTER_NAME: &str = "tidetrack_objective_total";
 
 /// Seconds that a host may take.
-const SECONDS: u64 = 5;
+const TIMEOUT_SECONDS: u64 = 5;
 
 /// A counter of one host.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -26,7 +26,8 @@
     /// The endpoint's failure domain; empty if none was chosen.
     pub failure_domain: String,
     /// Whether these requests met the objective.
-    pub good: bool,
+    #[serde(rename = "good")]
+    pub is_good: bool,
     /// How many.
     pub count: f64,
 }
@@ -41,10 +42,10 @@
 }
 
 /// Reads the counters out of a host's metrics.
-pub fn rows_of(host: &str, text: &str) -> Result<Vec<Row>> {
+pub fn parse_rows(host: &str, text: &str) -> Result<Vec<Row>> {
     let lines = text.lines().map(|l| Ok(l.to_string()));
     let scrape = Scrape::parse(lines).context("Prometheus text")?;
-    let samples = scrape.samples.into_iter().filter(|s| s.metric == COUNTER);
+    let samples = scrape.samples.into_iter().filter(|s| s.metric == COUNTER_NAME);
     Ok(samples
         .filter_map(|s| {
             let label = |name| s.labels.get(name).unwrap_or_default().to_string();
@@ -57,7 +58,7 @@
                 objective: label("objective"),
                 version: label("version"),
                 failure_domain: label("failure_domain"),
-                good: label("good") == "true",
+                is_good: label("good") == "true",
                 count,
             })
         })
@@ -65,13 +66,14 @@
 }
 
 /// Takes a snapshot of all hosts. A host that does not answer is left out, with a word.
-pub fn take(hosts: &[String], at: u64) -> Result<Snapshot> {
+pub fn take_snapshot(hosts: &[String], at: u64) -> Result<Snapshot> {
     ensure!(!hosts.is_empty(), "no --host");
     let mut snapshot = Snapshot { at, rows: Vec::new() };
     for host in hosts {
-        let response = minreq::get(format!("http://{host}/metrics")).with_timeout(SECONDS).send();
+        let response =
+            minreq::get(format!("http://{host}/metrics")).with_timeout(TIMEOUT_SECONDS).send();
         match response {
-            Ok(response) => snapshot.rows.extend(rows_of(host, response.as_str()?)?),
+            Ok(response) => snapshot.rows.extend(parse_rows(host, response.as_str()?)?),
             Err(e) => eprintln!("{host}: {e}"),
         }
     }
@@ -79,13 +81,13 @@
 }
 
 /// Adds a snapshot to a file.
-pub fn append(file: &Path, snapshot: &Snapshot) -> Result<()> {
+pub fn append_snapshot(file: &Path, snapshot: &Snapshot) -> Result<()> {
     let mut f = std::fs::OpenOptions::new().create(true).append(true).open(file)?;
     Ok(writeln!(f, "{}", serde_json::to_string(snapshot)?)?)
 }
 
 /// Reads the snapshots of a file; a line that does not read is named.
-pub fn read(file: &str, text: &str) -> Result<Vec<Snapshot>> {
+pub fn read_snapshots(file: &str, text: &str) -> Result<Vec<Snapshot>> {
     let lines = text.lines().enumerate().filter(|(_, l)| !l.trim().is_empty());
     lines
         .map(|(i, line)| serde_json::from_str(line).with_context(|| format!("{file}:{}", i + 1)))
@@ -93,22 +95,22 @@
 }
 
 /// Works out what was added between snapshots, by step. A counter that fell began anew.
-pub fn steps(snapshots: &[Snapshot]) -> Vec<Snapshot> {
+pub fn deltas(snapshots: &[Snapshot]) -> Vec<Snapshot> {
     type Key = (String, String, String, String, bool);
     let mut last: HashMap<Key, f64> = HashMap::new();
-    let mut steps = Vec::new();
+    let mut deltas = Vec::new();
     for snapshot in snapshots {
-        let mut step = Snapshot { at: snapshot.at, rows: Vec::new() };
+        let mut delta = Snapshot { at: snapshot.at, rows: Vec::new() };
         for row in &snapshot.rows {
-            let Row { host, objective, version, failure_domain, good, count } = row.clone();
-            let key = (host, objective, version, failure_domain, good);
-            let before = last.insert(key, count).unwrap_or(0.0);
-            let added = if count >= before { count - before } else { count };
-            step.rows.push(Row { count: added, ..row.clone() });
+            let Row { host, objective, version, failure_domain, is_good, count } = row.clone();
+            let key = (host, objective, version, failure_domain, is_good);
+            let previous = last.insert(key, count).unwrap_or(0.0);
+            let added = if count >= previous { count - previous } else { count };
+            delta.rows.push(Row { count: added, ..row.clone() });
         }
-        steps.push(step);
+        deltas.push(delta);
     }
-    steps
+    deltas
 }
 
 #[cfg(test)]
@@ -120,12 +122,12 @@
         tidetrack_objective_total{good=\"false\",objective=\"w/r\",version=\"m@1\",failure_domain=\"d\"} 1\n";
 
     #[test]
-    fn counters_are_read_and_a_restart_is_no_loss() {
-        let rows = rows_of("h", TEXT).expect("rows");
-        let again = rows_of("h", &TEXT.replace("} 9", "} 4")).expect("rows");
-        let steps = steps(&[Snapshot { at: 0, rows }, Snapshot { at: 10, rows: again }]);
-        let good: Vec<f64> =
-            steps.iter().flat_map(|s| &s.rows).filter(|r| r.good).map(|r| r.count).collect();
-        assert_eq!(good, [9.0, 4.0]);
+    fn counter_that_restarts_counts_from_zero() {
+        let rows = parse_rows("h", TEXT).expect("rows");
+        let again = parse_rows("h", &TEXT.replace("} 9", "} 4")).expect("rows");
+        let deltas = deltas(&[Snapshot { at: 0, rows }, Snapshot { at: 10, rows: again }]);
+        let good_counts: Vec<f64> =
+            deltas.iter().flat_map(|s| &s.rows).filter(|r| r.is_good).map(|r| r.count).collect();
+        assert_eq!(good_counts, [9.0, 4.0]);
     }
 }
--- a/crates/tidetrack-core/src/bill_replicator/mod.rs
+++ b/crates/tidetrack-core/src/bill_replicator/mod.rs
@@ -3,9 +3,9 @@
 //! The keeper never waits: it gives back actions, and the ends of calls come in as messages. What it
 //! does is in three files:
 //!
-//! - `holding`: has another host, the holder, hold the own bills.
+//! - `hold_in_flight`: has another host, the holder, hold the own bills.
 //! - `segments`: writes bills to the object API, the own ones and those of hosts that are gone.
-//! - `passing`: has the holder hold what a gone host left, while it cannot be written.
+//! - `forwarding`: has the holder hold what a gone host left, while it cannot be written.
 
 mod forwarding;
 mod replication;
@@ -18,15 +18,15 @@
 use serde::{Deserialize, Serialize};
 
 use crate::ids::Incarnation;
-use crate::ledger::{Bill, Held, Pending, Segment};
+use crate::ledger::{Bill, HeldBills, PendingBills, Segment};
 use crate::units::Millis;
 
-use self::forwarding::Passing;
-use self::replication::{Holding, HOLD_MOST};
+use self::forwarding::Forwarding;
+use self::replication::{HoldInFlight, MAX_HOLD_BILLS};
 
 /// Segments that stand in for a holder are written at most this often: after the loss of a failure
 /// domain many hosts lack one at the same time, and the object API takes about 100 writes a second.
-const DIRECT_EVERY: Millis = Millis(100);
+const DIRECT_WRITE_INTERVAL: Millis = Millis(100);
 
 /// Bills to hold, and numbers of those that need not be held any more.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -46,14 +46,14 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Holder {
     /// The host's life: another one at the same address holds nothing of what this one held.
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
     /// `ip:port`.
     pub address: String,
 }
 
 /// What a keeper wants done.
 #[derive(Clone, Debug, PartialEq)]
-pub enum KeeperAction {
+pub enum ReplicatorAction {
     /// Have the holder hold bills; say how it ended with `hold_done`.
     Hold {
         /// `ip:port` of the holder.
@@ -66,82 +66,82 @@
     /// Create a segment if absent; say what stands with `write_done`.
     Write(Segment),
     /// A bill is safe: the request's last byte may leave.
-    Safe(u64),
+    ReleaseResponse(u64),
     /// Find out which of these incarnations are gone; say so with `take_over`.
-    AskGone(Vec<Incarnation>),
+    CheckGone(Vec<Incarnation>),
     /// A flush ended; tells whether every bill stands or is held.
     Flushed(bool),
 }
 
 /// The keeper of one host's bills and of the copies it holds for others.
 #[derive(Debug)]
-pub struct Keeper {
+pub struct BillReplicator {
     origin: Incarnation,
-    own: Pending,
-    held: Held,
+    own_bills: PendingBills,
+    held: HeldBills,
     /// Hosts that may hold bills; the first one is asked, and moves to the end when it fails.
     holders: VecDeque<Holder>,
     /// Failed calls to holders in a row.
-    failures: usize,
+    consecutive_failures: usize,
     /// Bills that the present holder does not have.
-    unheld: BTreeMap<u64, Bill>,
-    holding: Option<Holding>,
+    unreplicated: BTreeMap<u64, Bill>,
+    hold_in_flight: Option<HoldInFlight>,
     /// Most bills in the next call.
-    hold_most: usize,
-    batches: u64,
-    hold_after: Option<Millis>,
+    max_hold_bills: usize,
+    last_batch: u64,
+    hold_retry_at: Option<Millis>,
     /// Bills whose requests wait for them to be safe.
-    waiting: BTreeSet<u64>,
+    awaiting_replication: BTreeSet<u64>,
     /// Bills that stand in the object API and that the holder may drop.
     written: Vec<u64>,
     /// Origins with a segment being written.
-    writing: BTreeSet<Incarnation>,
+    origins_in_write: BTreeSet<Incarnation>,
     /// Bills of gone origins that were passed on.
-    passed_on: BTreeMap<Incarnation, Passing>,
-    flushing: bool,
-    flush_every: Millis,
-    flushed_at: Millis,
-    unsafe_until: Millis,
+    forwarding_by_origin: BTreeMap<Incarnation, Forwarding>,
+    is_flushing: bool,
+    flush_interval: Millis,
+    last_flush_at: Millis,
+    unavailable_until: Millis,
     /// When a segment was last written because no holder could hold.
-    direct_at: Millis,
-    out: Vec<KeeperAction>,
+    last_direct_write_at: Millis,
+    actions: Vec<ReplicatorAction>,
 }
 
-impl Keeper {
-    /// Makes a keeper that writes segments every `flush_every`.
-    pub fn new(now: Millis, origin: Incarnation, flush_every: Millis) -> Keeper {
-        Keeper {
-            own: Pending::new(origin.clone()),
+impl BillReplicator {
+    /// Makes a keeper that writes segments every `flush_interval`.
+    pub fn new(now: Millis, origin: Incarnation, flush_interval: Millis) -> BillReplicator {
+        BillReplicator {
+            own_bills: PendingBills::new(origin.clone()),
             origin,
-            held: Held::default(),
+            held: HeldBills::default(),
             holders: VecDeque::new(),
-            failures: 0,
-            unheld: BTreeMap::new(),
-            holding: None,
-            hold_most: HOLD_MOST,
-            batches: 0,
-            hold_after: None,
-            waiting: BTreeSet::new(),
+            consecutive_failures: 0,
+            unreplicated: BTreeMap::new(),
+            hold_in_flight: None,
+            max_hold_bills: MAX_HOLD_BILLS,
+            last_batch: 0,
+            hold_retry_at: None,
+            awaiting_replication: BTreeSet::new(),
             written: Vec::new(),
-            writing: BTreeSet::new(),
-            passed_on: BTreeMap::new(),
-            flushing: false,
-            flush_every,
-            flushed_at: now,
-            unsafe_until: Millis(0),
-            direct_at: Millis(0),
-            out: Vec::new(),
+            origins_in_write: BTreeSet::new(),
+            forwarding_by_origin: BTreeMap::new(),
+            is_flushing: false,
+            flush_interval,
+            last_flush_at: now,
+            unavailable_until: Millis(0),
+            last_direct_write_at: Millis(0),
+            actions: Vec::new(),
         }
     }
 
     /// Counts the own bills that are not in the object API yet.
     pub fn pending(&self) -> usize {
-        self.own.len()
+        self.own_bills.len()
     }
 
     /// Gets the life of the host that holds the own bills now.
     pub fn holder(&self) -> Option<&Incarnation> {
-        self.holders.front().map(|h| &h.life)
+        self.holders.front().map(|h| &h.incarnation)
     }
 
     /// Counts the bills held for others.
@@ -150,15 +150,15 @@
     }
 
     /// Tells whether no place for a bill was found of late.
-    pub fn is_unsafe(&self, now: Millis) -> bool {
-        now < self.unsafe_until
+    pub fn is_storage_unavailable(&self, now: Millis) -> bool {
+        now < self.unavailable_until
     }
 
     /// Takes a bill whose request waits for it to be safe.
-    pub fn keep(&mut self, bill: Bill) {
-        self.waiting.insert(bill.number());
-        self.unheld.insert(bill.number(), bill.clone());
-        self.own.add(bill);
+    pub fn add_bill(&mut self, bill: Bill) {
+        self.awaiting_replication.insert(bill.number());
+        self.unreplicated.insert(bill.number(), bill.clone());
+        self.own_bills.add(bill);
     }
 
     /// Holds bills for another host; tells whether all of them are held.
@@ -167,26 +167,26 @@
     }
 
     /// Does what is due; gives back what is to be done.
-    pub fn pump(&mut self, now: Millis) -> Vec<KeeperAction> {
-        self.hold(now);
-        if now - self.flushed_at >= self.flush_every {
-            self.flushed_at = now;
-            self.write(&self.origin.clone());
+    pub fn poll_actions(&mut self, now: Millis) -> Vec<ReplicatorAction> {
+        self.start_hold(now);
+        if now - self.last_flush_at >= self.flush_interval {
+            self.last_flush_at = now;
+            self.start_write(&self.origin.clone());
             let origins = self.held.origins();
             if !origins.is_empty() {
-                self.out.push(KeeperAction::AskGone(origins));
+                self.actions.push(ReplicatorAction::CheckGone(origins));
             }
         }
         // Without a holder, only a segment makes a bill safe.
-        let no_holder = self.holders.is_empty() || self.hold_after.is_some();
-        let direct_due = now - self.direct_at >= DIRECT_EVERY;
-        if !self.waiting.is_empty() && no_holder && direct_due {
-            self.direct_at = now;
-            self.write(&self.origin.clone());
+        let has_no_holder = self.holders.is_empty() || self.hold_retry_at.is_some();
+        let is_direct_write_due = now - self.last_direct_write_at >= DIRECT_WRITE_INTERVAL;
+        if !self.awaiting_replication.is_empty() && has_no_holder && is_direct_write_due {
+            self.last_direct_write_at = now;
+            self.start_write(&self.origin.clone());
         }
-        if self.flushing && self.own.is_empty() && self.writing.is_empty() {
-            self.end_flush(true);
+        if self.is_flushing && self.own_bills.is_empty() && self.origins_in_write.is_empty() {
+            self.finish_flush(true);
         }
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.actions)
     }
 }
--- a/crates/tidetrack-core/src/bill_replicator/replication.rs
+++ b/crates/tidetrack-core/src/bill_replicator/replication.rs
@@ -7,139 +7,143 @@
 
 use std::collections::VecDeque;
 
-use super::{HoldCall, Holder, Keeper, KeeperAction};
+use super::{BillReplicator, HoldCall, Holder, ReplicatorAction};
 use crate::ledger::Bill;
 use crate::units::Millis;
 
 /// A failed call to the holder is tried again after this time.
-const HOLD_AGAIN: Millis = Millis(300);
+const HOLD_RETRY_DELAY: Millis = Millis(300);
 
 /// Most bills in one call to the holder: about 100 KB.
-pub(super) const HOLD_MOST: usize = 2_000;
+pub(super) const MAX_HOLD_BILLS: usize = 2_000;
 
 /// Fewest bills that a call is cut down to: about 3 KB, a few packets.
-const HOLD_LEAST: usize = 62;
+const MIN_HOLD_BILLS: usize = 62;
 
 /// A call should take no longer than this: a bill that comes meanwhile waits for its end.
-pub(super) const HOLD_AIM: Millis = Millis(250);
+pub(super) const TARGET_HOLD_TIME: Millis = Millis(250);
 
 /// Of a call, a part in so many is left to bills that an earlier holder has: requests never starve them.
-const MOVED_PART: usize = 4;
+const TRANSFER_SHARE_DIVISOR: usize = 4;
 
 /// Written bills that are worth a call of their own to the holder.
-const WRITTEN_WORTH: usize = 200;
+const MIN_WRITTEN_TO_REPORT: usize = 200;
 
 /// A call to the holder under way.
 #[derive(Debug)]
-pub(super) struct Holding {
+pub(super) struct HoldInFlight {
     batch: u64,
-    began: Millis,
+    started_at: Millis,
     bills: Vec<u64>,
     written: Vec<u64>,
 }
 
-impl Keeper {
+impl BillReplicator {
     /// Counts the bills that were called safe and that the present holder does not have yet: those
     /// that an earlier holder has.
-    pub fn on_the_move(&self) -> usize {
-        self.unheld.keys().filter(|n| !self.waiting.contains(n)).count()
+    pub fn bills_to_transfer(&self) -> usize {
+        self.unreplicated.keys().filter(|n| !self.awaiting_replication.contains(n)).count()
     }
 
     /// Learns who may hold this host's bills, best first. The one that holds them now is kept.
     pub fn set_holders(&mut self, holders: Vec<Holder>) {
         let mut holders = VecDeque::from(holders);
-        let present = self.holders.front().cloned();
-        let kept = holders.iter().position(|h| Some(h) == present.as_ref());
-        if let Some(at) = kept {
+        let current = self.holders.front().cloned();
+        let current_index = holders.iter().position(|h| Some(h) == current.as_ref());
+        if let Some(at) = current_index {
             holders.rotate_left(at);
         }
         self.holders = holders;
-        if kept.is_none() {
-            self.begin_anew();
+        if current_index.is_none() {
+            self.restart_replication();
         }
     }
 
     /// Gives the present holder all that is pending, what another has yet to acknowledge included.
-    fn begin_anew(&mut self) {
-        self.holding = None;
-        self.hold_after = None;
-        self.unheld = self.own.from(0).map(|b| (b.number(), b.clone())).collect();
+    fn restart_replication(&mut self) {
+        self.hold_in_flight = None;
+        self.hold_retry_at = None;
+        self.unreplicated = self.own_bills.bills_from(0).map(|b| (b.number(), b.clone())).collect();
     }
 
     /// Has the holder hold what it lacks, one call at a time.
-    pub(super) fn hold(&mut self, now: Millis) {
-        let too_early = self.hold_after.is_some_and(|at| now < at);
-        let nothing = self.unheld.is_empty() && self.written.len() < WRITTEN_WORTH;
-        if self.holding.is_some() || too_early || nothing {
+    pub(super) fn start_hold(&mut self, now: Millis) {
+        let is_backing_off = self.hold_retry_at.is_some_and(|at| now < at);
+        let has_nothing_to_send =
+            self.unreplicated.is_empty() && self.written.len() < MIN_WRITTEN_TO_REPORT;
+        if self.hold_in_flight.is_some() || is_backing_off || has_nothing_to_send {
             return;
         }
         let Some(holder) = self.holders.front().map(|h| h.address.clone()) else { return };
-        let bills = self.next_to_hold();
-        self.batches += 1;
+        let bills = self.next_hold_bills();
+        self.last_batch += 1;
         let written = std::mem::take(&mut self.written);
-        self.holding = Some(Holding {
-            batch: self.batches,
-            began: now,
+        self.hold_in_flight = Some(HoldInFlight {
+            batch: self.last_batch,
+            started_at: now,
             bills: bills.iter().map(Bill::number).collect(),
             written: written.clone(),
         });
         let origin = self.origin.clone();
-        let call = HoldCall { origin, bills, written, next_segment: self.own.next_segment() };
-        self.out.push(KeeperAction::Hold { holder, batch: self.batches, call });
+        let call = HoldCall { origin, bills, written, next_segment: self.own_bills.next_segment() };
+        self.actions.push(ReplicatorAction::Hold { holder, batch: self.last_batch, call });
     }
 
     /// Chooses the bills of the next call: what requests wait for first, then what is to be moved.
-    fn next_to_hold(&self) -> Vec<Bill> {
-        let waited = self.waiting.iter().filter(|n| self.unheld.contains_key(n)).count();
-        let moved = self.unheld.len() - waited;
-        let left_to_moved = moved.min(self.hold_most / MOVED_PART);
-        let waited = self.waiting.iter().filter_map(|n| self.unheld.get(n));
-        let mut bills: Vec<Bill> = waited.take(self.hold_most - left_to_moved).cloned().collect();
-        let moved = self.unheld.values().filter(|b| !self.waiting.contains(&b.number()));
-        bills.extend(moved.take(self.hold_most - bills.len()).cloned());
+    fn next_hold_bills(&self) -> Vec<Bill> {
+        let awaited =
+            self.awaiting_replication.iter().filter(|n| self.unreplicated.contains_key(n)).count();
+        let to_transfer = self.unreplicated.len() - awaited;
+        let reserved_for_transfer = to_transfer.min(self.max_hold_bills / TRANSFER_SHARE_DIVISOR);
+        let awaited = self.awaiting_replication.iter().filter_map(|n| self.unreplicated.get(n));
+        let mut bills: Vec<Bill> =
+            awaited.take(self.max_hold_bills - reserved_for_transfer).cloned().collect();
+        let to_transfer =
+            self.unreplicated.values().filter(|b| !self.awaiting_replication.contains(&b.number()));
+        bills.extend(to_transfer.take(self.max_hold_bills - bills.len()).cloned());
         bills.sort_by_key(Bill::number);
         bills
     }
 
     /// Takes the end of a call to the holder.
-    pub fn hold_done(&mut self, now: Millis, batch: u64, held: bool) {
-        if let Some(origin) = self.passed_by(batch) {
-            return self.pass_done(now, &origin, held);
+    pub fn hold_done(&mut self, now: Millis, batch: u64, is_held: bool) {
+        if let Some(origin) = self.forwarded_origin(batch) {
+            return self.forward_done(now, &origin, is_held);
         }
-        let Some(call) = self.holding.take_if(|h| h.batch == batch) else { return };
-        self.resize(held && now - call.began <= HOLD_AIM);
-        if !held {
+        let Some(call) = self.hold_in_flight.take_if(|h| h.batch == batch) else { return };
+        self.adjust_hold_size(is_held && now - call.started_at <= TARGET_HOLD_TIME);
+        if !is_held {
             self.written.extend(call.written);
-            self.failures += 1;
+            self.consecutive_failures += 1;
             self.holders.rotate_left(1.min(self.holders.len()));
-            self.begin_anew();
+            self.restart_replication();
             // All of them failed: segments stand in until one answers again.
-            if self.failures >= self.holders.len() {
-                self.hold_after = Some(now + HOLD_AGAIN);
+            if self.consecutive_failures >= self.holders.len() {
+                self.hold_retry_at = Some(now + HOLD_RETRY_DELAY);
             }
             return;
         }
-        self.failures = 0;
-        self.hold_after = None;
-        self.unsafe_until = Millis(0);
+        self.consecutive_failures = 0;
+        self.hold_retry_at = None;
+        self.unavailable_until = Millis(0);
         for number in call.bills {
-            self.unheld.remove(&number);
-            self.tell_safe(number);
+            self.unreplicated.remove(&number);
+            self.release_response(number);
         }
     }
 
     /// Sets the size of the next call by how the last one went.
-    pub(super) fn resize(&mut self, in_time: bool) {
-        self.hold_most = match in_time {
-            true => (self.hold_most * 2).min(HOLD_MOST),
-            false => (self.hold_most / 2).max(HOLD_LEAST),
+    pub(super) fn adjust_hold_size(&mut self, is_in_time: bool) {
+        self.max_hold_bills = match is_in_time {
+            true => (self.max_hold_bills * 2).min(MAX_HOLD_BILLS),
+            false => (self.max_hold_bills / 2).max(MIN_HOLD_BILLS),
         };
     }
 
     /// Lets the request go that waits for a bill to be safe, if one does.
-    pub(super) fn tell_safe(&mut self, number: u64) {
-        if self.waiting.remove(&number) {
-            self.out.push(KeeperAction::Safe(number));
+    pub(super) fn release_response(&mut self, number: u64) {
+        if self.awaiting_replication.remove(&number) {
+            self.actions.push(ReplicatorAction::ReleaseResponse(number));
         }
     }
 }
--- a/crates/tidetrack-core/src/change_log.rs
+++ b/crates/tidetrack-core/src/change_log.rs
@@ -8,28 +8,28 @@
 use crate::ids::Incarnation;
 
 #[derive(Clone, Debug)]
-struct Kept<V> {
+struct LogEntry<V> {
     seq: u64,
     /// Who told of the change; no use in telling them again.
-    from: Option<Incarnation>,
+    source: Option<Incarnation>,
     value: V,
 }
 
 /// A map with a change sequence.
 #[derive(Clone, Debug)]
-pub struct Journal<K, V> {
-    entries: BTreeMap<K, Kept<V>>,
+pub struct ChangeLog<K, V> {
+    entries: BTreeMap<K, LogEntry<V>>,
     by_seq: BTreeMap<u64, K>,
     seq: u64,
 }
 
-impl<K: Ord + Clone, V> Default for Journal<K, V> {
+impl<K: Ord + Clone, V> Default for ChangeLog<K, V> {
     fn default() -> Self {
-        Journal { entries: BTreeMap::new(), by_seq: BTreeMap::new(), seq: 0 }
+        ChangeLog { entries: BTreeMap::new(), by_seq: BTreeMap::new(), seq: 0 }
     }
 }
 
-impl<K: Ord + Clone, V> Journal<K, V> {
+impl<K: Ord + Clone, V> ChangeLog<K, V> {
     /// Gets the sequence number of the last change; 0 if there was none.
     pub fn seq(&self) -> u64 {
         self.seq
@@ -37,7 +37,7 @@
 
     /// Gets the value of a key.
     pub fn lookup(&self, key: &K) -> Option<&V> {
-        self.entries.get(key).map(|kept| &kept.value)
+        self.entries.get(key).map(|entry| &entry.value)
     }
 
     /// Sets a value and records the change.
@@ -46,10 +46,10 @@
     }
 
     /// Sets a value that another host told of, and records the change.
-    pub fn put_from(&mut self, key: K, value: V, from: Option<Incarnation>) {
+    pub fn put_from(&mut self, key: K, value: V, source: Option<Incarnation>) {
         self.seq += 1;
-        let kept = Kept { seq: self.seq, from, value };
-        if let Some(old) = self.entries.insert(key.clone(), kept) {
+        let entry = LogEntry { seq: self.seq, source, value };
+        if let Some(old) = self.entries.insert(key.clone(), entry) {
             self.by_seq.remove(&old.seq);
         }
         self.by_seq.insert(self.seq, key);
@@ -57,37 +57,39 @@
 
     /// Removes a key. Removals are not part of the sequence.
     pub fn remove(&mut self, key: &K) -> Option<V> {
-        let kept = self.entries.remove(key)?;
-        self.by_seq.remove(&kept.seq);
-        Some(kept.value)
+        let entry = self.entries.remove(key)?;
+        self.by_seq.remove(&entry.seq);
+        Some(entry.value)
     }
 
     /// Lists the entries that changed after `cursor`, oldest change first.
     pub fn since(&self, cursor: u64) -> impl Iterator<Item = (u64, &K, &V)> {
         self.by_seq.range(cursor + 1..).filter_map(|(seq, key)| {
-            let kept = self.entries.get(key)?;
-            Some((*seq, key, &kept.value))
+            let entry = self.entries.get(key)?;
+            Some((*seq, key, &entry.value))
         })
     }
 
     /// Lists the entries that changed after `cursor` and that `peer` did not tell of itself.
     ///
     /// Another life of the same host is another peer: it knows nothing of what the one before told.
-    pub fn news_for<'a>(
+    pub fn changes_for<'a>(
         &'a self,
         peer: Option<&'a Incarnation>,
         cursor: u64,
     ) -> impl Iterator<Item = (u64, &'a V)> {
         self.by_seq.range(cursor + 1..).filter_map(move |(seq, key)| {
-            let kept =
-                self.entries.get(key).filter(|k| k.from.is_none() || k.from.as_ref() != peer)?;
-            Some((*seq, &kept.value))
+            let entry = self
+                .entries
+                .get(key)
+                .filter(|k| k.source.is_none() || k.source.as_ref() != peer)?;
+            Some((*seq, &entry.value))
         })
     }
 
     /// Lists all entries in the order of their keys.
     pub fn iter(&self) -> impl Iterator<Item = (&K, &V)> {
-        self.entries.iter().map(|(k, kept)| (k, &kept.value))
+        self.entries.iter().map(|(k, entry)| (k, &entry.value))
     }
 
     /// Counts the entries.
@@ -106,23 +108,23 @@
     use super::*;
 
     #[test]
-    fn news_is_not_told_back_to_the_life_that_told_it() {
+    fn changes_are_not_sent_back_to_their_source_incarnation() {
         let life = |n: u64| Incarnation { host: "h".parse().expect("a host"), life: n };
-        let mut journal = Journal::default();
-        journal.put_from("a", 1, Some(life(1)));
-        assert_eq!(journal.news_for(Some(&life(1)), 0).count(), 0);
-        assert_eq!(journal.news_for(Some(&life(2)), 0).count(), 1);
-        assert_eq!(journal.news_for(None, 0).count(), 1);
+        let mut log = ChangeLog::default();
+        log.put_from("a", 1, Some(life(1)));
+        assert_eq!(log.changes_for(Some(&life(1)), 0).count(), 0);
+        assert_eq!(log.changes_for(Some(&life(2)), 0).count(), 1);
+        assert_eq!(log.changes_for(None, 0).count(), 1);
     }
 
     #[test]
-    fn a_cursor_sees_each_key_once_at_its_last_value() {
-        let mut journal = Journal::default();
-        journal.put("a", 1);
-        let cursor = journal.seq();
-        journal.put("b", 1);
-        journal.put("b", 2);
-        let seen: Vec<(&str, i32)> = journal.since(cursor).map(|(_, k, v)| (*k, *v)).collect();
+    fn since_returns_each_changed_key_once_with_latest_value() {
+        let mut log = ChangeLog::default();
+        log.put("a", 1);
+        let cursor = log.seq();
+        log.put("b", 1);
+        log.put("b", 2);
+        let seen: Vec<(&str, i32)> = log.since(cursor).map(|(_, k, v)| (*k, *v)).collect();
         assert_eq!(seen, [("b", 2)]);
     }
 }
--- a/crates/tidetrack-core/src/disconnect.rs
+++ b/crates/tidetrack-core/src/disconnect.rs
@@ -9,9 +9,9 @@
 /// Silence may be the way's doing as well as the other end's, and a close or reset is the other end's
 /// own: what is to be done differs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Broke {
+pub enum DisconnectCause {
     /// The other end acknowledged nothing for too long.
-    Silence,
+    TimedOut,
     /// The other end reset it.
     Reset,
     /// Nobody listens at the address.
@@ -19,51 +19,53 @@
     /// The other end closed it before its answer was whole.
     Closed,
     /// In another way.
-    Otherwise,
+    Other,
 }
 
-impl Broke {
+impl DisconnectCause {
     /// Tells how a connection broke from an error and its causes.
-    pub fn of(e: &(dyn Error + 'static)) -> Broke {
-        let of_cause = |e: &(dyn Error + 'static)| {
+    pub fn from_error(e: &(dyn Error + 'static)) -> DisconnectCause {
+        let cause_of = |e: &(dyn Error + 'static)| {
             let kind = e.downcast_ref::<std::io::Error>()?.kind();
             match kind {
-                ErrorKind::TimedOut => Some(Broke::Silence),
-                ErrorKind::ConnectionReset | ErrorKind::BrokenPipe => Some(Broke::Reset),
-                ErrorKind::ConnectionRefused => Some(Broke::Refused),
-                ErrorKind::UnexpectedEof => Some(Broke::Closed),
+                ErrorKind::TimedOut => Some(DisconnectCause::TimedOut),
+                ErrorKind::ConnectionReset | ErrorKind::BrokenPipe => Some(DisconnectCause::Reset),
+                ErrorKind::ConnectionRefused => Some(DisconnectCause::Refused),
+                ErrorKind::UnexpectedEof => Some(DisconnectCause::Closed),
                 _ => None,
             }
         };
-        causes(e).find_map(of_cause).unwrap_or(Broke::Otherwise)
+        error_chain(e).find_map(cause_of).unwrap_or(DisconnectCause::Other)
     }
 
     /// Gets the word for it in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
-            Broke::Silence => "silence",
-            Broke::Reset => "reset",
-            Broke::Refused => "refused",
-            Broke::Closed => "closed",
-            Broke::Otherwise => "other",
+            DisconnectCause::TimedOut => "silence",
+            DisconnectCause::Reset => "reset",
+            DisconnectCause::Refused => "refused",
+            DisconnectCause::Closed => "closed",
+            DisconnectCause::Other => "other",
         }
     }
 }
 
-impl fmt::Display for Broke {
+impl fmt::Display for DisconnectCause {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(self.as_str())
     }
 }
 
 /// Walks from an error to its causes.
-fn causes<'a>(e: &'a (dyn Error + 'static)) -> impl Iterator<Item = &'a (dyn Error + 'static)> {
+fn error_chain<'a>(
+    e: &'a (dyn Error + 'static),
+) -> impl Iterator<Item = &'a (dyn Error + 'static)> {
     std::iter::successors(Some(e), |e: &&'a (dyn Error + 'static)| (*e).source())
 }
 
 /// Gets an error's text with those of its causes.
-pub fn with_causes(e: &(dyn Error + 'static)) -> String {
-    let texts: Vec<String> = causes(e).map(|e| e.to_string()).collect();
+pub fn format_error_chain(e: &(dyn Error + 'static)) -> String {
+    let texts: Vec<String> = error_chain(e).map(|e| e.to_string()).collect();
     texts.join(": ")
 }
 
@@ -88,28 +90,33 @@
         }
     }
 
-    fn of(kind: ErrorKind) -> Broke {
-        Broke::of(&Outer(io::Error::from(kind)))
+    fn cause_of_kind(kind: ErrorKind) -> DisconnectCause {
+        DisconnectCause::from_error(&Outer(io::Error::from(kind)))
     }
 
     #[test]
-    fn a_break_is_told_from_its_cause() {
-        let told = [
-            of(ErrorKind::TimedOut),
-            of(ErrorKind::ConnectionReset),
-            of(ErrorKind::ConnectionRefused),
-            of(ErrorKind::UnexpectedEof),
-            of(ErrorKind::InvalidData),
+    fn cause_is_derived_from_io_error_kind() {
+        let found = [
+            cause_of_kind(ErrorKind::TimedOut),
+            cause_of_kind(ErrorKind::ConnectionReset),
+            cause_of_kind(ErrorKind::ConnectionRefused),
+            cause_of_kind(ErrorKind::UnexpectedEof),
+            cause_of_kind(ErrorKind::InvalidData),
         ];
 
-        let expected =
-            [Broke::Silence, Broke::Reset, Broke::Refused, Broke::Closed, Broke::Otherwise];
-        assert_eq!(told, expected);
+        let expected = [
+            DisconnectCause::TimedOut,
+            DisconnectCause::Reset,
+            DisconnectCause::Refused,
+            DisconnectCause::Closed,
+            DisconnectCause::Other,
+        ];
+        assert_eq!(found, expected);
     }
 
     #[test]
-    fn a_text_names_the_causes() {
-        let text = with_causes(&Outer(io::Error::other("no such way")));
+    fn error_chain_text_includes_all_sources() {
+        let text = format_error_chain(&Outer(io::Error::other("no such way")));
 
         assert_eq!(text, "connection error: no such way");
     }
--- a/crates/tidetrack-core/src/errors.rs
+++ b/crates/tidetrack-core/src/errors.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::codes::{Code, Ran};
-use crate::disconnect::Broke;
+use crate::disconnect::DisconnectCause;
 
 /// A coded error.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -22,7 +22,7 @@
     pub retry_after_ms: Option<u64>,
     /// How the connection broke, if one did. It concerns this host only.
     #[serde(skip)]
-    pub broke: Option<Broke>,
+    pub broke: Option<DisconnectCause>,
 }
 
 /// A result with the crate's error.
@@ -41,7 +41,7 @@
     }
 
     /// Sets how the connection broke.
-    pub fn with_broke(mut self, broke: Broke) -> Error {
+    pub fn with_broke(mut self, broke: DisconnectCause) -> Error {
         self.broke = Some(broke);
         self
     }
--- a/crates/tidetrack-core/src/facts.rs
+++ b/crates/tidetrack-core/src/facts.rs
@@ -6,7 +6,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::change_log::Journal;
+use crate::change_log::ChangeLog;
 use crate::ids::{EndpointId, VersionRef};
 
 /// What a fact is about.
@@ -33,7 +33,7 @@
 /// All facts that a host knows.
 #[derive(Clone, Debug, Default)]
 pub struct Facts {
-    known: Journal<Subject, u64>,
+    known: ChangeLog<Subject, u64>,
 }
 
 impl Facts {
--- a/crates/tidetrack-core/src/ledger.rs
+++ b/crates/tidetrack-core/src/ledger.rs
@@ -15,24 +15,26 @@
 use crate::units::{Micros, Tokens};
 
 /// Most bills in one segment: about 100 bytes each, well within a megabyte.
-pub const SEGMENT_MOST: usize = 5_000;
+pub const MAX_SEGMENT_BILLS: usize = 5_000;
 
 /// Most bills held for one other incarnation.
-pub const HELD_MOST: usize = 50_000;
+pub const MAX_HELD_BILLS: usize = 50_000;
 
 /// How a billed request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Ended {
+pub enum BillOutcome {
     /// The whole answer was given.
-    Whole,
+    #[serde(rename = "whole")]
+    Complete,
     /// The answer broke off; what was given is billed.
-    Broken,
+    #[serde(rename = "broken")]
+    Truncated,
 }
 
 /// One part of a bill: the work of one version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Part(
+pub struct LineItem(
     /// The version.
     pub VersionRef,
     /// Prompt tokens.
@@ -51,9 +53,9 @@
     /// Who pays.
     pub WorkspaceId,
     /// What was run.
-    pub Vec<Part>,
+    pub Vec<LineItem>,
     /// How it ended.
-    pub Ended,
+    pub BillOutcome,
 );
 
 impl Bill {
@@ -95,16 +97,16 @@
 ///
 /// The origin and a holder each have one; the rules are the same for both.
 #[derive(Clone, Debug)]
-pub struct Pending {
+pub struct PendingBills {
     origin: Incarnation,
     bills: BTreeMap<u64, Bill>,
     next_segment: u64,
 }
 
-impl Pending {
+impl PendingBills {
     /// Makes an empty list for an incarnation's bills.
-    pub fn new(origin: Incarnation) -> Pending {
-        Pending { origin, bills: BTreeMap::new(), next_segment: 1 }
+    pub fn new(origin: Incarnation) -> PendingBills {
+        PendingBills { origin, bills: BTreeMap::new(), next_segment: 1 }
     }
 
     /// Gets the number of the next segment.
@@ -113,7 +115,7 @@
     }
 
     /// Learns that segments below `number` stand.
-    pub fn skip_to(&mut self, number: u64) {
+    pub fn advance_to(&mut self, number: u64) {
         self.next_segment = self.next_segment.max(number);
     }
 
@@ -123,8 +125,8 @@
     }
 
     /// Makes the next segment of what is pending; `None` if nothing is.
-    pub fn segment(&self) -> Option<Segment> {
-        let bills: Vec<Bill> = self.bills.values().take(SEGMENT_MOST).cloned().collect();
+    pub fn build_segment(&self) -> Option<Segment> {
+        let bills: Vec<Bill> = self.bills.values().take(MAX_SEGMENT_BILLS).cloned().collect();
         (!bills.is_empty()).then(|| Segment {
             origin: self.origin.clone(),
             number: self.next_segment,
@@ -133,7 +135,7 @@
     }
 
     /// Takes note of what stands in the object API under a segment's number.
-    pub fn stands(&mut self, segment: &Segment) {
+    pub fn remove_stored(&mut self, segment: &Segment) {
         segment.bills.iter().for_each(|b| {
             self.bills.remove(&b.number());
         });
@@ -141,14 +143,14 @@
     }
 
     /// Drops the given bills: they are in the object API.
-    pub fn drop_written(&mut self, numbers: &[u64]) {
+    pub fn remove_written(&mut self, numbers: &[u64]) {
         numbers.iter().for_each(|n| {
             self.bills.remove(n);
         });
     }
 
     /// Lists the bills from a number on.
-    pub fn from(&self, number: u64) -> impl Iterator<Item = &Bill> {
+    pub fn bills_from(&self, number: u64) -> impl Iterator<Item = &Bill> {
         self.bills.range(number..).map(|(_, b)| b)
     }
 
@@ -165,11 +167,11 @@
 
 /// The copies that a host holds for others.
 #[derive(Clone, Debug, Default)]
-pub struct Held {
-    by_origin: BTreeMap<Incarnation, Pending>,
+pub struct HeldBills {
+    by_origin: BTreeMap<Incarnation, PendingBills>,
 }
 
-impl Held {
+impl HeldBills {
     /// Holds bills of another incarnation; tells whether there was room for all.
     ///
     /// `written` bills need not be held any more; segments below `next_segment` stand.
@@ -180,11 +182,13 @@
         written: &[u64],
         next_segment: u64,
     ) -> bool {
-        let pending =
-            self.by_origin.entry(origin.clone()).or_insert_with(|| Pending::new(origin.clone()));
-        pending.drop_written(written);
-        pending.skip_to(next_segment);
-        if pending.len() + bills.len() > HELD_MOST {
+        let pending = self
+            .by_origin
+            .entry(origin.clone())
+            .or_insert_with(|| PendingBills::new(origin.clone()));
+        pending.remove_written(written);
+        pending.advance_to(next_segment);
+        if pending.len() + bills.len() > MAX_HELD_BILLS {
             return false;
         }
         bills.into_iter().for_each(|b| pending.add(b));
@@ -197,18 +201,18 @@
     }
 
     /// Gets the bills held for one incarnation.
-    pub fn pending(&mut self, origin: &Incarnation) -> Option<&mut Pending> {
+    pub fn pending(&mut self, origin: &Incarnation) -> Option<&mut PendingBills> {
         self.by_origin.get_mut(origin)
     }
 
     /// Forgets incarnations for which nothing is held.
-    pub fn sweep(&mut self) {
+    pub fn remove_empty(&mut self) {
         self.by_origin.retain(|_, p| !p.is_empty());
     }
 
     /// Counts the bills held.
     pub fn len(&self) -> usize {
-        self.by_origin.values().map(Pending::len).sum()
+        self.by_origin.values().map(PendingBills::len).sum()
     }
 
     /// Tells whether nothing is held.
@@ -219,7 +223,7 @@
 
 /// Totals of one workspace and version.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Total {
+pub struct UsageTotal {
     /// Bills with a part of the version.
     pub requests: u64,
     /// Prompt tokens.
@@ -232,31 +236,31 @@
 
 /// The totals of a ledger.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Totals {
+pub struct LedgerTotals {
     /// By workspace and version.
-    pub by_version: BTreeMap<(WorkspaceId, VersionRef), Total>,
+    pub by_version: BTreeMap<(WorkspaceId, VersionRef), UsageTotal>,
     /// Requests billed.
     pub requests: u64,
     /// Bills met a second time and left out.
-    pub repeats: u64,
+    pub duplicates: u64,
     /// Bills whose answer broke off.
-    pub broken: u64,
+    pub truncated: u64,
 }
 
 /// Adds up segments, counting each request once.
-pub fn total_up<'a>(segments: impl IntoIterator<Item = &'a Segment>) -> Totals {
+pub fn sum_segments<'a>(segments: impl IntoIterator<Item = &'a Segment>) -> LedgerTotals {
     let mut seen: BTreeSet<RequestId> = BTreeSet::new();
-    let mut totals = Totals::default();
+    let mut totals = LedgerTotals::default();
     for segment in segments {
         for bill in &segment.bills {
             let id = RequestId { incarnation: segment.origin.clone(), number: bill.number() };
             if !seen.insert(id) {
-                totals.repeats += 1;
+                totals.duplicates += 1;
                 continue;
             }
             totals.requests += 1;
-            totals.broken += u64::from(bill.3 == Ended::Broken);
-            for Part(version, tokens_in, tokens_out, cost) in &bill.2 {
+            totals.truncated += u64::from(bill.3 == BillOutcome::Truncated);
+            for LineItem(version, tokens_in, tokens_out, cost) in &bill.2 {
                 let key = (bill.1.clone(), version.clone());
                 let total = totals.by_version.entry(key).or_default();
                 total.requests += 1;
@@ -274,8 +278,8 @@
     use super::*;
 
     fn bill(number: u64) -> Bill {
-        let part = Part("m@1".parse().expect("a version"), Tokens(10), Tokens(5), Micros(7));
-        Bill(number, "w".parse().expect("a workspace"), vec![part], Ended::Whole)
+        let item = LineItem("m@1".parse().expect("a version"), Tokens(10), Tokens(5), Micros(7));
+        Bill(number, "w".parse().expect("a workspace"), vec![item], BillOutcome::Complete)
     }
 
     fn origin() -> Incarnation {
@@ -288,26 +292,26 @@
     }
 
     #[test]
-    fn two_writers_of_one_segment_lose_and_double_nothing() {
-        let mut own = Pending::new(origin());
-        let mut held = Pending::new(origin());
+    fn concurrent_segment_writers_bill_each_request_once() {
+        let mut own = PendingBills::new(origin());
+        let mut held = PendingBills::new(origin());
         (1..=3).for_each(|n| own.add(bill(n)));
         (2..=4).for_each(|n| held.add(bill(n)));
         let mut api = BTreeMap::new();
         while !own.is_empty() || !held.is_empty() {
             for writer in [&mut held, &mut own] {
-                if let Some(segment) = writer.segment() {
-                    writer.stands(&create(&mut api, segment));
+                if let Some(segment) = writer.build_segment() {
+                    writer.remove_stored(&create(&mut api, segment));
                 }
             }
         }
-        let totals = total_up(api.values());
+        let totals = sum_segments(api.values());
         assert_eq!(totals.requests, 4);
         assert_eq!(totals.by_version.values().next().expect("a total").cost, Micros(28));
     }
 
     #[test]
-    fn a_bill_is_short_on_the_wire() {
+    fn bill_serializes_as_compact_array() {
         let text = serde_json::to_string(&bill(12345)).expect("JSON");
         assert_eq!(text, r#"[12345,"w",[["m@1",10,5,7]],"whole"]"#);
     }
--- a/crates/tidetrack-core/src/message_auth.rs
+++ b/crates/tidetrack-core/src/message_auth.rs
@@ -8,7 +8,7 @@
 use sha2::{Digest, Sha256};
 
 /// Bytes of a code that are kept: 128 bits.
-const CODE_LEN: usize = 16;
+const MAC_LEN: usize = 16;
 
 /// One secret with the name it is known by.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -54,69 +54,69 @@
 
 impl KeyRing {
     /// Makes the code of `parts`, as hexadecimal text.
-    pub fn make(&self, purpose: Purpose, scope: &str, parts: &[&[u8]]) -> String {
-        to_hex(&code(&self.current, purpose, scope, parts)[..CODE_LEN])
+    pub fn sign(&self, purpose: Purpose, scope: &str, parts: &[&[u8]]) -> String {
+        to_hex(&mac(&self.current, purpose, scope, parts)[..MAC_LEN])
     }
 
     /// Checks a code against the key named `key_id`.
-    pub fn check(
+    pub fn verify(
         &self,
         purpose: Purpose,
         scope: &str,
         parts: &[&[u8]],
         key_id: &str,
-        given: &str,
+        received: &str,
     ) -> bool {
         let key = match &self.previous {
             _ if self.current.id == key_id => &self.current,
             Some(previous) if previous.id == key_id => previous,
             _ => return false,
         };
-        let want = to_hex(&code(key, purpose, scope, parts)[..CODE_LEN]);
-        same(want.as_bytes(), given.as_bytes())
+        let expected = to_hex(&mac(key, purpose, scope, parts)[..MAC_LEN]);
+        constant_time_eq(expected.as_bytes(), received.as_bytes())
     }
 }
 
 /// Sealed text of the form `FORM/KEY/text/CODE`, as sessions and tickets are given to callers.
 impl KeyRing {
     /// Seals `text`, which may itself have slashes, for a scope.
-    pub fn to_token(&self, form: &str, purpose: Purpose, scope: &str, text: &str) -> String {
-        let code = self.make(purpose, scope, &[text.as_bytes()]);
-        format!("{form}/{}/{text}/{code}", self.current.id)
+    pub fn sign_token(&self, format: &str, purpose: Purpose, scope: &str, text: &str) -> String {
+        let mac = self.sign(purpose, scope, &[text.as_bytes()]);
+        format!("{format}/{}/{text}/{mac}", self.current.id)
     }
 
     /// Gets the text out of a token of this form, if the code is right for the scope.
-    pub fn open_token<'a>(
+    pub fn verify_token<'a>(
         &self,
-        form: &str,
+        format: &str,
         purpose: Purpose,
         scope: &str,
         token: &'a str,
     ) -> Option<&'a str> {
-        let (key_id, rest) = token.strip_prefix(form)?.strip_prefix('/')?.split_once('/')?;
-        let (text, code) = rest.rsplit_once('/')?;
-        self.check(purpose, scope, &[text.as_bytes()], key_id, code).then_some(text)
+        let (key_id, rest) = token.strip_prefix(format)?.strip_prefix('/')?.split_once('/')?;
+        let (text, mac) = rest.rsplit_once('/')?;
+        self.verify(purpose, scope, &[text.as_bytes()], key_id, mac).then_some(text)
     }
 }
 
-fn code(key: &Key, purpose: Purpose, scope: &str, parts: &[&[u8]]) -> [u8; 32] {
-    let mut scoped = mac(key.secret.as_bytes());
-    scoped.update(purpose.label());
-    scoped.update(scope.as_bytes());
-    let mut mac = mac(&scoped.finalize().into_bytes());
+fn mac(key: &Key, purpose: Purpose, scope: &str, parts: &[&[u8]]) -> [u8; 32] {
+    let mut scope_hmac = new_hmac(key.secret.as_bytes());
+    scope_hmac.update(purpose.label());
+    scope_hmac.update(scope.as_bytes());
+    let mut hmac = new_hmac(&scope_hmac.finalize().into_bytes());
     for part in parts {
-        mac.update(&(part.len() as u64).to_le_bytes());
-        mac.update(part);
+        hmac.update(&(part.len() as u64).to_le_bytes());
+        hmac.update(part);
     }
-    mac.finalize().into_bytes().into()
+    hmac.finalize().into_bytes().into()
 }
 
-fn mac(key: &[u8]) -> Hmac<Sha256> {
+fn new_hmac(key: &[u8]) -> Hmac<Sha256> {
     Hmac::<Sha256>::new_from_slice(key).expect("HMAC takes a key of any length")
 }
 
 /// Compares without stopping at the first difference.
-fn same(a: &[u8], b: &[u8]) -> bool {
+fn constant_time_eq(a: &[u8], b: &[u8]) -> bool {
     a.len() == b.len() && a.iter().zip(b).fold(0, |acc, (x, y)| acc | (x ^ y)) == 0
 }
 
@@ -139,18 +139,18 @@
     }
 
     #[test]
-    fn a_code_outlives_one_rotation_and_not_two() {
-        let made = ring("a", None).make(Purpose::Session, "w", &[b"x"]);
-        assert!(ring("b", Some("a")).check(Purpose::Session, "w", &[b"x"], "a", &made));
-        assert!(!ring("c", Some("b")).check(Purpose::Session, "w", &[b"x"], "a", &made));
+    fn mac_is_valid_after_one_key_rotation_but_not_two() {
+        let mac = ring("a", None).sign(Purpose::Session, "w", &[b"x"]);
+        assert!(ring("b", Some("a")).verify(Purpose::Session, "w", &[b"x"], "a", &mac));
+        assert!(!ring("c", Some("b")).verify(Purpose::Session, "w", &[b"x"], "a", &mac));
     }
 
     #[test]
-    fn purpose_scope_and_parts_all_count() {
+    fn mac_depends_on_purpose_scope_and_part_boundaries() {
         let ring = ring("a", None);
-        let made = ring.make(Purpose::Session, "w", &[b"ab", b"c"]);
-        assert!(!ring.check(Purpose::Ticket, "w", &[b"ab", b"c"], "a", &made));
-        assert!(!ring.check(Purpose::Session, "v", &[b"ab", b"c"], "a", &made));
-        assert!(!ring.check(Purpose::Session, "w", &[b"a", b"bc"], "a", &made));
+        let mac = ring.sign(Purpose::Session, "w", &[b"ab", b"c"]);
+        assert!(!ring.verify(Purpose::Ticket, "w", &[b"ab", b"c"], "a", &mac));
+        assert!(!ring.verify(Purpose::Session, "v", &[b"ab", b"c"], "a", &mac));
+        assert!(!ring.verify(Purpose::Session, "w", &[b"a", b"bc"], "a", &mac));
     }
 }
--- a/crates/tidetrack-core/src/node/items.rs
+++ b/crates/tidetrack-core/src/node/items.rs
@@ -53,7 +53,7 @@
     pub(super) fn items_for(&mut self, host: &HostId, link: &Link) -> (u64, Vec<Item>) {
         let cursor = link.acked_by_peer;
         let most = link.items.most.min(self.options.items_most);
-        let mut news = self.items.news_for(link.peer_life.as_ref(), cursor);
+        let mut news = self.items.changes_for(link.peer_life.as_ref(), cursor);
         let mut items = Vec::new();
         let mut seq = cursor;
         for (at, item) in news.by_ref().take(most) {
--- a/crates/tidetrack-core/src/node/mod.rs
+++ b/crates/tidetrack-core/src/node/mod.rs
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, MutexGuard};
 
-use crate::change_log::Journal;
+use crate::change_log::ChangeLog;
 use crate::events::Event;
 use crate::evidence::{Counts, Evidence};
 use crate::facts::Facts;
@@ -111,7 +111,7 @@
     urgent_seq: u64,
     pulls: Pulls,
     sought_at: Millis,
-    items: Journal<ItemKey, Item>,
+    items: ChangeLog<ItemKey, Item>,
     links: BTreeMap<HostId, Link>,
     seeds: BTreeMap<HostId, String>,
     peers: Option<(u64, Vec<(HostId, String)>)>,
@@ -126,7 +126,7 @@
     /// Makes the state of a host that has just started.
     pub fn new(own: Member, options: NodeOptions, nonce: u64) -> Node {
         let incarnation = own.incarnation.clone();
-        let mut items = Journal::default();
+        let mut items = ChangeLog::default();
         let item = Item::Member(own.clone());
         items.put(item.key(), item);
         Node {
--- a/crates/tidetrack-core/src/session.rs
+++ b/crates/tidetrack-core/src/session.rs
@@ -36,13 +36,13 @@
 
     /// Makes the token.
     pub fn to_token(&self, ring: &KeyRing) -> String {
-        ring.to_token(FORM, Purpose::Session, self.workspace.as_str(), &self.text())
+        ring.sign_token(FORM, Purpose::Session, self.workspace.as_str(), &self.text())
     }
 
     /// Reads a token that `workspace` sends.
     pub fn from_token(token: &str, workspace: &WorkspaceId, ring: &KeyRing) -> Result<Session> {
         let bad = || Error::new(Code::BadToken, "the session token is not one of this workspace");
-        let text = ring.open_token(FORM, Purpose::Session, workspace.as_str(), token);
+        let text = ring.verify_token(FORM, Purpose::Session, workspace.as_str(), token);
         let fields: Vec<&str> = text.ok_or_else(bad)?.split('/').collect();
         let [route, version, generation, nonce] = fields[..] else { return Err(bad()) };
         Ok(Session {
--- a/crates/tidetrack-core/tests/properties.rs
+++ b/crates/tidetrack-core/tests/properties.rs
@@ -5,7 +5,7 @@
 use tidetrack_core::config::{Kind, ObjectKey};
 use tidetrack_core::declare::read_folder;
 use tidetrack_core::ids::RequestId;
-use tidetrack_core::ledger::{total_up, Bill, Ended, Segment};
+use tidetrack_core::ledger::{sum_segments, Bill, BillOutcome, Segment};
 use tidetrack_core::message_auth::{Key, KeyRing};
 use tidetrack_core::policy::{Features, Program};
 use tidetrack_core::session::Session;
@@ -108,7 +108,7 @@
     fn totals_count_each_bill_once_however_segments_overlap(
         segments in proptest::collection::vec(proptest::collection::vec(0u64..40, 0..20), 0..8),
     ) {
-        let bill = |n: u64| Bill(n, "w".parse().expect("a workspace"), Vec::new(), Ended::Whole);
+        let bill = |n: u64| Bill(n, "w".parse().expect("a workspace"), Vec::new(), BillOutcome::Complete);
         let distinct: std::collections::BTreeSet<u64> = segments.iter().flatten().copied().collect();
         let segments: Vec<Segment> = segments
             .into_iter()
@@ -119,7 +119,7 @@
                 bills: numbers.into_iter().map(bill).collect(),
             })
             .collect();
-        prop_assert_eq!(total_up(&segments).requests, distinct.len() as u64);
+        prop_assert_eq!(sum_segments(&segments).requests, distinct.len() as u64);
     }
 
     #[test]
--- a/crates/tidetrack-ctl/src/apply.rs
+++ b/crates/tidetrack-ctl/src/apply.rs
@@ -13,10 +13,10 @@
 use tidetrack_core::declare::Declared;
 use tidetrack_core::errors::{Error, Result};
 use tidetrack_core::store::Entry;
-use tidetrack_wire::platform::{config_name, PlatformClient};
+use tidetrack_wire::platform::{config_object_name, PlatformClient};
 
 /// Tries at one object while the object API is over its rate.
-const BUSY_TRIES: u32 = 20;
+const MAX_BUSY_ATTEMPTS: u32 = 20;
 
 /// What is to be done with an object.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
@@ -61,7 +61,7 @@
 }
 
 /// Objects that others name come first, so that no host sees a name without its object.
-const ORDER: [Kind; 9] = [
+const APPLY_ORDER: [Kind; 9] = [
     Kind::KeyRing,
     Kind::Pool,
     Kind::Version,
@@ -73,56 +73,59 @@
     Kind::Objective,
 ];
 
-fn order_of(kind: Kind) -> usize {
-    ORDER.iter().position(|k| *k == kind).unwrap_or(ORDER.len())
+fn apply_order(kind: Kind) -> usize {
+    APPLY_ORDER.iter().position(|k| *k == kind).unwrap_or(APPLY_ORDER.len())
 }
 
 /// Compares what is declared with what is there.
 pub fn diff(platform: &PlatformClient, declared: &Declared, prune: bool) -> Result<Vec<DiffLine>> {
     let (_, entries) = platform.list_config()?;
-    let there: BTreeMap<ObjectKey, Entry> =
+    let stored: BTreeMap<ObjectKey, Entry> =
         entries.into_iter().map(|e| (e.key.clone(), e)).collect();
-    let mut lines: Vec<DiffLine> =
-        declared.iter().filter_map(|(key, object)| diff_one(key, object, there.get(key))).collect();
-    lines.sort_by_key(|l| order_of(l.key.kind));
+    let mut lines: Vec<DiffLine> = declared
+        .iter()
+        .filter_map(|(key, object)| diff_object(key, object, stored.get(key)))
+        .collect();
+    lines.sort_by_key(|l| apply_order(l.key.kind));
     if prune {
-        let stray = |k: &&ObjectKey| k.kind.is_declared() && !declared.contains_key(k);
-        let mut gone: Vec<DiffLine> = there
+        let is_undeclared = |k: &&ObjectKey| k.kind.is_declared() && !declared.contains_key(k);
+        let mut deletions: Vec<DiffLine> = stored
             .keys()
-            .filter(stray)
+            .filter(is_undeclared)
             .map(|key| DiffLine {
                 key: key.clone(),
                 change: Change::Delete,
-                version: there[key].version,
+                version: stored[key].version,
                 body: None,
                 members: Vec::new(),
             })
             .collect();
         // What names others goes before what it names.
-        gone.sort_by_key(|l| std::cmp::Reverse(order_of(l.key.kind)));
-        lines.extend(gone);
+        deletions.sort_by_key(|l| std::cmp::Reverse(apply_order(l.key.kind)));
+        lines.extend(deletions);
     }
     Ok(lines)
 }
 
-fn diff_one(key: &ObjectKey, object: &Object, there: Option<&Entry>) -> Option<DiffLine> {
+fn diff_object(key: &ObjectKey, object: &Object, stored: Option<&Entry>) -> Option<DiffLine> {
     let body = object.to_json();
-    let old = there.and_then(|e| e.body.as_deref());
-    let members = old.map(|old| differing_members(old, &body)).unwrap_or_default();
-    let change = match old {
+    let current = stored.and_then(|e| e.body.as_deref());
+    let members = current.map(|current| differing_members(current, &body)).unwrap_or_default();
+    let change = match current {
         None => Change::Create,
         Some(_) if members.is_empty() => return None,
         Some(_) => Change::Update,
     };
-    let version = there.map_or(0, |e| e.version);
+    let version = stored.map_or(0, |e| e.version);
     Some(DiffLine { key: key.clone(), change, version, body: Some(body), members })
 }
 
-fn differing_members(old: &str, new: &str) -> Vec<String> {
+fn differing_members(current: &str, new: &str) -> Vec<String> {
     type Members = BTreeMap<String, serde_json::Value>;
     let read = |text: &str| serde_json::from_str::<Members>(text).unwrap_or_default();
-    let (old, new) = (read(old), read(new));
-    let names = old.keys().chain(new.keys()).filter(|name| old.get(*name) != new.get(*name));
+    let (current, new) = (read(current), read(new));
+    let names =
+        current.keys().chain(new.keys()).filter(|name| current.get(*name) != new.get(*name));
     let mut names: Vec<String> = names.cloned().collect();
     names.sort();
     names.dedup();
@@ -131,16 +134,16 @@
 
 /// What came of an apply.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Applied {
+pub struct ApplyReport {
     /// Objects written or deleted.
     pub done: Vec<ObjectKey>,
     /// Objects that were left as they are, and why.
     pub failed: Vec<(ObjectKey, Error)>,
 }
 
-impl Applied {
+impl ApplyReport {
     /// Gets the first failure.
-    pub fn failure(&self) -> Option<Error> {
+    pub fn first_failure(&self) -> Option<Error> {
         let (key, e) = self.failed.first()?;
         Some(Error { message: format!("{key}: {}", e.message), ..e.clone() })
     }
@@ -151,10 +154,10 @@
     platform: &PlatformClient,
     lines: &[DiffLine],
     progress: &mut dyn FnMut(usize, &DiffLine),
-) -> Applied {
-    let mut applied = Applied::default();
+) -> ApplyReport {
+    let mut applied = ApplyReport::default();
     for (i, line) in lines.iter().enumerate() {
-        match apply_one(platform, line) {
+        match apply_line(platform, line) {
             Ok(()) => {
                 progress(i + 1, line);
                 applied.done.push(line.key.clone());
@@ -165,11 +168,11 @@
     applied
 }
 
-fn apply_one(platform: &PlatformClient, line: &DiffLine) -> Result<()> {
-    let name = config_name(&line.key);
-    for _ in 0..BUSY_TRIES {
+fn apply_line(platform: &PlatformClient, line: &DiffLine) -> Result<()> {
+    let name = config_object_name(&line.key);
+    for _ in 0..MAX_BUSY_ATTEMPTS {
         let result = match &line.body {
-            Some(body) => platform.write_settled(&name, line.version, body),
+            Some(body) => platform.write_confirmed(&name, line.version, body),
             None => platform.delete(&name, line.version),
         };
         match result {
--- a/crates/tidetrack-ctl/src/bill.rs
+++ b/crates/tidetrack-ctl/src/bill.rs
@@ -3,18 +3,18 @@
 use std::fmt::Write;
 
 use tidetrack_core::errors::Result;
-use tidetrack_core::ledger::{total_up, Totals};
+use tidetrack_core::ledger::{sum_segments, LedgerTotals};
 use tidetrack_router::billing::read_ledger;
 use tidetrack_wire::platform::PlatformClient;
 
 /// Reads the ledger and adds it up.
-pub fn totals(platform: &PlatformClient) -> Result<Totals> {
+pub fn totals(platform: &PlatformClient) -> Result<LedgerTotals> {
     let segments = read_ledger(platform)?;
-    Ok(total_up(segments.values()))
+    Ok(sum_segments(segments.values()))
 }
 
 /// Renders totals for a person.
-pub fn render(totals: &Totals) -> String {
+pub fn render(totals: &LedgerTotals) -> String {
     let mut out = String::from(
         "workspace        version              requests   tokens in  tokens out        cost\n",
     );
@@ -33,23 +33,23 @@
             t.cost.0
         );
     }
-    let Totals { requests, repeats, broken, .. } = totals;
+    let LedgerTotals { requests, duplicates, truncated, .. } = totals;
     let _ = writeln!(
         out,
-        "{requests} requests, {broken} broken off, {repeats} repeats left out; cost {cost} micros"
+        "{requests} requests, {truncated} broken off, {duplicates} repeats left out; cost {cost} micros"
     );
     out
 }
 
 /// Renders totals for machines.
-pub fn to_json(totals: &Totals) -> serde_json::Value {
+pub fn to_json(totals: &LedgerTotals) -> serde_json::Value {
     let rows = totals.by_version.iter().map(|((workspace, version), t)| {
         serde_json::json!({"workspace": workspace, "version": version, "total": t})
     });
     serde_json::json!({
         "requests": totals.requests,
-        "repeats": totals.repeats,
-        "broken": totals.broken,
+        "repeats": totals.duplicates,
+        "broken": totals.truncated,
         "rows": rows.collect::<Vec<_>>(),
     })
 }
--- a/crates/tidetrack-ctl/src/dry_run.rs
+++ b/crates/tidetrack-ctl/src/dry_run.rs
@@ -14,7 +14,7 @@
 /// One recorded request, a line of JSON.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Recorded {
+pub struct RecordedRequest {
     /// The workspace.
     #[serde(default)]
     pub workspace: String,
@@ -33,42 +33,44 @@
 
 /// What came of a dry run.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct DryRun {
+pub struct DryRunReport {
     /// Requests run.
     pub requests: u64,
     /// Requests for which the policy's first rung is the script's choice.
-    pub same: u64,
+    #[serde(rename = "same")]
+    pub matched: u64,
     /// Requests for which the policy failed.
     pub failed: u64,
     /// How often the script chose one model and the policy another.
-    pub moved: BTreeMap<String, u64>,
+    #[serde(rename = "moved")]
+    pub changed: BTreeMap<String, u64>,
 }
 
 /// Runs a route's policy on recorded lines; a line that does not read is an error that names it.
-pub fn run(declared: &Declared, route: &RouteId, file: &str, lines: &str) -> Result<DryRun> {
+pub fn run(declared: &Declared, route: &RouteId, file: &str, lines: &str) -> Result<DryRunReport> {
     let key = ObjectKey::new(Kind::Policy, route);
     let Some(Object::Policy(policy)) = declared.get(&key) else {
         return Err(unknown(Code::UnknownRoute, "route", route));
     };
     let program = Program::compile(policy)?;
-    let mut out = DryRun::default();
+    let mut report = DryRunReport::default();
     for (i, line) in lines.lines().enumerate().filter(|(_, l)| !l.trim().is_empty()) {
-        let recorded: Recorded = serde_json::from_str(line)
+        let recorded: RecordedRequest = serde_json::from_str(line)
             .map_err(|e| Error::new(Code::BadValue, format!("{file}:{}: {e}", i + 1)))?;
-        out.requests += 1;
-        match program.decide(&features_of(&recorded, route), &[]) {
-            Err(_) => out.failed += 1,
-            Ok(plan) if plan.rungs[0].as_str() == recorded.choice => out.same += 1,
+        report.requests += 1;
+        match program.decide(&request_features(&recorded, route), &[]) {
+            Err(_) => report.failed += 1,
+            Ok(plan) if plan.rungs[0].as_str() == recorded.choice => report.matched += 1,
             Ok(plan) => {
-                let moved = format!("{} -> {}", recorded.choice, plan.rungs[0]);
-                *out.moved.entry(moved).or_default() += 1;
+                let changed = format!("{} -> {}", recorded.choice, plan.rungs[0]);
+                *report.changed.entry(changed).or_default() += 1;
             }
         }
     }
-    Ok(out)
+    Ok(report)
 }
 
-fn features_of(r: &Recorded, route: &RouteId) -> Features {
+fn request_features(r: &RecordedRequest, route: &RouteId) -> Features {
     Features {
         workspace: r.workspace.clone(),
         route: route.to_string(),
--- a/crates/tidetrack-ctl/src/explain.rs
+++ b/crates/tidetrack-ctl/src/explain.rs
@@ -16,12 +16,12 @@
 
 /// Beliefs that changed so long before the request still belong to its story, in seconds: a lost
 /// store matters once its last proof is too old.
-const BEFORE_S: f64 = 6.0;
+const CONTEXT_SECONDS: f64 = 6.0;
 
 /// Fields that are printed in front or not at all.
-const OWN_PLACE: [&str; 7] = ["time", "host", "msg", "event", "level", "left_out", "request"];
+const OMITTED_FIELDS: [&str; 7] = ["time", "host", "msg", "event", "level", "left_out", "request"];
 
-struct Line {
+struct LogLine {
     time: f64,
     host: String,
     event: String,
@@ -29,12 +29,12 @@
     fields: Map<String, Value>,
 }
 
-impl Line {
+impl LogLine {
     /// Reads a line; whatever stands before its opening brace is another program's.
-    fn read(text: &str) -> Option<Line> {
+    fn parse(text: &str) -> Option<LogLine> {
         let fields: Map<String, Value> = serde_json::from_str(&text[text.find('{')?..]).ok()?;
         let string = |name: &str| fields.get(name).and_then(Value::as_str).map(str::to_string);
-        Some(Line {
+        Some(LogLine {
             time: fields.get("time").and_then(Value::as_f64).unwrap_or(0.0),
             host: string("host")?,
             event: string("event")?,
@@ -44,27 +44,29 @@
     }
 
     /// Tells whether the line is about what the host believes of others.
-    fn is_belief(&self) -> bool {
+    fn is_state_change(&self) -> bool {
         self.event.starts_with("E2") || self.event.starts_with("E1")
     }
 
     /// Tells whether a text names something the line is about.
-    fn names(&self, text: &str) -> bool {
+    fn mentions(&self, text: &str) -> bool {
         self.fields.values().filter_map(Value::as_str).any(|value| value.contains(text))
     }
 
-    fn render(&self, began: f64, out: &mut String) {
+    fn render(&self, start_time: f64, out: &mut String) {
         let msg = self.fields.get("msg").and_then(Value::as_str).unwrap_or_default();
-        let mark = if self.request.is_some() { ' ' } else { '~' };
+        let marker = if self.request.is_some() { ' ' } else { '~' };
         // Writing to a string does not fail.
         let _ = write!(
             out,
-            "{:>+9.3}s {mark} {:<20} {} {msg}",
-            self.time - began,
+            "{:>+9.3}s {marker} {:<20} {} {msg}",
+            self.time - start_time,
             self.host,
             self.event
         );
-        for (name, value) in self.fields.iter().filter(|(n, _)| !OWN_PLACE.contains(&n.as_str())) {
+        for (name, value) in
+            self.fields.iter().filter(|(n, _)| !OMITTED_FIELDS.contains(&n.as_str()))
+        {
             let _ = match value {
                 Value::String(text) => write!(out, " {name}={text}"),
                 other => write!(out, " {name}={other}"),
@@ -76,30 +78,35 @@
 
 /// Tells the story of a request from the texts of logs.
 pub fn explain(id: &str, logs: &[String]) -> Result<String> {
-    let lines = logs.iter().flat_map(|text| text.lines()).filter_map(Line::read);
-    let mut lines: Vec<Line> = lines.collect();
+    let lines = logs.iter().flat_map(|text| text.lines()).filter_map(LogLine::parse);
+    let mut lines: Vec<LogLine> = lines.collect();
     lines.sort_by(|a, b| a.time.total_cmp(&b.time));
-    let is_print = id.parse::<Fingerprint>().is_ok();
-    let has_print = |l: &&Line| l.fields.get("fingerprint").and_then(Value::as_str) == Some(id);
-    let copies: BTreeSet<String> =
-        lines.iter().filter(has_print).filter_map(|l| l.request.clone()).collect();
-    let own = |l: &&Line| {
-        let is_copy = l.request.as_deref().is_some_and(|r| r == id || copies.contains(r));
-        is_copy || (is_print && l.names(id))
+    let is_fingerprint = id.parse::<Fingerprint>().is_ok();
+    let has_fingerprint =
+        |l: &&LogLine| l.fields.get("fingerprint").and_then(Value::as_str) == Some(id);
+    let copy_ids: BTreeSet<String> =
+        lines.iter().filter(has_fingerprint).filter_map(|l| l.request.clone()).collect();
+    let is_own = |l: &&LogLine| {
+        let is_copy = l.request.as_deref().is_some_and(|r| r == id || copy_ids.contains(r));
+        is_copy || (is_fingerprint && l.mentions(id))
     };
-    let times: Vec<f64> = lines.iter().filter(own).map(|l| l.time).collect();
-    let (Some(began), Some(ended)) = (times.first().copied(), times.last().copied()) else {
+    let times: Vec<f64> = lines.iter().filter(is_own).map(|l| l.time).collect();
+    let (Some(start_time), Some(end_time)) = (times.first().copied(), times.last().copied()) else {
         return Err(Error::new(
             Code::ObjectGone,
             format!("no line of the logs names request {id}"),
         ));
     };
-    let hosts: BTreeSet<String> = lines.iter().filter(own).map(|l| l.host.clone()).collect();
-    let belongs = |l: &&Line| {
-        let meanwhile = l.time >= began - BEFORE_S && l.time <= ended;
-        own(l) || (l.request.is_none() && l.is_belief() && meanwhile && hosts.contains(&l.host))
+    let hosts: BTreeSet<String> = lines.iter().filter(is_own).map(|l| l.host.clone()).collect();
+    let is_relevant = |l: &&LogLine| {
+        let is_in_window = l.time >= start_time - CONTEXT_SECONDS && l.time <= end_time;
+        is_own(l)
+            || (l.request.is_none()
+                && l.is_state_change()
+                && is_in_window
+                && hosts.contains(&l.host))
     };
     let mut out = format!("request {id}: {} lines of {} host(s)\n", times.len(), hosts.len());
-    lines.iter().filter(belongs).for_each(|l| l.render(began, &mut out));
+    lines.iter().filter(is_relevant).for_each(|l| l.render(start_time, &mut out));
     Ok(out)
 }
--- a/crates/tidetrack-ctl/src/folder.rs
+++ b/crates/tidetrack-ctl/src/folder.rs
@@ -10,17 +10,17 @@
 /// Reads and checks all `.toml` files of a folder and the folders in it.
 pub fn read(dir: &Path) -> Result<Declared> {
     let mut files = Vec::new();
-    collect(dir, &mut files)?;
+    collect_files(dir, &mut files)?;
     files.sort();
     Ok(read_folder(&files).map_err(|faults| faults_error(Code::BadDeclaration, &faults))?)
 }
 
-fn collect(dir: &Path, files: &mut Vec<(String, String)>) -> Result<()> {
+fn collect_files(dir: &Path, files: &mut Vec<(String, String)>) -> Result<()> {
     let entries = std::fs::read_dir(dir).with_context(|| dir.display().to_string())?;
     for entry in entries {
         let path = entry?.path();
         if path.is_dir() {
-            collect(&path, files)?;
+            collect_files(&path, files)?;
         } else if path.extension().is_some_and(|e| e == "toml") {
             let name = path.display().to_string();
             let text = std::fs::read_to_string(&path).with_context(|| name.clone())?;
--- a/crates/tidetrack-ctl/src/main.rs
+++ b/crates/tidetrack-ctl/src/main.rs
@@ -15,7 +15,7 @@
 use tidetrack_core::facts::{Fact, Subject};
 use tidetrack_core::ids::{RolloutId, RouteId, VersionRef};
 use tidetrack_ctl::{apply, bill, calls, dry_run, explain, folder, rollout, status};
-use tidetrack_wire::platform::{config_name, PlatformClient};
+use tidetrack_wire::platform::{config_object_name, PlatformClient};
 
 const USAGE: &str = "tidetrackctl COMMAND [options]
 
@@ -39,7 +39,7 @@
 const EXIT_CONFLICT: u8 = 20;
 
 /// Exit status of a code `TT-Nxxx` is this and N.
-const EXIT_BY_CODE: u8 = 10;
+const EXIT_CODE_BASE: u8 = 10;
 
 /// Exit status for a wrong command line.
 const EXIT_USAGE: u8 = 2;
@@ -78,37 +78,37 @@
     match e.downcast_ref::<Error>().map(|e| e.code) {
         Some(Code::Conflict) => EXIT_CONFLICT,
         Some(Code::BadUsage) => EXIT_USAGE,
-        Some(code) => EXIT_BY_CODE + (code.number() / 1000) as u8,
+        Some(code) => EXIT_CODE_BASE + (code.number() / 1000) as u8,
         None => 1,
     }
 }
 
-fn usage(why: &str) -> anyhow::Error {
-    anyhow!(Error::new(Code::BadUsage, format!("{why}\n{}", options().usage(USAGE))))
+fn usage_error(reason: &str) -> anyhow::Error {
+    anyhow!(Error::new(Code::BadUsage, format!("{reason}\n{}", options().usage(USAGE))))
 }
 
 fn run(args: &[String]) -> Result<()> {
-    let matches = options().parse(args).map_err(|e| usage(&e.to_string()))?;
+    let matches = options().parse(args).map_err(|e| usage_error(&e.to_string()))?;
     if matches.opt_present("help") {
         println!("{}", options().usage(USAGE));
         return Ok(());
     }
-    let words: Vec<&str> = matches.free.iter().map(String::as_str).collect();
-    match words[..] {
+    let positional: Vec<&str> = matches.free.iter().map(String::as_str).collect();
+    match positional[..] {
         ["check", dir] => check(&matches, dir),
         ["diff", dir] => diff(&matches, dir),
-        ["apply", dir] => do_apply(&matches, dir),
+        ["apply", dir] => run_apply(&matches, dir),
         ["get", key] => get(&matches, key),
         ["withdraw", version] => withdraw(&matches, version),
-        ["rollout", verb, name] => do_rollout(&matches, verb, name),
+        ["rollout", verb, name] => run_rollout(&matches, verb, name),
         ["status"] => show_status(&matches),
         ["calls"] => show_calls(&matches),
         ["bill"] => show_bill(&matches),
-        ["dry-run", dir, route, file] => do_dry_run(&matches, dir, route, file),
+        ["dry-run", dir, route, file] => run_dry_run(&matches, dir, route, file),
         ["explain", id, ref files @ ..] => explain_request(id, files),
         ["codes"] => print(&format!("{}\n{}", codes_table(), events_table())),
-        [] => Err(usage("no command")),
-        _ => Err(usage(&format!("cannot make sense of {:?}", words.join(" ")))),
+        [] => Err(usage_error("no command")),
+        _ => Err(usage_error(&format!("cannot make sense of {:?}", positional.join(" ")))),
     }
 }
 
@@ -133,12 +133,12 @@
     print(&format!("{}\n", serde_json::to_string_pretty(value)?))
 }
 
-fn platform(matches: &Matches) -> Result<PlatformClient> {
-    let address = matches.opt_str("platform").ok_or_else(|| usage("no --platform"))?;
+fn platform_client(matches: &Matches) -> Result<PlatformClient> {
+    let address = matches.opt_str("platform").ok_or_else(|| usage_error("no --platform"))?;
     Ok(PlatformClient::new(&address))
 }
 
-fn key(matches: &Matches) -> String {
+fn operator_key(matches: &Matches) -> String {
     let from_env = || std::env::var("TIDETRACK_OPERATOR_KEY").unwrap_or_default();
     matches.opt_str("key").unwrap_or_else(from_env)
 }
@@ -153,7 +153,7 @@
 
 fn diff(matches: &Matches, dir: &str) -> Result<()> {
     let declared = folder::read(Path::new(dir))?;
-    let lines = apply::diff(&platform(matches)?, &declared, matches.opt_present("prune"))?;
+    let lines = apply::diff(&platform_client(matches)?, &declared, matches.opt_present("prune"))?;
     show_diff(matches, &lines)
 }
 
@@ -165,9 +165,9 @@
     print(&if lines.is_empty() { "nothing to change\n".to_string() } else { text })
 }
 
-fn do_apply(matches: &Matches, dir: &str) -> Result<()> {
+fn run_apply(matches: &Matches, dir: &str) -> Result<()> {
     let declared = folder::read(Path::new(dir))?;
-    let platform = platform(matches)?;
+    let platform = platform_client(matches)?;
     let lines = apply::diff(&platform, &declared, matches.opt_present("prune"))?;
     let json = matches.opt_present("json");
     if lines.is_empty() && !json {
@@ -185,7 +185,7 @@
     for (key, e) in &applied.failed {
         eprintln!("{key}: {e}");
     }
-    match applied.failure() {
+    match applied.first_failure() {
         Some(e) => Err(e.into()),
         None => Ok(()),
     }
@@ -193,10 +193,11 @@
 
 fn get(matches: &Matches, key: &str) -> Result<()> {
     let key: ObjectKey = key.parse()?;
-    let stored = platform(matches)?.fetch(&config_name(&key)).map_err(|e| match e.code {
-        Code::ObjectGone => Error::new(Code::ObjectGone, format!("no {key}")),
-        _ => e,
-    })?;
+    let stored =
+        platform_client(matches)?.fetch(&config_object_name(&key)).map_err(|e| match e.code {
+            Code::ObjectGone => Error::new(Code::ObjectGone, format!("no {key}")),
+            _ => e,
+        })?;
     let body: serde_json::Value = serde_json::from_str(&stored.body.unwrap_or_default())?;
     print_json(&serde_json::json!({"key": key, "version": stored.version, "body": body}))
 }
@@ -204,21 +205,21 @@
 fn withdraw(matches: &Matches, version: &str) -> Result<()> {
     let version: VersionRef = version.parse()?;
     if matches.opt_present("via") {
-        let host = matches.opt_str("host").ok_or_else(|| usage("--via needs --host"))?;
+        let host = matches.opt_str("host").ok_or_else(|| usage_error("--via needs --host"))?;
         let generation = matches.opt_get_default("generation", 1u64);
-        let generation = generation.map_err(|e| usage(&format!("--generation: {e}")))?;
+        let generation = generation.map_err(|e| usage_error(&format!("--generation: {e}")))?;
         let fact = Fact { subject: Subject::Withdrawn(version.clone()), generation };
-        status::tell(&host, &key(matches), &fact)?;
+        status::send_fact(&host, &operator_key(matches), &fact)?;
         return print(&format!("{host} knows that {version} is withdrawn and passes it on\n"));
     }
     let reason = matches.opt_str("reason").unwrap_or_default();
-    let revision = rollout::withdraw(&platform(matches)?, &version, &reason)?;
+    let revision = rollout::withdraw(&platform_client(matches)?, &version, &reason)?;
     print(&format!("{version} is withdrawn at revision {revision}\n"))
 }
 
-fn do_rollout(matches: &Matches, verb: &str, name: &str) -> Result<()> {
+fn run_rollout(matches: &Matches, verb: &str, name: &str) -> Result<()> {
     let id: RolloutId = name.parse()?;
-    let state = rollout::act(&platform(matches)?, &id, verb.parse()?)?;
+    let state = rollout::apply_verb(&platform_client(matches)?, &id, verb.parse()?)?;
     match matches.opt_present("json") {
         true => print_json(&state),
         false => print(&format!("{id}: {:?}, stage {}\n", state.phase, state.stage)),
@@ -228,17 +229,18 @@
 fn show_status(matches: &Matches) -> Result<()> {
     let hosts = matches.opt_strs("host");
     if hosts.is_empty() {
-        return Err(usage("status needs --host, once for each router"));
+        return Err(usage_error("status needs --host, once for each router"));
     }
-    let key = key(matches);
-    let all: Vec<_> = hosts.into_iter().map(|h| (h.clone(), status::fetch(&h, &key))).collect();
+    let key = operator_key(matches);
+    let statuses: Vec<_> =
+        hosts.into_iter().map(|h| (h.clone(), status::fetch_status(&h, &key))).collect();
     if matches.opt_present("json") {
-        let good: Vec<_> = all.iter().filter_map(|(_, s)| s.as_ref().ok()).collect();
-        print_json(&good)?;
+        let fetched: Vec<_> = statuses.iter().filter_map(|(_, s)| s.as_ref().ok()).collect();
+        print_json(&fetched)?;
     } else {
-        print(&status::render(&all))?;
+        print(&status::render(&statuses))?;
     }
-    match all.into_iter().find_map(|(_, s)| s.err()) {
+    match statuses.into_iter().find_map(|(_, s)| s.err()) {
         Some(e) => Err(e.into()),
         None => Ok(()),
     }
@@ -247,11 +249,11 @@
 fn show_calls(matches: &Matches) -> Result<()> {
     let hosts = matches.opt_strs("host");
     if hosts.is_empty() {
-        return Err(usage("calls needs --host, once for each host's metrics address"));
+        return Err(usage_error("calls needs --host, once for each host's metrics address"));
     }
     let (mut pages, mut failed) = (Vec::new(), None);
     for host in &hosts {
-        match calls::fetch(host) {
+        match calls::fetch_metrics(host) {
             Ok(page) => pages.push(page),
             Err(e) => {
                 eprintln!("{e}");
@@ -259,34 +261,34 @@
             }
         }
     }
-    let all = calls::sum(pages.iter().map(String::as_str));
+    let counts = calls::sum_calls(pages.iter().map(String::as_str));
     match matches.opt_present("json") {
-        true => print_json(&all)?,
-        false => print(&calls::render(&all))?,
+        true => print_json(&counts)?,
+        false => print(&calls::render(&counts))?,
     }
     failed.map_or(Ok(()), |e| Err(e.into()))
 }
 
 fn show_bill(matches: &Matches) -> Result<()> {
-    let totals = bill::totals(&platform(matches)?)?;
+    let totals = bill::totals(&platform_client(matches)?)?;
     match matches.opt_present("json") {
         true => print_json(&bill::to_json(&totals)),
         false => print(&bill::render(&totals)),
     }
 }
 
-fn do_dry_run(matches: &Matches, dir: &str, route: &str, file: &str) -> Result<()> {
+fn run_dry_run(matches: &Matches, dir: &str, route: &str, file: &str) -> Result<()> {
     let declared = folder::read(Path::new(dir))?;
     let route: RouteId = route.parse()?;
     let lines = std::fs::read_to_string(file).with_context(|| file.to_string())?;
-    let out = dry_run::run(&declared, &route, file, &lines)?;
+    let report = dry_run::run(&declared, &route, file, &lines)?;
     if matches.opt_present("json") {
-        return print_json(&out);
+        return print_json(&report);
     }
     let mut text = format!(
         "{} requests: {} as the script chose, {} failed\n",
-        out.requests, out.same, out.failed
+        report.requests, report.matched, report.failed
     );
-    out.moved.iter().for_each(|(moved, n)| text.push_str(&format!("{n:>8} {moved}\n")));
+    report.changed.iter().for_each(|(changed, n)| text.push_str(&format!("{n:>8} {changed}\n")));
     print(&text)
 }
--- a/crates/tidetrack-ctl/src/rollout.rs
+++ b/crates/tidetrack-ctl/src/rollout.rs
@@ -7,11 +7,11 @@
 use tidetrack_core::errors::{Error, Result};
 use tidetrack_core::ids::{RolloutId, VersionRef};
 use tidetrack_core::rollout::first_state;
-use tidetrack_wire::platform::{config_name, PlatformClient};
+use tidetrack_wire::platform::{config_object_name, PlatformClient};
 
 /// Updates tried against hosts that write to the same object. Each of them writes at most every few
 /// hundred milliseconds, so a second conflict is rare.
-const WRITE_TRIES: usize = 8;
+const MAX_WRITE_ATTEMPTS: usize = 8;
 
 /// What an operator does with a roll-out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -47,7 +47,7 @@
 }
 
 fn read(platform: &PlatformClient, key: &ObjectKey) -> Result<(u64, Object)> {
-    let stored = platform.fetch(&config_name(key)).map_err(|e| match e.code {
+    let stored = platform.fetch(&config_object_name(key)).map_err(|e| match e.code {
         Code::ObjectGone => Error::new(Code::ObjectGone, format!("no {key}")),
         _ => e,
     })?;
@@ -68,49 +68,51 @@
 pub fn withdraw(platform: &PlatformClient, version: &VersionRef, reason: &str) -> Result<u64> {
     let generation = version_of(platform, version)?.generation;
     let key = ObjectKey::new(Kind::Withdrawal, version);
-    let there = match read(platform, &key) {
-        Ok((at, Object::Withdrawal(w))) if w.generation >= generation => return Ok(at),
-        Ok((at, _)) => at,
+    let stored_version = match read(platform, &key) {
+        Ok((object_version, Object::Withdrawal(w))) if w.generation >= generation => {
+            return Ok(object_version)
+        }
+        Ok((object_version, _)) => object_version,
         Err(e) if e.code == Code::ObjectGone => 0,
         Err(e) => return Err(e),
     };
     let body = Object::Withdrawal(Withdrawal { generation, reason: reason.into() }).to_json();
-    Ok(platform.write_settled(&config_name(&key), there, &body)?.version)
+    Ok(platform.write_confirmed(&config_object_name(&key), stored_version, &body)?.version)
 }
 
 /// A roll-out's state as it was read, with what a verb needs to know beside it.
-struct Standing {
+struct RolloutSnapshot {
     key: ObjectKey,
-    at: u64,
+    object_version: u64,
     state: Option<RolloutState>,
     generation: u64,
     stages: usize,
 }
 
-impl Standing {
-    fn read(platform: &PlatformClient, id: &RolloutId) -> Result<Standing> {
+impl RolloutSnapshot {
+    fn read(platform: &PlatformClient, id: &RolloutId) -> Result<RolloutSnapshot> {
         let Object::Rollout(spec) = read(platform, &ObjectKey::new(Kind::Rollout, id))?.1 else {
             return Err(Error::new(Code::Internal, "a roll-out of another kind"));
         };
         let generation = version_of(platform, &spec.to)?.generation;
         let key = ObjectKey::new(Kind::RolloutState, id);
-        let (at, state) = match read(platform, &key) {
-            Ok((at, Object::RolloutState(state))) => (at, Some(state)),
+        let (object_version, state) = match read(platform, &key) {
+            Ok((object_version, Object::RolloutState(state))) => (object_version, Some(state)),
             Ok(_) => return Err(Error::new(Code::Internal, "a state of another kind")),
             Err(e) if e.code == Code::ObjectGone => (0, None),
             Err(e) => return Err(e),
         };
-        Ok(Standing { key, at, state, generation, stages: spec.stages.len() })
+        Ok(RolloutSnapshot { key, object_version, state, generation, stages: spec.stages.len() })
     }
 
     /// Gets what an operator sees of the state; the rest is the hosts' accounts.
-    fn seen(&self) -> Option<(RolloutPhase, usize, u64)> {
+    fn operator_view(&self) -> Option<(RolloutPhase, usize, u64)> {
         self.state.as_ref().map(|s| (s.phase, s.stage, s.generation))
     }
 }
 
 /// Tells whether a verb means the same although the roll-out went on to another stage.
-fn fits_any_stage(verb: Verb) -> bool {
+fn is_stage_independent(verb: Verb) -> bool {
     matches!(verb, Verb::Pause | Verb::Abort)
 }
 
@@ -118,48 +120,52 @@
 ///
 /// Hosts write their accounts to the same object. An update that met such a write is made again, as
 /// long as the verb still means what it meant when the operator gave it.
-pub fn act(platform: &PlatformClient, id: &RolloutId, verb: Verb) -> Result<RolloutState> {
-    let first = Standing::read(platform, id)?;
-    let meant = first.seen();
-    let mut standing = first;
-    for _ in 0..WRITE_TRIES {
-        let state = standing.state.clone();
-        let mut next = next(state, verb, standing.generation, standing.stages)?;
-        next.op = format!("ctl-{:016x}", rand::random::<u64>());
-        let body = Object::RolloutState(next.clone()).to_json();
-        match platform.write_settled(&config_name(&standing.key), standing.at, &body) {
-            Ok(_) => return Ok(next),
-            Err(e) if e.code == Code::Conflict => standing = Standing::read(platform, id)?,
+pub fn apply_verb(platform: &PlatformClient, id: &RolloutId, verb: Verb) -> Result<RolloutState> {
+    let first = RolloutSnapshot::read(platform, id)?;
+    let expected_view = first.operator_view();
+    let mut snapshot = first;
+    for _ in 0..MAX_WRITE_ATTEMPTS {
+        let state = snapshot.state.clone();
+        let mut next_state = next_state(state, verb, snapshot.generation, snapshot.stages)?;
+        next_state.op = format!("ctl-{:016x}", rand::random::<u64>());
+        let body = Object::RolloutState(next_state.clone()).to_json();
+        match platform.write_confirmed(
+            &config_object_name(&snapshot.key),
+            snapshot.object_version,
+            &body,
+        ) {
+            Ok(_) => return Ok(next_state),
+            Err(e) if e.code == Code::Conflict => snapshot = RolloutSnapshot::read(platform, id)?,
             Err(e) => return Err(e),
         }
-        if standing.seen() != meant && !fits_any_stage(verb) {
-            let why = "the roll-out went on meanwhile; look at it and decide again";
-            return Err(Error::new(Code::Conflict, why));
+        if snapshot.operator_view() != expected_view && !is_stage_independent(verb) {
+            let message = "the roll-out went on meanwhile; look at it and decide again";
+            return Err(Error::new(Code::Conflict, message));
         }
     }
     Err(Error::new(Code::Conflict, "the roll-out is written to all the time; try again"))
 }
 
-fn next(
+fn next_state(
     state: Option<RolloutState>,
     verb: Verb,
     generation: u64,
     stages: usize,
 ) -> Result<RolloutState> {
-    let refuse = |why: String| Err(Error::new(Code::Conflict, why));
+    let conflict = |message: String| Err(Error::new(Code::Conflict, message));
     let Some(mut state) = state else {
         return match verb {
             Verb::Start => Ok(first_state(generation)),
-            _ => refuse("the roll-out was not started".to_string()),
+            _ => conflict("the roll-out was not started".to_string()),
         };
     };
     let phase = state.phase;
     match (verb, phase) {
         (Verb::Start, RolloutPhase::Aborted | RolloutPhase::Done) => {
             if state.generation >= generation {
-                let why =
+                let message =
                     format!("generation {generation} ended {phase:?}; raise it to start again");
-                return refuse(why);
+                return conflict(message);
             }
             return Ok(first_state(generation));
         }
@@ -170,7 +176,7 @@
         }
         (Verb::Advance, RolloutPhase::Running) if state.stage + 1 < stages => state.stage += 1,
         (Verb::Advance, RolloutPhase::Running) => state.phase = RolloutPhase::Done,
-        _ => return refuse(format!("the roll-out is {phase:?}")),
+        _ => return conflict(format!("the roll-out is {phase:?}")),
     }
     Ok(state)
 }
--- a/crates/tidetrack-ctl/src/status.rs
+++ b/crates/tidetrack-ctl/src/status.rs
@@ -9,29 +9,30 @@
 use tidetrack_router::control::Status;
 
 /// Seconds that a host may take to answer.
-const SECONDS: u64 = 3;
+const TIMEOUT_SECONDS: u64 = 3;
 
-fn read<T: serde::de::DeserializeOwned>(request: minreq::Request, host: &str) -> Result<T> {
-    let fail = |why: String| Error::new(Code::EndpointFailed, format!("{host}: {why}"));
-    let response = request.with_timeout(SECONDS).send().map_err(|e| fail(e.to_string()))?;
+fn request_json<T: serde::de::DeserializeOwned>(request: minreq::Request, host: &str) -> Result<T> {
+    let error = |reason: String| Error::new(Code::EndpointFailed, format!("{host}: {reason}"));
+    let response =
+        request.with_timeout(TIMEOUT_SECONDS).send().map_err(|e| error(e.to_string()))?;
     if response.status_code != 200 {
-        return Err(fail(response.as_str().unwrap_or("not text").to_string()));
+        return Err(error(response.as_str().unwrap_or("not text").to_string()));
     }
-    serde_json::from_slice(response.as_bytes()).map_err(|e| fail(e.to_string()))
+    serde_json::from_slice(response.as_bytes()).map_err(|e| error(e.to_string()))
 }
 
 /// Gets one host's state.
-pub fn fetch(host: &str, key: &str) -> Result<Status> {
+pub fn fetch_status(host: &str, key: &str) -> Result<Status> {
     let request = minreq::get(format!("http://{host}/admin/status"));
-    read(request.with_header("Authorization", format!("Bearer {key}")), host)
+    request_json(request.with_header("Authorization", format!("Bearer {key}")), host)
 }
 
 /// Tells one host a narrowing fact, which it passes on to all others.
-pub fn tell(host: &str, key: &str, fact: &Fact) -> Result<()> {
+pub fn send_fact(host: &str, key: &str, fact: &Fact) -> Result<()> {
     let body = serde_json::to_string(fact).expect("a fact is plain text");
     let request = minreq::post(format!("http://{host}/admin/facts")).with_body(body);
     let request = request.with_header("Authorization", format!("Bearer {key}"));
-    read::<serde_json::Value>(request, host).map(|_| ())
+    request_json::<serde_json::Value>(request, host).map(|_| ())
 }
 
 /// Renders hosts' states for a person.
--- a/crates/tidetrack-ctl/tests/calls.rs
+++ b/crates/tidetrack-ctl/tests/calls.rs
@@ -4,7 +4,7 @@
 use std::net::TcpListener;
 
 use tidetrack_core::codes::Code;
-use tidetrack_ctl::calls::{fetch, render, sum};
+use tidetrack_ctl::calls::{fetch_metrics, render, sum_calls};
 
 /// A metrics page of one host, with lines of other counters and of no form.
 const PAGE: &str = r#"# TYPE tidetrack_store_calls_total counter
@@ -16,7 +16,7 @@
 "#;
 
 /// Serves one request with a reply, and gets its address.
-fn host(reply: String) -> String {
+fn serve_once(reply: String) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address").to_string();
     std::thread::spawn(move || {
@@ -31,24 +31,25 @@
 
 #[test]
 fn calls_of_several_hosts_are_summed_by_purpose() {
-    let all = sum([PAGE, PAGE, "no page"]);
+    let counts = sum_calls([PAGE, PAGE, "no page"]);
 
-    let told: Vec<(&str, &str, u64)> = all
+    let summed: Vec<(&str, &str, u64)> = counts
         .iter()
         .map(|c| (c.purpose.cause.as_str(), c.purpose.result.as_str(), c.calls))
         .collect();
-    assert_eq!(told, [("proof", "answered", 14), ("told", "failed", 4)]);
-    let text = render(&all);
+    assert_eq!(summed, [("proof", "answered", 14), ("told", "failed", 4)]);
+    let text = render(&counts);
     assert!(text.lines().nth(1).is_some_and(|l| l.contains("14  Catalog")), "{text}");
 }
 
 #[test]
-fn a_host_that_refuses_or_is_gone_is_told_by_its_address_and_a_code() {
-    let page = host(format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{PAGE}", PAGE.len()));
-    let refusing = host("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n".into());
+fn failed_fetch_reports_host_address_and_code() {
+    let serving =
+        serve_once(format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{PAGE}", PAGE.len()));
+    let refusing = serve_once("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n".into());
 
-    assert_eq!(fetch(&page).expect("a page"), PAGE);
-    let e = fetch(&refusing).expect_err("no page");
+    assert_eq!(fetch_metrics(&serving).expect("a page"), PAGE);
+    let e = fetch_metrics(&refusing).expect_err("no page");
     assert_eq!(e.code, Code::EndpointFailed);
     assert!(e.to_string().contains(&refusing) && e.to_string().contains("404"), "{e}");
 }
--- a/crates/tidetrack-ctl/tests/rollouts.rs
+++ b/crates/tidetrack-ctl/tests/rollouts.rs
@@ -7,13 +7,13 @@
 use tidetrack_ctl::{apply, rollout};
 use tidetrack_standin::http::Running;
 use tidetrack_standin::objects::{Platform, PlatformFaults};
-use tidetrack_wire::platform::{config_name, PlatformClient};
+use tidetrack_wire::platform::{config_object_name, PlatformClient};
 
 const ENDPOINTS: &str = include_str!("../../../examples/library/endpoints.toml");
 const MODELS: &str = include_str!("../../../examples/library/models.toml");
 const WORKSPACES: &str = include_str!("../../../examples/library/workspaces.toml");
 
-struct World {
+struct TestPlatform {
     objects: Platform,
     client: PlatformClient,
     id: RolloutId,
@@ -21,7 +21,7 @@
 }
 
 /// Starts a platform on which the example's roll-out has been started.
-fn started() -> World {
+fn with_started_rollout() -> TestPlatform {
     let objects = Platform::default();
     let running = objects.serve("127.0.0.1:0").expect("a platform");
     let client = PlatformClient::new(&running.address());
@@ -31,15 +31,15 @@
         files.iter().map(|(n, t)| (n.to_string(), t.to_string())).collect();
     let declared = read_folder(&files).expect("sound declarations");
     let lines = apply::diff(&client, &declared, false).expect("a difference");
-    assert!(apply::apply(&client, &lines, &mut |_, _| {}).failure().is_none());
+    assert!(apply::apply(&client, &lines, &mut |_, _| {}).first_failure().is_none());
     let id: RolloutId = "scholar-2".parse().expect("a roll-out");
-    rollout::act(&client, &id, rollout::Verb::Start).expect("a start");
-    World { objects, client, id, _running: running }
+    rollout::apply_verb(&client, &id, rollout::Verb::Start).expect("a start");
+    TestPlatform { objects, client, id, _running: running }
 }
 
-fn state(world: &World) -> RolloutState {
-    let key = ObjectKey::new(Kind::RolloutState, &world.id);
-    let stored = world.client.fetch(&config_name(&key)).expect("a state");
+fn stored_state(platform: &TestPlatform) -> RolloutState {
+    let key = ObjectKey::new(Kind::RolloutState, &platform.id);
+    let stored = platform.client.fetch(&config_object_name(&key)).expect("a state");
     let body = stored.body.expect("a body");
     match Object::from_json(Kind::RolloutState, &body).expect("a sound state") {
         Object::RolloutState(state) => state,
@@ -48,47 +48,47 @@
 }
 
 /// Lets another writer come right before the next update.
-fn write_first(world: &World, state: RolloutState) {
+fn inject_conflicting_write(platform: &TestPlatform, state: RolloutState) {
     let body = Some(Object::RolloutState(state).to_json());
-    world.objects.set_faults(PlatformFaults { write_first: body, ..PlatformFaults::default() });
+    platform.objects.set_faults(PlatformFaults { write_first: body, ..PlatformFaults::default() });
 }
 
 #[test]
-fn a_host_that_writes_grants_in_between_does_not_stop_an_operator() {
-    let world = started();
-    let mut granted = state(&world);
-    granted.granted.insert("router-1~1".parse().expect("an incarnation"), 5);
-    write_first(&world, granted.clone());
+fn advance_is_retried_after_concurrent_grant_write() {
+    let platform = with_started_rollout();
+    let mut with_grant = stored_state(&platform);
+    with_grant.granted.insert("router-1~1".parse().expect("an incarnation"), 5);
+    inject_conflicting_write(&platform, with_grant.clone());
 
-    let next = rollout::act(&world.client, &world.id, rollout::Verb::Advance);
+    let next = rollout::apply_verb(&platform.client, &platform.id, rollout::Verb::Advance);
 
     let next = next.expect("the verb is carried out");
-    assert_eq!((next.stage, &next.granted), (1, &granted.granted));
-    assert_eq!(state(&world), next);
+    assert_eq!((next.stage, &next.granted), (1, &with_grant.granted));
+    assert_eq!(stored_state(&platform), next);
 }
 
 #[test]
-fn an_operator_does_not_advance_a_rollout_that_went_on_in_between() {
-    let world = started();
-    let mut other = state(&world);
-    other.stage = 1;
-    write_first(&world, other.clone());
+fn advance_fails_if_stage_changed_concurrently() {
+    let platform = with_started_rollout();
+    let mut advanced = stored_state(&platform);
+    advanced.stage = 1;
+    inject_conflicting_write(&platform, advanced.clone());
 
-    let refused = rollout::act(&world.client, &world.id, rollout::Verb::Advance);
+    let refused = rollout::apply_verb(&platform.client, &platform.id, rollout::Verb::Advance);
 
     assert_eq!(refused.expect_err("a conflict").code, Code::Conflict);
-    assert_eq!(state(&world), other);
+    assert_eq!(stored_state(&platform), advanced);
 }
 
 #[test]
-fn an_abort_holds_also_if_the_rollout_went_on_in_between() {
-    let world = started();
-    let mut other = state(&world);
-    other.stage = 1;
-    write_first(&world, other);
+fn abort_succeeds_if_stage_changed_concurrently() {
+    let platform = with_started_rollout();
+    let mut advanced = stored_state(&platform);
+    advanced.stage = 1;
+    inject_conflicting_write(&platform, advanced);
 
-    let aborted = rollout::act(&world.client, &world.id, rollout::Verb::Abort);
+    let aborted = rollout::apply_verb(&platform.client, &platform.id, rollout::Verb::Abort);
 
     assert_eq!(aborted.expect("the verb is carried out").phase, RolloutPhase::Aborted);
-    assert_eq!(state(&world).phase, RolloutPhase::Aborted);
+    assert_eq!(stored_state(&platform).phase, RolloutPhase::Aborted);
 }
--- a/crates/tidetrack-plane/src/attempt.rs
+++ b/crates/tidetrack-plane/src/attempt.rs
@@ -9,7 +9,7 @@
 use hyper::body::Incoming;
 
 use tidetrack_core::codes::{Code, Ran};
-use tidetrack_core::disconnect::{with_causes, Broke};
+use tidetrack_core::disconnect::{format_error_chain, DisconnectCause};
 use tidetrack_core::errors::{Error, Result};
 
 use crate::dialect::AnswerFacts;
@@ -90,7 +90,7 @@
         let taken = attempt.pool.take(attempt.endpoint, attempt.address, attempt.most_rest);
         let mut lease = tokio::time::timeout_at(until, taken).await.map_err(|_| {
             let e = failed(Code::EndpointUnreachable, "no connection in time", Ran::No);
-            e.with_broke(Broke::Silence)
+            e.with_broke(DisconnectCause::TimedOut)
         })??;
         lease.waits(!attempt.is_repeatable);
         let sent = lease.sender.try_send_request(make());
@@ -98,7 +98,7 @@
             Err(_) => return Err(failed(Code::Deadline, "no answer in time", Ran::Unknown)),
             Ok(Ok(resp)) => return judge_head(attempt, resp, lease).await,
             Ok(Err(mut e)) => {
-                let (text, broke) = (with_causes(e.error()), broke(e.error()));
+                let (text, broke) = (format_error_chain(e.error()), broke(e.error()));
                 match (e.take_message(), lease.is_reused) {
                     // The other end had closed the connection before anything was sent.
                     (Some(_), true) => {}
@@ -165,7 +165,7 @@
 pub async fn collect(body: Incoming, lease: Lease) -> Result<(Bytes, Lease)> {
     let whole = Limited::new(body, MOST_COLLECTED).collect().await;
     let whole = whole.map_err(|e| {
-        let failed = failed(Code::EndpointFailed, with_causes(e.as_ref()), Ran::Yes);
+        let failed = failed(Code::EndpointFailed, format_error_chain(e.as_ref()), Ran::Yes);
         match e.downcast_ref::<hyper::Error>() {
             Some(e) => failed.with_broke(broke(e)),
             None => failed,
--- a/crates/tidetrack-plane/src/call.rs
+++ b/crates/tidetrack-plane/src/call.rs
@@ -11,7 +11,7 @@
 use tokio::time::Instant;
 
 use tidetrack_core::codes::{Code, Ran};
-use tidetrack_core::disconnect::with_causes;
+use tidetrack_core::disconnect::format_error_chain;
 use tidetrack_core::errors::{Error, Result};
 use tidetrack_core::traffic::feeds::LARGE_REPLY;
 
@@ -197,7 +197,8 @@
     let host = http::HeaderValue::from_str(address).map_err(|e| down(e.to_string()))?;
     req.headers_mut().insert(http::header::HOST, host);
     let sent = tokio::time::timeout_at(until, lease.sender.send_request(req));
-    let (head, body) = sent.await.map_err(late)?.map_err(|e| down(with_causes(&e)))?.into_parts();
+    let (head, body) =
+        sent.await.map_err(late)?.map_err(|e| down(format_error_chain(&e)))?.into_parts();
     let head_came = Instant::now();
     let body = collect(body, patience.part, gate).await?;
     pool.keep(name, lease, None);
@@ -239,7 +240,7 @@
         match frame.map_err(|_| down("the reply stopped in the middle"))? {
             Some(Ok(frame)) => all.extend_from_slice(frame.data_ref().unwrap_or(&Bytes::new())),
             Some(Err(e)) if e.is::<LengthLimitError>() => return Err(too_large()),
-            Some(Err(e)) => return Err(down(with_causes(e.as_ref()))),
+            Some(Err(e)) => return Err(down(format_error_chain(e.as_ref()))),
             None => return Ok(all.freeze()),
         }
     }
--- a/crates/tidetrack-plane/src/crash.rs
+++ b/crates/tidetrack-plane/src/crash.rs
@@ -13,7 +13,7 @@
 use tokio::sync::{oneshot, OnceCell};
 
 use tidetrack_core::codes::Ran;
-use tidetrack_core::disconnect::Broke;
+use tidetrack_core::disconnect::DisconnectCause;
 use tidetrack_core::errors::Error;
 use tidetrack_core::events::Event;
 use tidetrack_core::ids::EndpointId;
@@ -79,7 +79,7 @@
     e: &Error,
     sent_at: Instant,
 ) {
-    let is_cut = matches!(e.broke, Some(Broke::Closed | Broke::Reset));
+    let is_cut = matches!(e.broke, Some(DisconnectCause::Closed | DisconnectCause::Reset));
     if !is_cut || e.ran == Ran::No {
         return;
     }
@@ -141,7 +141,7 @@
 async fn has_ended(traffic: &Traffic, chosen: &Chosen, most_rest: Duration) -> bool {
     let opened = traffic.pool.prepare(chosen.id.as_str(), &chosen.address, most_rest);
     match tokio::time::timeout(LOOK_WITHIN, opened).await {
-        Ok(Err(e)) => e.broke == Some(Broke::Refused),
+        Ok(Err(e)) => e.broke == Some(DisconnectCause::Refused),
         Ok(Ok(())) | Err(_) => false,
     }
 }
--- a/crates/tidetrack-plane/src/metrics.rs
+++ b/crates/tidetrack-plane/src/metrics.rs
@@ -7,7 +7,7 @@
 use opentelemetry_sdk::metrics::SdkMeterProvider;
 use prometheus::{Encoder, Registry, TextEncoder};
 
-use tidetrack_core::disconnect::Broke;
+use tidetrack_core::disconnect::DisconnectCause;
 
 use crate::store::Purpose;
 
@@ -108,7 +108,7 @@
     }
 
     /// Counts a connection to an endpoint that broke under an attempt, or did not come up, by how.
-    pub fn broke(&self, how: Broke) {
+    pub fn broke(&self, how: DisconnectCause) {
         self.broke.add(1, &[KeyValue::new("how", how.as_str())]);
     }
 
--- a/crates/tidetrack-plane/src/pool.rs
+++ b/crates/tidetrack-plane/src/pool.rs
@@ -16,7 +16,7 @@
 use tokio::task::JoinHandle;
 
 use tidetrack_core::codes::{Code, Ran};
-use tidetrack_core::disconnect::{with_causes, Broke};
+use tidetrack_core::disconnect::{format_error_chain, DisconnectCause};
 use tidetrack_core::errors::{Error, Result};
 use tidetrack_core::traffic::reach::PROMPT;
 
@@ -197,28 +197,32 @@
     }
 }
 
-fn unreachable(address: &str, why: &str, broke: Broke) -> Error {
+fn unreachable(address: &str, why: &str, broke: DisconnectCause) -> Error {
     let text = format!("connect to {address}: {why}");
     Error::new(Code::EndpointUnreachable, text).with_ran(Ran::No).with_broke(broke)
 }
 
 /// Tells how a connection broke from the HTTP library's error.
-pub fn broke(e: &hyper::Error) -> Broke {
-    match Broke::of(e) {
+pub fn broke(e: &hyper::Error) -> DisconnectCause {
+    match DisconnectCause::from_error(e) {
         // The end of the connection in the middle of a message is no error of its socket.
-        Broke::Otherwise if e.is_incomplete_message() || e.is_closed() => Broke::Closed,
+        DisconnectCause::Other if e.is_incomplete_message() || e.is_closed() => {
+            DisconnectCause::Closed
+        }
         broke => broke,
     }
 }
 
 /// Opens a connection.
 async fn open(address: &str, ends: Ends) -> Result<Lease> {
-    let of_socket = |e: std::io::Error| unreachable(address, &e.to_string(), Broke::of(&e));
-    let parsed: SocketAddr =
-        address.parse().map_err(|e| unreachable(address, &with_causes(&e), Broke::Otherwise))?;
+    let of_socket =
+        |e: std::io::Error| unreachable(address, &e.to_string(), DisconnectCause::from_error(&e));
+    let parsed: SocketAddr = address
+        .parse()
+        .map_err(|e| unreachable(address, &format_error_chain(&e), DisconnectCause::Other))?;
     let stream = tokio::time::timeout(CONNECT_WITHIN, TcpStream::connect(parsed))
         .await
-        .map_err(|_| unreachable(address, "timed out", Broke::Silence))?
+        .map_err(|_| unreachable(address, "timed out", DisconnectCause::TimedOut))?
         .map_err(of_socket)?;
     let waits = Waits::default();
     let way = Way::new(stream, ends, waits.clone()).map_err(of_socket)?;
@@ -226,7 +230,7 @@
         .max_buf_size(MOST_HEAD_BYTES)
         .handshake(TokioIo::new(way))
         .await
-        .map_err(|e| unreachable(address, &with_causes(&e), broke(&e)))?;
+        .map_err(|e| unreachable(address, &format_error_chain(&e), broke(&e)))?;
     let task = tokio::task::spawn_local(async move {
         // Whoever waits for the answer sees the same error.
         drop(conn.await);
--- a/crates/tidetrack-plane/src/relay.rs
+++ b/crates/tidetrack-plane/src/relay.rs
@@ -19,7 +19,7 @@
 use tokio::sync::mpsc;
 
 use tidetrack_core::codes::{Code, Ran};
-use tidetrack_core::disconnect::{with_causes, Broke};
+use tidetrack_core::disconnect::{format_error_chain, DisconnectCause};
 use tidetrack_core::errors::{Error, Result};
 use tidetrack_core::events::Event;
 use tidetrack_core::ids::ModelId;
@@ -365,7 +365,7 @@
                 ("events", &self.events),
                 ("code", &why.code),
                 ("why", &why.message),
-                ("broke", &why.broke.map_or("-", Broke::as_str)),
+                ("broke", &why.broke.map_or("-", DisconnectCause::as_str)),
             ],
         );
         // A caller that has left needs no sign.
@@ -476,9 +476,9 @@
                         self.splitter.push(data);
                     }
                 }
-                Some(Err(e)) => return Err(broken(with_causes(&e)).with_broke(broke(&e))),
+                Some(Err(e)) => return Err(broken(format_error_chain(&e)).with_broke(broke(&e))),
                 None if self.splitter.has_part() => {
-                    return Err(broken("half an event".into()).with_broke(Broke::Closed));
+                    return Err(broken("half an event".into()).with_broke(DisconnectCause::Closed));
                 }
                 None => return Ok(Next::End),
             }
--- a/crates/tidetrack-plane/src/report.rs
+++ b/crates/tidetrack-plane/src/report.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use tidetrack_core::codes::Code;
-use tidetrack_core::disconnect::Broke;
+use tidetrack_core::disconnect::DisconnectCause;
 use tidetrack_core::errors::Error;
 use tidetrack_core::events::Event;
 use tidetrack_core::ids::ModelId;
@@ -33,7 +33,7 @@
             ("endpoint", &chosen.id),
             ("code", &e.code),
             ("why", &e.message),
-            ("broke", &e.broke.map_or("-", Broke::as_str)),
+            ("broke", &e.broke.map_or("-", DisconnectCause::as_str)),
             ("ran", &ran),
             ("ms", &took.as_millis()),
         ],
@@ -55,7 +55,7 @@
                 chosen.live.note_silent(shared.now());
             }
         }
-        Code::EndpointUnreachable if e.broke == Some(Broke::Silence) => {
+        Code::EndpointUnreachable if e.broke == Some(DisconnectCause::TimedOut) => {
             gave_no_sign(traffic, chosen, took);
         }
         Code::EndpointUnreachable | Code::EndpointMoved => {
--- a/crates/tidetrack-quickstart/src/main.rs
+++ b/crates/tidetrack-quickstart/src/main.rs
@@ -152,7 +152,7 @@
 
     let lines = apply::diff(&platform, &world.declared, false)?;
     let applied = apply::apply(&platform, &lines, &mut |_, _| {});
-    if let Some(e) = applied.failure() {
+    if let Some(e) = applied.first_failure() {
         bail!(e);
     }
     println!("2. Declared: {} objects accepted by the object API.", applied.done.len());
@@ -196,7 +196,7 @@
     session: &str,
 ) -> Result<u64> {
     let id = "scholar-2".parse()?;
-    rollout::act(platform, &id, rollout::Verb::Start)?;
+    rollout::apply_verb(platform, &id, rollout::Verb::Start)?;
     let mut by_version: BTreeMap<String, u64> = BTreeMap::new();
     let mut requests = 0u64;
     let state = wait_for("the end of the roll-out", || {
--- a/crates/tidetrack-router/src/billing.rs
+++ b/crates/tidetrack-router/src/billing.rs
@@ -7,7 +7,7 @@
 
 use flume::{Receiver, RecvTimeoutError, Sender};
 
-use tidetrack_core::bill_replicator::{HoldCall, Holder, Keeper, KeeperAction};
+use tidetrack_core::bill_replicator::{BillReplicator, HoldCall, Holder, ReplicatorAction};
 use tidetrack_core::codes::{Code, Ran};
 use tidetrack_core::errors::{Error, Result};
 use tidetrack_core::events::Event;
@@ -133,7 +133,7 @@
 /// The thread round the keeper.
 pub struct KeeperThread {
     /// The keeper.
-    pub keeper: Keeper,
+    pub keeper: BillReplicator,
     /// The clock.
     pub clock: Clock,
     /// Calls to other hosts.
@@ -168,10 +168,13 @@
                 }
             }
             let now = self.clock.now();
-            for action in self.keeper.pump(now) {
+            for action in self.keeper.poll_actions(now) {
                 self.act(action, &mut waiters);
             }
-            billing.state.unsafe_now.store(self.keeper.is_unsafe(now), Ordering::Release);
+            billing
+                .state
+                .unsafe_now
+                .store(self.keeper.is_storage_unavailable(now), Ordering::Release);
             billing.state.pending.store(self.keeper.pending() as u64, Ordering::Relaxed);
         }
     }
@@ -181,7 +184,7 @@
         match msg {
             BillMsg::Keep { bill, safe } => {
                 waiters.safe.insert(bill.number(), safe);
-                self.keeper.keep(bill);
+                self.keeper.add_bill(bill);
             }
             BillMsg::Hold { call, reply } => {
                 // A host that no longer waits calls again.
@@ -200,24 +203,24 @@
     }
 
     /// Carries out an action. The other threads are gone only when the process ends.
-    fn act(&self, action: KeeperAction, waiters: &mut Waiters) {
+    fn act(&self, action: ReplicatorAction, waiters: &mut Waiters) {
         match action {
-            KeeperAction::Hold { holder, batch, call } => {
+            ReplicatorAction::Hold { holder, batch, call } => {
                 let _ = self.jobs.send(Job::Hold { address: holder, batch, call });
             }
-            KeeperAction::Write(segment) => {
+            ReplicatorAction::Write(segment) => {
                 let _ = self.segments.send(segment);
             }
-            KeeperAction::Safe(number) => {
+            ReplicatorAction::ReleaseResponse(number) => {
                 if let Some(safe) = waiters.safe.remove(&number) {
                     // A request that stopped waiting is told in vain.
                     let _ = safe.send(());
                 }
             }
-            KeeperAction::AskGone(of) => {
+            ReplicatorAction::CheckGone(of) => {
                 let _ = self.control.send(Msg::Gone { of });
             }
-            KeeperAction::Flushed(safe) => {
+            ReplicatorAction::Flushed(safe) => {
                 for flush in waiters.flushes.drain(..) {
                     let _ = flush.send(safe);
                 }
@@ -254,7 +257,7 @@
 ) -> Result<Segment> {
     let name = segment.object_name();
     let body = serde_json::to_string(segment).expect("a segment is a plain list");
-    match platform.write_settled(&name, 0, &body) {
+    match platform.write_confirmed(&name, 0, &body) {
         Ok(_) => {
             let text = format!("{name} with {} bills", segment.bills.len());
             logging::log(logger, Event::SegmentWritten, &text);
--- a/crates/tidetrack-router/src/chat/attempts.rs
+++ b/crates/tidetrack-router/src/chat/attempts.rs
@@ -8,12 +8,12 @@
 use tidetrack_core::events::Event;
 use tidetrack_core::evidence::Counts;
 use tidetrack_core::ids::{EndpointId, ModelId};
-use tidetrack_core::ledger::Ended;
+use tidetrack_core::ledger::BillOutcome;
 use tidetrack_core::placement::{place_of, rendezvous, work_of, Ask, PoolEndpoint};
 use tidetrack_core::retry::{may_retry, Failed};
 use tidetrack_core::units::Tokens;
 use tidetrack_core::view::{Chosen, View};
-use tidetrack_wire::caller::{AnswerPart, StreamOptions, Usage};
+use tidetrack_wire::caller::{ResponsePart, StreamOptions, Usage};
 use tidetrack_wire::headers;
 
 use crate::upstream::{Attempt, Begin, Events};
@@ -204,7 +204,7 @@
         let (request, body) = self.upstream_request(chosen, false);
         let (mut attempt, mut reply) = Attempt::send(begin, request, body)?;
         let parsed = attempt.read_body(&mut reply, LARGEST_ANSWER).and_then(|body| {
-            let part = serde_json::from_slice::<AnswerPart>(&body);
+            let part = serde_json::from_slice::<ResponsePart>(&body);
             part.map(|part| (part, body)).map_err(|e| attempt.cut(&e.to_string()))
         });
         match parsed {
@@ -257,13 +257,13 @@
             attempt.failed(&e);
             if out.has_begun() {
                 self.add_part(view, chosen, usage);
-                self.bill(Ended::Broken)?;
+                self.bill(BillOutcome::Truncated)?;
             }
             return Err(e);
         }
         attempt.succeeded();
         self.add_part(view, chosen, usage);
-        self.bill(Ended::Whole)?;
+        self.bill(BillOutcome::Complete)?;
         self.offer_rating(chosen, &flow.text);
         if flow.finish(self.wants_usage, out).is_err() {
             self.shared().log(Event::CallerLeft, &self.caller.id.to_string());
--- a/crates/tidetrack-router/src/chat/flow.rs
+++ b/crates/tidetrack-router/src/chat/flow.rs
@@ -2,8 +2,8 @@
 
 use tidetrack_core::codes::Code;
 use tidetrack_core::errors::{Error, Result};
-use tidetrack_wire::caller::{AnswerPart, Usage, DONE};
-use tidetrack_wire::endpoint::AttemptAsk;
+use tidetrack_wire::caller::{ResponsePart, Usage, STREAM_END};
+use tidetrack_wire::endpoint::AttemptRequest;
 
 use crate::callers::Request;
 use crate::outcome::{AnswerHeaders, Stream};
@@ -57,10 +57,10 @@
         loop {
             let data = events.next_data(attempt)?;
             let Some(data) = data else { return Err(attempt.cut("the stream was cut")) };
-            if data == DONE {
+            if data == STREAM_END {
                 return Ok(());
             }
-            let part: AnswerPart =
+            let part: ResponsePart =
                 serde_json::from_str(&data).map_err(|e| attempt.cut(&e.to_string()))?;
             if part.choices.is_empty() {
                 self.usage = part.usage;
@@ -80,7 +80,7 @@
 
     /// Asks the endpoint for the rest of an answer that was cut, and passes it on.
     pub(super) fn resume(&mut self, attempt: &Attempt<'_>, out: &mut Out) -> Result<()> {
-        let ask = AttemptAsk { attempt: attempt.id().to_string(), from_token: self.chunks };
+        let ask = AttemptRequest { attempt: attempt.id().to_string(), from_token: self.chunks };
         let body = serde_json::to_string(&ask).expect("an ask is plain text");
         let url = format!("http://{}/v1/resume", attempt.endpoint().address);
         let response = minreq::post(url).with_body(body).with_timeout(RESUME_SECONDS).send();
@@ -108,7 +108,7 @@
         if let Some(event) = self.usage_event.as_ref().filter(|_| wants_usage) {
             stream.event(event)?;
         }
-        stream.event(DONE)
+        stream.event(STREAM_END)
     }
 }
 
--- a/crates/tidetrack-router/src/chat/judged.rs
+++ b/crates/tidetrack-router/src/chat/judged.rs
@@ -3,10 +3,10 @@
 use tidetrack_core::errors::Result;
 use tidetrack_core::events::Event;
 use tidetrack_core::evidence::Counts;
-use tidetrack_core::ledger::Ended;
+use tidetrack_core::ledger::BillOutcome;
 use tidetrack_core::view::{Chosen, View};
-use tidetrack_wire::caller::DONE;
-use tidetrack_wire::endpoint::RateAsk;
+use tidetrack_wire::caller::STREAM_END;
+use tidetrack_wire::endpoint::RatingRequest;
 
 use crate::outcome;
 use crate::rating::{self, RateJob};
@@ -33,7 +33,7 @@
             }
         }
         self.note_first_token();
-        self.bill(Ended::Whole)?;
+        self.bill(BillOutcome::Complete)?;
         self.set_headers(view, &answer.chosen, &answer.endpoint, out);
         if judged.is_none() {
             self.offer_rating(&answer.chosen, &answer.text);
@@ -68,9 +68,9 @@
         score >= accept
     }
 
-    fn rate_ask(&self, chosen: &Chosen, text: &str) -> RateAsk {
+    fn rate_ask(&self, chosen: &Chosen, text: &str) -> RatingRequest {
         let last = self.chat.messages.last().and_then(|m| m.content.as_str()).unwrap_or_default();
-        RateAsk {
+        RatingRequest {
             request: self.caller.id.to_string(),
             version: chosen.version.to_string(),
             prompt: last.to_string(),
@@ -103,6 +103,6 @@
                 "object": "chat.completion.chunk", "choices": [], "usage": answer.usage});
             stream.event(&usage.to_string())?;
         }
-        stream.event(DONE)
+        stream.event(STREAM_END)
     }
 }
--- a/crates/tidetrack-router/src/chat/mod.rs
+++ b/crates/tidetrack-router/src/chat/mod.rs
@@ -10,7 +10,7 @@
 use tidetrack_core::errors::{Error, Result};
 use tidetrack_core::events::Event;
 use tidetrack_core::ids::{ModelId, RequestId, RouteId, WorkspaceId};
-use tidetrack_core::ledger::{Bill, Ended, Part};
+use tidetrack_core::ledger::{Bill, BillOutcome, LineItem};
 use tidetrack_core::placement::{draw, PoolEndpoint};
 use tidetrack_core::policy::{Features, Plan};
 use tidetrack_core::session::Session;
@@ -58,7 +58,7 @@
     wants_usage: bool,
     priority: i64,
     labels: Labels,
-    parts: Vec<Part>,
+    parts: Vec<LineItem>,
     first_token_ms: Cell<Option<f64>>,
     may_have_run: bool,
 }
@@ -190,7 +190,7 @@
         }
         // Work that was judged and put aside was done all the same.
         if !self.parts.is_empty() {
-            self.bill(Ended::Broken)?;
+            self.bill(BillOutcome::Truncated)?;
         }
         Err(last)
     }
@@ -245,11 +245,11 @@
             (Tokens(usage.prompt_tokens), Tokens(usage.completion_tokens));
         let cost = v.spec.price_in.cost_of(tokens_in) + v.spec.price_out.cost_of(tokens_out);
         self.shared().metrics.usage(&self.labels, usage.total_tokens, cost.0);
-        self.parts.push(Part(chosen.version.clone(), tokens_in, tokens_out, cost));
+        self.parts.push(LineItem(chosen.version.clone(), tokens_in, tokens_out, cost));
     }
 
     /// Makes the bill safe. Must come before the answer's last byte.
-    fn bill(&mut self, ended: Ended) -> Result<()> {
+    fn bill(&mut self, ended: BillOutcome) -> Result<()> {
         let parts = std::mem::take(&mut self.parts);
         let bill = Bill(self.caller.id.number, self.caller.workspace.clone(), parts, ended);
         let from = Instant::now();
--- a/crates/tidetrack-router/src/control.rs
+++ b/crates/tidetrack-router/src/control.rs
@@ -370,7 +370,7 @@
         self.holders_epoch = Some(epoch);
         let holders = self.node.members.holders().into_iter();
         let holders =
-            holders.map(|m| Holder { life: m.incarnation.clone(), address: m.peer.clone() });
+            holders.map(|m| Holder { incarnation: m.incarnation.clone(), address: m.peer.clone() });
         let _ = self.bills.send(BillMsg::Holders(holders.collect()));
     }
 
--- a/crates/tidetrack-router/src/outcome.rs
+++ b/crates/tidetrack-router/src/outcome.rs
@@ -7,7 +7,7 @@
 use tidetrack_core::errors::{Error, Result};
 use tidetrack_core::events::Event;
 use tidetrack_core::ids::RequestId;
-use tidetrack_wire::caller::Refusal;
+use tidetrack_wire::caller::ErrorResponse;
 use tidetrack_wire::headers;
 
 use crate::callers::{self, Pieces, Request};
@@ -84,7 +84,7 @@
         headers.add("Retry-After", ms.div_ceil(1_000).max(1).to_string());
         headers.add("Retry-After-Ms", ms.to_string());
     }
-    send_json(request, &headers, e.code.status(), &Refusal::of(e))
+    send_json(request, &headers, e.code.status(), &ErrorResponse::from_error(e))
 }
 
 /// A streamed answer under way. Each event leaves at once.
@@ -108,7 +108,7 @@
 
     /// Ends the body with an error in the place of the end marker, so that the caller need not wait.
     pub fn fail(&mut self, e: &Error) {
-        let refusal = serde_json::to_string(&Refusal::of(e)).unwrap_or_default();
+        let refusal = serde_json::to_string(&ErrorResponse::from_error(e)).unwrap_or_default();
         // A caller that has left misses nothing it waits for.
         let _ = self.event(&refusal);
     }
--- a/crates/tidetrack-router/src/peers.rs
+++ b/crates/tidetrack-router/src/peers.rs
@@ -26,7 +26,7 @@
 use tidetrack_core::node::Exchange;
 use tidetrack_core::units::Millis;
 use tidetrack_wire::peer::{
-    ExchangeCall, HoldReply, ProbeCall, ProbeReply, Sealed, METHOD_EXCHANGE, METHOD_HOLD,
+    ExchangeCall, HoldReply, ProbeCall, ProbeReply, SignedMessage, METHOD_EXCHANGE, METHOD_HOLD,
     METHOD_PROBE,
 };
 
@@ -183,9 +183,9 @@
     fn open<T: DeserializeOwned>(
         &self,
         method: &str,
-        params: std::result::Result<Sealed, ErrorObjectOwned>,
+        params: std::result::Result<SignedMessage, ErrorObjectOwned>,
     ) -> std::result::Result<T, ErrorObjectOwned> {
-        let opened = params?.open(&self.keys, method);
+        let opened = params?.verify(&self.keys, method);
         opened.map_err(|e: Error| {
             logging::log(&self.logger, Event::PeerRefused, &e.to_string());
             refusal(e)
@@ -196,8 +196,8 @@
         &self,
         method: &str,
         body: &T,
-    ) -> std::result::Result<Sealed, ErrorObjectOwned> {
-        Sealed::seal(&self.keys, method, body).map_err(refusal)
+    ) -> std::result::Result<SignedMessage, ErrorObjectOwned> {
+        SignedMessage::sign(&self.keys, method, body).map_err(refusal)
     }
 
     async fn exchange(
@@ -247,8 +247,8 @@
         body: &Q,
     ) -> anyhow::Result<R> {
         let client = self.client(address).await?;
-        let sealed = Sealed::seal(&self.keys, method, body)?;
-        let reply: std::result::Result<Sealed, _> =
+        let sealed = SignedMessage::sign(&self.keys, method, body)?;
+        let reply: std::result::Result<SignedMessage, _> =
             client.request(method, rpc_params![sealed]).await;
         match reply {
             Ok(sealed) => Ok(open_reply(&self.keys, method, &sealed)?),
@@ -288,6 +288,10 @@
     }
 }
 
-fn open_reply<R: DeserializeOwned>(keys: &KeyRing, method: &str, sealed: &Sealed) -> Result<R> {
-    sealed.open(keys, method)
+fn open_reply<R: DeserializeOwned>(
+    keys: &KeyRing,
+    method: &str,
+    sealed: &SignedMessage,
+) -> Result<R> {
+    sealed.verify(keys, method)
 }
--- a/crates/tidetrack-router/src/platform_io.rs
+++ b/crates/tidetrack-router/src/platform_io.rs
@@ -14,7 +14,7 @@
 use tidetrack_core::errors::Result;
 use tidetrack_core::events::Event;
 use tidetrack_core::ids::RolloutId;
-use tidetrack_wire::platform::config_name;
+use tidetrack_wire::platform::config_object_name;
 
 use crate::control::Msg;
 use crate::shared::{PlatformDuty, Shared};
@@ -142,9 +142,9 @@
 /// Writes roll-out states until all senders are gone.
 pub fn write_loop(shared: Arc<Shared>, jobs: Receiver<StateJob>) {
     for job in jobs {
-        let name = config_name(&ObjectKey::new(Kind::RolloutState, &job.rollout));
+        let name = config_object_name(&ObjectKey::new(Kind::RolloutState, &job.rollout));
         let body = serde_json::to_string(&job.state).expect("a state has text keys");
-        let written = shared.platform.write_settled(&name, job.expected, &body);
+        let written = shared.platform.write_confirmed(&name, job.expected, &body);
         let version = written.map_or(0, |w| w.version);
         let msg = Msg::StateWritten { rollout: job.rollout, version, state: job.state };
         let _ = shared.control.send(msg);
--- a/crates/tidetrack-router/src/rating.rs
+++ b/crates/tidetrack-router/src/rating.rs
@@ -12,7 +12,7 @@
 use tidetrack_core::evidence::Counts;
 use tidetrack_core::ids::VersionRef;
 use tidetrack_core::placement::draw;
-use tidetrack_wire::endpoint::{RateAsk, Rating};
+use tidetrack_wire::endpoint::{Rating, RatingRequest};
 
 use crate::shared::Shared;
 
@@ -31,7 +31,7 @@
 /// An answer to rate.
 pub struct RateJob {
     /// What is asked.
-    pub ask: RateAsk,
+    pub ask: RatingRequest,
     /// The version that answered.
     pub version: VersionRef,
     /// Its generation.
@@ -41,7 +41,7 @@
 }
 
 /// Asks for one rating.
-pub fn rate(address: &str, ask: &RateAsk, seconds: u64) -> Result<f64> {
+pub fn rate(address: &str, ask: &RatingRequest, seconds: u64) -> Result<f64> {
     let fail = |text: String| Error::new(Code::EndpointFailed, format!("rating: {text}"));
     let body = serde_json::to_string(ask).expect("an ask is plain text");
     let request = minreq::post(format!("http://{address}/v1/rate")).with_body(body);
--- a/crates/tidetrack-router/src/router.rs
+++ b/crates/tidetrack-router/src/router.rs
@@ -10,12 +10,12 @@
 use arc_swap::ArcSwap;
 use flume::Sender;
 
-use tidetrack_core::bill_replicator::Keeper;
+use tidetrack_core::bill_replicator::BillReplicator;
 use tidetrack_core::events::Event;
 use tidetrack_core::ids::Incarnation;
 use tidetrack_core::membership::{Member, MemberState};
 use tidetrack_core::node::Node;
-use tidetrack_core::tickets::{TicketBook, TicketOptions};
+use tidetrack_core::tickets::{TicketOptions, TicketRegistry};
 use tidetrack_core::traffic::suspects::Suspects;
 use tidetrack_core::units::Millis;
 use tidetrack_core::view::View;
@@ -112,7 +112,7 @@
             leaving: AtomicBool::new(false),
             limits: Arc::default(),
             suspects: Arc::new(Suspects::new(settings.suspects)),
-            tickets: Mutex::new(TicketBook::new(own.clone(), TicketOptions::default())),
+            tickets: Mutex::new(TicketRegistry::new(own.clone(), TicketOptions::default())),
             retries: Mutex::default(),
             control: control_tx.clone(),
             billing: billing.clone(),
@@ -141,7 +141,7 @@
         )?;
         let flush_every = Millis(settings.times.flush_ms);
         let keeper = KeeperThread {
-            keeper: Keeper::new(shared.now(), own.clone(), flush_every),
+            keeper: BillReplicator::new(shared.now(), own.clone(), flush_every),
             clock: shared.clock,
             jobs: jobs_tx.clone(),
             control: control_tx.clone(),
@@ -256,7 +256,7 @@
     let tickets = Arc::downgrade(shared);
     timers.subscribe(SWEEP, move || match tickets.upgrade() {
         Some(shared) => {
-            shared.tickets().sweep(shared.now());
+            shared.tickets().remove_expired(shared.now());
             true
         }
         None => false,
--- a/crates/tidetrack-router/src/server.rs
+++ b/crates/tidetrack-router/src/server.rs
@@ -36,7 +36,7 @@
 use tidetrack_plane::body::AnswerBody;
 use tidetrack_plane::closes::Closes;
 use tidetrack_plane::server::{accept_loop, Answer, ServerOptions, StopStage};
-use tidetrack_wire::caller::{SessionAsk, SessionMade, TicketMade};
+use tidetrack_wire::caller::{SessionRequest, SessionResponse, TicketResponse};
 
 use crate::admin;
 use crate::callers::{self, ReplyBody, Request};
@@ -447,8 +447,8 @@
 }
 
 /// Starts a session before its first request, so that two first requests meet one version.
-fn make_session(caller: &Caller<'_>, view: &View, body: &[u8]) -> Result<SessionMade> {
-    let ask: SessionAsk = serde_json::from_slice(body).map_err(outcome::bad_body)?;
+fn make_session(caller: &Caller<'_>, view: &View, body: &[u8]) -> Result<SessionResponse> {
+    let ask: SessionRequest = serde_json::from_slice(body).map_err(outcome::bad_body)?;
     let route: RouteId = ask.model.parse()?;
     let no_ring = || Error::new(Code::NotReady, "no key ring yet");
     let ring = view.ring.as_ref().ok_or_else(no_ring)?;
@@ -473,15 +473,15 @@
         generation: chosen.generation,
         nonce: rendezvous("session", &id),
     };
-    Ok(SessionMade { session: session.to_token(ring), version: chosen.version.to_string() })
+    Ok(SessionResponse { session: session.to_token(ring), version: chosen.version.to_string() })
 }
 
-fn make_ticket(caller: &Caller<'_>, view: &View) -> Result<TicketMade> {
+fn make_ticket(caller: &Caller<'_>, view: &View) -> Result<TicketResponse> {
     if caller.shared.leaving.load(Ordering::Acquire) {
         return Err(Error::new(Code::Draining, "the host is leaving; ask another"));
     }
     let no_ring = || Error::new(Code::NotReady, "no key ring yet");
     let ring = view.ring.as_ref().ok_or_else(no_ring)?;
-    let ticket = caller.shared.tickets().make(caller.shared.now(), &caller.workspace)?;
-    Ok(TicketMade { ticket: ticket.to_token(ring) })
+    let ticket = caller.shared.tickets().issue(caller.shared.now(), &caller.workspace)?;
+    Ok(TicketResponse { ticket: ticket.to_token(ring) })
 }
--- a/crates/tidetrack-router/src/services.rs
+++ b/crates/tidetrack-router/src/services.rs
@@ -10,7 +10,7 @@
 use tidetrack_core::message_auth::digest;
 use tidetrack_core::placement::{rendezvous, Ask};
 use tidetrack_core::retry::{may_retry, Failed};
-use tidetrack_core::tickets::{Admission, KeptAnswer, Ticket};
+use tidetrack_core::tickets::{StoredResponse, Ticket, TicketAdmission};
 use tidetrack_core::traffic::fingerprint::{Fingerprint, Repeated};
 use tidetrack_core::units::Tokens;
 use tidetrack_core::view::{ServiceView, View};
@@ -150,7 +150,7 @@
         };
         if let Once::Ticket(ticket) = &once {
             let admitted = self.caller.shared.tickets().admit(self.caller.shared.now(), ticket)?;
-            if let Admission::Repeat(kept) = admitted {
+            if let TicketAdmission::Replay(kept) = admitted {
                 return repeat(kept);
             }
         }
@@ -165,7 +165,7 @@
             let no_ring = || Error::new(Code::NotReady, "no key ring yet");
             let ring = view.ring.as_ref().ok_or_else(no_ring)?;
             let ticket = Ticket::from_token(token.trim(), &self.caller.workspace, ring)?;
-            let ours = ticket.made_by == self.caller.shared.own;
+            let ours = ticket.issued_by == self.caller.shared.own;
             return Ok(ours.then_some(Once::Ticket(ticket)));
         }
         match header_of(request, headers::IDEMPOTENCY_KEY) {
@@ -180,7 +180,7 @@
         let digest = digest(format!("{}\n{key}", self.name).as_bytes());
         let name = format!("{CLAIM_PREFIX}{workspace}/{digest}");
         let body = serde_json::json!({"request": id.to_string()}).to_string();
-        match shared.platform.write_settled(&name, 0, &body) {
+        match shared.platform.write_confirmed(&name, 0, &body) {
             Ok(written) => Ok(Once::Claim { name, version: written.version }),
             Err(e) if e.code == Code::Conflict => {
                 let message = "a call with this key was handed on before";
@@ -196,12 +196,12 @@
         let shared = self.caller.shared;
         let not_run = matches!(result, Err(e) if e.ran == Ran::No);
         match once {
-            Once::Ticket(ticket) if not_run => shared.tickets().not_run(shared.now(), ticket),
+            Once::Ticket(ticket) if not_run => shared.tickets().reset_unused(shared.now(), ticket),
             Once::Ticket(ticket) => {
                 let kept = result.as_ref().ok();
                 let kept =
-                    kept.map(|a| KeptAnswer { status: a.status, body: Some(a.body.clone()) });
-                shared.tickets().done(shared.now(), ticket, kept);
+                    kept.map(|a| StoredResponse { status: a.status, body: Some(a.body.clone()) });
+                shared.tickets().record_outcome(shared.now(), ticket, kept);
             }
             // A claim that cannot be taken back only refuses a repeat that would have been right.
             Once::Claim { name, version } if not_run => {
@@ -305,7 +305,7 @@
         }
         let response = passed.with_timeout(FORWARD_SECONDS).send();
         let response = response.map_err(|e| gone(&e.to_string()))?;
-        if headers::is_no_answer(response.status_code, &response.headers) {
+        if headers::is_missing_response(response.status_code, &response.headers) {
             return Err(gone("the ticket's host gave no answer"));
         }
         let content_type = headers::find(&response.headers, "Content-Type");
@@ -327,14 +327,14 @@
         let ring = view.ring.as_ref().ok_or_else(no_ring)?;
         let ticket = Ticket::from_token(token.trim(), &self.caller.workspace, ring)?;
         let (tx, rx) = flume::bounded(1);
-        let msg = Msg::Locate { incarnation: ticket.made_by, reply: tx };
+        let msg = Msg::Locate { incarnation: ticket.issued_by, reply: tx };
         let ends = || Error::new(Code::Draining, "the host ends");
         shared.control.send(msg).map_err(|_| ends())?;
         rx.recv().map_err(|_| ends())
     }
 }
 
-fn repeat(kept: KeptAnswer) -> Result<ServiceAnswer> {
+fn repeat(kept: StoredResponse) -> Result<ServiceAnswer> {
     let body = kept.body.ok_or_else(|| {
         let message = "the call ran; its answer was too large to keep";
         Error::new(Code::TicketSpent, message).with_ran(Ran::Yes)
--- a/crates/tidetrack-router/src/shared.rs
+++ b/crates/tidetrack-router/src/shared.rs
@@ -15,7 +15,7 @@
 use tidetrack_core::ids::{Incarnation, RequestId, VersionRef};
 use tidetrack_core::limits::Limits;
 use tidetrack_core::retry::RetryBudget;
-use tidetrack_core::tickets::TicketBook;
+use tidetrack_core::tickets::TicketRegistry;
 use tidetrack_core::traffic::suspects::Suspects;
 use tidetrack_core::units::Millis;
 use tidetrack_core::view::{Confirmation, Freshness, View};
@@ -168,7 +168,7 @@
     /// Requests under which endpoints crashed.
     pub suspects: Arc<Suspects>,
     /// This incarnation's tickets.
-    pub tickets: Mutex<TicketBook>,
+    pub tickets: Mutex<TicketRegistry>,
     /// The budget of retries.
     pub retries: Mutex<RetryBudget>,
     /// The control thread.
@@ -216,7 +216,7 @@
     }
 
     /// Locks the tickets.
-    pub fn tickets(&self) -> MutexGuard<'_, TicketBook> {
+    pub fn tickets(&self) -> MutexGuard<'_, TicketRegistry> {
         self.tickets.lock().expect("no holder of the lock panics")
     }
 
--- a/crates/tidetrack-router/src/upstream.rs
+++ b/crates/tidetrack-router/src/upstream.rs
@@ -16,14 +16,14 @@
 use tokio::sync::oneshot;
 
 use tidetrack_core::codes::{Code, Ran};
-use tidetrack_core::disconnect::Broke;
+use tidetrack_core::disconnect::DisconnectCause;
 use tidetrack_core::errors::{Error, Result};
 use tidetrack_core::events::Event;
 use tidetrack_core::placement::PoolEndpoint;
 use tidetrack_core::traffic::fingerprint::Fingerprint;
 use tidetrack_core::units::Millis;
 use tidetrack_plane::events::EventSplitter;
-use tidetrack_wire::endpoint::{read_load_header, AttemptAsk};
+use tidetrack_wire::endpoint::{parse_load_header, AttemptRequest};
 use tidetrack_wire::headers;
 
 use crate::control::Msg;
@@ -57,7 +57,7 @@
 /// Cancels attempts until all senders are gone.
 pub fn cancel_loop(cancels: Receiver<Cancel>) {
     for (address, attempt) in cancels {
-        let ask = AttemptAsk { attempt, from_token: 0 };
+        let ask = AttemptRequest { attempt, from_token: 0 };
         let body = serde_json::to_string(&ask).expect("an ask is plain text");
         let request = minreq::post(format!("http://{address}/v1/cancel")).with_body(body);
         // An endpoint that cannot be reached has no work to cancel, or drops it with its connection.
@@ -216,7 +216,7 @@
 
     fn read_head(&self, reply: &Reply, any_status: bool) -> Result<()> {
         let find = |name| reply.head.headers.get(name).and_then(|v| v.to_str().ok());
-        if let Some((work, capacity)) = find(headers::LOAD).and_then(read_load_header) {
+        if let Some((work, capacity)) = find(headers::LOAD).and_then(parse_load_header) {
             self.endpoint.live.report(self.shared.now(), work, capacity);
         }
         if find(headers::LEAVING).is_some() {
@@ -246,7 +246,9 @@
         if ill {
             self.endpoint.live.note(self.shared.now(), false);
         }
-        if e.ran != Ran::No && matches!(e.broke, Some(Broke::Closed | Broke::Reset)) {
+        if e.ran != Ran::No
+            && matches!(e.broke, Some(DisconnectCause::Closed | DisconnectCause::Reset))
+        {
             self.note_crash();
         }
         self.shared.metrics.event("attempt_failed");
--- a/crates/tidetrack-router/tests/promises.rs
+++ b/crates/tidetrack-router/tests/promises.rs
@@ -88,7 +88,7 @@
 
     let host = &fleet.hosts[3].process().caller;
     let key = tidetrack_testkit::fleet::OPERATOR_KEY;
-    tidetrack_ctl::status::tell(host, key, &fact).expect("told");
+    tidetrack_ctl::status::send_fact(host, key, &fact).expect("told");
     fleet.wait_all("the fact", |s| !s.facts.is_empty());
     let before = fleet.old.counts().started;
     let codes: Vec<String> = (0..HOSTS).map(|h| ask(&fleet, h, "x").code()).collect();
@@ -149,8 +149,8 @@
         send(request.with_header(headers::SESSION, token))
     };
     let id = "to-2".parse().expect("a roll-out");
-    rollout::act(&fleet.platform, &id, rollout::Verb::Start).expect("a start");
-    rollout::act(&fleet.platform, &id, rollout::Verb::Advance).expect("an end");
+    rollout::apply_verb(&fleet.platform, &id, rollout::Verb::Start).expect("a start");
+    rollout::apply_verb(&fleet.platform, &id, rollout::Verb::Advance).expect("an end");
     fleet.wait_all("the end of the roll-out", |s| {
         let state = s.rollouts.first().and_then(|r| r.state.as_ref());
         state.is_some_and(|s| s.phase == RolloutPhase::Done)
@@ -314,7 +314,7 @@
         host.to_platform.set(Fault::Cut);
         host.to_peer.set(Fault::Cut);
     }
-    rollout::act(&fleet.platform, &id, rollout::Verb::Start).expect("a start");
+    rollout::apply_verb(&fleet.platform, &id, rollout::Verb::Start).expect("a start");
 
     let stop = Arc::new(AtomicBool::new(false));
     let load: Vec<_> = (0..HOSTS)
--- a/crates/tidetrack-router/tests/reads.rs
+++ b/crates/tidetrack-router/tests/reads.rs
@@ -10,7 +10,7 @@
 
 use tidetrack_core::config::{Kind, Model, Object, ObjectKey};
 use tidetrack_testkit::fleet::{Fleet, FleetOptions};
-use tidetrack_wire::platform::config_name;
+use tidetrack_wire::platform::config_object_name;
 
 /// Bytes of a large object; the object API takes up to 1 MiB.
 const LARGE: usize = 600_000;
@@ -33,7 +33,7 @@
 fn write(fleet: &Fleet, n: usize, bytes: usize) -> u64 {
     let serving = "model@1".parse().expect("a version");
     let object = Object::Model(Model { serving, about: "x".repeat(bytes) });
-    let name = config_name(&ObjectKey::new(Kind::Model, format!("model-{bytes}-{n}")));
+    let name = config_object_name(&ObjectKey::new(Kind::Model, format!("model-{bytes}-{n}")));
     fleet.platform.write(&name, 0, &object.to_json()).expect("a write").version
 }
 
--- a/crates/tidetrack-router/tests/slow_store.rs
+++ b/crates/tidetrack-router/tests/slow_store.rs
@@ -15,7 +15,7 @@
 use tidetrack_testkit::fleet::{Fleet, FleetOptions};
 use tidetrack_testkit::proxy::{Fault, Proxy};
 use tidetrack_testkit::wait_for;
-use tidetrack_wire::platform::{config_name, ListedHost, ListedState, PlatformClient};
+use tidetrack_wire::platform::{config_object_name, ListedHost, ListedState, PlatformClient};
 
 /// Bytes a second of a link of 1 Mbit/s.
 const SLOW: u64 = 125_000;
@@ -33,7 +33,7 @@
         Fleet::start(Path::new(env!("CARGO_BIN_EXE_tidetrack-router")), options).expect("a fleet");
     let serving = "model@1".parse().expect("a version");
     let object = Object::Model(Model { serving, about: "x".repeat(LARGE) });
-    let name = config_name(&ObjectKey::new(Kind::Model, "large"));
+    let name = config_object_name(&ObjectKey::new(Kind::Model, "large"));
     fleet.hosts[0].to_platform.set(Fault::Rate(SLOW));
     let (began, before) = (Instant::now(), fleet.hosts[0].to_platform.bytes());
 
@@ -57,7 +57,7 @@
     let client = PlatformClient::new(&proxy.address());
     let began = Instant::now();
 
-    let written = client.write_settled("ledger/a~1/1", 0, &"x".repeat(SEGMENT));
+    let written = client.write_confirmed("ledger/a~1/1", 0, &"x".repeat(SEGMENT));
 
     println!("{written:?} after {:?}, {} bytes", began.elapsed(), proxy.bytes());
     assert!(written.is_ok(), "{written:?}");
@@ -73,7 +73,7 @@
     store.set_faults(PlatformFaults { lose_replies: 1, ..PlatformFaults::default() });
     let client = PlatformClient::new(&proxy.address());
 
-    let written = client.write_settled("ledger/a~1/1", 0, &"x".repeat(SEGMENT));
+    let written = client.write_confirmed("ledger/a~1/1", 0, &"x".repeat(SEGMENT));
 
     println!("{written:?}, {} bytes", proxy.bytes());
     assert!(written.is_ok(), "{written:?}");
@@ -99,7 +99,7 @@
 
     let took: Vec<Duration> = (0..12)
         .map(|n| {
-            let name = config_name(&ObjectKey::new(Kind::Model, format!("small-{n}")));
+            let name = config_object_name(&ObjectKey::new(Kind::Model, format!("small-{n}")));
             let began = Instant::now();
             let version = fleet.platform.write(&name, 0, &small).expect("a write").version;
             wait_for("the change in force", || {
--- a/crates/tidetrack-standin/src/engine/mod.rs
+++ b/crates/tidetrack-standin/src/engine/mod.rs
@@ -18,7 +18,7 @@
 use tidetrack_core::placement::work_of;
 use tidetrack_core::units::Tokens;
 use tidetrack_wire::caller::ChatRequest;
-use tidetrack_wire::endpoint::{AttemptAsk, LoadReport, Order, OrderKind};
+use tidetrack_wire::endpoint::{AttemptRequest, LoadReport, Order, OrderKind};
 use tidetrack_wire::headers;
 
 use crate::http::{self, make_header, Running};
@@ -96,7 +96,7 @@
                 let report = self.lagging_report();
                 http::reply(request, 200, &report);
             }
-            "/v1/cancel" => match http::json::<AttemptAsk>(&mut request) {
+            "/v1/cancel" => match http::json::<AttemptRequest>(&mut request) {
                 Ok(ask) => {
                     self.lock().cancelled.insert(ask.attempt);
                     self.shared.1.notify_all();
@@ -272,7 +272,7 @@
 
     /// Gives the rest of an attempt's answer from a token on.
     fn resume(&self, mut request: Request) {
-        let ask: AttemptAsk = match http::json(&mut request) {
+        let ask: AttemptRequest = match http::json(&mut request) {
             Ok(ask) => ask,
             Err(e) => return http::reply(request, 400, &e.to_string()),
         };
--- a/crates/tidetrack-standin/src/engine/run.rs
+++ b/crates/tidetrack-standin/src/engine/run.rs
@@ -7,7 +7,7 @@
 use tiny_http::{Request, Response};
 
 use tidetrack_core::placement::draw;
-use tidetrack_wire::caller::{ChatRequest, DONE};
+use tidetrack_wire::caller::{ChatRequest, STREAM_END};
 use tidetrack_wire::headers;
 use tidetrack_wire::stream;
 
@@ -119,11 +119,13 @@
             .with_header(make_header("Content-Type", "text/event-stream"))
             .with_header(make_header(headers::ATTEMPT, &self.echoed()))
             .with_header(make_header(headers::LOAD, &self.load_header()));
-        let Ok(mut body) = stream::begin(request, head) else { return self.count_cancelled() };
+        let Ok(mut body) = stream::start_response(request, head) else {
+            return self.count_cancelled();
+        };
         let cut = self.engine.lock().faults.cut_after;
         for (i, token) in self.answer.iter().enumerate() {
             if cut == Some(i as u64) {
-                return body.get_mut().break_off();
+                return body.get_mut().abort();
             }
             let last = i + 1 == self.answer.len();
             let stopped = self.engine.wait(&self.attempt, self.engine.token_time());
@@ -137,7 +139,7 @@
         });
         self.count_finished();
         // The router that has left by now has had its whole answer.
-        let _ = body.write_all(format!("data: {usage}\n\ndata: {DONE}\n\n").as_bytes());
+        let _ = body.write_all(format!("data: {usage}\n\ndata: {STREAM_END}\n\n").as_bytes());
     }
 
     fn send_chunk(&self, out: &mut impl Write, token: &str, last: bool) -> std::io::Result<()> {
--- a/crates/tidetrack-standin/src/objects.rs
+++ b/crates/tidetrack-standin/src/objects.rs
@@ -10,7 +10,7 @@
 use tiny_http::{Method, Request};
 
 use tidetrack_wire::headers;
-use tidetrack_wire::platform::{Changes, ListedHost, ObjectList, StoredObject, Written};
+use tidetrack_wire::platform::{Changes, ListedHost, ObjectList, StoredObject, WriteReply};
 
 use crate::http::{self, Running};
 
@@ -205,7 +205,7 @@
         let (outcome, lost) = self.put(name, expected, body);
         match outcome {
             _ if lost => http::hang_up(request),
-            Some(version) => http::reply(request, 200, &Written { version }),
+            Some(version) => http::reply(request, 200, &WriteReply { version }),
             None => http::reply(request, 409, &"another version"),
         }
     }
--- a/crates/tidetrack-standin/src/rater.rs
+++ b/crates/tidetrack-standin/src/rater.rs
@@ -6,7 +6,7 @@
 use tiny_http::Request;
 
 use tidetrack_core::placement::draw;
-use tidetrack_wire::endpoint::{RateAsk, Rating};
+use tidetrack_wire::endpoint::{Rating, RatingRequest};
 
 use crate::http::{self, Running};
 
@@ -34,13 +34,13 @@
 
     fn handle(&self, mut request: Request) {
         std::thread::sleep(std::time::Duration::from_millis(self.delay_ms));
-        match http::json::<RateAsk>(&mut request) {
+        match http::json::<RatingRequest>(&mut request) {
             Ok(ask) => http::reply(request, 200, &Rating { score: self.score(&ask) }),
             Err(e) => http::reply(request, 400, &e.to_string()),
         }
     }
 
-    fn score(&self, ask: &RateAsk) -> f64 {
+    fn score(&self, ask: &RatingRequest) -> f64 {
         let quality = quality_of(&ask.answer).unwrap_or(0.0);
         let draw = draw("noise", &ask.request);
         (quality + (draw * 2.0 - 1.0) * self.noise).clamp(0.0, 1.0)
--- a/crates/tidetrack-testkit/src/fleet.rs
+++ b/crates/tidetrack-testkit/src/fleet.rs
@@ -97,7 +97,7 @@
 
     /// Gets what the host shows of itself.
     pub fn status(&self) -> Option<Status> {
-        status::fetch(&self.process().caller, OPERATOR_KEY).ok()
+        status::fetch_status(&self.process().caller, OPERATOR_KEY).ok()
     }
 
     /// Ends the process at once.
@@ -243,7 +243,7 @@
     /// Applies what is declared.
     pub fn apply(&self) -> Result<()> {
         let lines = apply::diff(&self.platform, &self.declared, false)?;
-        match apply::apply(&self.platform, &lines, &mut |_, _| {}).failure() {
+        match apply::apply(&self.platform, &lines, &mut |_, _| {}).first_failure() {
             Some(e) => Err(e.into()),
             None => Ok(()),
         }
--- a/crates/tidetrack-wire/src/caller.rs
+++ b/crates/tidetrack-wire/src/caller.rs
@@ -66,13 +66,13 @@
     pub fn chars(&self) -> usize {
         match &self.content {
             Value::String(s) => s.chars().count(),
-            Value::Array(parts) => parts.iter().map(part_chars).sum(),
+            Value::Array(parts) => parts.iter().map(part_char_count).sum(),
             _ => 0,
         }
     }
 }
 
-fn part_chars(part: &Value) -> usize {
+fn part_char_count(part: &Value) -> usize {
     part.get("text").and_then(Value::as_str).map_or(0, |s| s.chars().count())
 }
 
@@ -105,7 +105,7 @@
 
 /// The part of a whole answer or a stream's chunk that the router reads.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
-pub struct AnswerPart {
+pub struct ResponsePart {
     /// What was chosen; empty in a chunk that only gives usage.
     #[serde(default)]
     pub choices: Vec<Choice>,
@@ -136,7 +136,7 @@
     pub content: Option<String>,
 }
 
-impl AnswerPart {
+impl ResponsePart {
     /// Gets the text of the first choice.
     pub fn text(&self) -> &str {
         let choice = self.choices.first();
@@ -145,24 +145,24 @@
     }
 
     /// Tells whether this part ends the answer.
-    pub fn is_end(&self) -> bool {
+    pub fn is_final(&self) -> bool {
         self.choices.iter().any(|c| c.finish_reason.is_some())
     }
 }
 
 /// The line that ends a stream.
-pub const DONE: &str = "[DONE]";
+pub const STREAM_END: &str = "[DONE]";
 
 /// A refusal or failure, as callers get it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Refusal {
+pub struct ErrorResponse {
     /// What went wrong.
-    pub error: RefusalBody,
+    pub error: ErrorBody,
 }
 
 /// The members of a refusal.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct RefusalBody {
+pub struct ErrorBody {
     /// The result code.
     pub code: String,
     /// For a person.
@@ -174,12 +174,12 @@
     pub ran: Ran,
 }
 
-impl Refusal {
+impl ErrorResponse {
     /// Makes the refusal of an error.
-    pub fn of(e: &Error) -> Refusal {
+    pub fn from_error(e: &Error) -> ErrorResponse {
         let kind = if e.code.status() < 500 { "invalid_request_error" } else { "server_error" };
-        Refusal {
-            error: RefusalBody {
+        ErrorResponse {
+            error: ErrorBody {
                 code: e.code.to_string(),
                 message: e.message.clone(),
                 kind: kind.to_string(),
@@ -191,7 +191,7 @@
 
 /// The answer to an ask for a session.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SessionMade {
+pub struct SessionResponse {
     /// The token.
     pub session: String,
     /// The version that the session keeps.
@@ -200,14 +200,14 @@
 
 /// An ask for a session.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SessionAsk {
+pub struct SessionRequest {
     /// The route.
     pub model: String,
 }
 
 /// The answer to an ask for a ticket.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TicketMade {
+pub struct TicketResponse {
     /// The ticket.
     pub ticket: String,
 }
@@ -217,7 +217,7 @@
     use super::*;
 
     #[test]
-    fn unknown_members_live_on() {
+    fn unknown_members_survive_a_round_trip() {
         let text =
             r#"{"model":"m","messages":[{"role":"user","content":"hi","name":"x"}],"seed":7}"#;
         let req: ChatRequest = serde_json::from_str(text).expect("a request");
--- a/crates/tidetrack-wire/src/endpoint.rs
+++ b/crates/tidetrack-wire/src/endpoint.rs
@@ -28,14 +28,14 @@
 }
 
 /// Reads a load header: work and capacity.
-pub fn read_load_header(value: &str) -> Option<(u64, Tokens)> {
+pub fn parse_load_header(value: &str) -> Option<(u64, Tokens)> {
     let (work, capacity) = value.split_once(' ')?;
     Some((work.parse().ok()?, Tokens(capacity.parse().ok()?)))
 }
 
 /// An ask to cancel an attempt, or to resume it from a token on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct AttemptAsk {
+pub struct AttemptRequest {
     /// The attempt.
     pub attempt: String,
     /// Tokens already had; for `resume`.
@@ -66,7 +66,7 @@
 
 /// An ask for a rating.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RateAsk {
+pub struct RatingRequest {
     /// The request's id.
     pub request: String,
     /// The version that answered.
--- a/crates/tidetrack-wire/src/headers.rs
+++ b/crates/tidetrack-wire/src/headers.rs
@@ -42,6 +42,6 @@
 
 /// Tells whether an answer is none: `minreq` gives a bare 503 where the connection ended before a
 /// status line came.
-pub fn is_no_answer(status: u16, headers: &[(String, String)]) -> bool {
+pub fn is_missing_response(status: u16, headers: &[(String, String)]) -> bool {
     status == 503 && headers.is_empty()
 }
--- a/crates/tidetrack-wire/src/peer.rs
+++ b/crates/tidetrack-wire/src/peer.rs
@@ -23,37 +23,44 @@
 
 /// A sealed call or reply.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Sealed {
+pub struct SignedMessage {
     /// The key's name.
-    pub k: String,
+    #[serde(rename = "k")]
+    pub key_id: String,
     /// The code.
-    pub c: String,
+    #[serde(rename = "c")]
+    pub mac: String,
     /// The body.
-    pub b: Box<RawValue>,
+    #[serde(rename = "b")]
+    pub body: Box<RawValue>,
 }
 
-impl Clone for Sealed {
+impl Clone for SignedMessage {
     fn clone(&self) -> Self {
-        Sealed { k: self.k.clone(), c: self.c.clone(), b: self.b.to_owned() }
+        SignedMessage {
+            key_id: self.key_id.clone(),
+            mac: self.mac.clone(),
+            body: self.body.to_owned(),
+        }
     }
 }
 
-impl Sealed {
+impl SignedMessage {
     /// Seals a body for `method`.
-    pub fn seal<T: Serialize>(ring: &KeyRing, method: &str, body: &T) -> Result<Sealed> {
-        let b = serde_json::value::to_raw_value(body)
+    pub fn sign<T: Serialize>(ring: &KeyRing, method: &str, body: &T) -> Result<SignedMessage> {
+        let body = serde_json::value::to_raw_value(body)
             .map_err(|e| Error::new(Code::Internal, e.to_string()))?;
-        let c = ring.make(Purpose::Peer, method, &[b.get().as_bytes()]);
-        Ok(Sealed { k: ring.current.id.clone(), c, b })
+        let mac = ring.sign(Purpose::Peer, method, &[body.get().as_bytes()]);
+        Ok(SignedMessage { key_id: ring.current.id.clone(), mac, body })
     }
 
     /// Opens a sealed body of `method`.
-    pub fn open<T: DeserializeOwned>(&self, ring: &KeyRing, method: &str) -> Result<T> {
-        let parts: [&[u8]; 1] = [self.b.get().as_bytes()];
-        if !ring.check(Purpose::Peer, method, &parts, &self.k, &self.c) {
+    pub fn verify<T: DeserializeOwned>(&self, ring: &KeyRing, method: &str) -> Result<T> {
+        let parts: [&[u8]; 1] = [self.body.get().as_bytes()];
+        if !ring.verify(Purpose::Peer, method, &parts, &self.key_id, &self.mac) {
             return Err(Error::new(Code::PeerRefused, "the call's code is not the fleet's"));
         }
-        serde_json::from_str(self.b.get())
+        serde_json::from_str(self.body.get())
             .map_err(|e| Error::new(Code::PeerRefused, format!("{method}: {e}")))
     }
 }
@@ -96,14 +103,14 @@
     use tidetrack_core::message_auth::Key;
 
     #[test]
-    fn a_changed_body_or_another_method_does_not_open() {
+    fn verify_rejects_changed_body_and_other_method() {
         let key = Key { id: "k".into(), secret: "0123456789abcdef".into() };
         let ring = KeyRing { current: key, previous: None };
-        let mut sealed =
-            Sealed::seal(&ring, METHOD_PROBE, &ProbeReply { reached: true }).expect("sealed");
-        assert!(sealed.open::<ProbeReply>(&ring, METHOD_PROBE).is_ok());
-        assert!(sealed.open::<ProbeReply>(&ring, METHOD_HOLD).is_err());
-        sealed.b = RawValue::from_string("{\"reached\":false}".into()).expect("JSON");
-        assert!(sealed.open::<ProbeReply>(&ring, METHOD_PROBE).is_err());
+        let mut signed = SignedMessage::sign(&ring, METHOD_PROBE, &ProbeReply { reached: true })
+            .expect("sealed");
+        assert!(signed.verify::<ProbeReply>(&ring, METHOD_PROBE).is_ok());
+        assert!(signed.verify::<ProbeReply>(&ring, METHOD_HOLD).is_err());
+        signed.body = RawValue::from_string("{\"reached\":false}".into()).expect("JSON");
+        assert!(signed.verify::<ProbeReply>(&ring, METHOD_PROBE).is_err());
     }
 }
