--- a/crates/tidetrack-wire/src/platform.rs
+++ b/crates/tidetrack-wire/src/platform.rs
@@ -28,19 +28,19 @@
 pub const CLAIM_PREFIX: &str = "claim/";
 
 /// Seconds that one call to the platform may take, besides what its size takes.
-const CALL_SECONDS: u64 = 2;
+const BASE_TIMEOUT_SECONDS: u64 = 2;
 
 /// A body gets a second more for so many bytes: half of what a link of 1 Mbit/s carries.
-const BODY_BYTES_A_SECOND: u64 = 64 * 1024;
+const BODY_BYTES_PER_SECOND: u64 = 64 * 1024;
 
 /// Most seconds more for a read: 7.5 MB over a link of 1 Mbit/s, past any list of the size aimed at.
-const MOST_MORE_SECONDS: u64 = 60;
+const MAX_EXTRA_SECONDS: u64 = 60;
 
 /// When to come back to an object API that is over its rate, in milliseconds.
-const RETRY_BUSY_MS: u64 = 1_000;
+const BUSY_RETRY_MS: u64 = 1_000;
 
 /// Tries to settle a write whose reply was lost.
-const SETTLE_TRIES: usize = 5;
+const MAX_WRITE_ATTEMPTS: usize = 5;
 
 /// An object as the platform gives it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -75,7 +75,7 @@
 
 /// The reply to a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Written {
+pub struct WriteReply {
     /// The object's new version.
     pub version: u64,
 }
@@ -106,51 +106,52 @@
 /// A client of the platform's API.
 #[derive(Clone, Debug)]
 pub struct PlatformClient {
-    base: String,
-    fetch: Patience,
-    list: Patience,
-    watch: Patience,
-    hosts: Patience,
+    base_url: String,
+    fetch_timeout: AdaptiveTimeout,
+    list_timeout: AdaptiveTimeout,
+    watch_timeout: AdaptiveTimeout,
+    hosts_timeout: AdaptiveTimeout,
 }
 
 /// Seconds more for a read that may be large, after one was cut by time while its answer came.
 #[derive(Clone, Debug, Default)]
-struct Patience(Arc<AtomicU64>);
+struct AdaptiveTimeout(Arc<AtomicU64>);
 
-impl Patience {
+impl AdaptiveTimeout {
     /// Reads JSON within `seconds` and what there is more.
-    fn read<T: DeserializeOwned>(&self, req: minreq::Request, seconds: u64) -> Result<T> {
-        let more = self.0.load(Ordering::Relaxed);
-        let began = Instant::now();
-        let mut resp = req.with_timeout(seconds + more).send_lazy().map_err(down)?;
-        check(resp.status_code)?;
+    fn read<T: DeserializeOwned>(&self, request: minreq::Request, seconds: u64) -> Result<T> {
+        let extra = self.0.load(Ordering::Relaxed);
+        let started_at = Instant::now();
+        let mut response =
+            request.with_timeout(seconds + extra).send_lazy().map_err(unavailable)?;
+        check_status(response.status_code)?;
         let mut body = Vec::new();
-        if let Err(e) = resp.read_to_end(&mut body) {
-            let is_late = began.elapsed() >= Duration::from_secs(seconds + more);
-            if is_late && !body.is_empty() {
-                let next = (seconds + more * 2).min(MOST_MORE_SECONDS);
-                self.0.store(next, Ordering::Relaxed);
+        if let Err(e) = response.read_to_end(&mut body) {
+            let is_timed_out = started_at.elapsed() >= Duration::from_secs(seconds + extra);
+            if is_timed_out && !body.is_empty() {
+                let next_extra = (seconds + extra * 2).min(MAX_EXTRA_SECONDS);
+                self.0.store(next_extra, Ordering::Relaxed);
             }
             let message = format!("an answer was cut after {} bytes: {e}", body.len());
             return Err(Error::new(Code::PlatformDown, message).with_ran(Ran::Unknown));
         }
-        if began.elapsed() < Duration::from_secs(seconds) {
+        if started_at.elapsed() < Duration::from_secs(seconds) {
             self.0.store(0, Ordering::Relaxed);
         }
-        parse(&body)
+        parse_json(&body)
     }
 }
 
-fn down(e: minreq::Error) -> Error {
+fn unavailable(e: minreq::Error) -> Error {
     Error::new(Code::PlatformDown, e.to_string()).with_ran(Ran::Unknown)
 }
 
-fn check(status: u16) -> Result<()> {
+fn check_status(status: u16) -> Result<()> {
     match status {
         200 => Ok(()),
         404 => Err(Error::new(Code::ObjectGone, "no such object")),
         409 => Err(Error::new(Code::Conflict, "the object has another version")),
-        429 => Err(Error::new(Code::PlatformBusy, "over its rate").with_retry_after(RETRY_BUSY_MS)),
+        429 => Err(Error::new(Code::PlatformBusy, "over its rate").with_retry_after(BUSY_RETRY_MS)),
         status => {
             let message = format!("the object API answered {status}");
             Err(Error::new(Code::PlatformDown, message).with_ran(Ran::Unknown))
@@ -159,11 +160,11 @@
 }
 
 /// Gets the seconds that a call with a body of this size may take.
-fn seconds_for(body: &str) -> u64 {
-    CALL_SECONDS + body.len() as u64 / BODY_BYTES_A_SECOND
+fn write_timeout_seconds(body: &str) -> u64 {
+    BASE_TIMEOUT_SECONDS + body.len() as u64 / BODY_BYTES_PER_SECOND
 }
 
-fn parse<T: DeserializeOwned>(body: &[u8]) -> Result<T> {
+fn parse_json<T: DeserializeOwned>(body: &[u8]) -> Result<T> {
     serde_json::from_slice(body)
         .map_err(|e| Error::new(Code::PlatformDown, e.to_string()).with_ran(Ran::Unknown))
 }
@@ -172,107 +173,112 @@
     /// Makes a client of the API at `ip:port`.
     pub fn new(address: &str) -> PlatformClient {
         PlatformClient {
-            base: format!("http://{address}/v1"),
-            fetch: Patience::default(),
-            list: Patience::default(),
-            watch: Patience::default(),
-            hosts: Patience::default(),
+            base_url: format!("http://{address}/v1"),
+            fetch_timeout: AdaptiveTimeout::default(),
+            list_timeout: AdaptiveTimeout::default(),
+            watch_timeout: AdaptiveTimeout::default(),
+            hosts_timeout: AdaptiveTimeout::default(),
         }
     }
 
-    fn read<T: DeserializeOwned>(&self, req: minreq::Request, seconds: u64) -> Result<T> {
-        let resp = req.with_timeout(seconds).send().map_err(down)?;
-        check(resp.status_code)?;
-        parse(resp.as_bytes())
+    fn read<T: DeserializeOwned>(&self, request: minreq::Request, seconds: u64) -> Result<T> {
+        let response = request.with_timeout(seconds).send().map_err(unavailable)?;
+        check_status(response.status_code)?;
+        parse_json(response.as_bytes())
     }
 
     /// Gets one object.
     pub fn fetch(&self, name: &str) -> Result<StoredObject> {
-        self.fetch_within(name, CALL_SECONDS)
+        self.fetch_within(name, BASE_TIMEOUT_SECONDS)
     }
 
     fn fetch_within(&self, name: &str, seconds: u64) -> Result<StoredObject> {
-        self.fetch.read(minreq::get(format!("{}/objects/{name}", self.base)), seconds)
+        self.fetch_timeout.read(minreq::get(format!("{}/objects/{name}", self.base_url)), seconds)
     }
 
     /// Lists the objects whose names begin with `prefix`.
     pub fn list(&self, prefix: &str) -> Result<ObjectList> {
-        let url = format!("{}/list?prefix={prefix}", self.base);
-        self.list.read(minreq::get(url), CALL_SECONDS * 5)
+        let url = format!("{}/list?prefix={prefix}", self.base_url);
+        self.list_timeout.read(minreq::get(url), BASE_TIMEOUT_SECONDS * 5)
     }
 
     /// Waits up to `wait_ms` for changes after a revision. `ObjectGone` asks for a new list.
     pub fn watch(&self, prefix: &str, after: u64, wait_ms: u64) -> Result<Changes> {
-        let base = &self.base;
-        let url = format!("{base}/watch?prefix={prefix}&after={after}&wait_ms={wait_ms}");
-        self.watch.read(minreq::get(url), CALL_SECONDS + wait_ms.div_ceil(1000))
+        let base_url = &self.base_url;
+        let url = format!("{base_url}/watch?prefix={prefix}&after={after}&wait_ms={wait_ms}");
+        self.watch_timeout.read(minreq::get(url), BASE_TIMEOUT_SECONDS + wait_ms.div_ceil(1000))
     }
 
     /// Writes an object if its version is `if_version`; 0 creates it if absent.
-    pub fn write(&self, name: &str, if_version: u64, body: &str) -> Result<Written> {
-        let req = minreq::put(format!("{}/objects/{name}", self.base))
+    pub fn write(&self, name: &str, if_version: u64, body: &str) -> Result<WriteReply> {
+        let request = minreq::put(format!("{}/objects/{name}", self.base_url))
             .with_header(headers::IF_VERSION, if_version.to_string())
             .with_body(body);
-        self.read(req, seconds_for(body))
+        self.read(request, write_timeout_seconds(body))
     }
 
     /// Writes like `write` and settles a lost reply by reading back.
     ///
     /// The body must be one that no other writer would write.
-    pub fn write_settled(&self, name: &str, if_version: u64, body: &str) -> Result<Written> {
-        let mut unsettled = false;
-        let mut last = None;
-        for _ in 0..SETTLE_TRIES {
+    pub fn write_confirmed(&self, name: &str, if_version: u64, body: &str) -> Result<WriteReply> {
+        let mut is_outcome_unknown = false;
+        let mut last_error = None;
+        for _ in 0..MAX_WRITE_ATTEMPTS {
             match self.write(name, if_version, body) {
                 Err(e) if e.code == Code::PlatformDown => {
-                    unsettled = true;
-                    last = Some(e);
+                    is_outcome_unknown = true;
+                    last_error = Some(e);
                 }
-                Err(e) if e.code == Code::Conflict && unsettled => {
+                Err(e) if e.code == Code::Conflict && is_outcome_unknown => {
                     // If it is ours it is as large.
-                    let found = self.fetch_within(name, seconds_for(body))?;
-                    let ours = found.body.as_deref() == Some(body);
-                    return if ours { Ok(Written { version: found.version }) } else { Err(e) };
+                    let stored = self.fetch_within(name, write_timeout_seconds(body))?;
+                    let is_own_write = stored.body.as_deref() == Some(body);
+                    return if is_own_write {
+                        Ok(WriteReply { version: stored.version })
+                    } else {
+                        Err(e)
+                    };
                 }
                 other => return other,
             }
         }
-        Err(last.unwrap_or_else(|| Error::new(Code::PlatformDown, "not settled")))
+        Err(last_error.unwrap_or_else(|| Error::new(Code::PlatformDown, "not settled")))
     }
 
     /// Deletes an object if its version is `if_version`.
-    pub fn delete(&self, name: &str, if_version: u64) -> Result<Written> {
-        let req = minreq::delete(format!("{}/objects/{name}", self.base))
+    pub fn delete(&self, name: &str, if_version: u64) -> Result<WriteReply> {
+        let request = minreq::delete(format!("{}/objects/{name}", self.base_url))
             .with_header(headers::IF_VERSION, if_version.to_string());
-        self.read(req, CALL_SECONDS)
+        self.read(request, BASE_TIMEOUT_SECONDS)
     }
 
     /// Gets the list of hosts.
     pub fn hosts(&self) -> Result<Vec<ListedHost>> {
-        self.hosts.read(minreq::get(format!("{}/hosts", self.base)), CALL_SECONDS)
+        self.hosts_timeout
+            .read(minreq::get(format!("{}/hosts", self.base_url)), BASE_TIMEOUT_SECONDS)
     }
 
     /// Lists the configuration as entries of a store.
     pub fn list_config(&self) -> Result<(u64, Vec<Entry>)> {
         let list = self.list(CONFIG_PREFIX)?;
-        Ok((list.revision, list.objects.into_iter().filter_map(entry_of).collect()))
+        Ok((list.revision, list.objects.into_iter().filter_map(to_entry).collect()))
     }
 
     /// Waits for changes of the configuration.
     pub fn watch_config(&self, after: u64, wait_ms: u64) -> Result<Delta> {
         let changes = self.watch(CONFIG_PREFIX, after, wait_ms)?;
-        let entries = changes.objects.into_iter().filter_map(entry_of).collect();
+        let entries = changes.objects.into_iter().filter_map(to_entry).collect();
         Ok(Delta { from: changes.from, to: changes.to, entries })
     }
 }
 
 /// Gets the name under which a configuration object stands.
-pub fn config_name(key: &ObjectKey) -> String {
+pub fn config_object_name(key: &ObjectKey) -> String {
     format!("{CONFIG_PREFIX}{key}")
 }
 
 /// Reads a configuration object's entry; `None` for a kind that this version does not know.
-fn entry_of(object: StoredObject) -> Option<Entry> {
+fn to_entry(object: StoredObject) -> Option<Entry> {
     let key = object.name.strip_prefix(CONFIG_PREFIX)?.parse().ok()?;
     Some(Entry { key, version: object.version, body: object.body.map(Into::into) })
 }
--- a/crates/tidetrack-wire/src/stream.rs
+++ b/crates/tidetrack-wire/src/stream.rs
@@ -9,21 +9,21 @@
 use tiny_http::{HTTPVersion, Request, Response};
 
 /// A writer that flushes after each write.
-pub struct FlushEach {
+pub struct FlushingWriter {
     inner: Box<dyn Write + Send>,
-    broken: bool,
+    is_aborted: bool,
 }
 
-impl FlushEach {
+impl FlushingWriter {
     /// Lets nothing more out, not even the end of the body.
-    pub fn break_off(&mut self) {
-        self.broken = true;
+    pub fn abort(&mut self) {
+        self.is_aborted = true;
     }
 }
 
-impl Write for FlushEach {
+impl Write for FlushingWriter {
     fn write(&mut self, buf: &[u8]) -> Result<usize> {
-        if self.broken {
+        if self.is_aborted {
             return Err(ErrorKind::BrokenPipe.into());
         }
         let n = self.inner.write(buf)?;
@@ -37,14 +37,14 @@
 }
 
 /// A body under way. Dropping it ends the body properly, unless it was broken off.
-pub type Body = Encoder<FlushEach>;
+pub type Body = Encoder<FlushingWriter>;
 
 /// Sends the head of an answer to `request` and gets its body.
-pub fn begin<R: Read>(request: Request, head: Response<R>) -> Result<Body> {
+pub fn start_response<R: Read>(request: Request, head: Response<R>) -> Result<Body> {
     let head = head.with_data(std::io::empty(), None).with_chunked_threshold(0);
     let mut bytes = Vec::new();
     head.raw_print(&mut bytes, HTTPVersion(1, 1), &[], true, None)?;
-    let mut writer = FlushEach { inner: request.into_writer(), broken: false };
+    let mut writer = FlushingWriter { inner: request.into_writer(), is_aborted: false };
     writer.write_all(&bytes)?;
     Ok(Encoder::with_flush_after_write(writer))
 }
