--- a/crates/tidetrack-core/src/disconnect.rs
+++ b/crates/tidetrack-core/src/disconnect.rs
@@ -35,7 +35,7 @@
                 _ => None,
             }
         };
-        error_chain(e).find_map(cause_of).unwrap_or(DisconnectCause::Other)
+        sources(e).find_map(cause_of).unwrap_or(DisconnectCause::Other)
     }
 
     /// Gets the word for it in logs and metrics.
@@ -57,15 +57,13 @@
 }
 
 /// Walks from an error to its causes.
-fn error_chain<'a>(
-    e: &'a (dyn Error + 'static),
-) -> impl Iterator<Item = &'a (dyn Error + 'static)> {
+fn sources<'a>(e: &'a (dyn Error + 'static)) -> impl Iterator<Item = &'a (dyn Error + 'static)> {
     std::iter::successors(Some(e), |e: &&'a (dyn Error + 'static)| (*e).source())
 }
 
 /// Gets an error's text with those of its causes.
 pub fn format_error_chain(e: &(dyn Error + 'static)) -> String {
-    let texts: Vec<String> = error_chain(e).map(|e| e.to_string()).collect();
+    let texts: Vec<String> = sources(e).map(|e| e.to_string()).collect();
     texts.join(": ")
 }
 
--- a/crates/tidetrack-core/src/message_auth.rs
+++ b/crates/tidetrack-core/src/message_auth.rs
@@ -55,7 +55,7 @@
 impl KeyRing {
     /// Makes the code of `parts`, as hexadecimal text.
     pub fn sign(&self, purpose: Purpose, scope: &str, parts: &[&[u8]]) -> String {
-        to_hex(&mac(&self.current, purpose, scope, parts)[..MAC_LEN])
+        to_hex(&compute_mac(&self.current, purpose, scope, parts)[..MAC_LEN])
     }
 
     /// Checks a code against the key named `key_id`.
@@ -72,7 +72,7 @@
             Some(previous) if previous.id == key_id => previous,
             _ => return false,
         };
-        let expected = to_hex(&mac(key, purpose, scope, parts)[..MAC_LEN]);
+        let expected = to_hex(&compute_mac(key, purpose, scope, parts)[..MAC_LEN]);
         constant_time_eq(expected.as_bytes(), received.as_bytes())
     }
 }
@@ -80,26 +80,26 @@
 /// Sealed text of the form `FORM/KEY/text/CODE`, as sessions and tickets are given to callers.
 impl KeyRing {
     /// Seals `text`, which may itself have slashes, for a scope.
-    pub fn sign_token(&self, format: &str, purpose: Purpose, scope: &str, text: &str) -> String {
-        let mac = self.sign(purpose, scope, &[text.as_bytes()]);
-        format!("{format}/{}/{text}/{mac}", self.current.id)
+    pub fn sign_token(&self, form: &str, purpose: Purpose, scope: &str, text: &str) -> String {
+        let code = self.sign(purpose, scope, &[text.as_bytes()]);
+        format!("{form}/{}/{text}/{code}", self.current.id)
     }
 
     /// Gets the text out of a token of this form, if the code is right for the scope.
     pub fn verify_token<'a>(
         &self,
-        format: &str,
+        form: &str,
         purpose: Purpose,
         scope: &str,
         token: &'a str,
     ) -> Option<&'a str> {
-        let (key_id, rest) = token.strip_prefix(format)?.strip_prefix('/')?.split_once('/')?;
-        let (text, mac) = rest.rsplit_once('/')?;
-        self.verify(purpose, scope, &[text.as_bytes()], key_id, mac).then_some(text)
+        let (key_id, rest) = token.strip_prefix(form)?.strip_prefix('/')?.split_once('/')?;
+        let (text, code) = rest.rsplit_once('/')?;
+        self.verify(purpose, scope, &[text.as_bytes()], key_id, code).then_some(text)
     }
 }
 
-fn mac(key: &Key, purpose: Purpose, scope: &str, parts: &[&[u8]]) -> [u8; 32] {
+fn compute_mac(key: &Key, purpose: Purpose, scope: &str, parts: &[&[u8]]) -> [u8; 32] {
     let mut scope_hmac = new_hmac(key.secret.as_bytes());
     scope_hmac.update(purpose.label());
     scope_hmac.update(scope.as_bytes());
--- a/crates/tidetrack-wire/src/stream.rs
+++ b/crates/tidetrack-wire/src/stream.rs
@@ -40,7 +40,7 @@
 pub type Body = Encoder<FlushingWriter>;
 
 /// Sends the head of an answer to `request` and gets its body.
-pub fn start_response<R: Read>(request: Request, head: Response<R>) -> Result<Body> {
+pub fn begin<R: Read>(request: Request, head: Response<R>) -> Result<Body> {
     let head = head.with_data(std::io::empty(), None).with_chunked_threshold(0);
     let mut bytes = Vec::new();
     head.raw_print(&mut bytes, HTTPVersion(1, 1), &[], true, None)?;
