--- a/crates/tidetrack-core/src/bill_replicator/forwarding.rs
+++ b/crates/tidetrack-core/src/bill_replicator/forwarding.rs
@@ -1,4 +1,4 @@
-//! The bills of a gone host that cannot be written: the own holder is given a copy of them too.
+//! Sends a copy of a gone host's bills to this host's holder while they cannot be written.
 
 use super::replication::TARGET_HOLD_TIME;
 use super::{BillReplicator, HoldCall, ReplicatorAction};
@@ -6,26 +6,27 @@
 use crate::ledger::Bill;
 use crate::units::Millis;
 
-/// How far the bills of a gone origin were passed on.
+/// Progress of forwarding the bills of one gone origin.
 #[derive(Debug, Default)]
 pub(super) struct Forwarding {
     holder: String,
-    /// Bills held for the origin when it began; once they are others, it begins anew.
+    /// Number of bills held for the origin when forwarding began. It starts again if this changes.
     held_count: usize,
-    /// Bills below this number were taken.
+    /// Bills below this number have been sent.
     next_number: u64,
-    /// The call under way: its number, when it began, and its last bill.
+    /// The unanswered call: its number, its start time and the number of its last bill.
     in_flight: Option<(u64, Millis, u64)>,
 }
 
 impl BillReplicator {
-    /// Finds the gone origin whose bills a call passes on.
+    /// Returns the gone origin whose bills were sent with this call, if any.
     pub(super) fn forwarded_origin(&self, batch: u64) -> Option<Incarnation> {
         let has_batch = |p: &Forwarding| p.in_flight.is_some_and(|(number, ..)| number == batch);
         self.forwarding_by_origin.iter().find(|(_, p)| has_batch(p)).map(|(o, _)| o.clone())
     }
 
-    /// Has the own holder hold a gone origin's bills too, while they cannot be written, a call at a time.
+    /// Sends the next bills of a gone origin to the holder. Called while they cannot be written;
+    /// one call is in flight at a time.
     pub(super) fn forward_bills(&mut self, now: Millis, origin: &Incarnation) {
         let Some(holder) = self.holders.front().map(|h| h.address.clone()) else { return };
         let Some(pending) = self.held.pending(origin) else { return };
@@ -48,7 +49,7 @@
         self.actions.push(ReplicatorAction::Hold { holder, batch: self.last_batch, call });
     }
 
-    /// Takes the end of a call that passed bills on.
+    /// Handles the result of a call that forwarded bills.
     pub(super) fn forward_done(&mut self, now: Millis, origin: &Incarnation, is_held: bool) {
         let Some(forwarding) = self.forwarding_by_origin.get_mut(origin) else { return };
         let Some((_, started_at, last)) = forwarding.in_flight.take() else { return };
@@ -56,7 +57,7 @@
         self.adjust_hold_size(is_held && now - started_at <= TARGET_HOLD_TIME);
         match is_held {
             true => self.forward_bills(now, origin),
-            // Passed on again at the next failed write.
+            // Forwarding starts again at the next failed write.
             false => drop(self.forwarding_by_origin.remove(origin)),
         }
     }
--- a/crates/tidetrack-core/src/bill_replicator/mod.rs
+++ b/crates/tidetrack-core/src/bill_replicator/mod.rs
@@ -1,11 +1,13 @@
-//! The keeper of the bills: a copy on another host before the last byte, segments in the object API.
+//! Keeps a second copy of each bill on another host and writes bills to the object API in segments.
 //!
-//! The keeper never waits: it gives back actions, and the ends of calls come in as messages. What it
-//! does is in three files:
+//! A request's last byte is only sent once its bill is stored in a second place. The replicator
+//! does no I/O and never blocks: it returns actions, and the results of those actions are passed
+//! back to it. It is split into three files:
 //!
-//! - `hold_in_flight`: has another host, the holder, hold the own bills.
-//! - `segments`: writes bills to the object API, the own ones and those of hosts that are gone.
-//! - `forwarding`: has the holder hold what a gone host left, while it cannot be written.
+//! - `replication`: sends this host's bills to another host, the holder.
+//! - `segments`: writes bills to the object API, both those of this host and those of hosts that
+//!   are gone.
+//! - `forwarding`: sends the bills of a gone host to the holder while they cannot be written.
 
 mod forwarding;
 mod replication;
@@ -24,91 +26,95 @@
 use self::forwarding::Forwarding;
 use self::replication::{HoldInFlight, MAX_HOLD_BILLS};
 
-/// Segments that stand in for a holder are written at most this often: after the loss of a failure
-/// domain many hosts lack one at the same time, and the object API takes about 100 writes a second.
+/// Minimum time between segments that are written because no holder is available. After the loss of
+/// a failure domain many hosts lack a holder at the same time, and the object API takes about 100
+/// writes per second.
 const DIRECT_WRITE_INTERVAL: Millis = Millis(100);
 
-/// Bills to hold, and numbers of those that need not be held any more.
+/// A call that asks another host to hold bills and to drop those that have been written.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HoldCall {
-    /// Whose bills.
+    /// The incarnation that created the bills.
     pub origin: Incarnation,
-    /// The bills.
+    /// Bills to hold.
     pub bills: Vec<Bill>,
-    /// Bills that stand in the object API.
+    /// Numbers of bills that are in the object API and that the receiver may drop.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub written: Vec<u64>,
-    /// Segments of the origin below this number stand.
+    /// Number of the next segment; all segments of the origin below it are in the object API.
     pub next_segment: u64,
 }
 
-/// A host that may hold bills.
+/// A host that can hold bills of other hosts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Holder {
-    /// The host's life: another one at the same address holds nothing of what this one held.
+    /// The host's incarnation. A later incarnation at the same address holds none of the bills that
+    /// this one held.
     pub incarnation: Incarnation,
-    /// `ip:port`.
+    /// Address as `ip:port`.
     pub address: String,
 }
 
-/// What a keeper wants done.
+/// An action that the caller of [`BillReplicator::poll_actions`] has to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ReplicatorAction {
-    /// Have the holder hold bills; say how it ended with `hold_done`.
+    /// Send bills to the holder; report the result with `hold_done`.
     Hold {
-        /// `ip:port` of the holder.
+        /// Address of the holder as `ip:port`.
         holder: String,
-        /// The call's number.
+        /// Number of the call, unique within this replicator.
         batch: u64,
-        /// The bills.
+        /// The call to send.
         call: HoldCall,
     },
-    /// Create a segment if absent; say what stands with `write_done`.
+    /// Create the segment if it is absent; report the segment that is stored with `write_done`.
     Write(Segment),
-    /// A bill is safe: the request's last byte may leave.
+    /// The bill with this number is stored in a second place: the last byte of its request may be
+    /// sent.
     ReleaseResponse(u64),
-    /// Find out which of these incarnations are gone; say so with `take_over`.
+    /// Find out which of these incarnations are gone; report them with `take_over`.
     CheckGone(Vec<Incarnation>),
-    /// A flush ended; tells whether every bill stands or is held.
+    /// A flush has ended. The flag is true if every bill is in the object API or at a holder.
     Flushed(bool),
 }
 
-/// The keeper of one host's bills and of the copies it holds for others.
+/// Replicates one host's bills and holds copies of other hosts' bills.
 #[derive(Debug)]
 pub struct BillReplicator {
     origin: Incarnation,
     own_bills: PendingBills,
     held: HeldBills,
-    /// Hosts that may hold bills; the first one is asked, and moves to the end when it fails.
+    /// Hosts that can hold bills. The first is the current holder; it moves to the end when a call
+    /// to it fails.
     holders: VecDeque<Holder>,
-    /// Failed calls to holders in a row.
+    /// Number of failed calls to holders since the last success.
     consecutive_failures: usize,
-    /// Bills that the present holder does not have.
+    /// Bills that the current holder has not acknowledged.
     unreplicated: BTreeMap<u64, Bill>,
     hold_in_flight: Option<HoldInFlight>,
-    /// Most bills in the next call.
+    /// Maximum number of bills in the next call.
     max_hold_bills: usize,
     last_batch: u64,
     hold_retry_at: Option<Millis>,
-    /// Bills whose requests wait for them to be safe.
+    /// Numbers of bills whose requests may not finish until the bill is stored in a second place.
     awaiting_replication: BTreeSet<u64>,
-    /// Bills that stand in the object API and that the holder may drop.
+    /// Numbers of bills that are in the object API and that the holder may drop.
     written: Vec<u64>,
-    /// Origins with a segment being written.
+    /// Origins for which a segment is being written.
     origins_in_write: BTreeSet<Incarnation>,
-    /// Bills of gone origins that were passed on.
+    /// Progress of forwarding the bills of gone origins.
     forwarding_by_origin: BTreeMap<Incarnation, Forwarding>,
     is_flushing: bool,
     flush_interval: Millis,
     last_flush_at: Millis,
     unavailable_until: Millis,
-    /// When a segment was last written because no holder could hold.
+    /// When a segment was last written because no holder was available.
     last_direct_write_at: Millis,
     actions: Vec<ReplicatorAction>,
 }
 
 impl BillReplicator {
-    /// Makes a keeper that writes segments every `flush_interval`.
+    /// Creates a replicator that writes a segment every `flush_interval`.
     pub fn new(now: Millis, origin: Incarnation, flush_interval: Millis) -> BillReplicator {
         BillReplicator {
             own_bills: PendingBills::new(origin.clone()),
@@ -134,39 +140,41 @@
         }
     }
 
-    /// Counts the own bills that are not in the object API yet.
+    /// Returns the number of this host's bills that are not in the object API yet.
     pub fn pending(&self) -> usize {
         self.own_bills.len()
     }
 
-    /// Gets the life of the host that holds the own bills now.
+    /// Returns the incarnation of the current holder of this host's bills.
     pub fn holder(&self) -> Option<&Incarnation> {
         self.holders.front().map(|h| &h.incarnation)
     }
 
-    /// Counts the bills held for others.
+    /// Returns the number of bills held for other hosts.
     pub fn held(&self) -> usize {
         self.held.len()
     }
 
-    /// Tells whether no place for a bill was found of late.
+    /// Reports whether a recent attempt to store a bill failed at both the holder and the object
+    /// API. New requests are refused meanwhile.
     pub fn is_storage_unavailable(&self, now: Millis) -> bool {
         now < self.unavailable_until
     }
 
-    /// Takes a bill whose request waits for it to be safe.
+    /// Adds a bill whose request waits until the bill is stored in a second place.
     pub fn add_bill(&mut self, bill: Bill) {
         self.awaiting_replication.insert(bill.number());
         self.unreplicated.insert(bill.number(), bill.clone());
         self.own_bills.add(bill);
     }
 
-    /// Holds bills for another host; tells whether all of them are held.
+    /// Holds bills for another host. Returns false, and holds none of them, if there is no
+    /// capacity.
     pub fn hold_for(&mut self, call: HoldCall) -> bool {
         self.held.hold(&call.origin, call.bills, &call.written, call.next_segment)
     }
 
-    /// Does what is due; gives back what is to be done.
+    /// Starts the holds and writes that are due and returns the actions to carry out.
     pub fn poll_actions(&mut self, now: Millis) -> Vec<ReplicatorAction> {
         self.start_hold(now);
         if now - self.last_flush_at >= self.flush_interval {
@@ -177,7 +185,7 @@
                 self.actions.push(ReplicatorAction::CheckGone(origins));
             }
         }
-        // Without a holder, only a segment makes a bill safe.
+        // Without a holder, a bill is stored in a second place only by writing a segment.
         let has_no_holder = self.holders.is_empty() || self.hold_retry_at.is_some();
         let is_direct_write_due = now - self.last_direct_write_at >= DIRECT_WRITE_INTERVAL;
         if !self.awaiting_replication.is_empty() && has_no_holder && is_direct_write_due {
--- a/crates/tidetrack-core/src/bill_replicator/replication.rs
+++ b/crates/tidetrack-core/src/bill_replicator/replication.rs
@@ -1,9 +1,10 @@
-//! The own bills at the holder: who holds them, which go in the next call, how a call ended.
+//! Replication of this host's bills to the holder.
 //!
-//! Bills that arrive while a call to the holder is under way go together in the next one, so the
-//! cost of a copy is shared under load. Bills that requests wait for go before those that an earlier
-//! holder has, and a call that failed or was slow is followed by a smaller one: a new holder is given all
-//! that is pending, over a path that may be slow. Where no host can hold a copy, a segment is written at once.
+//! One call is in flight at a time. Bills that arrive meanwhile share the next call, which reduces
+//! the cost per bill under load. Bills that requests wait for are sent before bills that a previous
+//! holder already has. After a failed or slow call the next one is smaller, because a new holder is
+//! sent all pending bills, possibly over a slow network path. If no host can hold a copy, a segment
+//! is written at once.
 
 use std::collections::VecDeque;
 
@@ -11,25 +12,26 @@
 use crate::ledger::Bill;
 use crate::units::Millis;
 
-/// A failed call to the holder is tried again after this time.
+/// Delay before calls are retried after all holders have failed.
 const HOLD_RETRY_DELAY: Millis = Millis(300);
 
-/// Most bills in one call to the holder: about 100 KB.
+/// Maximum number of bills in one call to the holder, about 100 KB.
 pub(super) const MAX_HOLD_BILLS: usize = 2_000;
 
-/// Fewest bills that a call is cut down to: about 3 KB, a few packets.
+/// Minimum number of bills to which a call is reduced: about 3 KB, a few packets.
 const MIN_HOLD_BILLS: usize = 62;
 
-/// A call should take no longer than this: a bill that comes meanwhile waits for its end.
+/// Target duration of a call. A bill that arrives during a call waits until it has ended.
 pub(super) const TARGET_HOLD_TIME: Millis = Millis(250);
 
-/// Of a call, a part in so many is left to bills that an earlier holder has: requests never starve them.
+/// One in this many bills of a call is reserved for bills that a previous holder has, so that the
+/// bills which requests wait for never starve them.
 const TRANSFER_SHARE_DIVISOR: usize = 4;
 
-/// Written bills that are worth a call of their own to the holder.
+/// Number of written bills from which a call is made only to let the holder drop them.
 const MIN_WRITTEN_TO_REPORT: usize = 200;
 
-/// A call to the holder under way.
+/// A call to the holder that has not been answered.
 #[derive(Debug)]
 pub(super) struct HoldInFlight {
     batch: u64,
@@ -39,13 +41,14 @@
 }
 
 impl BillReplicator {
-    /// Counts the bills that were called safe and that the present holder does not have yet: those
-    /// that an earlier holder has.
+    /// Returns the number of bills whose requests have finished but that the current holder does
+    /// not have yet; a previous holder has them.
     pub fn bills_to_transfer(&self) -> usize {
         self.unreplicated.keys().filter(|n| !self.awaiting_replication.contains(n)).count()
     }
 
-    /// Learns who may hold this host's bills, best first. The one that holds them now is kept.
+    /// Sets the hosts that can hold this host's bills, best first. The current holder remains the
+    /// first if it is among them.
     pub fn set_holders(&mut self, holders: Vec<Holder>) {
         let mut holders = VecDeque::from(holders);
         let current = self.holders.front().cloned();
@@ -59,14 +62,14 @@
         }
     }
 
-    /// Gives the present holder all that is pending, what another has yet to acknowledge included.
+    /// Queues all pending bills for the current holder, including those of an unanswered call.
     fn restart_replication(&mut self) {
         self.hold_in_flight = None;
         self.hold_retry_at = None;
         self.unreplicated = self.own_bills.bills_from(0).map(|b| (b.number(), b.clone())).collect();
     }
 
-    /// Has the holder hold what it lacks, one call at a time.
+    /// Sends the holder the bills that it lacks, unless a call is in flight.
     pub(super) fn start_hold(&mut self, now: Millis) {
         let is_backing_off = self.hold_retry_at.is_some_and(|at| now < at);
         let has_nothing_to_send =
@@ -89,7 +92,8 @@
         self.actions.push(ReplicatorAction::Hold { holder, batch: self.last_batch, call });
     }
 
-    /// Chooses the bills of the next call: what requests wait for first, then what is to be moved.
+    /// Selects the bills of the next call: first those that requests wait for, then those that a
+    /// previous holder has.
     fn next_hold_bills(&self) -> Vec<Bill> {
         let awaited =
             self.awaiting_replication.iter().filter(|n| self.unreplicated.contains_key(n)).count();
@@ -105,7 +109,7 @@
         bills
     }
 
-    /// Takes the end of a call to the holder.
+    /// Handles the result of a call to the holder.
     pub fn hold_done(&mut self, now: Millis, batch: u64, is_held: bool) {
         if let Some(origin) = self.forwarded_origin(batch) {
             return self.forward_done(now, &origin, is_held);
@@ -117,7 +121,8 @@
             self.consecutive_failures += 1;
             self.holders.rotate_left(1.min(self.holders.len()));
             self.restart_replication();
-            // All of them failed: segments stand in until one answers again.
+            // All holders have failed: segments are written instead until a holder accepts bills
+            // again.
             if self.consecutive_failures >= self.holders.len() {
                 self.hold_retry_at = Some(now + HOLD_RETRY_DELAY);
             }
@@ -132,7 +137,8 @@
         }
     }
 
-    /// Sets the size of the next call by how the last one went.
+    /// Doubles or halves the size of the next call, depending on whether the last one met its
+    /// target.
     pub(super) fn adjust_hold_size(&mut self, is_in_time: bool) {
         self.max_hold_bills = match is_in_time {
             true => (self.max_hold_bills * 2).min(MAX_HOLD_BILLS),
@@ -140,7 +146,7 @@
         };
     }
 
-    /// Lets the request go that waits for a bill to be safe, if one does.
+    /// Releases the response that waits for this bill, if there is one.
     pub(super) fn release_response(&mut self, number: u64) {
         if self.awaiting_replication.remove(&number) {
             self.actions.push(ReplicatorAction::ReleaseResponse(number));
--- a/crates/tidetrack-core/src/bill_replicator/tests.rs
+++ b/crates/tidetrack-core/src/bill_replicator/tests.rs
@@ -1,4 +1,4 @@
-//! The replicator's answers to bills, to the ends of calls and to the ends of writes.
+//! Actions of the replicator in response to new bills and to the results of calls and writes.
 
 use super::*;
 use crate::ledger::{BillOutcome, LineItem};
@@ -51,7 +51,7 @@
     replicator.hold_done(Millis(2), 1, true);
     replicator.add_bill(bill(2));
     replicator.poll_actions(Millis(3));
-    // The second call is under way when another life takes the old one's place.
+    // The second call is in flight when a new incarnation replaces the holder.
     replicator.set_holders(vec![holder("b~2")]);
     replicator.hold_done(Millis(4), 2, true);
     let actions = replicator.poll_actions(Millis(4));
--- a/crates/tidetrack-core/src/change_log.rs
+++ b/crates/tidetrack-core/src/change_log.rs
@@ -1,7 +1,8 @@
-//! A map that remembers the order in which its entries last changed.
+//! A map that records the order in which its entries last changed.
 //!
-//! Hosts tell each other only what changed since the other's last acknowledgement. Each entry
-//! carries the local sequence number of its last change; a peer's cursor is one number.
+//! Hosts send each other only what has changed since the last acknowledgement of the receiver. Each
+//! entry has the local sequence number of its last change, so the position of a peer is a single
+//! number, its cursor.
 
 use std::collections::BTreeMap;
 
@@ -10,12 +11,12 @@
 #[derive(Clone, Debug)]
 struct LogEntry<V> {
     seq: u64,
-    /// Who told of the change; no use in telling them again.
+    /// Incarnation that reported the change; it is not sent back there.
     source: Option<Incarnation>,
     value: V,
 }
 
-/// A map with a change sequence.
+/// A map whose entries can be listed by their last change.
 #[derive(Clone, Debug)]
 pub struct ChangeLog<K, V> {
     entries: BTreeMap<K, LogEntry<V>>,
@@ -30,22 +31,22 @@
 }
 
 impl<K: Ord + Clone, V> ChangeLog<K, V> {
-    /// Gets the sequence number of the last change; 0 if there was none.
+    /// Returns the sequence number of the last change, or 0 if there was none.
     pub fn seq(&self) -> u64 {
         self.seq
     }
 
-    /// Gets the value of a key.
+    /// Returns the value of a key.
     pub fn lookup(&self, key: &K) -> Option<&V> {
         self.entries.get(key).map(|entry| &entry.value)
     }
 
-    /// Sets a value and records the change.
+    /// Sets a value and records the change as local.
     pub fn put(&mut self, key: K, value: V) {
         self.put_from(key, value, None);
     }
 
-    /// Sets a value that another host told of, and records the change.
+    /// Sets a value and records the change, along with the host that reported it, if any.
     pub fn put_from(&mut self, key: K, value: V, source: Option<Incarnation>) {
         self.seq += 1;
         let entry = LogEntry { seq: self.seq, source, value };
@@ -55,14 +56,14 @@
         self.by_seq.insert(self.seq, key);
     }
 
-    /// Removes a key. Removals are not part of the sequence.
+    /// Removes a key and returns its value. Removals are not recorded as changes.
     pub fn remove(&mut self, key: &K) -> Option<V> {
         let entry = self.entries.remove(key)?;
         self.by_seq.remove(&entry.seq);
         Some(entry.value)
     }
 
-    /// Lists the entries that changed after `cursor`, oldest change first.
+    /// Iterates over the entries that changed after `cursor`, oldest change first.
     pub fn since(&self, cursor: u64) -> impl Iterator<Item = (u64, &K, &V)> {
         self.by_seq.range(cursor + 1..).filter_map(|(seq, key)| {
             let entry = self.entries.get(key)?;
@@ -70,9 +71,11 @@
         })
     }
 
-    /// Lists the entries that changed after `cursor` and that `peer` did not tell of itself.
+    /// Iterates over the entries that changed after `cursor`, except those that `peer` itself
+    /// reported.
     ///
-    /// Another life of the same host is another peer: it knows nothing of what the one before told.
+    /// Another incarnation of the same host counts as another peer, because it knows nothing of
+    /// what the previous one reported.
     pub fn changes_for<'a>(
         &'a self,
         peer: Option<&'a Incarnation>,
@@ -87,17 +90,17 @@
         })
     }
 
-    /// Lists all entries in the order of their keys.
+    /// Iterates over all entries in key order.
     pub fn iter(&self) -> impl Iterator<Item = (&K, &V)> {
         self.entries.iter().map(|(k, entry)| (k, &entry.value))
     }
 
-    /// Counts the entries.
+    /// Returns the number of entries.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Tells whether there is no entry.
+    /// Reports whether there are no entries.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
--- a/crates/tidetrack-core/src/disconnect.rs
+++ b/crates/tidetrack-core/src/disconnect.rs
@@ -1,29 +1,29 @@
-//! How connections come to their ends.
+//! Causes for which connections fail.
 
 use std::error::Error;
 use std::fmt;
 use std::io::ErrorKind;
 
-/// How a connection broke, or why none came up.
+/// Why a connection was lost or could not be established.
 ///
-/// Silence may be the way's doing as well as the other end's, and a close or reset is the other end's
-/// own: what is to be done differs.
+/// A timeout may be caused by the network path or by the remote end, whereas only the remote end
+/// closes or resets a connection. They are handled differently for this reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum DisconnectCause {
-    /// The other end acknowledged nothing for too long.
+    /// The remote end acknowledged nothing within the time limit.
     TimedOut,
-    /// The other end reset it.
+    /// The remote end reset the connection, or it was already gone when data was written.
     Reset,
-    /// Nobody listens at the address.
+    /// Nothing listens at the address.
     Refused,
-    /// The other end closed it before its answer was whole.
+    /// The remote end closed the connection before its response was complete.
     Closed,
-    /// In another way.
+    /// Any other cause.
     Other,
 }
 
 impl DisconnectCause {
-    /// Tells how a connection broke from an error and its causes.
+    /// Derives the cause from an error and its chain of sources.
     pub fn from_error(e: &(dyn Error + 'static)) -> DisconnectCause {
         let cause_of = |e: &(dyn Error + 'static)| {
             let kind = e.downcast_ref::<std::io::Error>()?.kind();
@@ -38,7 +38,7 @@
         sources(e).find_map(cause_of).unwrap_or(DisconnectCause::Other)
     }
 
-    /// Gets the word for it in logs and metrics.
+    /// Returns the name used in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             DisconnectCause::TimedOut => "silence",
@@ -56,12 +56,12 @@
     }
 }
 
-/// Walks from an error to its causes.
+/// Iterates over an error and its chain of sources.
 fn sources<'a>(e: &'a (dyn Error + 'static)) -> impl Iterator<Item = &'a (dyn Error + 'static)> {
     std::iter::successors(Some(e), |e: &&'a (dyn Error + 'static)| (*e).source())
 }
 
-/// Gets an error's text with those of its causes.
+/// Returns the messages of an error and of its chain of sources, separated by colons.
 pub fn format_error_chain(e: &(dyn Error + 'static)) -> String {
     let texts: Vec<String> = sources(e).map(|e| e.to_string()).collect();
     texts.join(": ")
@@ -114,8 +114,8 @@
 
     #[test]
     fn error_chain_text_includes_all_sources() {
-        let text = format_error_chain(&Outer(io::Error::other("no such way")));
+        let text = format_error_chain(&Outer(io::Error::other("no route to host")));
 
-        assert_eq!(text, "connection error: no such way");
+        assert_eq!(text, "connection error: no route to host");
     }
 }
--- a/crates/tidetrack-core/src/ledger.rs
+++ b/crates/tidetrack-core/src/ledger.rs
@@ -1,11 +1,11 @@
-//! The ledger: each request billed exactly once on hosts that keep nothing.
+//! The ledger bills each request exactly once although hosts have no persistent storage.
 //!
-//! A host numbers its bills. Before a request's last byte leaves, its bill is held by one other host
-//! or is in a segment of the object API. Segments are objects named by incarnation and number and
-//! are created only if absent: the origin, or after its death the holder, writes them; whoever comes
-//! second reads what stands there and writes the rest under the next number. Totals count each
-//! request id once. The held copy is a send buffer: nothing is ever read from it but by its own
-//! writer, and it is dropped once the segment stands.
+//! Each host numbers its bills. Before the last byte of a response is sent, the bill is held by one
+//! other host or is part of a segment in the object API. Segments are named by incarnation and
+//! number and are only created if absent. They are written by the origin or, after its death, by
+//! the holder. If both write the same number, the second reads the stored segment and writes its
+//! remaining bills under the next number. Totals count each request id once. The copy at the holder
+//! is a send buffer: it is only read to write segments and is dropped once the segment is stored.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,88 +14,89 @@
 use crate::ids::{Incarnation, RequestId, VersionRef, WorkspaceId};
 use crate::units::{Micros, Tokens};
 
-/// Most bills in one segment: about 100 bytes each, well within a megabyte.
+/// Maximum number of bills in one segment. A bill takes about 100 bytes, so a segment stays well
+/// below a megabyte.
 pub const MAX_SEGMENT_BILLS: usize = 5_000;
 
-/// Most bills held for one other incarnation.
+/// Maximum number of bills held for one other incarnation.
 pub const MAX_HELD_BILLS: usize = 50_000;
 
 /// How a billed request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum BillOutcome {
-    /// The whole answer was given.
+    /// The complete response was sent.
     #[serde(rename = "whole")]
     Complete,
-    /// The answer broke off; what was given is billed.
+    /// The response was cut off; the part that was sent is billed.
     #[serde(rename = "broken")]
     Truncated,
 }
 
-/// One part of a bill: the work of one version.
+/// One line of a bill: the usage of one version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LineItem(
-    /// The version.
+    /// Version that served the request.
     pub VersionRef,
     /// Prompt tokens.
     pub Tokens,
     /// Answer tokens.
     pub Tokens,
-    /// Cost.
+    /// Cost in micros.
     pub Micros,
 );
 
-/// The bill of one request, with its parts. Kept as a list, not a map, to be short.
+/// The bill of one request. It is serialized as an array rather than an object to save space.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Bill(
-    /// The number of the bill in its incarnation.
+    /// Number of the bill, unique within its incarnation.
     pub u64,
-    /// Who pays.
+    /// Workspace that is charged.
     pub WorkspaceId,
-    /// What was run.
+    /// Usage by version.
     pub Vec<LineItem>,
-    /// How it ended.
+    /// How the request ended.
     pub BillOutcome,
 );
 
 impl Bill {
-    /// Gets the bill's number.
+    /// Returns the bill's number.
     pub fn number(&self) -> u64 {
         self.0
     }
 
-    /// Gets the sum of the parts.
+    /// Returns the total cost of all line items.
     pub fn cost(&self) -> Micros {
         Micros(self.2.iter().map(|p| p.3 .0).sum())
     }
 }
 
-/// A segment of the ledger, as it stands in the object API.
+/// A segment of the ledger as stored in the object API.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Segment {
-    /// Whose bills these are.
+    /// Incarnation that created the bills.
     pub origin: Incarnation,
-    /// The segment's number.
+    /// Number of the segment, counted from 1 for each origin.
     pub number: u64,
     /// The bills.
     pub bills: Vec<Bill>,
 }
 
 impl Segment {
-    /// Gets the name of the object that holds the segment.
+    /// Returns the name of the object that stores this segment.
     pub fn object_name(&self) -> String {
         segment_name(&self.origin, self.number)
     }
 }
 
-/// Gets the name of the object that holds a segment.
+/// Returns the name of the object that stores a segment.
 pub fn segment_name(origin: &Incarnation, number: u64) -> String {
     format!("ledger/{origin}/{number}")
 }
 
-/// Bills of one incarnation that are not yet in the object API, and the next segment's number.
+/// Bills of one incarnation that are not in the object API yet, and the number of the next segment.
 ///
-/// The origin and a holder each have one; the rules are the same for both.
+/// Both the origin and its holder keep such a list and follow the same rules.
 #[derive(Clone, Debug)]
 pub struct PendingBills {
     origin: Incarnation,
@@ -104,27 +105,28 @@
 }
 
 impl PendingBills {
-    /// Makes an empty list for an incarnation's bills.
+    /// Creates an empty list for the bills of `origin`.
     pub fn new(origin: Incarnation) -> PendingBills {
         PendingBills { origin, bills: BTreeMap::new(), next_segment: 1 }
     }
 
-    /// Gets the number of the next segment.
+    /// Returns the number of the next segment.
     pub fn next_segment(&self) -> u64 {
         self.next_segment
     }
 
-    /// Learns that segments below `number` stand.
+    /// Records that all segments below `number` are in the object API.
     pub fn advance_to(&mut self, number: u64) {
         self.next_segment = self.next_segment.max(number);
     }
 
-    /// Adds a bill.
+    /// Adds a bill; a bill with the same number is replaced.
     pub fn add(&mut self, bill: Bill) {
         self.bills.insert(bill.number(), bill);
     }
 
-    /// Makes the next segment of what is pending; `None` if nothing is.
+    /// Builds the next segment from the pending bills, lowest numbers first. Returns `None` if
+    /// there are no bills.
     pub fn build_segment(&self) -> Option<Segment> {
         let bills: Vec<Bill> = self.bills.values().take(MAX_SEGMENT_BILLS).cloned().collect();
         (!bills.is_empty()).then(|| Segment {
@@ -134,7 +136,8 @@
         })
     }
 
-    /// Takes note of what stands in the object API under a segment's number.
+    /// Removes the bills of a segment that is stored in the object API and moves to the next
+    /// number.
     pub fn remove_stored(&mut self, segment: &Segment) {
         segment.bills.iter().for_each(|b| {
             self.bills.remove(&b.number());
@@ -142,39 +145,41 @@
         self.next_segment = self.next_segment.max(segment.number + 1);
     }
 
-    /// Drops the given bills: they are in the object API.
+    /// Removes the bills with these numbers, which are in the object API.
     pub fn remove_written(&mut self, numbers: &[u64]) {
         numbers.iter().for_each(|n| {
             self.bills.remove(n);
         });
     }
 
-    /// Lists the bills from a number on.
+    /// Iterates over the bills from `number` upwards.
     pub fn bills_from(&self, number: u64) -> impl Iterator<Item = &Bill> {
         self.bills.range(number..).map(|(_, b)| b)
     }
 
-    /// Counts the bills.
+    /// Returns the number of pending bills.
     pub fn len(&self) -> usize {
         self.bills.len()
     }
 
-    /// Tells whether nothing is pending.
+    /// Reports whether there are no pending bills.
     pub fn is_empty(&self) -> bool {
         self.bills.is_empty()
     }
 }
 
-/// The copies that a host holds for others.
+/// Copies of bills that a host holds for other hosts.
 #[derive(Clone, Debug, Default)]
 pub struct HeldBills {
     by_origin: BTreeMap<Incarnation, PendingBills>,
 }
 
 impl HeldBills {
-    /// Holds bills of another incarnation; tells whether there was room for all.
+    /// Holds bills of another incarnation. Returns false, and adds none of them, if they exceed the
+    /// capacity.
     ///
-    /// `written` bills need not be held any more; segments below `next_segment` stand.
+    /// The bills numbered in `written` are dropped first; segments below `next_segment` are in the
+    /// object API.
     pub fn hold(
         &mut self,
         origin: &Incarnation,
@@ -195,59 +200,59 @@
         true
     }
 
-    /// Lists the incarnations that copies are held for.
+    /// Returns the incarnations for which bills are held.
     pub fn origins(&self) -> Vec<Incarnation> {
         self.by_origin.keys().cloned().collect()
     }
 
-    /// Gets the bills held for one incarnation.
+    /// Returns the bills held for one incarnation.
     pub fn pending(&mut self, origin: &Incarnation) -> Option<&mut PendingBills> {
         self.by_origin.get_mut(origin)
     }
 
-    /// Forgets incarnations for which nothing is held.
+    /// Removes incarnations for which no bills are held.
     pub fn remove_empty(&mut self) {
         self.by_origin.retain(|_, p| !p.is_empty());
     }
 
-    /// Counts the bills held.
+    /// Returns the number of bills held.
     pub fn len(&self) -> usize {
         self.by_origin.values().map(PendingBills::len).sum()
     }
 
-    /// Tells whether nothing is held.
+    /// Reports whether no bills are held.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 }
 
-/// Totals of one workspace and version.
+/// Total usage of one workspace and version.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct UsageTotal {
-    /// Bills with a part of the version.
+    /// Number of line items of the version.
     pub requests: u64,
     /// Prompt tokens.
     pub tokens_in: u64,
     /// Answer tokens.
     pub tokens_out: u64,
-    /// Cost.
+    /// Cost in micros.
     pub cost: Micros,
 }
 
-/// The totals of a ledger.
+/// Totals of a ledger.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LedgerTotals {
-    /// By workspace and version.
+    /// Usage by workspace and version.
     pub by_version: BTreeMap<(WorkspaceId, VersionRef), UsageTotal>,
-    /// Requests billed.
+    /// Number of distinct requests billed.
     pub requests: u64,
-    /// Bills met a second time and left out.
+    /// Number of bills skipped because their request had already been counted.
     pub duplicates: u64,
-    /// Bills whose answer broke off.
+    /// Number of requests whose response was cut off.
     pub truncated: u64,
 }
 
-/// Adds up segments, counting each request once.
+/// Sums up segments, counting each request once.
 pub fn sum_segments<'a>(segments: impl IntoIterator<Item = &'a Segment>) -> LedgerTotals {
     let mut seen: BTreeSet<RequestId> = BTreeSet::new();
     let mut totals = LedgerTotals::default();
@@ -286,7 +291,7 @@
         "a~1".parse().expect("an incarnation")
     }
 
-    /// Creates a segment if absent; gives back what stands.
+    /// Creates a segment if absent and returns the segment that is stored.
     fn create(api: &mut BTreeMap<u64, Segment>, segment: Segment) -> Segment {
         api.entry(segment.number).or_insert(segment).clone()
     }
--- a/crates/tidetrack-core/src/message_auth.rs
+++ b/crates/tidetrack-core/src/message_auth.rs
@@ -1,37 +1,38 @@
-//! Message authentication with keys of the fleet's key ring.
+//! Message authentication codes (MACs) made with the fleet's key ring.
 //!
-//! The key ring holds the key in use and the one before it, so that keys can be rotated without
-//! ending a session. Each purpose and workspace has a key of its own, derived from the fleet's.
+//! The key ring has the current key and the previous one, so that keys can be rotated without
+//! ending sessions. Each purpose and scope (such as a workspace) uses its own key, derived from the
+//! fleet's key.
 
 use hmac::{Hmac, KeyInit, Mac};
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// Bytes of a code that are kept: 128 bits.
+/// Length to which MACs are truncated, in bytes (128 bits).
 const MAC_LEN: usize = 16;
 
-/// One secret with the name it is known by.
+/// A secret and its name.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Key {
-    /// The key's name, carried beside each code.
+    /// Name of the key, sent along with each MAC.
     pub id: String,
-    /// The secret, any text of 16 characters or more.
+    /// The secret, a text of at least 16 characters.
     pub secret: String,
 }
 
-/// The fleet's keys: the one that makes codes and the one that may still be met.
+/// The fleet's keys: the current one and, during a rotation, the previous one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct KeyRing {
-    /// Makes codes and checks them.
+    /// Key that signs and verifies.
     pub current: Key,
-    /// Only checks codes.
+    /// Key that only verifies.
     #[serde(default)]
     pub previous: Option<Key>,
 }
 
-/// What a code is for. Codes of one purpose are worthless for another.
+/// What a MAC is used for. A MAC made for one purpose is not valid for another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Purpose {
     /// Calls between hosts.
@@ -53,12 +54,12 @@
 }
 
 impl KeyRing {
-    /// Makes the code of `parts`, as hexadecimal text.
+    /// Returns the MAC of `parts` under the current key, in hexadecimal.
     pub fn sign(&self, purpose: Purpose, scope: &str, parts: &[&[u8]]) -> String {
         to_hex(&compute_mac(&self.current, purpose, scope, parts)[..MAC_LEN])
     }
 
-    /// Checks a code against the key named `key_id`.
+    /// Reports whether `received` is the MAC of `parts` under the key named `key_id`.
     pub fn verify(
         &self,
         purpose: Purpose,
@@ -77,15 +78,15 @@
     }
 }
 
-/// Sealed text of the form `FORM/KEY/text/CODE`, as sessions and tickets are given to callers.
+/// Signed tokens of the form `FORM/KEY/text/CODE`, which callers receive as sessions and tickets.
 impl KeyRing {
-    /// Seals `text`, which may itself have slashes, for a scope.
+    /// Returns a token that carries `text`, which may contain slashes, signed for `scope`.
     pub fn sign_token(&self, form: &str, purpose: Purpose, scope: &str, text: &str) -> String {
         let code = self.sign(purpose, scope, &[text.as_bytes()]);
         format!("{form}/{}/{text}/{code}", self.current.id)
     }
 
-    /// Gets the text out of a token of this form, if the code is right for the scope.
+    /// Returns the text of a token of this form, or `None` if its MAC is not valid for `scope`.
     pub fn verify_token<'a>(
         &self,
         form: &str,
@@ -115,12 +116,12 @@
     Hmac::<Sha256>::new_from_slice(key).expect("HMAC takes a key of any length")
 }
 
-/// Compares without stopping at the first difference.
+/// Compares in time that does not depend on where the first difference is.
 fn constant_time_eq(a: &[u8], b: &[u8]) -> bool {
     a.len() == b.len() && a.iter().zip(b).fold(0, |acc, (x, y)| acc | (x ^ y)) == 0
 }
 
-/// Gets the SHA-256 digest of `data` as hexadecimal text.
+/// Returns the SHA-256 digest of `data` in hexadecimal.
 pub fn digest(data: &[u8]) -> String {
     to_hex(&Sha256::digest(data))
 }
--- a/crates/tidetrack-core/src/tickets.rs
+++ b/crates/tidetrack-core/src/tickets.rs
@@ -1,9 +1,10 @@
-//! Tickets: permission to run one call at most once.
+//! Tickets allow a call to be executed at most once.
 //!
-//! A caller asks for a ticket before a call that must not be repeated. The ticket names the
-//! incarnation that made it, and only that incarnation may run it; other hosts pass the call on.
-//! Once the incarnation is gone the answer is "unknown, not repeated". No clock, lease or write is
-//! needed, so it works while the object API is down, and a pause cannot break it.
+//! A caller requests a ticket before a call that must not be repeated. The ticket names the
+//! incarnation that issued it, and only that incarnation may execute the call; other hosts forward
+//! it. Once the incarnation is gone, the response is that the outcome is unknown and the call is
+//! not repeated. No clock, lease or write to the object API is needed, so tickets work while the
+//! object API is down and are not affected by pauses of the process.
 
 use std::collections::HashMap;
 
@@ -13,20 +14,20 @@
 use crate::message_auth::{KeyRing, Purpose};
 use crate::units::Millis;
 
-/// When to come back for a ticket when too many are open, in milliseconds.
+/// Time after which a caller may retry when the limit of open tickets is reached, in milliseconds.
 const TICKET_LIMIT_RETRY_MS: u64 = 1_000;
 
-/// The form of ticket made here.
+/// Format identifier at the start of a ticket token.
 const TOKEN_FORMAT: &str = "t1";
 
-/// A ticket's identity.
+/// Identity of a ticket.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Ticket {
-    /// The workspace that may use it.
+    /// Workspace that may use the ticket.
     pub workspace: WorkspaceId,
-    /// Who made it and alone may run it.
+    /// Incarnation that issued the ticket and is the only one that may execute the call.
     pub issued_by: Incarnation,
-    /// Its number there.
+    /// Number of the ticket, unique within the issuing incarnation.
     pub number: u64,
 }
 
@@ -35,14 +36,20 @@
         format!("{}/{}", self.issued_by, self.number)
     }
 
-    /// Makes the ticket's text.
+    /// Returns the ticket as a signed token.
     pub fn to_token(&self, ring: &KeyRing) -> String {
         ring.sign_token(TOKEN_FORMAT, Purpose::Ticket, self.workspace.as_str(), &self.payload())
     }
 
-    /// Reads a ticket that `workspace` sends.
+    /// Parses and verifies a token that `workspace` sent. Returns `BadToken` if it is malformed or
+    /// was not issued to this workspace.
     pub fn from_token(token: &str, workspace: &WorkspaceId, ring: &KeyRing) -> Result<Ticket> {
-        let bad = || Error::new(Code::BadToken, "the ticket is not one of this workspace");
+        let bad = || {
+            Error::new(
+                Code::BadToken,
+                "the ticket is malformed or was not issued to this workspace",
+            )
+        };
         let payload = ring.verify_token(TOKEN_FORMAT, Purpose::Ticket, workspace.as_str(), token);
         let (issued_by, number) = payload.and_then(|t| t.split_once('/')).ok_or_else(bad)?;
         Ok(Ticket {
@@ -53,16 +60,16 @@
     }
 }
 
-/// Options of the ticket book.
+/// Limits of a ticket registry.
 #[derive(Clone, Debug)]
 pub struct TicketOptions {
-    /// A ticket not used for so long lapses.
+    /// Time after which an unused ticket expires.
     pub unused_ttl: Millis,
-    /// A used ticket's answer is kept for so long.
+    /// Time for which the response of a used ticket is kept.
     pub response_ttl: Millis,
-    /// Most tickets remembered at a time.
+    /// Maximum number of tickets remembered at a time.
     pub max_tickets: usize,
-    /// Largest answer kept for a repeat, in bytes.
+    /// Maximum size of a body that is kept for replay, in bytes.
     pub max_response_bytes: usize,
 }
 
@@ -77,12 +84,12 @@
     }
 }
 
-/// An answer kept for a repeat of the call.
+/// A response that is kept and replayed if the call is repeated.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredResponse {
-    /// The HTTP status.
+    /// HTTP status.
     pub status: u16,
-    /// The body; absent if it was too large to keep.
+    /// Body; `None` if it was too large to keep.
     pub body: Option<Vec<u8>>,
 }
 
@@ -94,16 +101,16 @@
     Finished { expires_at: Millis, response: StoredResponse },
 }
 
-/// What a call with a ticket may do.
+/// How to handle a call with a ticket.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TicketAdmission {
-    /// Run it: this is the one time.
+    /// Execute the call. Each ticket gets this result once.
     Execute,
-    /// It ran; here is what it gave.
+    /// The call was executed before; return its response.
     Replay(StoredResponse),
 }
 
-/// The tickets of one incarnation.
+/// The tickets issued by one incarnation.
 #[derive(Debug)]
 pub struct TicketRegistry {
     incarnation: Incarnation,
@@ -113,18 +120,18 @@
 }
 
 impl TicketRegistry {
-    /// Makes an empty book.
+    /// Creates an empty registry.
     pub fn new(incarnation: Incarnation, options: TicketOptions) -> TicketRegistry {
         TicketRegistry { incarnation, options, next_number: 1, states: HashMap::new() }
     }
 
-    /// Makes a ticket for a workspace.
+    /// Issues a ticket to a workspace. Returns `Overloaded` if too many tickets are open.
     pub fn issue(&mut self, now: Millis, workspace: &WorkspaceId) -> Result<Ticket> {
         if self.states.len() >= self.options.max_tickets {
             self.remove_expired(now);
         }
         if self.states.len() >= self.options.max_tickets {
-            let message = "too many tickets are open on this host";
+            let message = "this host has reached its limit of open tickets";
             return Err(
                 Error::new(Code::Overloaded, message).with_retry_after(TICKET_LIMIT_RETRY_MS)
             );
@@ -136,10 +143,15 @@
         Ok(Ticket { workspace: workspace.clone(), issued_by: self.incarnation.clone(), number })
     }
 
-    /// Admits a call with a ticket; `Run` is given once for each ticket.
+    /// Decides how to handle a call with a ticket. `Execute` is returned at most once per ticket
+    /// unless `reset_unused` is called. Returns `TicketGone` for a ticket of another incarnation,
+    /// and `TicketSpent` for one that has expired, is in use or has an unknown outcome.
     pub fn admit(&mut self, now: Millis, ticket: &Ticket) -> Result<TicketAdmission> {
         if ticket.issued_by != self.incarnation {
-            return Err(Error::new(Code::TicketGone, "another incarnation made the ticket"));
+            return Err(Error::new(
+                Code::TicketGone,
+                "the ticket was issued by another incarnation",
+            ));
         }
         match self.states.get(&ticket.number) {
             Some(TicketState::Unused { expires_at }) if *expires_at > now => {
@@ -147,20 +159,22 @@
                 Ok(TicketAdmission::Execute)
             }
             Some(TicketState::Unused { .. }) => {
-                let message = "the ticket lapsed without being used";
+                let message = "the ticket expired before it was used";
                 Err(Error::new(Code::TicketSpent, message).with_ran(Ran::No))
             }
-            Some(TicketState::Running | TicketState::OutcomeUnknown { .. }) => {
-                Err(Error::new(Code::TicketSpent, "the call is running or its end is not known"))
-            }
+            Some(TicketState::Running | TicketState::OutcomeUnknown { .. }) => Err(Error::new(
+                Code::TicketSpent,
+                "the call with this ticket is still running or its outcome is unknown",
+            )),
             Some(TicketState::Finished { response, .. }) => {
                 Ok(TicketAdmission::Replay(response.clone()))
             }
-            None => Err(Error::new(Code::TicketSpent, "the ticket is no longer remembered")),
+            None => Err(Error::new(Code::TicketSpent, "the ticket has expired and was removed")),
         }
     }
 
-    /// Records the end of a call; `None` if it is not known. Either way it is never run again.
+    /// Records the response of a call, or `None` if its outcome is unknown. In both cases the call
+    /// is not executed again.
     pub fn record_outcome(
         &mut self,
         now: Millis,
@@ -178,13 +192,13 @@
         self.states.insert(ticket.number, TicketState::Finished { expires_at, response });
     }
 
-    /// Gives a ticket back when nothing of the call left the host.
+    /// Makes a ticket usable again after a call of which nothing was sent.
     pub fn reset_unused(&mut self, now: Millis, ticket: &Ticket) {
         let expires_at = now + self.options.unused_ttl;
         self.states.insert(ticket.number, TicketState::Unused { expires_at });
     }
 
-    /// Forgets what has lapsed. A forgotten ticket is never run.
+    /// Removes expired tickets. The call of a removed ticket is never executed.
     pub fn remove_expired(&mut self, now: Millis) {
         self.states.retain(|_, state| match state {
             TicketState::Unused { expires_at }
@@ -194,12 +208,12 @@
         });
     }
 
-    /// Counts the tickets remembered.
+    /// Returns the number of tickets remembered.
     pub fn len(&self) -> usize {
         self.states.len()
     }
 
-    /// Tells whether no ticket is remembered.
+    /// Reports whether no tickets are remembered.
     pub fn is_empty(&self) -> bool {
         self.states.is_empty()
     }
--- a/crates/tidetrack-standin/src/engine/run.rs
+++ b/crates/tidetrack-standin/src/engine/run.rs
@@ -119,9 +119,7 @@
             .with_header(make_header("Content-Type", "text/event-stream"))
             .with_header(make_header(headers::ATTEMPT, &self.echoed()))
             .with_header(make_header(headers::LOAD, &self.load_header()));
-        let Ok(mut body) = stream::begin(request, head) else {
-            return self.count_cancelled();
-        };
+        let Ok(mut body) = stream::begin(request, head) else { return self.count_cancelled() };
         let cut = self.engine.lock().faults.cut_after;
         for (i, token) in self.answer.iter().enumerate() {
             if cut == Some(i as u64) {
