--- a/crates/tidetrack-wire/src/caller.rs
+++ b/crates/tidetrack-wire/src/caller.rs
@@ -1,7 +1,7 @@
-//! The callers' API: the OpenAI-compatible shapes that the router reads and writes.
+//! The callers' API: the parts of the OpenAI-compatible messages that the router reads and writes.
 //!
-//! A request's body is passed to the endpoint as it came but for the model's name and the ask for
-//! usage, so unknown members live on.
+//! The router only replaces the model's name and the request for usage in a request's body, so
+//! unknown members reach the endpoint unchanged.
 
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value};
@@ -9,23 +9,23 @@
 use tidetrack_core::codes::Ran;
 use tidetrack_core::errors::Error;
 
-/// A chat request. Members that the router does not need are kept in `rest`.
+/// A chat request. Members that the router does not use are kept in `rest`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ChatRequest {
-    /// The route, or a model where a policy leaves the choice to the caller.
+    /// The route, or the model if the policy leaves the choice to the caller.
     pub model: String,
-    /// The conversation.
+    /// The messages of the conversation, oldest first.
     pub messages: Vec<ChatMessage>,
-    /// Whether the answer is streamed.
+    /// Whether the response is to be streamed.
     #[serde(default, skip_serializing_if = "is_false")]
     pub stream: bool,
-    /// Longest answer in tokens.
+    /// Maximum length of the response in tokens.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub max_tokens: Option<u64>,
-    /// What a stream carries besides.
+    /// Options of a streamed response.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub stream_options: Option<StreamOptions>,
-    /// All else.
+    /// All other members.
     #[serde(flatten)]
     pub rest: Map<String, Value>,
 }
@@ -34,10 +34,10 @@
     !b
 }
 
-/// What a stream carries besides the answer.
+/// Options of a streamed response.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StreamOptions {
-    /// Whether the last chunk gives the usage.
+    /// Whether the last chunk is to report the usage.
     #[serde(default)]
     pub include_usage: bool,
 }
@@ -47,22 +47,22 @@
 pub struct ChatMessage {
     /// `system`, `user`, `assistant` or `tool`.
     pub role: String,
-    /// Text, or parts as they came.
+    /// A text or a list of content parts, unchanged.
     #[serde(default)]
     pub content: Value,
-    /// All else.
+    /// All other members.
     #[serde(flatten)]
     pub rest: Map<String, Value>,
 }
 
 impl ChatMessage {
-    /// Makes a message of text.
+    /// Creates a message whose content is text.
     pub fn text(role: &str, content: &str) -> ChatMessage {
         let content = Value::String(content.to_string());
         ChatMessage { role: role.to_string(), content, rest: Map::new() }
     }
 
-    /// Gets the characters of the message's text.
+    /// Returns the number of characters of the message's text.
     pub fn chars(&self) -> usize {
         match &self.content {
             Value::String(s) => s.chars().count(),
@@ -76,106 +76,106 @@
     part.get("text").and_then(Value::as_str).map_or(0, |s| s.chars().count())
 }
 
-/// Characters that are counted as one token where nothing better is known.
+/// Characters counted as one token where no better estimate is available.
 pub const CHARS_PER_TOKEN: u64 = 4;
 
 impl ChatRequest {
-    /// Gets the characters of the whole prompt.
+    /// Returns the number of characters of the prompt, all messages together.
     pub fn prompt_chars(&self) -> usize {
         self.messages.iter().map(ChatMessage::chars).sum()
     }
 
-    /// Estimates the prompt's tokens.
+    /// Estimates the number of tokens of the prompt.
     pub fn prompt_tokens(&self) -> u64 {
         (self.prompt_chars() as u64).div_ceil(CHARS_PER_TOKEN)
     }
 }
 
-/// Tokens that an answer used.
+/// Tokens used by a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
     /// Tokens of the prompt.
     pub prompt_tokens: u64,
-    /// Tokens of the answer.
+    /// Tokens of the response.
     pub completion_tokens: u64,
-    /// Both.
+    /// Tokens of the prompt and the response together; 0 if not given.
     #[serde(default)]
     pub total_tokens: u64,
 }
 
-/// The part of a whole answer or a stream's chunk that the router reads.
+/// The members that the router reads from a complete response or from a chunk of a stream.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 pub struct ResponsePart {
-    /// What was chosen; empty in a chunk that only gives usage.
+    /// Choices; empty in a chunk that only reports usage.
     #[serde(default)]
     pub choices: Vec<Choice>,
-    /// The usage, if given.
+    /// Usage, if reported.
     #[serde(default)]
     pub usage: Option<Usage>,
 }
 
-/// One choice of an answer or chunk.
+/// One choice of a response or chunk.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 pub struct Choice {
-    /// The message of a whole answer.
+    /// The message; only in a complete response.
     #[serde(default)]
     pub message: Option<ChatText>,
-    /// The addition of a chunk.
+    /// The text added by a chunk; only in a stream.
     #[serde(default)]
     pub delta: Option<ChatText>,
-    /// Why the answer ended, on its last chunk.
+    /// Why the response ended; only in the complete response or the last chunk of the choice.
     #[serde(default)]
     pub finish_reason: Option<String>,
 }
 
-/// The text of a message or a chunk.
+/// Text of a message or a chunk.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 pub struct ChatText {
-    /// The text.
+    /// The text, if there is any.
     #[serde(default)]
     pub content: Option<String>,
 }
 
 impl ResponsePart {
-    /// Gets the text of the first choice.
+    /// Returns the text of the first choice, or an empty text.
     pub fn text(&self) -> &str {
         let choice = self.choices.first();
         let text = choice.and_then(|c| c.message.as_ref().or(c.delta.as_ref()));
         text.and_then(|t| t.content.as_deref()).unwrap_or_default()
     }
 
-    /// Tells whether this part ends the answer.
+    /// Reports whether this part ends the response.
     pub fn is_final(&self) -> bool {
         self.choices.iter().any(|c| c.finish_reason.is_some())
     }
 }
 
-/// The line that ends a stream.
+/// Data of the event that ends a stream.
 pub const STREAM_END: &str = "[DONE]";
 
-/// A refusal or failure, as callers get it.
+/// The body of an error response to a caller.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ErrorResponse {
-    /// What went wrong.
+    /// Description of the error.
     pub error: ErrorBody,
 }
 
-/// The members of a refusal.
+/// Members of an error response.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ErrorBody {
-    /// The result code.
+    /// Result code, such as `TT-1008`.
     pub code: String,
-    /// For a person.
+    /// Message for people.
     pub message: String,
-    /// For client libraries: `invalid_request_error` or `server_error`.
+    /// Error class for client libraries: `invalid_request_error` or `server_error`.
     #[serde(rename = "type")]
     pub kind: String,
-    /// Whether the request had been run.
+    /// Whether the request was executed before it failed.
     pub ran: Ran,
 }
 
 impl ErrorResponse {
-    /// Makes the refusal of an error.
+    /// Builds the response body for an error.
     pub fn from_error(e: &Error) -> ErrorResponse {
         let kind = if e.code.status() < 500 { "invalid_request_error" } else { "server_error" };
         ErrorResponse {
@@ -189,26 +189,26 @@
     }
 }
 
-/// The answer to an ask for a session.
+/// Response to a request for a session.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SessionResponse {
-    /// The token.
+    /// Token of the session.
     pub session: String,
-    /// The version that the session keeps.
+    /// Version that serves the session.
     pub version: String,
 }
 
-/// An ask for a session.
+/// Request for a session.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SessionRequest {
     /// The route.
     pub model: String,
 }
 
-/// The answer to an ask for a ticket.
+/// Response to a request for a ticket.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TicketResponse {
-    /// The ticket.
+    /// Token of the ticket.
     pub ticket: String,
 }
 
--- a/crates/tidetrack-wire/src/endpoint.rs
+++ b/crates/tidetrack-wire/src/endpoint.rs
@@ -1,85 +1,86 @@
-//! The endpoints' API besides the OpenAI-compatible one.
+//! The parts of the endpoints' API that are not OpenAI-compatible.
 
 use serde::{Deserialize, Serialize};
 
 use tidetrack_core::units::Tokens;
 
-/// An engine's load report.
+/// Load of an engine.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Work queued and running, in answer tokens.
+    /// Work queued and in progress, in answer tokens.
     pub work: u64,
-    /// Requests running.
+    /// Number of requests being executed.
     pub running: u32,
-    /// Requests waiting.
+    /// Number of requests queued.
     pub waiting: u32,
-    /// Tokens that the engine can hold for one request.
+    /// Number of tokens that the engine can hold for one request.
     pub capacity_tokens: u64,
-    /// Whether the endpoint is leaving.
+    /// Whether the endpoint is leaving, so that it gets no new requests.
     #[serde(default)]
     pub leaving: bool,
 }
 
 impl LoadReport {
-    /// Renders the report as it stands in a header.
+    /// Formats the work and the capacity as the value of the load header.
     pub fn to_header(&self) -> String {
         format!("{} {}", self.work, self.capacity_tokens)
     }
 }
 
-/// Reads a load header: work and capacity.
+/// Parses the value of a load header into work and capacity. Returns `None` if it is malformed.
 pub fn parse_load_header(value: &str) -> Option<(u64, Tokens)> {
     let (work, capacity) = value.split_once(' ')?;
     Some((work.parse().ok()?, Tokens(capacity.parse().ok()?)))
 }
 
-/// An ask to cancel an attempt, or to resume it from a token on.
+/// Request to cancel an attempt, or to resume it from a token.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AttemptRequest {
-    /// The attempt.
+    /// Id of the attempt.
     pub attempt: String,
-    /// Tokens already had; for `resume`.
+    /// Number of tokens received already; only used to resume.
     #[serde(default)]
     pub from_token: u64,
 }
 
-/// What an order tells an engine to do.
+/// What an engine is ordered to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum OrderKind {
-    /// Load a version's weights.
+    /// Load the weights of a version.
     Load,
     /// Unload a version.
     Unload,
 }
 
-/// A fenced order to an engine.
+/// An order to an engine, with a fencing token.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// The version of the object that granted the order; engines that check refuse lower ones.
+    /// Fencing token: the version of the object that granted the order. Engines that check it
+    /// refuse orders with a lower one.
     pub fence: u64,
     /// What to do.
     pub kind: OrderKind,
-    /// With which version.
+    /// Version to load or unload.
     pub version: String,
 }
 
-/// An ask for a rating.
+/// Request to rate a response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RatingRequest {
-    /// The request's id.
+    /// Id of the request.
     pub request: String,
-    /// The version that answered.
+    /// Version that produced the response.
     pub version: String,
-    /// The last message of the prompt.
+    /// Last message of the prompt.
     pub prompt: String,
-    /// The answer.
+    /// Text of the response.
     pub answer: String,
 }
 
-/// A rating.
+/// Rating of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Rating {
-    /// From 0 to 1.
+    /// Score from 0 to 1.
     pub score: f64,
 }
--- a/crates/tidetrack-wire/src/headers.rs
+++ b/crates/tidetrack-wire/src/headers.rs
@@ -1,47 +1,47 @@
 //! Names of the HTTP headers that tidetrack reads and writes.
 
-/// The request's id, made by the router.
+/// Id of the request, assigned by the router.
 pub const REQUEST_ID: &str = "Tidetrack-Request";
-/// The caller's own id of the request, given back as it came.
+/// Id that the caller assigned to the request; returned unchanged.
 pub const CALLER_REQUEST_ID: &str = "X-Request-Id";
-/// The session's token, both ways.
+/// Token of the session, in requests and responses.
 pub const SESSION: &str = "Tidetrack-Session";
-/// A ticket for a call that must not be repeated.
+/// Ticket for a call that must not be repeated.
 pub const TICKET: &str = "Tidetrack-Ticket";
-/// A caller's own key for a call that must not be repeated.
+/// Key assigned by the caller to a call that must not be repeated.
 pub const IDEMPOTENCY_KEY: &str = "Idempotency-Key";
-/// The version that answered.
+/// Version that served the request.
 pub const VERSION: &str = "Tidetrack-Version";
-/// The endpoint that answered.
+/// Endpoint that served the request.
 pub const ENDPOINT: &str = "Tidetrack-Endpoint";
-/// An attempt's id, echoed by the endpoint.
+/// Id of an attempt, echoed by the endpoint.
 pub const ATTEMPT: &str = "Tidetrack-Attempt";
-/// An endpoint's load, on its answers: `work capacity`.
+/// Load of an endpoint, in its responses: `work capacity`.
 pub const LOAD: &str = "Tidetrack-Load";
 /// Set by an endpoint that is leaving.
 pub const LEAVING: &str = "Tidetrack-Leaving";
-/// Set by an endpoint that refused before running.
+/// Set by an endpoint that refused a request before executing it.
 pub const NOT_RUN: &str = "Tidetrack-Not-Run";
-/// Tags of a request, for its policy; separated by commas.
+/// Tags of a request for use by its policy, separated by commas.
 pub const TAGS: &str = "Tidetrack-Tags";
-/// A request's priority, a whole number; higher is more urgent.
+/// Priority of a request, an integer; higher is more urgent.
 pub const PRIORITY: &str = "Tidetrack-Priority";
-/// The model that an old script chose, for a policy in observe or share mode.
+/// Model that a routing script replaced by the policy chose, for a policy in observe or share mode.
 pub const SCRIPT_CHOICE: &str = "Tidetrack-Script-Choice";
-/// Set on a call that another host passed on, so that it is not passed on again.
+/// Set on a call forwarded by another host, so that it is not forwarded again.
 pub const FORWARDED: &str = "Tidetrack-Forwarded";
-/// Milliseconds that the caller will wait.
+/// Time that the caller will wait for a response, in milliseconds.
 pub const DEADLINE: &str = "Tidetrack-Deadline-Ms";
 /// Version of the object that a conditional update expects.
 pub const IF_VERSION: &str = "If-Version";
 
-/// Finds a header without regard to case.
+/// Returns the value of a header; names are compared without regard to case.
 pub fn find<'a>(headers: &'a [(String, String)], name: &str) -> Option<&'a str> {
     headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.as_str())
 }
 
-/// Tells whether an answer is none: `minreq` gives a bare 503 where the connection ended before a
-/// status line came.
+/// Reports whether there was no response at all: `minreq` returns status 503 without headers if the
+/// connection ended before a status line was received.
 pub fn is_missing_response(status: u16, headers: &[(String, String)]) -> bool {
     status == 503 && headers.is_empty()
 }
--- a/crates/tidetrack-wire/src/lib.rs
+++ b/crates/tidetrack-wire/src/lib.rs
@@ -1,7 +1,7 @@
-//! The messages of every boundary, and a client of the platform's API.
+//! The messages of all interfaces, and a client of the platform's API.
 //!
-//! Shapes only: callers' API, endpoints' API, the platform's API and the calls between hosts. What
-//! is decided on them is in `tidetrack-core`.
+//! This crate only has the formats of the callers' API, the endpoints' API, the platform's API and
+//! the calls between hosts. The decisions based on them are in `tidetrack-core`.
 
 #![forbid(unsafe_code)]
 #![warn(rust_2018_idioms)]
--- a/crates/tidetrack-wire/src/peer.rs
+++ b/crates/tidetrack-wire/src/peer.rs
@@ -1,8 +1,9 @@
 //! Calls between hosts.
 //!
-//! Every call carries who calls, the body as text and a code of both made with the fleet's key, so
-//! that a host takes nothing from a stranger. Replays are harmless: every body merges as a maximum,
-//! and a reply counts only with the nonce that was asked.
+//! Each call carries the name of a key, the body as text, and a MAC of the method and the body made
+//! with that key of the fleet, so that a host accepts calls only from its own fleet. Replayed calls
+//! are harmless: receivers merge each body by taking the maximum, and a reply is only accepted with
+//! the nonce of its request.
 
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -14,23 +15,23 @@
 use tidetrack_core::message_auth::{KeyRing, Purpose};
 use tidetrack_core::node::Exchange;
 
-/// The method that exchanges what changed.
+/// Method that exchanges changes.
 pub const METHOD_EXCHANGE: &str = "exchange";
-/// The method that has a host hold bills.
+/// Method that asks a host to hold bills.
 pub const METHOD_HOLD: &str = "hold";
-/// The method that has a host call another.
+/// Method that asks a host to call another one.
 pub const METHOD_PROBE: &str = "probe";
 
-/// A sealed call or reply.
+/// A signed call or reply.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct SignedMessage {
-    /// The key's name.
+    /// Name of the key.
     #[serde(rename = "k")]
     pub key_id: String,
-    /// The code.
+    /// MAC of the method and the body, in hexadecimal.
     #[serde(rename = "c")]
     pub mac: String,
-    /// The body.
+    /// Body as JSON.
     #[serde(rename = "b")]
     pub body: Box<RawValue>,
 }
@@ -46,7 +47,7 @@
 }
 
 impl SignedMessage {
-    /// Seals a body for `method`.
+    /// Serializes and signs a body for `method`. Returns `Internal` if it cannot be serialized.
     pub fn sign<T: Serialize>(ring: &KeyRing, method: &str, body: &T) -> Result<SignedMessage> {
         let body = serde_json::value::to_raw_value(body)
             .map_err(|e| Error::new(Code::Internal, e.to_string()))?;
@@ -54,46 +55,50 @@
         Ok(SignedMessage { key_id: ring.current.id.clone(), mac, body })
     }
 
-    /// Opens a sealed body of `method`.
+    /// Verifies and parses a body for `method`. Returns `PeerRefused` if the MAC is wrong or the
+    /// body is malformed.
     pub fn verify<T: DeserializeOwned>(&self, ring: &KeyRing, method: &str) -> Result<T> {
         let parts: [&[u8]; 1] = [self.body.get().as_bytes()];
         if !ring.verify(Purpose::Peer, method, &parts, &self.key_id, &self.mac) {
-            return Err(Error::new(Code::PeerRefused, "the call's code is not the fleet's"));
+            return Err(Error::new(
+                Code::PeerRefused,
+                "the MAC of the message was not made with a key of the fleet",
+            ));
         }
         serde_json::from_str(self.body.get())
             .map_err(|e| Error::new(Code::PeerRefused, format!("{method}: {e}")))
     }
 }
 
-/// A half of an exchange, addressed.
+/// One half of an exchange, with its recipient.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ExchangeCall {
-    /// The host that it is meant for.
+    /// Host that the call is addressed to.
     pub to: HostId,
-    /// The half.
+    /// The message of the caller.
     pub half: Exchange,
 }
 
-/// Whether bills are held.
+/// Reply to a call to hold bills.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HoldReply {
-    /// All of them are.
+    /// True if all of the bills are held.
     pub held: bool,
 }
 
-/// An ask to call another host.
+/// Call that asks a host to call another one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ProbeCall {
-    /// The host.
+    /// Host to call.
     pub target: HostId,
-    /// `ip:port`.
+    /// Address of that host as `ip:port`.
     pub address: String,
 }
 
-/// Whether the other host answered.
+/// Reply to a probe call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProbeReply {
-    /// It did.
+    /// Whether the other host replied.
     pub reached: bool,
 }
 
@@ -107,7 +112,7 @@
         let key = Key { id: "k".into(), secret: "0123456789abcdef".into() };
         let ring = KeyRing { current: key, previous: None };
         let mut signed = SignedMessage::sign(&ring, METHOD_PROBE, &ProbeReply { reached: true })
-            .expect("sealed");
+            .expect("a signed message");
         assert!(signed.verify::<ProbeReply>(&ring, METHOD_PROBE).is_ok());
         assert!(signed.verify::<ProbeReply>(&ring, METHOD_HOLD).is_err());
         signed.body = RawValue::from_string("{\"reached\":false}".into()).expect("JSON");
--- a/crates/tidetrack-wire/src/platform.rs
+++ b/crates/tidetrack-wire/src/platform.rs
@@ -1,9 +1,11 @@
 //! The platform's API: objects with versions, conditional updates and watches, and a list of hosts.
 //!
-//! A write whose reply is lost is settled by reading back and comparing the body, which its writer
-//! made distinct; it is never blindly written again. The time for a call takes account of its size: a
-//! write's body is known, and a read whose answer was cut by time while it came gets more the next time,
-//! lest it be begun again from nothing for good. An API that gives no answer gets no more.
+//! A write whose reply is lost is repeated with the same expected version. If that conflicts, the
+//! stored object is read back and its body, which is unique to the writer, is compared; no write is
+//! ever applied twice. The timeout of a call depends on its size: the body of a write is known in
+//! advance, and a read that timed out while its response was arriving gets more time on the next
+//! try, as it would otherwise start over and time out forever. The timeout is not raised if the API
+//! sends nothing.
 
 use std::io::Read;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -20,86 +22,88 @@
 
 use crate::headers;
 
-/// Where configuration objects stand.
+/// Prefix of the names of configuration objects.
 pub const CONFIG_PREFIX: &str = "config/";
-/// Where segments of the ledger stand.
+/// Prefix of the names of ledger segments.
 pub const LEDGER_PREFIX: &str = "ledger/";
-/// Where claims on callers' keys stand.
+/// Prefix of the names of claims on callers' idempotency keys.
 pub const CLAIM_PREFIX: &str = "claim/";
 
-/// Seconds that one call to the platform may take, besides what its size takes.
+/// Timeout of a call to the platform before its size is taken into account, in seconds.
 const BASE_TIMEOUT_SECONDS: u64 = 2;
 
-/// A body gets a second more for so many bytes: half of what a link of 1 Mbit/s carries.
+/// Bytes of a body for which the timeout grows by one second: half of the throughput of a 1 Mbit/s
+/// link.
 const BODY_BYTES_PER_SECOND: u64 = 64 * 1024;
 
-/// Most seconds more for a read: 7.5 MB over a link of 1 Mbit/s, past any list of the size aimed at.
+/// Maximum extension of a read's timeout, in seconds. It allows 7.5 MB over a 1 Mbit/s link, more
+/// than any list of the target size.
 const MAX_EXTRA_SECONDS: u64 = 60;
 
-/// When to come back to an object API that is over its rate, in milliseconds.
+/// Time after which to retry when the object API's rate limit is exceeded, in milliseconds.
 const BUSY_RETRY_MS: u64 = 1_000;
 
-/// Tries to settle a write whose reply was lost.
+/// Maximum number of attempts at a write whose replies are lost.
 const MAX_WRITE_ATTEMPTS: usize = 5;
 
-/// An object as the platform gives it.
+/// An object as returned by the platform.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredObject {
-    /// The full name.
+    /// Full name, including the prefix.
     pub name: String,
-    /// The revision that wrote it.
+    /// Revision of the write that created this version.
     pub version: u64,
-    /// The body; absent where a watch tells of a deletion.
+    /// Body; `None` if a watch reports a deletion.
     pub body: Option<String>,
 }
 
 /// A list of objects at one revision.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ObjectList {
-    /// The revision.
+    /// Revision at which the list was read.
     pub revision: u64,
     /// The objects.
     pub objects: Vec<StoredObject>,
 }
 
-/// What a watch gives: all changes after `from` up to `to`.
+/// Result of a watch: all changes after `from` up to and including `to`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Changes {
-    /// After this revision.
+    /// Revision after which the changes begin.
     pub from: u64,
-    /// Up to this one.
+    /// Revision of the last change included.
     pub to: u64,
     /// The changed objects.
     pub objects: Vec<StoredObject>,
 }
 
-/// The reply to a write.
+/// Reply to a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WriteReply {
-    /// The object's new version.
+    /// New version of the object.
     pub version: u64,
 }
 
-/// Whether a listed host or endpoint stays.
+/// State of a host or endpoint in the platform's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ListedState {
-    /// It stays.
+    /// In service.
     Live,
-    /// It leaves.
+    /// Leaving.
     Leaving,
 }
 
-/// One line of the platform's list of hosts.
+/// An entry of the platform's list of hosts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedHost {
-    /// The host's or endpoint's name.
+    /// Name of the host or endpoint.
     pub name: String,
     /// `router` or `endpoint`.
     pub role: String,
-    /// `ip:port`; for a router its port for other hosts.
+    /// Address as `ip:port`; for a router, that of its port for other hosts.
     pub address: String,
-    /// Whether it stays.
+    /// Whether the host or endpoint is leaving.
     pub state: ListedState,
 }
 
@@ -113,12 +117,13 @@
     hosts_timeout: AdaptiveTimeout,
 }
 
-/// Seconds more for a read that may be large, after one was cut by time while its answer came.
+/// Extension of a read's timeout in seconds. It grows when a read times out while its response is
+/// arriving, and is reset by a read that completes within the base timeout.
 #[derive(Clone, Debug, Default)]
 struct AdaptiveTimeout(Arc<AtomicU64>);
 
 impl AdaptiveTimeout {
-    /// Reads JSON within `seconds` and what there is more.
+    /// Sends a request and parses the JSON response within `seconds` plus the current extension.
     fn read<T: DeserializeOwned>(&self, request: minreq::Request, seconds: u64) -> Result<T> {
         let extra = self.0.load(Ordering::Relaxed);
         let started_at = Instant::now();
@@ -132,7 +137,7 @@
                 let next_extra = (seconds + extra * 2).min(MAX_EXTRA_SECONDS);
                 self.0.store(next_extra, Ordering::Relaxed);
             }
-            let message = format!("an answer was cut after {} bytes: {e}", body.len());
+            let message = format!("the response was cut off after {} bytes: {e}", body.len());
             return Err(Error::new(Code::PlatformDown, message).with_ran(Ran::Unknown));
         }
         if started_at.elapsed() < Duration::from_secs(seconds) {
@@ -149,17 +154,18 @@
 fn check_status(status: u16) -> Result<()> {
     match status {
         200 => Ok(()),
-        404 => Err(Error::new(Code::ObjectGone, "no such object")),
-        409 => Err(Error::new(Code::Conflict, "the object has another version")),
-        429 => Err(Error::new(Code::PlatformBusy, "over its rate").with_retry_after(BUSY_RETRY_MS)),
+        404 => Err(Error::new(Code::ObjectGone, "the object does not exist")),
+        409 => Err(Error::new(Code::Conflict, "the object does not have the expected version")),
+        429 => Err(Error::new(Code::PlatformBusy, "the rate limit of the object API is exceeded")
+            .with_retry_after(BUSY_RETRY_MS)),
         status => {
-            let message = format!("the object API answered {status}");
+            let message = format!("the object API returned status {status}");
             Err(Error::new(Code::PlatformDown, message).with_ran(Ran::Unknown))
         }
     }
 }
 
-/// Gets the seconds that a call with a body of this size may take.
+/// Returns the timeout in seconds of a write with this body.
 fn write_timeout_seconds(body: &str) -> u64 {
     BASE_TIMEOUT_SECONDS + body.len() as u64 / BODY_BYTES_PER_SECOND
 }
@@ -170,7 +176,7 @@
 }
 
 impl PlatformClient {
-    /// Makes a client of the API at `ip:port`.
+    /// Creates a client of the API at `address`, given as `ip:port`.
     pub fn new(address: &str) -> PlatformClient {
         PlatformClient {
             base_url: format!("http://{address}/v1"),
@@ -187,7 +193,7 @@
         parse_json(response.as_bytes())
     }
 
-    /// Gets one object.
+    /// Reads an object. Returns `ObjectGone` if it does not exist.
     pub fn fetch(&self, name: &str) -> Result<StoredObject> {
         self.fetch_within(name, BASE_TIMEOUT_SECONDS)
     }
@@ -196,20 +202,22 @@
         self.fetch_timeout.read(minreq::get(format!("{}/objects/{name}", self.base_url)), seconds)
     }
 
-    /// Lists the objects whose names begin with `prefix`.
+    /// Lists the objects whose names start with `prefix`.
     pub fn list(&self, prefix: &str) -> Result<ObjectList> {
         let url = format!("{}/list?prefix={prefix}", self.base_url);
         self.list_timeout.read(minreq::get(url), BASE_TIMEOUT_SECONDS * 5)
     }
 
-    /// Waits up to `wait_ms` for changes after a revision. `ObjectGone` asks for a new list.
+    /// Waits up to `wait_ms` for changes after the revision `after`. Returns `ObjectGone` if the
+    /// history is no longer available and a new list must be read.
     pub fn watch(&self, prefix: &str, after: u64, wait_ms: u64) -> Result<Changes> {
         let base_url = &self.base_url;
         let url = format!("{base_url}/watch?prefix={prefix}&after={after}&wait_ms={wait_ms}");
         self.watch_timeout.read(minreq::get(url), BASE_TIMEOUT_SECONDS + wait_ms.div_ceil(1000))
     }
 
-    /// Writes an object if its version is `if_version`; 0 creates it if absent.
+    /// Writes an object if its version is `if_version`, where 0 creates it if absent. Returns
+    /// `Conflict` if it has another version.
     pub fn write(&self, name: &str, if_version: u64, body: &str) -> Result<WriteReply> {
         let request = minreq::put(format!("{}/objects/{name}", self.base_url))
             .with_header(headers::IF_VERSION, if_version.to_string())
@@ -217,9 +225,10 @@
         self.read(request, write_timeout_seconds(body))
     }
 
-    /// Writes like `write` and settles a lost reply by reading back.
+    /// Writes like `write`, and repeats the write if its reply is lost. If a repetition conflicts,
+    /// the stored body is compared with `body` to find out whether an earlier attempt succeeded.
     ///
-    /// The body must be one that no other writer would write.
+    /// The body must differ from that of any other writer.
     pub fn write_confirmed(&self, name: &str, if_version: u64, body: &str) -> Result<WriteReply> {
         let mut is_outcome_unknown = false;
         let mut last_error = None;
@@ -230,7 +239,7 @@
                     last_error = Some(e);
                 }
                 Err(e) if e.code == Code::Conflict && is_outcome_unknown => {
-                    // If it is ours it is as large.
+                    // If the stored object is the own one, it has the same size.
                     let stored = self.fetch_within(name, write_timeout_seconds(body))?;
                     let is_own_write = stored.body.as_deref() == Some(body);
                     return if is_own_write {
@@ -242,7 +251,9 @@
                 other => return other,
             }
         }
-        Err(last_error.unwrap_or_else(|| Error::new(Code::PlatformDown, "not settled")))
+        Err(last_error.unwrap_or_else(|| {
+            Error::new(Code::PlatformDown, "the outcome of the write is unknown")
+        }))
     }
 
     /// Deletes an object if its version is `if_version`.
@@ -252,19 +263,19 @@
         self.read(request, BASE_TIMEOUT_SECONDS)
     }
 
-    /// Gets the list of hosts.
+    /// Reads the list of hosts and endpoints.
     pub fn hosts(&self) -> Result<Vec<ListedHost>> {
         self.hosts_timeout
             .read(minreq::get(format!("{}/hosts", self.base_url)), BASE_TIMEOUT_SECONDS)
     }
 
-    /// Lists the configuration as entries of a store.
+    /// Lists the configuration. Returns the revision and the entries.
     pub fn list_config(&self) -> Result<(u64, Vec<Entry>)> {
         let list = self.list(CONFIG_PREFIX)?;
         Ok((list.revision, list.objects.into_iter().filter_map(to_entry).collect()))
     }
 
-    /// Waits for changes of the configuration.
+    /// Waits up to `wait_ms` for changes of the configuration after the revision `after`.
     pub fn watch_config(&self, after: u64, wait_ms: u64) -> Result<Delta> {
         let changes = self.watch(CONFIG_PREFIX, after, wait_ms)?;
         let entries = changes.objects.into_iter().filter_map(to_entry).collect();
@@ -272,12 +283,12 @@
     }
 }
 
-/// Gets the name under which a configuration object stands.
+/// Returns the name of the object that stores a configuration object.
 pub fn config_object_name(key: &ObjectKey) -> String {
     format!("{CONFIG_PREFIX}{key}")
 }
 
-/// Reads a configuration object's entry; `None` for a kind that this version does not know.
+/// Converts a stored object into an entry. Returns `None` if this release does not know its kind.
 fn to_entry(object: StoredObject) -> Option<Entry> {
     let key = object.name.strip_prefix(CONFIG_PREFIX)?.parse().ok()?;
     Some(Entry { key, version: object.version, body: object.body.map(Into::into) })
--- a/crates/tidetrack-wire/src/stream.rs
+++ b/crates/tidetrack-wire/src/stream.rs
@@ -1,7 +1,7 @@
-//! Streamed bodies over `tiny_http`, each event leaving at once.
+//! Streamed response bodies over `tiny_http`, with each event sent at once.
 //!
-//! The server's writer buffers about a kilobyte and its chunked encoder eight; here every chunk is
-//! flushed, the last one included.
+//! The server's writer buffers about 1 KB and its chunked encoder 8 KB. Here every chunk is
+//! flushed, including the last one.
 
 use std::io::{ErrorKind, Read, Result, Write};
 
@@ -15,7 +15,7 @@
 }
 
 impl FlushingWriter {
-    /// Lets nothing more out, not even the end of the body.
+    /// Makes all later writes fail, including that of the end of the body.
     pub fn abort(&mut self) {
         self.is_aborted = true;
     }
@@ -36,10 +36,10 @@
     }
 }
 
-/// A body under way. Dropping it ends the body properly, unless it was broken off.
+/// A response body in progress. Dropping it ends the body properly, unless it was aborted.
 pub type Body = Encoder<FlushingWriter>;
 
-/// Sends the head of an answer to `request` and gets its body.
+/// Sends the head of a response to `request` and returns the writer of its body.
 pub fn begin<R: Read>(request: Request, head: Response<R>) -> Result<Body> {
     let head = head.with_data(std::io::empty(), None).with_chunked_threshold(0);
     let mut bytes = Vec::new();
