--- a/crates/tidetrack-ctl/src/apply.rs
+++ b/crates/tidetrack-ctl/src/apply.rs
@@ -1,7 +1,8 @@
-//! `diff` and `apply`: brings the object API to what a folder declares.
+//! `diff` and `apply`: make the object API match a folder of declarations.
 //!
-//! Each object is written only if it still has the version that the diff was made from, so two
-//! operators cannot overwrite each other unseen. Applying twice writes nothing the second time.
+//! Each object is only written if it still has the version that the diff was computed from, so that
+//! two operators cannot overwrite each other's changes unnoticed. Applying the same folder a second
+//! time writes nothing.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -15,33 +16,33 @@
 use tidetrack_core::store::Entry;
 use tidetrack_wire::platform::{config_object_name, PlatformClient};
 
-/// Tries at one object while the object API is over its rate.
+/// Maximum number of attempts to write one object while the object API's rate limit is exceeded.
 const MAX_BUSY_ATTEMPTS: u32 = 20;
 
-/// What is to be done with an object.
+/// Change to be made to an object.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Change {
-    /// It is not there yet.
+    /// The object does not exist.
     Create,
-    /// It is there and differs.
+    /// The object exists and differs.
     Update,
-    /// It is there and not declared.
+    /// The object exists and is not declared.
     Delete,
 }
 
-/// One line of a diff.
+/// The change of one object.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct DiffLine {
-    /// The object.
+    /// The object to change.
     pub key: ObjectKey,
-    /// What is to be done.
+    /// The change to make.
     pub change: Change,
-    /// The version that the diff was made from; 0 if the object is not there.
+    /// Version that the diff was computed from; 0 if the object does not exist.
     pub version: u64,
-    /// The body to write.
+    /// Body to write; `None` for a deletion.
     pub body: Option<String>,
-    /// The members that differ.
+    /// Names of the members that differ.
     pub members: Vec<String>,
 }
 
@@ -60,7 +61,8 @@
     }
 }
 
-/// Objects that others name come first, so that no host sees a name without its object.
+/// Order of creation: an object comes before the kinds of objects that refer to it, so that no host
+/// sees a reference to a missing object.
 const APPLY_ORDER: [Kind; 9] = [
     Kind::KeyRing,
     Kind::Pool,
@@ -77,7 +79,8 @@
     APPLY_ORDER.iter().position(|k| *k == kind).unwrap_or(APPLY_ORDER.len())
 }
 
-/// Compares what is declared with what is there.
+/// Compares the declarations with the stored objects. With `prune`, stored objects of declared
+/// kinds that are not declared are deleted.
 pub fn diff(platform: &PlatformClient, declared: &Declared, prune: bool) -> Result<Vec<DiffLine>> {
     let (_, entries) = platform.list_config()?;
     let stored: BTreeMap<ObjectKey, Entry> =
@@ -100,7 +103,7 @@
                 members: Vec::new(),
             })
             .collect();
-        // What names others goes before what it names.
+        // Objects are deleted before the objects that they refer to.
         deletions.sort_by_key(|l| std::cmp::Reverse(apply_order(l.key.kind)));
         lines.extend(deletions);
     }
@@ -132,24 +135,24 @@
     names
 }
 
-/// What came of an apply.
+/// Result of an apply.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct ApplyReport {
     /// Objects written or deleted.
     pub done: Vec<ObjectKey>,
-    /// Objects that were left as they are, and why.
+    /// Objects that were not changed, with the error.
     pub failed: Vec<(ObjectKey, Error)>,
 }
 
 impl ApplyReport {
-    /// Gets the first failure.
+    /// Returns the first error, with the object's key in front of its message.
     pub fn first_failure(&self) -> Option<Error> {
         let (key, e) = self.failed.first()?;
         Some(Error { message: format!("{key}: {}", e.message), ..e.clone() })
     }
 }
 
-/// Carries out a diff, telling `progress` of each line that is done.
+/// Applies a diff and calls `progress` with the number and content of each line applied.
 pub fn apply(
     platform: &PlatformClient,
     lines: &[DiffLine],
@@ -180,11 +183,14 @@
                 std::thread::sleep(Duration::from_millis(e.retry_after_ms.unwrap_or(500)));
             }
             Err(e) if e.code == Code::Conflict => {
-                let message = "changed by someone else since the diff was made; look again";
+                let message = "the object was changed since the diff was computed; run diff again";
                 return Err(Error::new(Code::Conflict, message));
             }
             other => return other.map(|_| ()),
         }
     }
-    Err(Error::new(Code::PlatformBusy, "the object API stays over its rate"))
+    Err(Error::new(
+        Code::PlatformBusy,
+        "the rate limit of the object API is still exceeded after all attempts",
+    ))
 }
--- a/crates/tidetrack-ctl/src/bill.rs
+++ b/crates/tidetrack-ctl/src/bill.rs
@@ -7,13 +7,13 @@
 use tidetrack_router::billing::read_ledger;
 use tidetrack_wire::platform::PlatformClient;
 
-/// Reads the ledger and adds it up.
+/// Reads the ledger and sums it up.
 pub fn totals(platform: &PlatformClient) -> Result<LedgerTotals> {
     let segments = read_ledger(platform)?;
     Ok(sum_segments(segments.values()))
 }
 
-/// Renders totals for a person.
+/// Formats totals as a table.
 pub fn render(totals: &LedgerTotals) -> String {
     let mut out = String::from(
         "workspace        version              requests   tokens in  tokens out        cost\n",
@@ -21,7 +21,7 @@
     let mut cost = 0;
     for ((workspace, version), t) in &totals.by_version {
         cost += t.cost.0;
-        // Writing to a string does not fail.
+        // Writing to a string cannot fail.
         let _ = writeln!(
             out,
             "{:<16} {:<20} {:>8}  {:>10}  {:>10}  {:>10}",
@@ -36,12 +36,12 @@
     let LedgerTotals { requests, duplicates, truncated, .. } = totals;
     let _ = writeln!(
         out,
-        "{requests} requests, {truncated} broken off, {duplicates} repeats left out; cost {cost} micros"
+        "{requests} requests, {truncated} cut off, {duplicates} duplicates; cost {cost} micros"
     );
     out
 }
 
-/// Renders totals for machines.
+/// Converts totals to JSON.
 pub fn to_json(totals: &LedgerTotals) -> serde_json::Value {
     let rows = totals.by_version.iter().map(|((workspace, version), t)| {
         serde_json::json!({"workspace": workspace, "version": version, "total": t})
--- a/crates/tidetrack-ctl/src/calls.rs
+++ b/crates/tidetrack-ctl/src/calls.rs
@@ -1,4 +1,4 @@
-//! `calls`: how often hosts called the store, by what for, summed over them.
+//! `calls`: number of calls to the store by purpose, summed over hosts.
 
 use std::collections::BTreeMap;
 
@@ -7,36 +7,36 @@
 use tidetrack_core::codes::Code;
 use tidetrack_core::errors::{Error, Result};
 
-/// Seconds that a host may take to answer.
+/// Timeout of a request to a host, in seconds.
 const TIMEOUT_SECONDS: u64 = 3;
 
-/// The counter of calls, as the metrics page names it.
+/// Start of a sample of the counter of store calls on the metrics page.
 const COUNTER_PREFIX: &str = "tidetrack_store_calls_total{";
 
-/// What a call was for and how it went.
+/// Purpose and result of a call.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct CallPurpose {
-    /// The kind of objects.
+    /// Kind of the objects that were read.
     pub kind: String,
     /// Why the store was called.
     pub cause: String,
-    /// How old the reply might be.
+    /// Maximum age that was allowed for the reply.
     pub age: String,
-    /// How the call went.
+    /// Result of the call.
     pub result: String,
 }
 
-/// A purpose with its calls.
+/// Number of calls of one purpose and result.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct CallCount {
-    /// What for.
+    /// Purpose and result.
     #[serde(flatten)]
     pub purpose: CallPurpose,
-    /// How many.
+    /// Number of calls.
     pub calls: u64,
 }
 
-/// Gets one host's metrics page.
+/// Reads a host's metrics page.
 pub fn fetch_metrics(host: &str) -> Result<String> {
     let error = |reason: String| Error::new(Code::EndpointFailed, format!("{host}: {reason}"));
     let request = minreq::get(format!("http://{host}/metrics")).with_timeout(TIMEOUT_SECONDS);
@@ -47,8 +47,8 @@
     response.as_str().map(str::to_string).map_err(|e| error(e.to_string()))
 }
 
-/// Sums the calls that metrics pages tell, the most frequent first. Other lines, and such of another form, are passed
-/// over: a host of another release may tell more.
+/// Sums the calls on the given metrics pages, most frequent first. Lines of other metrics or in
+/// another format are skipped, because hosts of other releases may report other metrics.
 pub fn sum_calls<'a>(pages: impl IntoIterator<Item = &'a str>) -> Vec<CallCount> {
     let mut sums: BTreeMap<CallPurpose, u64> = BTreeMap::new();
     for (purpose, calls) in pages.into_iter().flat_map(str::lines).filter_map(parse_line) {
@@ -78,7 +78,7 @@
     (value.is_finite() && value >= 0.0).then_some((purpose, value as u64))
 }
 
-/// Renders sums for a person.
+/// Formats the sums as a table.
 pub fn render(counts: &[CallCount]) -> String {
     let mut out = String::from("   calls  kind       cause         age      result\n");
     for CallCount { purpose, calls } in counts {
--- a/crates/tidetrack-ctl/src/dry_run.rs
+++ b/crates/tidetrack-ctl/src/dry_run.rs
@@ -1,4 +1,5 @@
-//! `dry-run`: runs a policy on recorded requests and compares it with what an old script chose.
+//! `dry-run`: runs a policy on recorded requests and compares the result with the choices of the
+//! routing script that it replaces.
 
 use std::collections::BTreeMap;
 
@@ -11,42 +12,43 @@
 use tidetrack_core::ids::RouteId;
 use tidetrack_core::policy::{Features, Program};
 
-/// One recorded request, a line of JSON.
+/// A recorded request, one line of JSON.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RecordedRequest {
-    /// The workspace.
+    /// Workspace of the request.
     #[serde(default)]
     pub workspace: String,
-    /// The tags.
+    /// Tags of the request.
     #[serde(default)]
     pub tags: Vec<String>,
-    /// Characters of the prompt.
+    /// Number of characters of the prompt.
     #[serde(default)]
     pub prompt_chars: i64,
-    /// The priority.
+    /// Priority of the request; higher is more urgent.
     #[serde(default)]
     pub priority: i64,
-    /// The model that the script chose.
+    /// Model that the script chose.
     pub choice: String,
 }
 
-/// What came of a dry run.
+/// Result of a dry run.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct DryRunReport {
-    /// Requests run.
+    /// Number of requests evaluated.
     pub requests: u64,
-    /// Requests for which the policy's first rung is the script's choice.
+    /// Number of requests for which the policy's first rung is the script's choice.
     #[serde(rename = "same")]
     pub matched: u64,
-    /// Requests for which the policy failed.
+    /// Number of requests for which the policy failed.
     pub failed: u64,
-    /// How often the script chose one model and the policy another.
+    /// Number of differing choices by pair, as `SCRIPT -> POLICY`.
     #[serde(rename = "moved")]
     pub changed: BTreeMap<String, u64>,
 }
 
-/// Runs a route's policy on recorded lines; a line that does not read is an error that names it.
+/// Runs a route's policy on recorded requests. Returns `UnknownRoute` if the route has no policy,
+/// and `BadValue` with the file and line number if a line cannot be parsed.
 pub fn run(declared: &Declared, route: &RouteId, file: &str, lines: &str) -> Result<DryRunReport> {
     let key = ObjectKey::new(Kind::Policy, route);
     let Some(Object::Policy(policy)) = declared.get(&key) else {
--- a/crates/tidetrack-ctl/src/explain.rs
+++ b/crates/tidetrack-ctl/src/explain.rs
@@ -1,9 +1,9 @@
-//! `explain`: a request's story from the logs of several hosts, or that of all copies of a request, by its
-//! fingerprint.
+//! `explain`: shows the log lines of one request from several hosts, or of all requests with the
+//! same fingerprint.
 //!
-//! Lines of the request come in order of their time, with the inputs that decided. Between them stand
-//! the changes of belief that the same hosts logged shortly before and meanwhile: a lost store, an
-//! endpoint that left, a version that was barred.
+//! The lines are sorted by time and include the inputs of each decision. In between are changes of
+//! state that the same hosts logged during the request or shortly before: for example a lost
+//! connection to the store, an endpoint that left, or a barred version.
 
 use std::collections::BTreeSet;
 use std::fmt::Write;
@@ -14,11 +14,11 @@
 use tidetrack_core::errors::{Error, Result};
 use tidetrack_core::traffic::fingerprint::Fingerprint;
 
-/// Beliefs that changed so long before the request still belong to its story, in seconds: a lost
-/// store matters once its last proof is too old.
+/// Time before the request, in seconds, from which changes of state are included: a lost store
+/// affects requests only once its last proof is too old.
 const CONTEXT_SECONDS: f64 = 6.0;
 
-/// Fields that are printed in front or not at all.
+/// Fields that are printed at the start of the line or omitted.
 const OMITTED_FIELDS: [&str; 7] = ["time", "host", "msg", "event", "level", "left_out", "request"];
 
 struct LogLine {
@@ -30,7 +30,8 @@
 }
 
 impl LogLine {
-    /// Reads a line; whatever stands before its opening brace is another program's.
+    /// Parses a line. Text before the opening brace is a prefix added by another program and is
+    /// ignored. Returns `None` for other lines.
     fn parse(text: &str) -> Option<LogLine> {
         let fields: Map<String, Value> = serde_json::from_str(&text[text.find('{')?..]).ok()?;
         let string = |name: &str| fields.get(name).and_then(Value::as_str).map(str::to_string);
@@ -43,12 +44,13 @@
         })
     }
 
-    /// Tells whether the line is about what the host believes of others.
+    /// Reports whether the line is about the state of the store, of other hosts or of endpoints
+    /// rather than about a request.
     fn is_state_change(&self) -> bool {
         self.event.starts_with("E2") || self.event.starts_with("E1")
     }
 
-    /// Tells whether a text names something the line is about.
+    /// Reports whether a field of the line contains `text`.
     fn mentions(&self, text: &str) -> bool {
         self.fields.values().filter_map(Value::as_str).any(|value| value.contains(text))
     }
@@ -56,7 +58,7 @@
     fn render(&self, start_time: f64, out: &mut String) {
         let msg = self.fields.get("msg").and_then(Value::as_str).unwrap_or_default();
         let marker = if self.request.is_some() { ' ' } else { '~' };
-        // Writing to a string does not fail.
+        // Writing to a string cannot fail.
         let _ = write!(
             out,
             "{:>+9.3}s {marker} {:<20} {} {msg}",
@@ -76,7 +78,8 @@
     }
 }
 
-/// Tells the story of a request from the texts of logs.
+/// Formats the log lines that belong to a request id or fingerprint. Returns `ObjectGone` if there
+/// are none.
 pub fn explain(id: &str, logs: &[String]) -> Result<String> {
     let lines = logs.iter().flat_map(|text| text.lines()).filter_map(LogLine::parse);
     let mut lines: Vec<LogLine> = lines.collect();
@@ -94,7 +97,7 @@
     let (Some(start_time), Some(end_time)) = (times.first().copied(), times.last().copied()) else {
         return Err(Error::new(
             Code::ObjectGone,
-            format!("no line of the logs names request {id}"),
+            format!("no log line belongs to request or fingerprint {id}"),
         ));
     };
     let hosts: BTreeSet<String> = lines.iter().filter(is_own).map(|l| l.host.clone()).collect();
--- a/crates/tidetrack-ctl/src/folder.rs
+++ b/crates/tidetrack-ctl/src/folder.rs
@@ -1,4 +1,4 @@
-//! Reading a folder of declarations from files.
+//! Reads a folder of declarations.
 
 use std::path::Path;
 
@@ -7,7 +7,7 @@
 use tidetrack_core::codes::Code;
 use tidetrack_core::declare::{faults_error, read_folder, Declared};
 
-/// Reads and checks all `.toml` files of a folder and the folders in it.
+/// Reads and checks all `.toml` files in a folder and its subfolders.
 pub fn read(dir: &Path) -> Result<Declared> {
     let mut files = Vec::new();
     collect_files(dir, &mut files)?;
--- a/crates/tidetrack-ctl/src/lib.rs
+++ b/crates/tidetrack-ctl/src/lib.rs
@@ -1,4 +1,4 @@
-//! The operator's commands, as functions that `tidetrackctl` and the quickstart call.
+//! The operator commands as functions, used by `tidetrackctl` and the quickstart.
 
 #![forbid(unsafe_code)]
 #![warn(rust_2018_idioms)]
--- a/crates/tidetrack-ctl/src/main.rs
+++ b/crates/tidetrack-ctl/src/main.rs
@@ -1,4 +1,4 @@
-//! `tidetrackctl`: the operators' command line.
+//! `tidetrackctl`: the command line for operators.
 
 use std::io::Write;
 use std::path::Path;
@@ -20,44 +20,44 @@
 const USAGE: &str = "tidetrackctl COMMAND [options]
 
 commands:
-  check DIR                   read and check a folder of declarations; needs no platform
+  check DIR                   read and check a folder of declarations; works without the platform
   diff DIR                    show what apply would change
-  apply DIR                   bring the object API to what a folder declares
-  get KIND/NAME               show an object as it stands
-  withdraw MODEL@VERSION      let a version take no new work
+  apply DIR                   make the object API match a folder of declarations
+  get KIND/NAME               show an object as stored
+  withdraw MODEL@VERSION      stop sending new work to a version
   rollout VERB NAME           start, pause, resume, advance or abort a roll-out
-  status                      show what hosts know and have in force
-  calls                       add up what hosts call the store for, from their metrics
-  bill                        add up the ledger
-  dry-run DIR ROUTE FILE      run a policy on recorded requests beside an old script's choices
-  explain ID [FILE...]        tell a request's story from hosts' logs (else standard input)
+  status                      show the state and applied configuration of hosts
+  calls                       sum up hosts' calls to the store, from their metrics
+  bill                        sum up the ledger
+  dry-run DIR ROUTE FILE      compare a policy with a script's choices for recorded requests
+  explain ID [FILE...]        show a request's lines in hosts' logs (default: standard input)
   codes                       print the tables of result codes and log events
 
-exit status: 0 good; 20 a conflict with another operator; 1N for a code TT-Nxxx; 2 bad usage";
+exit status: 0 success; 20 conflict with another writer; 1N error with code TT-Nxxx; 2 bad usage";
 
-/// Exit status for a conflict.
+/// Exit status for a conflict with another writer.
 const EXIT_CONFLICT: u8 = 20;
 
-/// Exit status of a code `TT-Nxxx` is this and N.
+/// Exit status for a code `TT-Nxxx`, to which N is added.
 const EXIT_CODE_BASE: u8 = 10;
 
-/// Exit status for a wrong command line.
+/// Exit status for invalid command-line arguments.
 const EXIT_USAGE: u8 = 2;
 
 fn options() -> Options {
     let mut options = Options::new();
-    options.optopt("", "platform", "the object API", "IP:PORT");
+    options.optopt("", "platform", "address of the object API", "IP:PORT");
     options.optmulti(
         "",
         "host",
-        "a router, for status and withdraw --via; its metrics, for calls",
+        "address of a router, for status and withdraw --via; of its metrics, for calls",
         "IP:PORT",
     );
     options.optopt("", "key", "the operators' key (or TIDETRACK_OPERATOR_KEY)", "KEY");
-    options.optopt("", "reason", "why, for people", "TEXT");
-    options.optflag("", "via", "withdraw through --host, for when the object API is down");
-    options.optopt("", "generation", "generation for withdraw --via (default 1)", "N");
-    options.optflag("", "prune", "delete declared kinds that the folder does not hold");
+    options.optopt("", "reason", "reason for the withdrawal, as text for people", "TEXT");
+    options.optflag("", "via", "send the withdrawal to --host; works while the object API is down");
+    options.optopt("", "generation", "generation to withdraw with --via (default 1)", "N");
+    options.optflag("", "prune", "delete objects of declared kinds that are not in the folder");
     options.optflag("", "json", "print JSON");
     options.optflag("h", "help", "print this help");
     options
@@ -107,8 +107,8 @@
         ["dry-run", dir, route, file] => run_dry_run(&matches, dir, route, file),
         ["explain", id, ref files @ ..] => explain_request(id, files),
         ["codes"] => print(&format!("{}\n{}", codes_table(), events_table())),
-        [] => Err(usage_error("no command")),
-        _ => Err(usage_error(&format!("cannot make sense of {:?}", positional.join(" ")))),
+        [] => Err(usage_error("no command given")),
+        _ => Err(usage_error(&format!("unknown command {:?}", positional.join(" ")))),
     }
 }
 
@@ -121,7 +121,8 @@
     print(&explain::explain(id, &logs)?)
 }
 
-/// Prints text; a reader that has closed its end has had enough.
+/// Writes text to standard output. A broken pipe is no error, because a reader such as `head` may
+/// stop early.
 fn print(text: &str) -> Result<()> {
     match std::io::stdout().write_all(text.as_bytes()) {
         Err(e) if e.kind() != std::io::ErrorKind::BrokenPipe => Err(e.into()),
@@ -134,7 +135,8 @@
 }
 
 fn platform_client(matches: &Matches) -> Result<PlatformClient> {
-    let address = matches.opt_str("platform").ok_or_else(|| usage_error("no --platform"))?;
+    let address =
+        matches.opt_str("platform").ok_or_else(|| usage_error("--platform is required"))?;
     Ok(PlatformClient::new(&address))
 }
 
@@ -147,7 +149,7 @@
     let declared = folder::read(Path::new(dir))?;
     match matches.opt_present("json") {
         true => print_json(&declared.keys().collect::<Vec<_>>()),
-        false => print(&format!("{dir}: {} objects, all good\n", declared.len())),
+        false => print(&format!("{dir}: {} objects, no faults\n", declared.len())),
     }
 }
 
@@ -195,7 +197,7 @@
     let key: ObjectKey = key.parse()?;
     let stored =
         platform_client(matches)?.fetch(&config_object_name(&key)).map_err(|e| match e.code {
-            Code::ObjectGone => Error::new(Code::ObjectGone, format!("no {key}")),
+            Code::ObjectGone => Error::new(Code::ObjectGone, format!("{key} does not exist")),
             _ => e,
         })?;
     let body: serde_json::Value = serde_json::from_str(&stored.body.unwrap_or_default())?;
@@ -205,12 +207,12 @@
 fn withdraw(matches: &Matches, version: &str) -> Result<()> {
     let version: VersionRef = version.parse()?;
     if matches.opt_present("via") {
-        let host = matches.opt_str("host").ok_or_else(|| usage_error("--via needs --host"))?;
+        let host = matches.opt_str("host").ok_or_else(|| usage_error("--via requires --host"))?;
         let generation = matches.opt_get_default("generation", 1u64);
         let generation = generation.map_err(|e| usage_error(&format!("--generation: {e}")))?;
         let fact = Fact { subject: Subject::Withdrawn(version.clone()), generation };
         status::send_fact(&host, &operator_key(matches), &fact)?;
-        return print(&format!("{host} knows that {version} is withdrawn and passes it on\n"));
+        return print(&format!("{host} accepted the withdrawal of {version} and passes it on\n"));
     }
     let reason = matches.opt_str("reason").unwrap_or_default();
     let revision = rollout::withdraw(&platform_client(matches)?, &version, &reason)?;
@@ -229,7 +231,7 @@
 fn show_status(matches: &Matches) -> Result<()> {
     let hosts = matches.opt_strs("host");
     if hosts.is_empty() {
-        return Err(usage_error("status needs --host, once for each router"));
+        return Err(usage_error("status requires --host, once for each router"));
     }
     let key = operator_key(matches);
     let statuses: Vec<_> =
@@ -249,7 +251,7 @@
 fn show_calls(matches: &Matches) -> Result<()> {
     let hosts = matches.opt_strs("host");
     if hosts.is_empty() {
-        return Err(usage_error("calls needs --host, once for each host's metrics address"));
+        return Err(usage_error("calls requires --host, once for each host's metrics address"));
     }
     let (mut pages, mut failed) = (Vec::new(), None);
     for host in &hosts {
@@ -286,7 +288,7 @@
         return print_json(&report);
     }
     let mut text = format!(
-        "{} requests: {} as the script chose, {} failed\n",
+        "{} requests: {} with the script's choice, {} failed\n",
         report.requests, report.matched, report.failed
     );
     report.changed.iter().for_each(|(changed, n)| text.push_str(&format!("{n:>8} {changed}\n")));
--- a/crates/tidetrack-ctl/src/rollout.rs
+++ b/crates/tidetrack-ctl/src/rollout.rs
@@ -1,4 +1,5 @@
-//! `withdraw` and the verbs of `rollout`: conditional updates of the system's own objects.
+//! `withdraw` and the verbs of `rollout`: conditional updates of objects that the system maintains
+//! itself.
 
 use tidetrack_core::codes::Code;
 use tidetrack_core::config::{
@@ -9,22 +10,22 @@
 use tidetrack_core::rollout::first_state;
 use tidetrack_wire::platform::{config_object_name, PlatformClient};
 
-/// Updates tried against hosts that write to the same object. Each of them writes at most every few
-/// hundred milliseconds, so a second conflict is rare.
+/// Maximum number of attempts at an update that conflicts with writes of hosts. Each host writes
+/// the object at most every few hundred milliseconds, so a second conflict is rare.
 const MAX_WRITE_ATTEMPTS: usize = 8;
 
-/// What an operator does with a roll-out.
+/// An operator's command for a roll-out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verb {
-    /// Begin, or begin again after an end.
+    /// Start, or start again after the roll-out has ended.
     Start,
-    /// Put no new work on the new version.
+    /// Send no new work to the canary version.
     Pause,
-    /// Go on after a pause.
+    /// Continue after a pause.
     Resume,
-    /// Go to the next stage without waiting for evidence.
+    /// Move to the next stage without waiting for evidence.
     Advance,
-    /// Give up.
+    /// End the roll-out without completing it.
     Abort,
 }
 
@@ -39,7 +40,8 @@
             "advance" => Verb::Advance,
             "abort" => Verb::Abort,
             _ => {
-                let message = format!("no verb {s:?}; start, pause, resume, advance, abort");
+                let message =
+                    format!("unknown verb {s:?}; expected start, pause, resume, advance or abort");
                 return Err(Error::new(Code::BadUsage, message));
             }
         })
@@ -48,7 +50,7 @@
 
 fn read(platform: &PlatformClient, key: &ObjectKey) -> Result<(u64, Object)> {
     let stored = platform.fetch(&config_object_name(key)).map_err(|e| match e.code {
-        Code::ObjectGone => Error::new(Code::ObjectGone, format!("no {key}")),
+        Code::ObjectGone => Error::new(Code::ObjectGone, format!("{key} does not exist")),
         _ => e,
     })?;
     let body = stored.body.unwrap_or_default();
@@ -60,11 +62,11 @@
 fn version_of(platform: &PlatformClient, version: &VersionRef) -> Result<Version> {
     match read(platform, &ObjectKey::new(Kind::Version, version))?.1 {
         Object::Version(v) => Ok(v),
-        _ => Err(Error::new(Code::Internal, "a version of another kind")),
+        _ => Err(Error::new(Code::Internal, "the object is not a version")),
     }
 }
 
-/// Withdraws a version's present generation.
+/// Withdraws the current generation of a version. Returns the object's version in the store.
 pub fn withdraw(platform: &PlatformClient, version: &VersionRef, reason: &str) -> Result<u64> {
     let generation = version_of(platform, version)?.generation;
     let key = ObjectKey::new(Kind::Withdrawal, version);
@@ -80,7 +82,7 @@
     Ok(platform.write_confirmed(&config_object_name(&key), stored_version, &body)?.version)
 }
 
-/// A roll-out's state as it was read, with what a verb needs to know beside it.
+/// The stored state of a roll-out, with the data needed to apply a verb.
 struct RolloutSnapshot {
     key: ObjectKey,
     object_version: u64,
@@ -92,34 +94,34 @@
 impl RolloutSnapshot {
     fn read(platform: &PlatformClient, id: &RolloutId) -> Result<RolloutSnapshot> {
         let Object::Rollout(spec) = read(platform, &ObjectKey::new(Kind::Rollout, id))?.1 else {
-            return Err(Error::new(Code::Internal, "a roll-out of another kind"));
+            return Err(Error::new(Code::Internal, "the object is not a roll-out"));
         };
         let generation = version_of(platform, &spec.to)?.generation;
         let key = ObjectKey::new(Kind::RolloutState, id);
         let (object_version, state) = match read(platform, &key) {
             Ok((object_version, Object::RolloutState(state))) => (object_version, Some(state)),
-            Ok(_) => return Err(Error::new(Code::Internal, "a state of another kind")),
+            Ok(_) => return Err(Error::new(Code::Internal, "the object is not a roll-out state")),
             Err(e) if e.code == Code::ObjectGone => (0, None),
             Err(e) => return Err(e),
         };
         Ok(RolloutSnapshot { key, object_version, state, generation, stages: spec.stages.len() })
     }
 
-    /// Gets what an operator sees of the state; the rest is the hosts' accounts.
+    /// Returns the part of the state that operators decide by; the rest is the hosts' counts.
     fn operator_view(&self) -> Option<(RolloutPhase, usize, u64)> {
         self.state.as_ref().map(|s| (s.phase, s.stage, s.generation))
     }
 }
 
-/// Tells whether a verb means the same although the roll-out went on to another stage.
+/// Reports whether a verb has the same meaning in every stage of a roll-out.
 fn is_stage_independent(verb: Verb) -> bool {
     matches!(verb, Verb::Pause | Verb::Abort)
 }
 
-/// Carries out a verb on a roll-out; gets the state that stands then.
+/// Applies a verb to a roll-out and returns the new state.
 ///
-/// Hosts write their accounts to the same object. An update that met such a write is made again, as
-/// long as the verb still means what it meant when the operator gave it.
+/// Hosts write their counts to the same object. An update that conflicts with such a write is
+/// repeated, as long as the verb still has the meaning that it had when the operator gave it.
 pub fn apply_verb(platform: &PlatformClient, id: &RolloutId, verb: Verb) -> Result<RolloutState> {
     let first = RolloutSnapshot::read(platform, id)?;
     let expected_view = first.operator_view();
@@ -139,11 +141,11 @@
             Err(e) => return Err(e),
         }
         if snapshot.operator_view() != expected_view && !is_stage_independent(verb) {
-            let message = "the roll-out went on meanwhile; look at it and decide again";
+            let message = "the roll-out changed phase or stage meanwhile; check it and retry";
             return Err(Error::new(Code::Conflict, message));
         }
     }
-    Err(Error::new(Code::Conflict, "the roll-out is written to all the time; try again"))
+    Err(Error::new(Code::Conflict, "the state of the roll-out kept changing; try again"))
 }
 
 fn next_state(
@@ -156,7 +158,7 @@
     let Some(mut state) = state else {
         return match verb {
             Verb::Start => Ok(first_state(generation)),
-            _ => conflict("the roll-out was not started".to_string()),
+            _ => conflict("the roll-out has not been started".to_string()),
         };
     };
     let phase = state.phase;
@@ -164,7 +166,7 @@
         (Verb::Start, RolloutPhase::Aborted | RolloutPhase::Done) => {
             if state.generation >= generation {
                 let message =
-                    format!("generation {generation} ended {phase:?}; raise it to start again");
+                    format!("generation {generation} ended as {phase:?}; raise it to start again");
                 return conflict(message);
             }
             return Ok(first_state(generation));
@@ -176,7 +178,7 @@
         }
         (Verb::Advance, RolloutPhase::Running) if state.stage + 1 < stages => state.stage += 1,
         (Verb::Advance, RolloutPhase::Running) => state.phase = RolloutPhase::Done,
-        _ => return conflict(format!("the roll-out is {phase:?}")),
+        _ => return conflict(format!("the verb does not apply to a roll-out that is {phase:?}")),
     }
     Ok(state)
 }
--- a/crates/tidetrack-ctl/src/status.rs
+++ b/crates/tidetrack-ctl/src/status.rs
@@ -1,4 +1,4 @@
-//! `status`: what hosts show of themselves, side by side.
+//! `status`: shows the state of several hosts side by side.
 
 use std::fmt::Write;
 
@@ -8,7 +8,7 @@
 use tidetrack_core::membership::MemberState;
 use tidetrack_router::control::Status;
 
-/// Seconds that a host may take to answer.
+/// Timeout of a request to a host, in seconds.
 const TIMEOUT_SECONDS: u64 = 3;
 
 fn request_json<T: serde::de::DeserializeOwned>(request: minreq::Request, host: &str) -> Result<T> {
@@ -16,26 +16,27 @@
     let response =
         request.with_timeout(TIMEOUT_SECONDS).send().map_err(|e| error(e.to_string()))?;
     if response.status_code != 200 {
-        return Err(error(response.as_str().unwrap_or("not text").to_string()));
+        return Err(error(response.as_str().unwrap_or("the response is not text").to_string()));
     }
     serde_json::from_slice(response.as_bytes()).map_err(|e| error(e.to_string()))
 }
 
-/// Gets one host's state.
+/// Reads the state of a host.
 pub fn fetch_status(host: &str, key: &str) -> Result<Status> {
     let request = minreq::get(format!("http://{host}/admin/status"));
     request_json(request.with_header("Authorization", format!("Bearer {key}")), host)
 }
 
-/// Tells one host a narrowing fact, which it passes on to all others.
+/// Sends a fact to one host, which passes it on to all others. Facts only restrict what hosts may
+/// use.
 pub fn send_fact(host: &str, key: &str, fact: &Fact) -> Result<()> {
-    let body = serde_json::to_string(fact).expect("a fact is plain text");
+    let body = serde_json::to_string(fact).expect("a fact serializes to JSON");
     let request = minreq::post(format!("http://{host}/admin/facts")).with_body(body);
     let request = request.with_header("Authorization", format!("Bearer {key}"));
     request_json::<serde_json::Value>(request, host).map(|_| ())
 }
 
-/// Renders hosts' states for a person.
+/// Formats the states of hosts as a table.
 pub fn render(all: &[(String, Result<Status>)]) -> String {
     let mut out = String::from(
         "host                 in force  confirmed  live/known  in flight  bills  watcher\n",
@@ -53,7 +54,7 @@
                 format!("{:?} stage {}", st.phase, st.stage)
             });
             let line = format!(
-                "rollout {} to {}: {state}; {} answered, {} rated at {:.3} (proven {:.3})\n",
+                "rollout {} to {}: {state}; {} answered, {} rated at {:.3} (stable {:.3})\n",
                 r.name,
                 r.to,
                 r.new.answered,
@@ -76,7 +77,7 @@
 fn render_one(out: &mut String, s: &Status) {
     let live = s.members.iter().filter(|m| m.state == MemberState::Alive).count();
     let confirmed = s.confirmed_ms_ago.map_or("never".to_string(), |ms| format!("{ms} ms"));
-    // Writing to a string does not fail.
+    // Writing to a string cannot fail.
     let _ = writeln!(
         out,
         "{:<20} {:>8}  {:>9}  {:>10}  {:>9}  {:>5}  {}",
--- a/crates/tidetrack-ctl/tests/calls.rs
+++ b/crates/tidetrack-ctl/tests/calls.rs
@@ -1,4 +1,4 @@
-//! Sums of hosts' calls to the store.
+//! Sums of the hosts' calls to the store.
 
 use std::io::{Read, Write};
 use std::net::TcpListener;
@@ -6,7 +6,7 @@
 use tidetrack_core::codes::Code;
 use tidetrack_ctl::calls::{fetch_metrics, render, sum_calls};
 
-/// A metrics page of one host, with lines of other counters and of no form.
+/// Metrics page of one host, including other counters and malformed lines.
 const PAGE: &str = r#"# TYPE tidetrack_store_calls_total counter
 tidetrack_store_calls_total{age="newest",cause="proof",kind="Catalog",result="answered"} 7
 tidetrack_store_calls_total{age="newest",cause="told",kind="Endpoints",result="failed"} 2
@@ -15,14 +15,14 @@
 tidetrack_feed_calls_total{source="host"} 90
 "#;
 
-/// Serves one request with a reply, and gets its address.
+/// Answers one request with `reply`, and returns the address to send it to.
 fn serve_once(reply: String) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address").to_string();
     std::thread::spawn(move || {
         let (mut stream, _) = listener.accept().expect("a connection");
         let mut buf = [0; 1024];
-        // What is asked does not matter here.
+        // The content of the request does not matter.
         let _ = stream.read(&mut buf);
         let _ = stream.write_all(reply.as_bytes());
     });
--- a/crates/tidetrack-ctl/tests/declarations.rs
+++ b/crates/tidetrack-ctl/tests/declarations.rs
@@ -1,4 +1,4 @@
-//! Folders of declarations: the examples are good, and each file under `bad` is refused with the
+//! Folders of declarations: the examples are valid, and each file under `bad` is rejected with the
 //! message in its first line.
 
 use std::path::Path;
--- a/crates/tidetrack-ctl/tests/rollouts.rs
+++ b/crates/tidetrack-ctl/tests/rollouts.rs
@@ -1,4 +1,4 @@
-//! The verbs of `rollout` against writers that come between.
+//! The verbs of `rollout` with concurrent writers.
 
 use tidetrack_core::codes::Code;
 use tidetrack_core::config::{Kind, Object, ObjectKey, RolloutPhase, RolloutState};
@@ -20,7 +20,7 @@
     _running: Running,
 }
 
-/// Starts a platform on which the example's roll-out has been started.
+/// Starts a platform with the example's declarations and starts its roll-out.
 fn with_started_rollout() -> TestPlatform {
     let objects = Platform::default();
     let running = objects.serve("127.0.0.1:0").expect("a platform");
@@ -29,8 +29,8 @@
         [("endpoints.toml", ENDPOINTS), ("models.toml", MODELS), ("workspaces.toml", WORKSPACES)];
     let files: Vec<(String, String)> =
         files.iter().map(|(n, t)| (n.to_string(), t.to_string())).collect();
-    let declared = read_folder(&files).expect("sound declarations");
-    let lines = apply::diff(&client, &declared, false).expect("a difference");
+    let declared = read_folder(&files).expect("valid declarations");
+    let lines = apply::diff(&client, &declared, false).expect("a diff");
     assert!(apply::apply(&client, &lines, &mut |_, _| {}).first_failure().is_none());
     let id: RolloutId = "scholar-2".parse().expect("a roll-out");
     rollout::apply_verb(&client, &id, rollout::Verb::Start).expect("a start");
@@ -41,13 +41,13 @@
     let key = ObjectKey::new(Kind::RolloutState, &platform.id);
     let stored = platform.client.fetch(&config_object_name(&key)).expect("a state");
     let body = stored.body.expect("a body");
-    match Object::from_json(Kind::RolloutState, &body).expect("a sound state") {
+    match Object::from_json(Kind::RolloutState, &body).expect("a valid state") {
         Object::RolloutState(state) => state,
         other => panic!("{other:?}"),
     }
 }
 
-/// Lets another writer come right before the next update.
+/// Makes another writer write `state` immediately before the next update.
 fn inject_conflicting_write(platform: &TestPlatform, state: RolloutState) {
     let body = Some(Object::RolloutState(state).to_json());
     platform.objects.set_faults(PlatformFaults { write_first: body, ..PlatformFaults::default() });
--- a/crates/tidetrack-wire/src/headers.rs
+++ b/crates/tidetrack-wire/src/headers.rs
@@ -26,7 +26,8 @@
 pub const TAGS: &str = "Tidetrack-Tags";
 /// Priority of a request, an integer; higher is more urgent.
 pub const PRIORITY: &str = "Tidetrack-Priority";
-/// Model that a routing script replaced by the policy chose, for a policy in observe or share mode.
+/// Model chosen by the routing script that the policy replaces, for a policy in observe or share
+/// mode.
 pub const SCRIPT_CHOICE: &str = "Tidetrack-Script-Choice";
 /// Set on a call forwarded by another host, so that it is not forwarded again.
 pub const FORWARDED: &str = "Tidetrack-Forwarded";
