--- a/crates/tidetrack-burn/src/burn.rs
+++ b/crates/tidetrack-burn/src/burn.rs
@@ -1,7 +1,8 @@
-//! Burn rates over several windows, and what is left of each budget.
+//! Burn rates over several windows, and the remaining budget of each objective.
 //!
-//! A burn rate of 1 uses a budget up in just the objective's days. A fast window shows a sudden fault;
-//! a slow one shows what goes on for long. Both must be high before anyone is woken.
+//! A burn rate of 1 uses up the error budget in exactly the number of days that the objective
+//! covers. A short window shows a sudden fault, a long one a lasting fault. An alarm is only raised
+//! if the burn rate is high in both.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -13,15 +14,15 @@
 
 use crate::scrape::{deltas, Snapshot};
 
-/// Windows in seconds, with the burn rate above which each counts as high.
+/// Length of each window in seconds, with the burn rate from which it counts as high.
 pub const WINDOWS: [(u64, f64); 4] = [(300, 14.4), (3_600, 14.4), (21_600, 6.0), (259_200, 1.0)];
 
-/// Requests that met an objective and requests that did not.
+/// Number of requests that met an objective, and of those that did not.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct RequestCounts {
-    /// They did.
+    /// Requests that met the objective.
     pub good: f64,
-    /// They did not.
+    /// Requests that did not meet the objective.
     pub bad: f64,
 }
 
@@ -34,7 +35,7 @@
         }
     }
 
-    /// Gets the burn rate against a target.
+    /// Returns the burn rate for a target share of good requests; 0 if there were no requests.
     pub fn burn_rate(&self, target: f64) -> f64 {
         let all = self.good + self.bad;
         if all > 0.0 {
@@ -45,48 +46,49 @@
     }
 }
 
-/// The burn rate over one window.
+/// Burn rate over one window.
 #[derive(Clone, Debug, Serialize)]
 pub struct Window {
-    /// Its length in seconds.
+    /// Length of the window in seconds.
     pub seconds: u64,
-    /// Whether the snapshots reach back that far.
+    /// Whether the snapshots cover the entire window.
     #[serde(rename = "covered")]
     pub is_covered: bool,
-    /// The burn rate.
+    /// Burn rate over the window.
     pub rate: f64,
-    /// Whether that is high.
+    /// Whether the burn rate has reached the window's limit.
     #[serde(rename = "high")]
     pub is_high: bool,
 }
 
-/// The burn of one objective.
+/// Burn rates and remaining budget of one objective.
 #[derive(Clone, Debug, Serialize)]
 pub struct ObjectiveReport {
-    /// `workspace/route`.
+    /// Name of the objective, `workspace/route`.
     pub objective: String,
-    /// Share that must be met.
+    /// Share of requests that must be good, from 0 to 1.
     pub target: f64,
-    /// Over all snapshots.
+    /// Requests in all snapshots.
     #[serde(rename = "met")]
     pub counts: RequestCounts,
-    /// Share of the budget of what was seen that is left; below 0 it is overdrawn.
+    /// Remaining share of the error budget of all requests in the snapshots; negative if it is
+    /// exceeded.
     pub budget_left: f64,
-    /// By window.
+    /// Burn rates by window, shortest window first.
     pub windows: Vec<Window>,
-    /// Fast and slow windows are both high.
+    /// Whether the burn rate is high in both of the two shortest windows.
     #[serde(rename = "alarm")]
     pub is_alarm: bool,
-    /// Burn rate by version.
+    /// Burn rates by version.
     pub versions: BTreeMap<String, f64>,
-    /// Burn rate by failure domain.
+    /// Burn rates by failure domain.
     pub failure_domains: BTreeMap<String, f64>,
-    /// Burn rate of each step between snapshots: seconds and rate.
+    /// Burn rate between consecutive snapshots, with the time of the later one in seconds.
     #[serde(rename = "steps")]
     pub interval_rates: Vec<(u64, f64)>,
 }
 
-/// Works out the burn of every declared objective.
+/// Computes the burn rates of all declared objectives.
 pub fn report(snapshots: &[Snapshot], declared: &Declared) -> Vec<ObjectiveReport> {
     let deltas = deltas(snapshots);
     let objectives = declared.values().filter_map(|object| match object {
@@ -146,11 +148,11 @@
     }
 }
 
-/// Renders the report for a person.
+/// Formats the report as text.
 pub fn render(report: &[ObjectiveReport]) -> String {
     let mut out = String::new();
     for b in report {
-        // Writing to a string does not fail.
+        // Writing to a string cannot fail.
         let _ = writeln!(
             out,
             "{}: target {:.3}; {:.0} of {:.0} met; budget left {:.0}%{}",
--- a/crates/tidetrack-burn/src/chart.rs
+++ b/crates/tidetrack-burn/src/chart.rs
@@ -1,4 +1,4 @@
-//! One picture of the burn rates over time.
+//! A chart of the burn rates over time.
 
 use std::path::Path;
 
@@ -10,10 +10,10 @@
 /// Width and height in pixels.
 const SIZE_PIXELS: (u32, u32) = (900, 420);
 
-/// The axis reaches at least to this burn rate, so that the line at 1 is always seen.
+/// Minimum upper end of the burn rate axis, so that the line at 1 is always visible.
 const MIN_AXIS_TOP: f64 = 2.0;
 
-/// Draws the burn rate of every objective as SVG.
+/// Draws the burn rates of all objectives as SVG.
 pub fn draw(report: &[ObjectiveReport], file: &Path) -> Result<()> {
     let points = || report.iter().flat_map(|b| &b.interval_rates);
     let end = points().map(|p| p.0).max().unwrap_or(1).max(1);
@@ -23,7 +23,7 @@
     root.fill(&WHITE).map_err(|e| fail(&e))?;
     let mut chart = ChartBuilder::on(&root)
         .caption(
-            "Burn rate of each objective (1 uses the budget up in its days)",
+            "Burn rate of each objective (1 uses up the budget in its period)",
             ("sans-serif", 18),
         )
         .margin(12)
--- a/crates/tidetrack-burn/src/main.rs
+++ b/crates/tidetrack-burn/src/main.rs
@@ -1,4 +1,4 @@
-//! `tidetrack-burn`: how fast the budgets of the declared service levels are being used up.
+//! `tidetrack-burn`: reports how fast the error budgets of the declared objectives are used up.
 
 #![forbid(unsafe_code)]
 #![warn(rust_2018_idioms)]
@@ -21,12 +21,12 @@
 fn main() -> Result<()> {
     let args: Vec<String> = std::env::args().collect();
     let mut options = Options::new();
-    options.optmulti("", "host", "a router", "IP:PORT");
-    options.optopt("", "out", "where snapshots are added, a line of JSON each", "FILE");
+    options.optmulti("", "host", "address of a router's metrics", "IP:PORT");
+    options.optopt("", "out", "file to which snapshots are appended as lines of JSON", "FILE");
     options.optopt("", "every", "seconds between snapshots (default 10)", "N");
     options.optopt("", "count", "snapshots to take (default 1)", "N");
-    options.optopt("", "declared", "the folder of declarations", "DIR");
-    options.optopt("", "svg", "draw the burn rates", "FILE");
+    options.optopt("", "declared", "folder of declarations", "DIR");
+    options.optopt("", "svg", "draw the burn rates as SVG into a file", "FILE");
     options.optflag("", "json", "print JSON");
     options.optflag("h", "help", "print this help");
     let usage = options.usage(USAGE);
@@ -38,14 +38,16 @@
     let positional: Vec<&str> = matches.free.iter().map(String::as_str).collect();
     match positional[..] {
         ["scrape"] => {
-            let out = matches.opt_str("out").ok_or_else(|| anyhow!("no --out\n{usage}"))?;
+            let out =
+                matches.opt_str("out").ok_or_else(|| anyhow!("--out is required\n{usage}"))?;
             let every = Duration::from_secs(matches.opt_get_default("every", 10)?);
             let count = matches.opt_get_default("count", 1u32)?;
             scrape_hosts(&matches.opt_strs("host"), Path::new(&out), every, count)
         }
         ["report", file] => {
-            let dir =
-                matches.opt_str("declared").ok_or_else(|| anyhow!("no --declared\n{usage}"))?;
+            let dir = matches
+                .opt_str("declared")
+                .ok_or_else(|| anyhow!("--declared is required\n{usage}"))?;
             let declared = folder::read(Path::new(&dir))?;
             let text = std::fs::read_to_string(file).with_context(|| file.to_string())?;
             let report = burn::report(&scrape::read_snapshots(file, &text)?, &declared);
@@ -58,7 +60,7 @@
             }
             Ok(())
         }
-        _ => bail!("no such command\n{usage}"),
+        _ => bail!("unknown command\n{usage}"),
     }
 }
 
--- a/crates/tidetrack-burn/src/scrape.rs
+++ b/crates/tidetrack-burn/src/scrape.rs
@@ -1,4 +1,4 @@
-//! Snapshots of the routers' counters of objectives.
+//! Snapshots of the objective counters of routers.
 
 use std::collections::HashMap;
 use std::io::Write;
@@ -8,43 +8,44 @@
 use prometheus_parse::{Scrape, Value};
 use serde::{Deserialize, Serialize};
 
-/// The counter that routers keep for each objective.
+/// Counter of requests by objective and result, exported by routers.
 const COUNTER_NAME: &str = "tidetrack_objective_total";
 
-/// Seconds that a host may take.
+/// Timeout of a request to a host, in seconds.
 const TIMEOUT_SECONDS: u64 = 5;
 
 /// A counter of one host.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Row {
-    /// The host that counts.
+    /// Host that exported the counter.
     pub host: String,
-    /// `workspace/route`.
+    /// Name of the objective, `workspace/route`.
     pub objective: String,
-    /// The version that answered; empty if none did.
+    /// Version that served the requests; empty if there was none.
     pub version: String,
-    /// The endpoint's failure domain; empty if none was chosen.
+    /// Failure domain of the endpoint; empty if no endpoint was chosen.
     pub failure_domain: String,
-    /// Whether these requests met the objective.
+    /// Whether the counted requests met the objective.
     #[serde(rename = "good")]
     pub is_good: bool,
-    /// How many.
+    /// Number of requests since the host was started.
     pub count: f64,
 }
 
-/// The counters of all hosts at one time.
+/// Counters of all hosts at one time.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// Seconds since the first snapshot of its run.
+    /// Seconds since the first snapshot of the same run.
     pub at: u64,
     /// The counters.
     pub rows: Vec<Row>,
 }
 
-/// Reads the counters out of a host's metrics.
+/// Parses the objective counters on a host's metrics page.
 pub fn parse_rows(host: &str, text: &str) -> Result<Vec<Row>> {
     let lines = text.lines().map(|l| Ok(l.to_string()));
-    let scrape = Scrape::parse(lines).context("Prometheus text")?;
+    let scrape =
+        Scrape::parse(lines).context("the metrics page is not in the Prometheus text format")?;
     let samples = scrape.samples.into_iter().filter(|s| s.metric == COUNTER_NAME);
     Ok(samples
         .filter_map(|s| {
@@ -65,9 +66,10 @@
         .collect())
 }
 
-/// Takes a snapshot of all hosts. A host that does not answer is left out, with a word.
+/// Takes a snapshot of all hosts. A host that does not respond is reported on standard error and
+/// left out.
 pub fn take_snapshot(hosts: &[String], at: u64) -> Result<Snapshot> {
-    ensure!(!hosts.is_empty(), "no --host");
+    ensure!(!hosts.is_empty(), "--host is required");
     let mut snapshot = Snapshot { at, rows: Vec::new() };
     for host in hosts {
         let response =
@@ -80,13 +82,13 @@
     Ok(snapshot)
 }
 
-/// Adds a snapshot to a file.
+/// Appends a snapshot to a file as a line of JSON.
 pub fn append_snapshot(file: &Path, snapshot: &Snapshot) -> Result<()> {
     let mut f = std::fs::OpenOptions::new().create(true).append(true).open(file)?;
     Ok(writeln!(f, "{}", serde_json::to_string(snapshot)?)?)
 }
 
-/// Reads the snapshots of a file; a line that does not read is named.
+/// Parses a file of snapshots. An error names the line that cannot be parsed.
 pub fn read_snapshots(file: &str, text: &str) -> Result<Vec<Snapshot>> {
     let lines = text.lines().enumerate().filter(|(_, l)| !l.trim().is_empty());
     lines
@@ -94,7 +96,8 @@
         .collect()
 }
 
-/// Works out what was added between snapshots, by step. A counter that fell began anew.
+/// Computes the increase of each counter from one snapshot to the next. A counter that has
+/// decreased was reset to 0 by a restart. The first snapshot counts in full.
 pub fn deltas(snapshots: &[Snapshot]) -> Vec<Snapshot> {
     type Key = (String, String, String, String, bool);
     let mut last: HashMap<Key, f64> = HashMap::new();
--- a/crates/tidetrack-wire/src/peer.rs
+++ b/crates/tidetrack-wire/src/peer.rs
@@ -112,7 +112,7 @@
         let key = Key { id: "k".into(), secret: "0123456789abcdef".into() };
         let ring = KeyRing { current: key, previous: None };
         let mut signed = SignedMessage::sign(&ring, METHOD_PROBE, &ProbeReply { reached: true })
-            .expect("a signed message");
+            .expect("sealed");
         assert!(signed.verify::<ProbeReply>(&ring, METHOD_PROBE).is_ok());
         assert!(signed.verify::<ProbeReply>(&ring, METHOD_HOLD).is_err());
         signed.body = RawValue::from_string("{\"reached\":false}".into()).expect("JSON");
