--- a/crates/tidetrack-burn/src/chart.rs
+++ b/crates/tidetrack-burn/src/chart.rs
@@ -19,8 +19,8 @@
     let end = points().map(|p| p.0).max().unwrap_or(1).max(1);
     let top = points().map(|p| p.1).fold(MIN_AXIS_TOP, f64::max) * 1.1;
     let root = SVGBackend::new(file, SIZE_PIXELS).into_drawing_area();
-    let fail = |e: &dyn std::fmt::Display| anyhow!("{}: {e}", file.display());
-    root.fill(&WHITE).map_err(|e| fail(&e))?;
+    let error = |e: &dyn std::fmt::Display| anyhow!("{}: {e}", file.display());
+    root.fill(&WHITE).map_err(|e| error(&e))?;
     let mut chart = ChartBuilder::on(&root)
         .caption(
             "Burn rate of each objective (1 uses up the budget in its period)",
@@ -30,21 +30,21 @@
         .x_label_area_size(36)
         .y_label_area_size(48)
         .build_cartesian_2d(0..end, 0.0..top)
-        .map_err(|e| fail(&e))?;
+        .map_err(|e| error(&e))?;
     chart
         .configure_mesh()
         .x_desc("seconds since the first snapshot")
         .y_desc("burn rate")
         .draw()
-        .map_err(|e| fail(&e))?;
+        .map_err(|e| error(&e))?;
     let limit = [(0, 1.0), (end, 1.0)];
-    chart.draw_series(LineSeries::new(limit, BLACK.stroke_width(1))).map_err(|e| fail(&e))?;
+    chart.draw_series(LineSeries::new(limit, BLACK.stroke_width(1))).map_err(|e| error(&e))?;
     for (i, objective) in report.iter().enumerate() {
         let color = Palette99::pick(i).to_rgba();
         let line = LineSeries::new(objective.interval_rates.iter().copied(), color.stroke_width(2));
         chart
             .draw_series(line)
-            .map_err(|e| fail(&e))?
+            .map_err(|e| error(&e))?
             .label(&objective.objective)
             .legend(move |(x, y)| PathElement::new([(x, y), (x + 18, y)], color));
     }
@@ -53,6 +53,6 @@
         .background_style(WHITE.mix(0.8))
         .border_style(BLACK)
         .draw()
-        .map_err(|e| fail(&e))?;
-    root.present().map_err(|e| fail(&e))
+        .map_err(|e| error(&e))?;
+    root.present().map_err(|e| error(&e))
 }
--- a/crates/tidetrack-burn/src/main.rs
+++ b/crates/tidetrack-burn/src/main.rs
@@ -65,12 +65,12 @@
 }
 
 fn scrape_hosts(hosts: &[String], out: &Path, every: Duration, count: u32) -> Result<()> {
-    let from = Instant::now();
+    let started_at = Instant::now();
     for i in 0..count {
         if i > 0 {
             std::thread::sleep(every);
         }
-        let snapshot = scrape::take_snapshot(hosts, from.elapsed().as_secs())?;
+        let snapshot = scrape::take_snapshot(hosts, started_at.elapsed().as_secs())?;
         scrape::append_snapshot(out, &snapshot)?;
         eprintln!("{}/{count}: {} rows", i + 1, snapshot.rows.len());
     }
--- a/crates/tidetrack-core/src/bill_replicator/mod.rs
+++ b/crates/tidetrack-core/src/bill_replicator/mod.rs
@@ -1,8 +1,8 @@
 //! Keeps a second copy of each bill on another host and writes bills to the object API in segments.
 //!
-//! A request's last byte is only sent once its bill is stored in a second place. The replicator
-//! does no I/O and never blocks: it returns actions, and the results of those actions are passed
-//! back to it. It is split into three files:
+//! The last byte of a response is only sent once the request's bill is stored in a second place: at
+//! the holder or in the object API. The replicator does no I/O and never blocks: it returns actions,
+//! and the results of those actions are passed back to it. It is split into three files:
 //!
 //! - `replication`: sends this host's bills to another host, the holder.
 //! - `segments`: writes bills to the object API, both those of this host and those of hosts that
--- a/crates/tidetrack-core/src/change_log.rs
+++ b/crates/tidetrack-core/src/change_log.rs
@@ -112,11 +112,11 @@
 
     #[test]
     fn changes_are_not_sent_back_to_their_source_incarnation() {
-        let life = |n: u64| Incarnation { host: "h".parse().expect("a host"), life: n };
+        let incarnation = |n: u64| Incarnation { host: "h".parse().expect("a host"), life: n };
         let mut log = ChangeLog::default();
-        log.put_from("a", 1, Some(life(1)));
-        assert_eq!(log.changes_for(Some(&life(1)), 0).count(), 0);
-        assert_eq!(log.changes_for(Some(&life(2)), 0).count(), 1);
+        log.put_from("a", 1, Some(incarnation(1)));
+        assert_eq!(log.changes_for(Some(&incarnation(1)), 0).count(), 0);
+        assert_eq!(log.changes_for(Some(&incarnation(2)), 0).count(), 1);
         assert_eq!(log.changes_for(None, 0).count(), 1);
     }
 
--- a/crates/tidetrack-core/src/disconnect.rs
+++ b/crates/tidetrack-core/src/disconnect.rs
@@ -74,22 +74,22 @@
     use super::*;
 
     #[derive(Debug)]
-    struct Outer(io::Error);
+    struct WrappedError(io::Error);
 
-    impl fmt::Display for Outer {
+    impl fmt::Display for WrappedError {
         fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
             f.write_str("connection error")
         }
     }
 
-    impl Error for Outer {
+    impl Error for WrappedError {
         fn source(&self) -> Option<&(dyn Error + 'static)> {
             Some(&self.0)
         }
     }
 
     fn cause_of_kind(kind: ErrorKind) -> DisconnectCause {
-        DisconnectCause::from_error(&Outer(io::Error::from(kind)))
+        DisconnectCause::from_error(&WrappedError(io::Error::from(kind)))
     }
 
     #[test]
@@ -114,7 +114,7 @@
 
     #[test]
     fn error_chain_text_includes_all_sources() {
-        let text = format_error_chain(&Outer(io::Error::other("no route to host")));
+        let text = format_error_chain(&WrappedError(io::Error::other("no route to host")));
 
         assert_eq!(text, "connection error: no route to host");
     }
--- a/crates/tidetrack-ctl/src/status.rs
+++ b/crates/tidetrack-ctl/src/status.rs
@@ -43,7 +43,7 @@
     );
     for (address, status) in all {
         match status {
-            Ok(s) => render_one(&mut out, s),
+            Ok(s) => render_host(&mut out, s),
             Err(e) => out.push_str(&format!("{address:<20} {e}\n")),
         }
     }
@@ -74,7 +74,7 @@
     out
 }
 
-fn render_one(out: &mut String, s: &Status) {
+fn render_host(out: &mut String, s: &Status) {
     let live = s.members.iter().filter(|m| m.state == MemberState::Alive).count();
     let confirmed = s.confirmed_ms_ago.map_or("never".to_string(), |ms| format!("{ms} ms"));
     // Writing to a string cannot fail.
--- a/crates/tidetrack-wire/src/platform.rs
+++ b/crates/tidetrack-wire/src/platform.rs
@@ -128,7 +128,7 @@
         let extra = self.0.load(Ordering::Relaxed);
         let started_at = Instant::now();
         let mut response =
-            request.with_timeout(seconds + extra).send_lazy().map_err(unavailable)?;
+            request.with_timeout(seconds + extra).send_lazy().map_err(unavailable_error)?;
         check_status(response.status_code)?;
         let mut body = Vec::new();
         if let Err(e) = response.read_to_end(&mut body) {
@@ -147,7 +147,7 @@
     }
 }
 
-fn unavailable(e: minreq::Error) -> Error {
+fn unavailable_error(e: minreq::Error) -> Error {
     Error::new(Code::PlatformDown, e.to_string()).with_ran(Ran::Unknown)
 }
 
@@ -188,7 +188,7 @@
     }
 
     fn read<T: DeserializeOwned>(&self, request: minreq::Request, seconds: u64) -> Result<T> {
-        let response = request.with_timeout(seconds).send().map_err(unavailable)?;
+        let response = request.with_timeout(seconds).send().map_err(unavailable_error)?;
         check_status(response.status_code)?;
         parse_json(response.as_bytes())
     }
