--- a/crates/tidetrack-bench/src/virtual_fleet/steps.rs
+++ b/crates/tidetrack-bench/src/virtual_fleet/steps.rs
@@ -2,8 +2,8 @@
 
 use std::time::Instant;
 
+use tidetrack_core::bill_replicator::Holder;
 use tidetrack_core::evidence::VersionCounts;
-use tidetrack_core::keeper::Holder;
 use tidetrack_core::node::{Action, Exchange};
 use tidetrack_core::units::Millis;
 
@@ -33,8 +33,10 @@
         if self.hosts[h].holders_epoch != Some(epoch) {
             self.hosts[h].holders_epoch = Some(epoch);
             let holders = self.hosts[h].node.members.holders().into_iter();
-            let holders = holders
-                .map(|m| Holder { life: m.incarnation.clone(), address: m.peer_address.clone() });
+            let holders = holders.map(|m| Holder {
+                incarnation: m.incarnation.clone(),
+                address: m.peer_address.clone(),
+            });
             let holders = holders.collect();
             self.hosts[h].keeper.set_holders(holders);
         }
--- a/crates/tidetrack-burn/src/scrape.rs
+++ b/crates/tidetrack-burn/src/scrape.rs
@@ -1,4 +1,4 @@
-//! Snapshots of the routers' counters of objectives.
+//! Snapshots of the objective counters of routers.
 
 use std::collections::HashMap;
 use std::io::Write;
@@ -8,43 +8,45 @@
 use prometheus_parse::{Scrape, Value};
 use serde::{Deserialize, Serialize};
 
-/// The counter that routers keep for each objective.
-const COUNTER: &str = "tidetrack_objective_total";
+/// Counter of requests by objective and result, exported by routers.
+const COUNTER_NAME: &str = "tidetrack_objective_total";
 
-/// Seconds that a host may take.
-const SECONDS: u64 = 5;
+/// Timeout of a request to a host, in seconds.
+const TIMEOUT_SECONDS: u64 = 5;
 
 /// A counter of one host.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Row {
-    /// The host that counts.
+    /// Host that exported the counter.
     pub host: String,
-    /// `workspace/route`.
+    /// Name of the objective, `workspace/route`.
     pub objective: String,
-    /// The version that answered; empty if none did.
+    /// Version that served the requests; empty if there was none.
     pub version: String,
-    /// The endpoint's failure domain; empty if none was chosen.
+    /// Failure domain of the endpoint; empty if no endpoint was chosen.
     pub failure_domain: String,
-    /// Whether these requests met the objective.
-    pub good: bool,
-    /// How many.
+    /// Whether the counted requests met the objective.
+    #[serde(rename = "good")]
+    pub is_good: bool,
+    /// Number of requests since the host was started.
     pub count: f64,
 }
 
-/// The counters of all hosts at one time.
+/// Counters of all hosts at one time.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// Seconds since the first snapshot of its run.
+    /// Seconds since the first snapshot of the same run.
     pub at: u64,
     /// The counters.
     pub rows: Vec<Row>,
 }
 
-/// Reads the counters out of a host's metrics.
-pub fn rows_of(host: &str, text: &str) -> Result<Vec<Row>> {
+/// Parses the objective counters on a host's metrics page.
+pub fn parse_rows(host: &str, text: &str) -> Result<Vec<Row>> {
     let lines = text.lines().map(|l| Ok(l.to_string()));
-    let scrape = Scrape::parse(lines).context("Prometheus text")?;
-    let samples = scrape.samples.into_iter().filter(|s| s.metric == COUNTER);
+    let scrape =
+        Scrape::parse(lines).context("the metrics page is not in the Prometheus text format")?;
+    let samples = scrape.samples.into_iter().filter(|s| s.metric == COUNTER_NAME);
     Ok(samples
         .filter_map(|s| {
             let label = |name| s.labels.get(name).unwrap_or_default().to_string();
@@ -57,58 +59,61 @@
                 objective: label("objective"),
                 version: label("version"),
                 failure_domain: label("failure_domain"),
-                good: label("good") == "true",
+                is_good: label("good") == "true",
                 count,
             })
         })
         .collect())
 }
 
-/// Takes a snapshot of all hosts. A host that does not answer is left out, with a word.
-pub fn take(hosts: &[String], at: u64) -> Result<Snapshot> {
-    ensure!(!hosts.is_empty(), "no --host");
+/// Takes a snapshot of all hosts. A host that does not respond is reported on standard error and
+/// left out.
+pub fn take_snapshot(hosts: &[String], at: u64) -> Result<Snapshot> {
+    ensure!(!hosts.is_empty(), "--host is required");
     let mut snapshot = Snapshot { at, rows: Vec::new() };
     for host in hosts {
-        let response = minreq::get(format!("http://{host}/metrics")).with_timeout(SECONDS).send();
+        let response =
+            minreq::get(format!("http://{host}/metrics")).with_timeout(TIMEOUT_SECONDS).send();
         match response {
-            Ok(response) => snapshot.rows.extend(rows_of(host, response.as_str()?)?),
+            Ok(response) => snapshot.rows.extend(parse_rows(host, response.as_str()?)?),
             Err(e) => eprintln!("{host}: {e}"),
         }
     }
     Ok(snapshot)
 }
 
-/// Adds a snapshot to a file.
-pub fn append(file: &Path, snapshot: &Snapshot) -> Result<()> {
+/// Appends a snapshot to a file as a line of JSON.
+pub fn append_snapshot(file: &Path, snapshot: &Snapshot) -> Result<()> {
     let mut f = std::fs::OpenOptions::new().create(true).append(true).open(file)?;
     Ok(writeln!(f, "{}", serde_json::to_string(snapshot)?)?)
 }
 
-/// Reads the snapshots of a file; a line that does not read is named.
-pub fn read(file: &str, text: &str) -> Result<Vec<Snapshot>> {
+/// Parses a file of snapshots. An error names the line that cannot be parsed.
+pub fn read_snapshots(file: &str, text: &str) -> Result<Vec<Snapshot>> {
     let lines = text.lines().enumerate().filter(|(_, l)| !l.trim().is_empty());
     lines
         .map(|(i, line)| serde_json::from_str(line).with_context(|| format!("{file}:{}", i + 1)))
         .collect()
 }
 
-/// Works out what was added between snapshots, by step. A counter that fell began anew.
-pub fn steps(snapshots: &[Snapshot]) -> Vec<Snapshot> {
+/// Computes the increase of each counter from one snapshot to the next. A counter that has
+/// decreased was reset to 0 by a restart. The first snapshot counts in full.
+pub fn deltas(snapshots: &[Snapshot]) -> Vec<Snapshot> {
     type Key = (String, String, String, String, bool);
     let mut last: HashMap<Key, f64> = HashMap::new();
-    let mut steps = Vec::new();
+    let mut deltas = Vec::new();
     for snapshot in snapshots {
-        let mut step = Snapshot { at: snapshot.at, rows: Vec::new() };
+        let mut delta = Snapshot { at: snapshot.at, rows: Vec::new() };
         for row in &snapshot.rows {
-            let Row { host, objective, version, failure_domain, good, count } = row.clone();
-            let key = (host, objective, version, failure_domain, good);
-            let before = last.insert(key, count).unwrap_or(0.0);
-            let added = if count >= before { count - before } else { count };
-            step.rows.push(Row { count: added, ..row.clone() });
+            let Row { host, objective, version, failure_domain, is_good, count } = row.clone();
+            let key = (host, objective, version, failure_domain, is_good);
+            let previous = last.insert(key, count).unwrap_or(0.0);
+            let added = if count >= previous { count - previous } else { count };
+            delta.rows.push(Row { count: added, ..row.clone() });
         }
-        steps.push(step);
+        deltas.push(delta);
     }
-    steps
+    deltas
 }
 
 #[cfg(test)]
@@ -120,12 +125,12 @@
         tidetrack_objective_total{good=\"false\",objective=\"w/r\",version=\"m@1\",failure_domain=\"d\"} 1\n";
 
     #[test]
-    fn counters_are_read_and_a_restart_is_no_loss() {
-        let rows = rows_of("h", TEXT).expect("rows");
-        let again = rows_of("h", &TEXT.replace("} 9", "} 4")).expect("rows");
-        let steps = steps(&[Snapshot { at: 0, rows }, Snapshot { at: 10, rows: again }]);
-        let good: Vec<f64> =
-            steps.iter().flat_map(|s| &s.rows).filter(|r| r.good).map(|r| r.count).collect();
-        assert_eq!(good, [9.0, 4.0]);
+    fn counter_that_restarts_counts_from_zero() {
+        let rows = parse_rows("h", TEXT).expect("rows");
+        let again = parse_rows("h", &TEXT.replace("} 9", "} 4")).expect("rows");
+        let deltas = deltas(&[Snapshot { at: 0, rows }, Snapshot { at: 10, rows: again }]);
+        let good_counts: Vec<f64> =
+            deltas.iter().flat_map(|s| &s.rows).filter(|r| r.is_good).map(|r| r.count).collect();
+        assert_eq!(good_counts, [9.0, 4.0]);
     }
 }
--- a/crates/tidetrack-core/src/config.rs
+++ b/crates/tidetrack-core/src/config.rs
@@ -15,7 +15,7 @@
 use crate::ids::{
     EndpointId, FailureDomain, Incarnation, ModelId, PoolId, RouteId, VersionRef, WorkspaceId,
 };
-use crate::seal::KeyRing;
+use crate::message_auth::KeyRing;
 use crate::units::Micros;
 
 /// Defines `ObjectKind` and `Object` from one table with a row per kind: its type, its name in object keys,
--- a/crates/tidetrack-core/src/errors.rs
+++ b/crates/tidetrack-core/src/errors.rs
@@ -6,8 +6,8 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::broke::Broke;
 use crate::codes::{Code, Executed};
+use crate::disconnect::DisconnectCause;
 
 /// An error with a numbered result code.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -24,7 +24,7 @@
     /// Cause of a lost connection, if there was one. It is of interest to this host only and is not
     /// serialized.
     #[serde(skip)]
-    pub disconnect_cause: Option<Broke>,
+    pub disconnect_cause: Option<DisconnectCause>,
 }
 
 /// A result with the crate's error type by default.
@@ -49,7 +49,7 @@
     }
 
     /// Sets the cause of the lost connection.
-    pub fn with_disconnect_cause(mut self, cause: Broke) -> Error {
+    pub fn with_disconnect_cause(mut self, cause: DisconnectCause) -> Error {
         self.disconnect_cause = Some(cause);
         self
     }
--- a/crates/tidetrack-core/src/facts.rs
+++ b/crates/tidetrack-core/src/facts.rs
@@ -6,8 +6,8 @@
 
 use serde::{Deserialize, Serialize};
 
+use crate::change_log::ChangeLog;
 use crate::ids::{EndpointId, VersionRef};
-use crate::journal::Journal;
 
 /// The version or endpoint that a fact bars, and the cause.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Facts {
     /// Highest barred generation of each subject.
-    generations: Journal<Subject, u64>,
+    generations: ChangeLog<Subject, u64>,
 }
 
 impl Facts {
--- a/crates/tidetrack-core/src/node/items.rs
+++ b/crates/tidetrack-core/src/node/items.rs
@@ -57,7 +57,7 @@
     pub(super) fn items_for(&mut self, host: &HostId, link: &Link) -> (u64, Vec<Item>) {
         let cursor = link.acked_by_peer;
         let max_items = link.item_limit.max_items.min(self.options.max_items);
-        let mut pending = self.items.news_for(link.peer_incarnation.as_ref(), cursor);
+        let mut pending = self.items.changes_for(link.peer_incarnation.as_ref(), cursor);
         let mut items = Vec::new();
         let mut seq = cursor;
         for (item_seq, item) in pending.by_ref().take(max_items) {
--- a/crates/tidetrack-core/src/node/mod.rs
+++ b/crates/tidetrack-core/src/node/mod.rs
@@ -10,11 +10,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, MutexGuard};
 
+use crate::change_log::ChangeLog;
 use crate::events::Event;
 use crate::evidence::{Evidence, VersionCounts};
 use crate::facts::Facts;
 use crate::ids::{HostId, Incarnation, VersionRef};
-use crate::journal::Journal;
 use crate::limits::Limits;
 use crate::membership::{Member, Members};
 use crate::store::Store;
@@ -124,7 +124,7 @@
     /// When this host last tried to contact a dead or unknown host.
     last_reconnect_at: Millis,
     /// The items that this host gossips.
-    items: Journal<ItemKey, Item>,
+    items: ChangeLog<ItemKey, Item>,
     links: BTreeMap<HostId, Link>,
     /// Peer addresses of the other hosts that the platform lists.
     seeds: BTreeMap<HostId, String>,
@@ -145,7 +145,7 @@
     /// Creates the state of a host that has just started. Its exchanges are numbered from `nonce` on.
     pub fn new(own: Member, options: NodeOptions, nonce: u64) -> Node {
         let own_incarnation = own.incarnation.clone();
-        let mut items = Journal::default();
+        let mut items = ChangeLog::default();
         let item = Item::Member(own.clone());
         items.put(item.key(), item);
         Node {
--- a/crates/tidetrack-core/src/session.rs
+++ b/crates/tidetrack-core/src/session.rs
@@ -8,7 +8,7 @@
 use crate::codes::Code;
 use crate::errors::{Error, Result};
 use crate::ids::{RouteId, VersionRef, WorkspaceId};
-use crate::seal::{KeyRing, Purpose};
+use crate::message_auth::{KeyRing, Purpose};
 
 /// Version prefix of the tokens created here.
 const TOKEN_FORMAT: &str = "s1";
@@ -36,7 +36,12 @@
 
     /// Creates the token of this session, authenticated with the current key of `key_ring`.
     pub fn to_token(&self, key_ring: &KeyRing) -> String {
-        key_ring.to_token(TOKEN_FORMAT, Purpose::Session, self.workspace.as_str(), &self.payload())
+        key_ring.sign_token(
+            TOKEN_FORMAT,
+            Purpose::Session,
+            self.workspace.as_str(),
+            &self.payload(),
+        )
     }
 
     /// Parses and verifies a token that `workspace` sent.
@@ -44,7 +49,7 @@
         let invalid =
             || Error::new(Code::BadToken, "the session token is not valid for this workspace");
         let payload =
-            key_ring.open_token(TOKEN_FORMAT, Purpose::Session, workspace.as_str(), token);
+            key_ring.verify_token(TOKEN_FORMAT, Purpose::Session, workspace.as_str(), token);
         let fields: Vec<&str> = payload.ok_or_else(invalid)?.split('/').collect();
         let [route, version, generation, nonce] = fields[..] else { return Err(invalid()) };
         Ok(Session {
@@ -60,7 +65,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::seal::Key;
+    use crate::message_auth::Key;
 
     fn key_ring(id: &str) -> KeyRing {
         KeyRing {
--- a/crates/tidetrack-ctl/src/apply.rs
+++ b/crates/tidetrack-ctl/src/apply.rs
@@ -1,7 +1,8 @@
-//! `diff` and `apply`: brings the object API to what a folder declares.
+//! `diff` and `apply`: make the object API match a folder of declarations.
 //!
-//! Each object is written only if it still has the version that the diff was made from, so two
-//! operators cannot overwrite each other unseen. Applying twice writes nothing the second time.
+//! Each object is only written if it still has the version that the diff was computed from, so that
+//! two operators cannot overwrite each other's changes unnoticed. Applying the same folder a second
+//! time writes nothing.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -13,35 +14,35 @@
 use tidetrack_core::declare::DeclaredObjects;
 use tidetrack_core::errors::{Error, Result};
 use tidetrack_core::store::Entry;
-use tidetrack_wire::platform::{config_name, PlatformClient};
+use tidetrack_wire::platform::{config_object_name, PlatformClient};
 
-/// Tries at one object while the object API is over its rate.
-const BUSY_TRIES: u32 = 20;
+/// Maximum number of attempts to write one object while the object API's rate limit is exceeded.
+const MAX_BUSY_ATTEMPTS: u32 = 20;
 
-/// What is to be done with an object.
+/// Change to be made to an object.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Change {
-    /// It is not there yet.
+    /// The object does not exist.
     Create,
-    /// It is there and differs.
+    /// The object exists and differs.
     Update,
-    /// It is there and not declared.
+    /// The object exists and is not declared.
     Delete,
 }
 
-/// One line of a diff.
+/// The change of one object.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct DiffLine {
-    /// The object.
+    /// The object to change.
     pub key: ObjectKey,
-    /// What is to be done.
+    /// The change to make.
     pub change: Change,
-    /// The version that the diff was made from; 0 if the object is not there.
+    /// Version that the diff was computed from; 0 if the object does not exist.
     pub version: u64,
-    /// The body to write.
+    /// Body to write; `None` for a deletion.
     pub body: Option<String>,
-    /// The members that differ.
+    /// Names of the members that differ.
     pub members: Vec<String>,
 }
 
@@ -60,8 +61,9 @@
     }
 }
 
-/// Objects that others name come first, so that no host sees a name without its object.
-const ORDER: [ObjectKind; 9] = [
+/// Order of creation: an object comes before the kinds of objects that refer to it, so that no host
+/// sees a reference to a missing object.
+const APPLY_ORDER: [ObjectKind; 9] = [
     ObjectKind::KeyRing,
     ObjectKind::Pool,
     ObjectKind::Version,
@@ -73,92 +75,96 @@
     ObjectKind::Objective,
 ];
 
-fn order_of(kind: ObjectKind) -> usize {
-    ORDER.iter().position(|k| *k == kind).unwrap_or(ORDER.len())
+fn apply_order(kind: ObjectKind) -> usize {
+    APPLY_ORDER.iter().position(|k| *k == kind).unwrap_or(APPLY_ORDER.len())
 }
 
-/// Compares what is declared with what is there.
+/// Compares the declarations with the stored objects. With `prune`, stored objects of declared
+/// kinds that are not declared are deleted.
 pub fn diff(
     platform: &PlatformClient,
     declared: &DeclaredObjects,
     prune: bool,
 ) -> Result<Vec<DiffLine>> {
     let (_, entries) = platform.list_config()?;
-    let there: BTreeMap<ObjectKey, Entry> =
+    let stored: BTreeMap<ObjectKey, Entry> =
         entries.into_iter().map(|e| (e.key.clone(), e)).collect();
-    let mut lines: Vec<DiffLine> =
-        declared.iter().filter_map(|(key, object)| diff_one(key, object, there.get(key))).collect();
-    lines.sort_by_key(|l| order_of(l.key.kind));
+    let mut lines: Vec<DiffLine> = declared
+        .iter()
+        .filter_map(|(key, object)| diff_object(key, object, stored.get(key)))
+        .collect();
+    lines.sort_by_key(|l| apply_order(l.key.kind));
     if prune {
-        let stray = |k: &&ObjectKey| k.kind.is_declared() && !declared.contains_key(k);
-        let mut gone: Vec<DiffLine> = there
+        let is_undeclared = |k: &&ObjectKey| k.kind.is_declared() && !declared.contains_key(k);
+        let mut deletions: Vec<DiffLine> = stored
             .keys()
-            .filter(stray)
+            .filter(is_undeclared)
             .map(|key| DiffLine {
                 key: key.clone(),
                 change: Change::Delete,
-                version: there[key].version,
+                version: stored[key].version,
                 body: None,
                 members: Vec::new(),
             })
             .collect();
-        // What names others goes before what it names.
-        gone.sort_by_key(|l| std::cmp::Reverse(order_of(l.key.kind)));
-        lines.extend(gone);
+        // Objects are deleted before the objects that they refer to.
+        deletions.sort_by_key(|l| std::cmp::Reverse(apply_order(l.key.kind)));
+        lines.extend(deletions);
     }
     Ok(lines)
 }
 
-fn diff_one(key: &ObjectKey, object: &Object, there: Option<&Entry>) -> Option<DiffLine> {
+fn diff_object(key: &ObjectKey, object: &Object, stored: Option<&Entry>) -> Option<DiffLine> {
     let body = object.to_json();
-    let old = there.and_then(|e| e.body.as_deref());
-    let members = old.map(|old| differing_members(old, &body)).unwrap_or_default();
-    let change = match old {
+    let current = stored.and_then(|e| e.body.as_deref());
+    let members = current.map(|current| differing_members(current, &body)).unwrap_or_default();
+    let change = match current {
         None => Change::Create,
         Some(_) if members.is_empty() => return None,
         Some(_) => Change::Update,
     };
-    let version = there.map_or(0, |e| e.version);
+    let version = stored.map_or(0, |e| e.version);
     Some(DiffLine { key: key.clone(), change, version, body: Some(body), members })
 }
 
-fn differing_members(old: &str, new: &str) -> Vec<String> {
+fn differing_members(current: &str, new: &str) -> Vec<String> {
     type Members = BTreeMap<String, serde_json::Value>;
     let read = |text: &str| serde_json::from_str::<Members>(text).unwrap_or_default();
-    let (old, new) = (read(old), read(new));
-    let names = old.keys().chain(new.keys()).filter(|name| old.get(*name) != new.get(*name));
+    let (current, new) = (read(current), read(new));
+    let names =
+        current.keys().chain(new.keys()).filter(|name| current.get(*name) != new.get(*name));
     let mut names: Vec<String> = names.cloned().collect();
     names.sort();
     names.dedup();
     names
 }
 
-/// What came of an apply.
+/// Result of an apply.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Applied {
+pub struct ApplyReport {
     /// Objects written or deleted.
     pub done: Vec<ObjectKey>,
-    /// Objects that were left as they are, and why.
+    /// Objects that were not changed, with the error.
     pub failed: Vec<(ObjectKey, Error)>,
 }
 
-impl Applied {
-    /// Gets the first failure.
-    pub fn failure(&self) -> Option<Error> {
+impl ApplyReport {
+    /// Returns the first error, with the object's key in front of its message.
+    pub fn first_failure(&self) -> Option<Error> {
         let (key, e) = self.failed.first()?;
         Some(Error { message: format!("{key}: {}", e.message), ..e.clone() })
     }
 }
 
-/// Carries out a diff, telling `progress` of each line that is done.
+/// Applies a diff and calls `progress` with the number and content of each line applied.
 pub fn apply(
     platform: &PlatformClient,
     lines: &[DiffLine],
     progress: &mut dyn FnMut(usize, &DiffLine),
-) -> Applied {
-    let mut applied = Applied::default();
+) -> ApplyReport {
+    let mut applied = ApplyReport::default();
     for (i, line) in lines.iter().enumerate() {
-        match apply_one(platform, line) {
+        match apply_line(platform, line) {
             Ok(()) => {
                 progress(i + 1, line);
                 applied.done.push(line.key.clone());
@@ -169,11 +175,11 @@
     applied
 }
 
-fn apply_one(platform: &PlatformClient, line: &DiffLine) -> Result<()> {
-    let name = config_name(&line.key);
-    for _ in 0..BUSY_TRIES {
+fn apply_line(platform: &PlatformClient, line: &DiffLine) -> Result<()> {
+    let name = config_object_name(&line.key);
+    for _ in 0..MAX_BUSY_ATTEMPTS {
         let result = match &line.body {
-            Some(body) => platform.write_settled(&name, line.version, body),
+            Some(body) => platform.write_confirmed(&name, line.version, body),
             None => platform.delete(&name, line.version),
         };
         match result {
@@ -181,11 +187,14 @@
                 std::thread::sleep(Duration::from_millis(e.retry_after_ms.unwrap_or(500)));
             }
             Err(e) if e.code == Code::Conflict => {
-                let message = "changed by someone else since the diff was made; look again";
+                let message = "the object was changed since the diff was computed; run diff again";
                 return Err(Error::new(Code::Conflict, message));
             }
             other => return other.map(|_| ()),
         }
     }
-    Err(Error::new(Code::PlatformBusy, "the object API stays over its rate"))
+    Err(Error::new(
+        Code::PlatformBusy,
+        "the rate limit of the object API is still exceeded after all attempts",
+    ))
 }
--- a/crates/tidetrack-ctl/src/bill.rs
+++ b/crates/tidetrack-ctl/src/bill.rs
@@ -3,25 +3,25 @@
 use std::fmt::Write;
 
 use tidetrack_core::errors::Result;
-use tidetrack_core::ledger::{total_up, Totals};
+use tidetrack_core::ledger::{sum_segments, LedgerTotals};
 use tidetrack_router::billing::read_ledger;
 use tidetrack_wire::platform::PlatformClient;
 
-/// Reads the ledger and adds it up.
-pub fn totals(platform: &PlatformClient) -> Result<Totals> {
+/// Reads the ledger and sums it up.
+pub fn totals(platform: &PlatformClient) -> Result<LedgerTotals> {
     let segments = read_ledger(platform)?;
-    Ok(total_up(segments.values()))
+    Ok(sum_segments(segments.values()))
 }
 
-/// Renders totals for a person.
-pub fn render(totals: &Totals) -> String {
+/// Formats totals as a table.
+pub fn render(totals: &LedgerTotals) -> String {
     let mut out = String::from(
         "workspace        version              requests   tokens in  tokens out        cost\n",
     );
     let mut cost = 0;
     for ((workspace, version), t) in &totals.by_version {
         cost += t.cost.0;
-        // Writing to a string does not fail.
+        // Writing to a string cannot fail.
         let _ = writeln!(
             out,
             "{:<16} {:<20} {:>8}  {:>10}  {:>10}  {:>10}",
@@ -33,23 +33,23 @@
             t.cost.0
         );
     }
-    let Totals { requests, repeats, broken, .. } = totals;
+    let LedgerTotals { requests, duplicates, truncated, .. } = totals;
     let _ = writeln!(
         out,
-        "{requests} requests, {broken} broken off, {repeats} repeats left out; cost {cost} micros"
+        "{requests} requests, {truncated} cut off, {duplicates} duplicates; cost {cost} micros"
     );
     out
 }
 
-/// Renders totals for machines.
-pub fn to_json(totals: &Totals) -> serde_json::Value {
+/// Converts totals to JSON.
+pub fn to_json(totals: &LedgerTotals) -> serde_json::Value {
     let rows = totals.by_version.iter().map(|((workspace, version), t)| {
         serde_json::json!({"workspace": workspace, "version": version, "total": t})
     });
     serde_json::json!({
         "requests": totals.requests,
-        "repeats": totals.repeats,
-        "broken": totals.broken,
+        "repeats": totals.duplicates,
+        "broken": totals.truncated,
         "rows": rows.collect::<Vec<_>>(),
     })
 }
--- a/crates/tidetrack-plane/src/crash.rs
+++ b/crates/tidetrack-plane/src/crash.rs
@@ -12,8 +12,8 @@
 
 use tokio::sync::{oneshot, OnceCell};
 
-use tidetrack_core::broke::Broke;
 use tidetrack_core::codes::Executed;
+use tidetrack_core::disconnect::DisconnectCause;
 use tidetrack_core::errors::Error;
 use tidetrack_core::events::Event;
 use tidetrack_core::ids::EndpointId;
@@ -79,7 +79,8 @@
     e: &Error,
     sent_at: Instant,
 ) {
-    let is_cut = matches!(e.disconnect_cause, Some(Broke::Closed | Broke::Reset));
+    let is_cut =
+        matches!(e.disconnect_cause, Some(DisconnectCause::Closed | DisconnectCause::Reset));
     if !is_cut || e.executed == Executed::No {
         return;
     }
@@ -142,7 +143,7 @@
 async fn has_ended(traffic: &Traffic, chosen: &Chosen, most_rest: Duration) -> bool {
     let opened = traffic.pool.prepare(chosen.id.as_str(), &chosen.address, most_rest);
     match tokio::time::timeout(LOOK_WITHIN, opened).await {
-        Ok(Err(e)) => e.disconnect_cause == Some(Broke::Refused),
+        Ok(Err(e)) => e.disconnect_cause == Some(DisconnectCause::Refused),
         Ok(Ok(())) | Err(_) => false,
     }
 }
--- a/crates/tidetrack-plane/src/relay.rs
+++ b/crates/tidetrack-plane/src/relay.rs
@@ -18,8 +18,8 @@
 use hyper::body::Incoming;
 use tokio::sync::mpsc;
 
-use tidetrack_core::broke::{with_causes, Broke};
 use tidetrack_core::codes::{Code, Executed};
+use tidetrack_core::disconnect::{format_error_chain, DisconnectCause};
 use tidetrack_core::errors::{Error, Result};
 use tidetrack_core::events::Event;
 use tidetrack_core::ids::ModelId;
@@ -365,7 +365,7 @@
                 ("events", &self.events),
                 ("code", &why.code),
                 ("why", &why.message),
-                ("broke", &why.disconnect_cause.map_or("-", Broke::as_str)),
+                ("broke", &why.disconnect_cause.map_or("-", DisconnectCause::as_str)),
             ],
         );
         // A caller that has left needs no sign.
@@ -479,10 +479,11 @@
                     }
                 }
                 Some(Err(e)) => {
-                    return Err(broken(with_causes(&e)).with_disconnect_cause(broke(&e)))
+                    return Err(broken(format_error_chain(&e)).with_disconnect_cause(broke(&e)))
                 }
                 None if self.splitter.has_part() => {
-                    return Err(broken("half an event".into()).with_disconnect_cause(Broke::Closed));
+                    return Err(broken("half an event".into())
+                        .with_disconnect_cause(DisconnectCause::Closed));
                 }
                 None => return Ok(Next::End),
             }
--- a/crates/tidetrack-router/src/control.rs
+++ b/crates/tidetrack-router/src/control.rs
@@ -9,12 +9,12 @@
 use flume::{Receiver, Sender};
 use serde::{Deserialize, Serialize};
 
+use tidetrack_core::bill_replicator::Holder;
 use tidetrack_core::config::{ObjectKey, ObjectKind, RolloutState};
 use tidetrack_core::events::Event;
 use tidetrack_core::evidence::VersionCounts;
 use tidetrack_core::facts::{Fact, Subject};
 use tidetrack_core::ids::{HostId, Incarnation, RolloutId, VersionRef};
-use tidetrack_core::keeper::Holder;
 use tidetrack_core::membership::{Member, MemberState};
 use tidetrack_core::node::{Action, Exchange, Node};
 use tidetrack_core::store::{Delta, Entry};
@@ -369,8 +369,10 @@
         }
         self.holders_epoch = Some(epoch);
         let holders = self.node.members.holders().into_iter();
-        let holders = holders
-            .map(|m| Holder { life: m.incarnation.clone(), address: m.peer_address.clone() });
+        let holders = holders.map(|m| Holder {
+            incarnation: m.incarnation.clone(),
+            address: m.peer_address.clone(),
+        });
         let _ = self.bills.send(BillMsg::Holders(holders.collect()));
     }
 
--- a/crates/tidetrack-standin/src/engine/run.rs
+++ b/crates/tidetrack-standin/src/engine/run.rs
@@ -7,9 +7,8 @@
 use tiny_http::{Request, Response};
 
 use tidetrack_core::placement::hash_fraction;
-use tidetrack_wire::caller::{ChatRequest, DONE};
-use tidetrack_wire::headers;
-use tidetrack_wire::stream;
+use tidetrack_wire::caller::{ChatRequest, STREAM_END};
+use tidetrack_wire::{headers, stream};
 
 use crate::http::{self, make_header};
 
@@ -123,7 +122,7 @@
         let cut = self.engine.lock().faults.cut_after;
         for (i, token) in self.answer.iter().enumerate() {
             if cut == Some(i as u64) {
-                return body.get_mut().break_off();
+                return body.get_mut().abort();
             }
             let last = i + 1 == self.answer.len();
             let stopped = self.engine.wait(&self.attempt, self.engine.token_time());
@@ -137,7 +136,7 @@
         });
         self.count_finished();
         // The router that has left by now has had its whole answer.
-        let _ = body.write_all(format!("data: {usage}\n\ndata: {DONE}\n\n").as_bytes());
+        let _ = body.write_all(format!("data: {usage}\n\ndata: {STREAM_END}\n\n").as_bytes());
     }
 
     fn send_chunk(&self, out: &mut impl Write, token: &str, last: bool) -> std::io::Result<()> {
--- a/crates/tidetrack-wire/src/stream.rs
+++ b/crates/tidetrack-wire/src/stream.rs
@@ -1,7 +1,7 @@
-//! Streamed bodies over `tiny_http`, each event leaving at once.
+//! Streamed response bodies over `tiny_http`, with each event sent at once.
 //!
-//! The server's writer buffers about a kilobyte and its chunked encoder eight; here every chunk is
-//! flushed, the last one included.
+//! The server's writer buffers about 1 KB and its chunked encoder 8 KB. Here every chunk is
+//! flushed, including the last one.
 
 use std::io::{ErrorKind, Read, Result, Write};
 
@@ -9,21 +9,21 @@
 use tiny_http::{HTTPVersion, Request, Response};
 
 /// A writer that flushes after each write.
-pub struct FlushEach {
+pub struct FlushingWriter {
     inner: Box<dyn Write + Send>,
-    broken: bool,
+    is_aborted: bool,
 }
 
-impl FlushEach {
-    /// Lets nothing more out, not even the end of the body.
-    pub fn break_off(&mut self) {
-        self.broken = true;
+impl FlushingWriter {
+    /// Makes all later writes fail, including that of the end of the body.
+    pub fn abort(&mut self) {
+        self.is_aborted = true;
     }
 }
 
-impl Write for FlushEach {
+impl Write for FlushingWriter {
     fn write(&mut self, buf: &[u8]) -> Result<usize> {
-        if self.broken {
+        if self.is_aborted {
             return Err(ErrorKind::BrokenPipe.into());
         }
         let n = self.inner.write(buf)?;
@@ -36,15 +36,15 @@
     }
 }
 
-/// A body under way. Dropping it ends the body properly, unless it was broken off.
-pub type Body = Encoder<FlushEach>;
+/// A response body in progress. Dropping it ends the body properly, unless it was aborted.
+pub type Body = Encoder<FlushingWriter>;
 
-/// Sends the head of an answer to `request` and gets its body.
+/// Sends the head of a response to `request` and returns the writer of its body.
 pub fn begin<R: Read>(request: Request, head: Response<R>) -> Result<Body> {
     let head = head.with_data(std::io::empty(), None).with_chunked_threshold(0);
     let mut bytes = Vec::new();
     head.raw_print(&mut bytes, HTTPVersion(1, 1), &[], true, None)?;
-    let mut writer = FlushEach { inner: request.into_writer(), broken: false };
+    let mut writer = FlushingWriter { inner: request.into_writer(), is_aborted: false };
     writer.write_all(&bytes)?;
     Ok(Encoder::with_flush_after_write(writer))
 }
