--- a/crates/tidetrack-core/src/traffic/admission.rs
+++ b/crates/tidetrack-core/src/traffic/admission.rs
@@ -41,8 +41,8 @@
 }
 
 impl AdmittedRequest {
-    /// Returns the priority rank of the request: that of the workspace if it has one, otherwise
-    /// that of the route.
+    /// Returns the priority rank of the request, where 0 is the most urgent: that of the workspace
+    /// if it has one, otherwise that of the route.
     pub fn rank(&self) -> u8 {
         let workspace_rank = self.holder.as_ref().and_then(|h| h.rank);
         workspace_rank.unwrap_or(self.route.rank)
@@ -54,7 +54,7 @@
 /// Without a `revocation_bound`, the configuration needs no recent proof.
 ///
 /// Returns an error if the host has no configuration, if the configuration has not been confirmed
-/// for too long, if no route matches, or if the key belongs to no workspace.
+/// for too long, if no route matches, or if the route needs a key and the request has no valid one.
 pub fn admit(
     catalog: Option<&Catalog>,
     freshness: &Freshness,
--- a/crates/tidetrack-core/src/traffic/suspects/mod.rs
+++ b/crates/tidetrack-core/src/traffic/suspects/mod.rs
@@ -473,7 +473,7 @@
         state.suspects.entry(fingerprint).or_default()
     }
 
-    /// Counts the crashes that count against a request.
+    /// Returns the number of crashes that count against a request.
     fn count_crashes(&self, state: &State, now: Millis, fingerprint: Fingerprint) -> usize {
         let Some(suspect) = state.suspects.get(&fingerprint) else { return 0 };
         if self.is_expired(suspect, now) || suspect.cleared_at.is_some() {
--- a/crates/tidetrack-plane/tests/call.rs
+++ b/crates/tidetrack-plane/tests/call.rs
@@ -87,7 +87,7 @@
 
 /// A host's entries of endpoints were seven seconds old, with bounds of two and three on them: the host
 /// that it had asked for the news sent 800 bytes a second, and each piece kept the try from counting as
-/// failed, so nobody else was asked, not even the store. Evidence: `FeedTracker::coming` came each 200 ms for a
+/// failed, so nobody else was asked, not even the store. Evidence: `FeedTracker::record_incoming` came each 200 ms for a
 /// reply of 4 KB, at any rate.
 #[test]
 fn a_small_reply_that_drips_is_got_elsewhere() {
