--- a/crates/tidetrack-core/src/store.rs
+++ b/crates/tidetrack-core/src/store.rs
@@ -94,8 +94,8 @@
         changed
     }
 
-    /// Merges the full list of objects at `revision` and reports whether the copy changed. An object that the
-    /// list does not contain was deleted by that revision.
+    /// Merges the full list of objects at `revision` and reports whether the copy changed. An object that
+    /// is not in the list was deleted by that revision.
     pub fn merge_list(&mut self, revision: u64, entries: Vec<Entry>) -> bool {
         let listed: std::collections::BTreeSet<ObjectKey> =
             entries.iter().map(|e| e.key.clone()).collect();
@@ -141,8 +141,8 @@
         self.objects.values()
     }
 
-    /// Parses all objects that are not deleted. Those that cannot be parsed are returned separately with the
-    /// errors.
+    /// Parses all objects that are not deleted. Those that cannot be parsed are returned separately, with
+    /// the errors.
     pub fn objects(&self) -> (Vec<ParsedObject>, Vec<InvalidObject>) {
         let mut parsed = Vec::new();
         let mut invalid = Vec::new();
