--- a/crates/tidetrack-core/src/node/exchange.rs
+++ b/crates/tidetrack-core/src/node/exchange.rs
@@ -6,8 +6,8 @@
 use crate::traffic::suspects::MAX_REPORTS_PER_MESSAGE;
 use crate::units::Millis;
 
+use super::config_pull::{SMALL_DELTA_ONLY, TARGET_RESPONSE_TIME};
 use super::messages::Exchange;
-use super::pulls::{SMALL_DELTA_ONLY, TARGET_RESPONSE_TIME};
 use super::{Link, Node};
 
 impl Node {
--- a/crates/tidetrack-core/src/node/links.rs
+++ b/crates/tidetrack-core/src/node/links.rs
@@ -6,8 +6,8 @@
 use crate::membership::{Member, MemberState, LINKS_PER_HOST};
 use crate::units::Millis;
 
+use super::config_pull::SMALL_DELTA_ONLY;
 use super::messages::{Item, ItemKey};
-use super::pulls::SMALL_DELTA_ONLY;
 use super::{Action, Link, Node};
 
 /// Number of hosts that are asked to probe a silent host.
--- a/crates/tidetrack-core/src/node/mod.rs
+++ b/crates/tidetrack-core/src/node/mod.rs
@@ -22,20 +22,20 @@
 use crate::units::Millis;
 use crate::view::{ConfigConfirmation, View, ViewBuilder};
 
-mod duties;
+mod config_pull;
 mod exchange;
-mod items;
-mod knowledge;
+mod item_limit;
 mod links;
+mod merge;
 mod messages;
 mod options;
-mod pulls;
+mod rollout_control;
 
-use items::ItemLimit;
+use config_pull::ConfigPull;
+use item_limit::ItemLimit;
 use messages::ItemKey;
 pub use messages::{Exchange, Item};
 pub use options::NodeOptions;
-use pulls::ConfigPull;
 
 /// An action that the caller of a node must carry out.
 #[derive(Clone, Debug, PartialEq)]
@@ -303,7 +303,7 @@
     use crate::membership::MemberState;
     use crate::store::Entry;
 
-    use super::pulls::SMALL_DELTA_ONLY;
+    use super::config_pull::SMALL_DELTA_ONLY;
 
     fn node(host: &str) -> Node {
         let own = Member {
