--- a/crates/tidetrack-plane/src/choose.rs
+++ b/crates/tidetrack-plane/src/choose.rs
@@ -14,42 +14,46 @@
 use tidetrack_core::traffic::view::{PickedEndpoint, ServiceView};
 use tidetrack_core::units::{Millis, Tokens};
 
-use crate::job::{Chosen, Job, PrefixAt, Traffic, Tries, WorkShare};
+use crate::job::{AttemptHistory, ChosenEndpoint, Job, PendingWork, PrefixLocation, Traffic};
 
 /// When to come back after a refusal for want of room, in milliseconds.
-pub const RETRY_FULL_MS: u64 = 300;
+pub const RETRY_OVERLOADED_MS: u64 = 300;
 
 /// Work, in answer tokens, that an endpoint of another failure domain counts as having besides: bytes between domains
 /// cost.
-const CROSSING_WORK: u64 = 500;
+const CROSS_DOMAIN_WORK: u64 = 500;
 
 /// Work of reading a prefix again, in answer tokens, from which it is fetched instead: some tenths of a second of an
 /// engine's time, where a move takes some milliseconds. Moves have a price of their own.
-const FETCHED_FROM: u64 = 1_600;
+const MIN_FETCH_WORK: u64 = 1_600;
 
 /// How long a run takes at most, as a rule. A session is at work from a request's start until some time
 /// after its end.
-const RUN_TIME: Millis = Millis(8_000);
+const TYPICAL_MAX_ATTEMPT_TIME: Millis = Millis(8_000);
 
 /// Checks, right before a send, that the request may still be passed on.
 ///
 /// The proof of the configuration is asked for before the first send only: a key that was held when
 /// the request came is held for all of its attempts, and a stream that breaks while the store is away
 /// may go on.
-pub fn check_before_send(traffic: &Traffic, job: &Job, tries: &Tries) -> Result<()> {
+pub fn check_before_send(traffic: &Traffic, job: &Job, attempts: &AttemptHistory) -> Result<()> {
     let shared = &traffic.shared;
     let now = shared.now();
-    if tries.is_paid {
+    if attempts.is_next_charged {
         return Ok(());
     }
     shared.suspects.check(now, job.fingerprint)?;
-    let bound = shared.settings.bounds.revoke_within;
-    let needs_proof = tries.sent == 0 && job.admitted.holder.is_some();
-    if needs_proof && bound.is_some_and(|bound| !shared.fresh.permits_keyed_requests(now, bound)) {
+    let revocation_bound = shared.settings.bounds.revoke_within;
+    let needs_config_proof = attempts.sent_count == 0 && job.admitted.holder.is_some();
+    if needs_config_proof
+        && revocation_bound.is_some_and(|revocation_bound| {
+            !shared.fresh.permits_keyed_requests(now, revocation_bound)
+        })
+    {
         return Err(admission::stale_config_error());
     }
-    if tries.sent == 0 {
-        if tries.unreached == 0 {
+    if attempts.sent_count == 0 {
+        if attempts.connect_failures == 0 {
             traffic.with_budget(&job.service, |b| b.record_first(now));
         }
         return Ok(());
@@ -64,202 +68,218 @@
 pub fn choose(
     traffic: &Traffic,
     job: &Job,
-    tries: &Tries,
+    attempts: &AttemptHistory,
     model: Option<&ModelId>,
-) -> Result<Chosen> {
+) -> Result<ChosenEndpoint> {
     traffic.shared.suspects.check(traffic.shared.now(), job.fingerprint)?;
     let view = traffic.shared.view.load();
-    let service = view.services.get(&job.service).ok_or_else(|| full("no endpoint is listed"))?;
-    let who = job.version_draw();
+    let service =
+        view.services.get(&job.service).ok_or_else(|| overloaded_error("no endpoint is listed"))?;
+    let session_hash = job.session_hash();
     let now = traffic.shared.now();
-    let hold_for = traffic.shared.settings.bounds.session_time + RUN_TIME;
-    let drawn = service.side(now, who, hold_for);
-    let prompt = Prompt::new(traffic, job, service, model);
-    let mut last = full("no endpoint can be used");
-    for (side, avoided) in searches(service, now, tries, drawn) {
-        match pick(traffic, job, &avoided, service, side, &prompt) {
+    let hold_for = traffic.shared.settings.bounds.session_time + TYPICAL_MAX_ATTEMPT_TIME;
+    let chosen_track = service.side(now, session_hash, hold_for);
+    let prompt = PromptPlacement::new(traffic, job, service, model);
+    let mut last_error = overloaded_error("no endpoint can be used");
+    for (track, avoided) in search_order(service, now, attempts, chosen_track) {
+        match pick_endpoint(traffic, job, &avoided, service, track, &prompt) {
             Ok(chosen) => {
-                if let Some(part) = prompt.part {
-                    service.prefixes.record_use(now, part, EndpointKey::from(&chosen.id));
+                if let Some(prefix_key) = prompt.prefix_key {
+                    service.prefixes.record_use(now, prefix_key, EndpointKey::from(&chosen.id));
                 }
                 if service.canary.is_some() {
-                    traffic.shared.metrics.version_send(job.service.as_str(), side.as_str());
+                    traffic.shared.metrics.version_send(job.service.as_str(), track.as_str());
                 }
-                match side {
-                    ReleaseTrack::Stable => service.exposure.hold(now, who, hold_for),
+                match track {
+                    ReleaseTrack::Stable => service.exposure.hold(now, session_hash, hold_for),
                     ReleaseTrack::Canary => {
                         service.exposure.record_canary_attempt(job.has_failed.get())
                     }
                 }
                 return Ok(chosen);
             }
-            Err(e) => last = e,
+            Err(e) => last_error = e,
         }
     }
-    Err(last)
+    Err(last_error)
 }
 
 /// Takes a further send in place of an attempt that is still waited for; tells whether there is an
 /// endpoint for it and the budget allows it.
-pub fn take_next_send(
+pub fn reserve_next_attempt(
     traffic: &Traffic,
     job: &Job,
-    tries: &mut Tries,
+    attempts: &mut AttemptHistory,
     model: Option<&ModelId>,
 ) -> bool {
-    tries.is_paid =
-        has_another(traffic, job, tries, model) && check_before_send(traffic, job, tries).is_ok();
-    tries.is_paid
+    attempts.is_next_charged = has_candidate(traffic, job, attempts, model)
+        && check_before_send(traffic, job, attempts).is_ok();
+    attempts.is_next_charged
 }
 
 /// Tells whether an endpoint can be chosen for one more attempt. Nothing is counted for it.
-fn has_another(traffic: &Traffic, job: &Job, tries: &Tries, model: Option<&ModelId>) -> bool {
+fn has_candidate(
+    traffic: &Traffic,
+    job: &Job,
+    attempts: &AttemptHistory,
+    model: Option<&ModelId>,
+) -> bool {
     let view = traffic.shared.view.load();
     let Some(service) = view.services.get(&job.service) else { return false };
-    let prompt = Prompt::new(traffic, job, service, model);
-    let mut searches = searches(service, traffic.shared.now(), tries, ReleaseTrack::Stable);
-    searches.any(|(side, avoided)| pick(traffic, job, &avoided, service, side, &prompt).is_ok())
+    let prompt = PromptPlacement::new(traffic, job, service, model);
+    let mut search_order =
+        search_order(service, traffic.shared.now(), attempts, ReleaseTrack::Stable);
+    search_order.any(|(track, avoided)| {
+        pick_endpoint(traffic, job, &avoided, service, track, &prompt).is_ok()
+    })
 }
 
 /// Lists where an endpoint is looked for, in order: a side of a roll-out, `first` or else the other one,
 /// and the endpoints that are avoided on it. The new version's side is left out where the request may not
 /// fall back on it.
-fn searches<'a>(
+fn search_order<'a>(
     service: &'a ServiceView,
     now: Millis,
-    tries: &'a Tries,
-    first: ReleaseTrack,
+    attempts: &'a AttemptHistory,
+    first_track: ReleaseTrack,
 ) -> impl Iterator<Item = (ReleaseTrack, Vec<EndpointId>)> + 'a {
-    let sides = match first {
+    let tracks = match first_track {
         ReleaseTrack::Canary => [ReleaseTrack::Canary, ReleaseTrack::Stable].as_slice(),
         ReleaseTrack::Stable if service.can_fall_back(now) => {
             &[ReleaseTrack::Stable, ReleaseTrack::Canary]
         }
         ReleaseTrack::Stable => &[ReleaseTrack::Stable],
     };
-    sides.iter().flat_map(|side| tries.avoided().map(|avoided| (*side, avoided)))
+    tracks.iter().flat_map(|track| attempts.avoided_endpoints().map(|avoided| (*track, avoided)))
 }
 
 /// Makes the refusal for want of an endpoint with room.
-pub fn full(text: &str) -> Error {
-    Error::new(Code::Overloaded, text).with_retry_after(RETRY_FULL_MS)
+pub fn overloaded_error(message: &str) -> Error {
+    Error::new(Code::Overloaded, message).with_retry_after(RETRY_OVERLOADED_MS)
 }
 
 /// Finds where a run on a model would go on the side of an earlier attempt, and how it would stand
 /// there. Nothing is counted for it.
-pub fn plan(
+pub fn plan_attempt(
     traffic: &Traffic,
     job: &Job,
-    tries: &Tries,
+    attempts: &AttemptHistory,
     model: &ModelId,
-    earlier: &Chosen,
-) -> Option<(Chosen, PlannedAttempt)> {
+    earlier: &ChosenEndpoint,
+) -> Option<(ChosenEndpoint, PlannedAttempt)> {
     let view = traffic.shared.view.load();
     let service = view.services.get(&job.service)?;
-    let side =
-        if earlier.new_version.is_some() { ReleaseTrack::Canary } else { ReleaseTrack::Stable };
-    let prompt = Prompt::new(traffic, job, service, Some(model));
-    let chosen = pick(traffic, job, &tries.tried, service, side, &prompt).ok()?;
-    let weight = weight_of(traffic, job, Some(model));
-    let planned = PlannedAttempt {
-        work_ahead: chosen.live.load(traffic.shared.now()),
-        own_work: job.work(weight, chosen.prefix.is_at_hand()) as f64,
-        elapsed: Millis(job.began.elapsed().as_millis() as u64),
+    let track =
+        if earlier.canary_version.is_some() { ReleaseTrack::Canary } else { ReleaseTrack::Stable };
+    let prompt = PromptPlacement::new(traffic, job, service, Some(model));
+    let chosen = pick_endpoint(traffic, job, &attempts.tried, service, track, &prompt).ok()?;
+    let weight = model_weight(traffic, job, Some(model));
+    let planned_attempt = PlannedAttempt {
+        work_ahead: chosen.state.load(traffic.shared.now()),
+        own_work: job.work(weight, chosen.prefix.is_available()) as f64,
+        elapsed: Millis(job.started_at.elapsed().as_millis() as u64),
         objective: job.admitted.route.objective,
     };
-    Some((chosen, planned))
+    Some((chosen, planned_attempt))
 }
 
 /// What a request's prompt means for the choice.
-struct Prompt {
+struct PromptPlacement {
     /// Its shared part, as read for the model.
-    part: Option<PrefixKey>,
+    prefix_key: Option<PrefixKey>,
     /// Work of reading its shared part where it is not kept.
-    reread: u64,
+    reread_work: u64,
     /// Endpoints that are known to keep that part.
-    kept_at: Vec<EndpointKey>,
+    prefix_holders: Vec<EndpointKey>,
 }
 
-impl Prompt {
-    fn new(traffic: &Traffic, job: &Job, service: &ServiceView, model: Option<&ModelId>) -> Prompt {
+impl PromptPlacement {
+    fn new(
+        traffic: &Traffic,
+        job: &Job,
+        service: &ServiceView,
+        model: Option<&ModelId>,
+    ) -> PromptPlacement {
         let now = traffic.shared.now();
-        let part = job.part(model);
-        let readers = |part| service.prefixes.endpoints_with(now, part);
-        Prompt {
-            part,
-            reread: job.reread(weight_of(traffic, job, model)),
-            kept_at: part.map_or_else(Vec::new, readers),
+        let prefix_key = job.prefix_key(model);
+        let holders = |prefix_key| service.prefixes.endpoints_with(now, prefix_key);
+        PromptPlacement {
+            prefix_key,
+            reread_work: job.reread_work(model_weight(traffic, job, model)),
+            prefix_holders: prefix_key.map_or_else(Vec::new, holders),
         }
     }
 }
 
-fn pick(
+fn pick_endpoint(
     traffic: &Traffic,
     job: &Job,
     tried: &[EndpointId],
     service: &ServiceView,
-    side: ReleaseTrack,
-    prompt: &Prompt,
-) -> Result<Chosen> {
-    let place = job.facts.shared_prefix.as_deref().unwrap_or(&job.id);
-    let ask = PlacementRequest {
-        ring_position: ring_position_of(place.as_bytes()),
+    track: ReleaseTrack,
+    prompt: &PromptPlacement,
+) -> Result<ChosenEndpoint> {
+    let placement_key = job.facts.shared_prefix.as_deref().unwrap_or(&job.id);
+    let request = PlacementRequest {
+        ring_position: ring_position_of(placement_key.as_bytes()),
         salt: ring_position_of(job.id.as_bytes()).wrapping_add(tried.len() as u64),
         required_tokens: Tokens(0),
         tried,
         priority: 0,
-        reread_work: prompt.reread,
-        prefix_holders: &prompt.kept_at,
+        reread_work: prompt.reread_work,
+        prefix_holders: &prompt.prefix_holders,
         locality: Some(Locality {
             failure_domain: &traffic.shared.settings.failure_domain,
-            crossing_work: CROSSING_WORK,
+            crossing_work: CROSS_DOMAIN_WORK,
         }),
     };
     let now = traffic.shared.now();
-    let pool = service.pool(side);
+    let pool = service.pool(track);
     let PickedEndpoint { endpoint: picked, is_loaded } =
-        service.pick(now, side, job.version_draw(), &ask)?;
+        service.pick(now, track, job.session_hash(), &request)?;
     let prefix = match job.facts.shared_prefix {
-        Some(_) => prefix_at(now, pool, picked, &ask),
-        None => PrefixAt::None,
+        Some(_) => prefix_location(now, pool, picked, &request),
+        None => PrefixLocation::None,
     };
-    let new_version = match side {
+    let canary_version = match track {
         ReleaseTrack::Stable => None,
         ReleaseTrack::Canary => service.canary.as_ref().map(|t| t.version.clone()),
     };
-    Ok(Chosen {
+    Ok(ChosenEndpoint {
         id: picked.id.clone(),
         address: picked.address.clone(),
         failure_domain: picked.failure_domain.clone(),
-        live: picked.state.clone(),
+        state: picked.state.clone(),
         prefix,
-        new_version,
+        canary_version,
         is_loaded,
     })
 }
 
 /// Tells where the request's shared part is for a picked endpoint.
-fn prefix_at(
+fn prefix_location(
     now: Millis,
     pool: &PoolView,
     picked: &PoolEndpoint,
-    ask: &PlacementRequest<'_>,
-) -> PrefixAt {
-    if ask.prefix_holders.contains(&EndpointKey::from(&picked.id)) {
-        return PrefixAt::Kept;
+    request: &PlacementRequest<'_>,
+) -> PrefixLocation {
+    if request.prefix_holders.contains(&EndpointKey::from(&picked.id)) {
+        return PrefixLocation::Cached;
     }
-    match pool.prefix_source(now, ask, picked) {
-        None => PrefixAt::Unknown,
-        Some(keeper) if ask.reread_work >= FETCHED_FROM => {
-            PrefixAt::Fetched(keeper.address.clone())
+    match pool.prefix_source(now, request, picked) {
+        None => PrefixLocation::Unknown,
+        Some(holder) if request.reread_work >= MIN_FETCH_WORK => {
+            PrefixLocation::Fetched(holder.address.clone())
+        }
+        Some(holder) if holder.failure_domain == picked.failure_domain => {
+            PrefixLocation::OnBusyEndpoint
         }
-        Some(keeper) if keeper.failure_domain == picked.failure_domain => PrefixAt::Moved,
-        Some(_) => PrefixAt::Far,
+        Some(_) => PrefixLocation::InOtherDomain,
     }
 }
 
 /// Gets a model's weight in the work of an endpoint, by its price beside the largest model's.
-pub fn weight_of(traffic: &Traffic, job: &Job, model: Option<&ModelId>) -> f64 {
+pub fn model_weight(traffic: &Traffic, job: &Job, model: Option<&ModelId>) -> f64 {
     let view = traffic.shared.view.load();
     let service = view.catalog.as_ref().and_then(|c| c.services.get(&job.service));
     match (service, model) {
@@ -269,18 +289,18 @@
 }
 
 /// Chooses an endpoint on which a broken stream goes on.
-pub fn choose_again(
+pub fn choose_resume_endpoint(
     traffic: &Traffic,
     job: &Job,
-    tries: &Tries,
+    attempts: &AttemptHistory,
     model: Option<&ModelId>,
-) -> Result<(Chosen, WorkShare)> {
+) -> Result<(ChosenEndpoint, PendingWork)> {
     let route = &job.admitted.route;
-    if tries.sent >= route.max_attempts {
+    if attempts.sent_count >= route.max_attempts {
         return Err(Error::new(Code::EndpointFailed, "no attempt is left"));
     }
-    let chosen = choose(traffic, job, tries, model)?;
-    check_before_send(traffic, job, tries)?;
-    let share = WorkShare::new(&chosen, job, weight_of(traffic, job, model));
-    Ok((chosen, share))
+    let chosen = choose(traffic, job, attempts, model)?;
+    check_before_send(traffic, job, attempts)?;
+    let pending_work = PendingWork::new(&chosen, job, model_weight(traffic, job, model));
+    Ok((chosen, pending_work))
 }
--- a/crates/tidetrack-plane/src/crash.rs
+++ b/crates/tidetrack-plane/src/crash.rs
@@ -21,7 +21,7 @@
 use tidetrack_core::traffic::fingerprint::Fingerprint;
 use tidetrack_core::units::Millis;
 
-use crate::job::{Chosen, Job, Traffic};
+use crate::job::{ChosenEndpoint, Job, Traffic};
 
 /// Longest wait for the outcome of a new connection. Nobody answers in less than a way and back; an endpoint that
 /// gives no sign is not known to have ended.
@@ -66,7 +66,7 @@
 struct Cut {
     request: String,
     fingerprint: Fingerprint,
-    chosen: Chosen,
+    chosen: ChosenEndpoint,
     sent_at: Instant,
 }
 
@@ -75,7 +75,7 @@
 pub async fn note_crash(
     traffic: &Rc<Traffic>,
     job: &Job,
-    chosen: &Chosen,
+    chosen: &ChosenEndpoint,
     e: &Error,
     sent_at: Instant,
 ) {
@@ -84,7 +84,7 @@
     if !is_cut || e.executed == Executed::No {
         return;
     }
-    let look = traffic.looks.at(&chosen.id);
+    let look = traffic.crash_checks.at(&chosen.id);
     // What was sent to an endpoint that had ended already was not run there.
     if look.known_at.get().is_some_and(|at| sent_at >= at) {
         return;
@@ -118,8 +118,8 @@
     fn note(&self, traffic: &Traffic) {
         let shared = &traffic.shared;
         let now = shared.now();
-        let Chosen { id, failure_domain, live, .. } = &self.chosen;
-        live.record_unreachable(now);
+        let ChosenEndpoint { id, failure_domain, state, .. } = &self.chosen;
+        state.record_unreachable(now);
         let sent_at = Millis(now.0.saturating_sub(self.sent_at.elapsed().as_millis() as u64));
         let crashes =
             shared.suspects.record_crash(now, self.fingerprint, id, failure_domain, sent_at);
@@ -140,7 +140,7 @@
 
 /// Tells whether nobody listens at an endpoint's address any more. A connection to it that is kept and rested no longer
 /// than `most_rest` tells that somebody does.
-async fn has_ended(traffic: &Traffic, chosen: &Chosen, most_rest: Duration) -> bool {
+async fn has_ended(traffic: &Traffic, chosen: &ChosenEndpoint, most_rest: Duration) -> bool {
     let opened = traffic.pool.prepare(chosen.id.as_str(), &chosen.address, most_rest);
     match tokio::time::timeout(LOOK_WITHIN, opened).await {
         Ok(Err(e)) => e.disconnect_cause == Some(DisconnectCause::Refused),
--- a/crates/tidetrack-plane/src/exchange.rs
+++ b/crates/tidetrack-plane/src/exchange.rs
@@ -27,37 +27,39 @@
 
 use crate::attempt::{self, Answered};
 use crate::body::AnswerBody;
-use crate::choose::{check_before_send, choose, full, weight_of, RETRY_FULL_MS};
+use crate::choose::{
+    check_before_send, choose, model_weight, overloaded_error, RETRY_OVERLOADED_MS,
+};
 use crate::clock::Moment;
 use crate::crash::note_crash;
 use crate::dialect::RequestFacts;
-use crate::job::{Chosen, InFlight, Job, Traffic, Tries, WorkShare};
+use crate::job::{AttemptHistory, ChosenEndpoint, InFlight, Job, PendingWork, Traffic};
 use crate::relay;
 use crate::report::{answered_line, failed_attempt, observe, Seen};
 use crate::second_run::larger_model;
 use crate::send::{note_load, send};
 
 /// When to come back to a host that is stopping; another host takes the request at once.
-const RETRY_LEAVING_MS: u64 = 50;
+const RETRY_AFTER_STOPPING_MS: u64 = 50;
 
 /// Pause between looks whether a host that starts can serve.
-const START_LOOK: Duration = Duration::from_millis(10);
+const STARTUP_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Serves one request.
 pub async fn serve(traffic: Rc<Traffic>, req: Request<Incoming>) -> Response<AnswerBody> {
-    let began = Instant::now();
+    let started_at = Instant::now();
     let in_flight = InFlight::new(&traffic);
     let facts = (traffic.shared.dialect.read_request)(req.headers());
     let attempt_id = facts.as_ref().ok().and_then(|f| f.attempt_id.clone());
-    let guard = LeaveGuard::new(&traffic, attempt_id.clone().unwrap_or_default());
-    let resp = match prepare(&traffic, facts, req, began).await {
-        Err(e) => refuse(&traffic, attempt_id.as_deref(), "", began, &e),
+    let guard = DisconnectGuard::new(&traffic, attempt_id.clone().unwrap_or_default());
+    let resp = match prepare(&traffic, facts, req, started_at).await {
+        Err(e) => refuse(&traffic, attempt_id.as_deref(), "", started_at, &e),
         Ok(job) => {
             let job = Rc::new(job);
-            let served = run(&traffic, &job).await;
-            served.unwrap_or_else(|e| {
+            let result = run_attempts(&traffic, &job).await;
+            result.unwrap_or_else(|e| {
                 let route = job.admitted.route.name.as_str();
-                refuse(&traffic, attempt_id.as_deref(), route, began, &e)
+                refuse(&traffic, attempt_id.as_deref(), route, started_at, &e)
             })
         }
     };
@@ -72,15 +74,15 @@
 
 /// Logs a caller that leaves before the head of its answer: the request is then dropped where it
 /// stands, which closes its connection to the endpoint.
-struct LeaveGuard {
+struct DisconnectGuard {
     traffic: Rc<Traffic>,
     id: String,
     is_armed: bool,
 }
 
-impl LeaveGuard {
-    fn new(traffic: &Rc<Traffic>, id: String) -> LeaveGuard {
-        LeaveGuard { traffic: traffic.clone(), id, is_armed: true }
+impl DisconnectGuard {
+    fn new(traffic: &Rc<Traffic>, id: String) -> DisconnectGuard {
+        DisconnectGuard { traffic: traffic.clone(), id, is_armed: true }
     }
 
     fn disarm(mut self) {
@@ -88,7 +90,7 @@
     }
 }
 
-impl Drop for LeaveGuard {
+impl Drop for DisconnectGuard {
     fn drop(&mut self) {
         if self.is_armed {
             self.traffic.shared.journal.line(Event::CallerLeft, &[("request", &self.id)]);
@@ -101,12 +103,12 @@
     traffic: &Traffic,
     attempt_id: Option<&str>,
     route: &str,
-    began: Instant,
+    started_at: Instant,
     e: &Error,
 ) -> Response<AnswerBody> {
     let shared = &traffic.shared;
-    let ran = format!("{:?}", e.executed);
-    let ms = began.elapsed().as_millis();
+    let executed = format!("{:?}", e.executed);
+    let elapsed_ms = started_at.elapsed().as_millis();
     let retry_after_ms = e.retry_after_ms.unwrap_or(0);
     shared.journal.line(
         Event::RequestRefused,
@@ -115,9 +117,9 @@
             ("route", &route),
             ("code", &e.code),
             ("why", &e.message),
-            ("ran", &ran),
+            ("ran", &executed),
             ("retry_after_ms", &retry_after_ms),
-            ("ms", &ms),
+            ("ms", &elapsed_ms),
         ],
     );
     shared.metrics.request(route, &e.code.to_string());
@@ -130,44 +132,53 @@
     traffic: &Rc<Traffic>,
     facts: Result<RequestFacts>,
     req: Request<Incoming>,
-    began: Instant,
+    started_at: Instant,
 ) -> Result<Job> {
     let shared = &traffic.shared;
-    if traffic.refuses.get() {
+    if traffic.is_refusing.get() {
         let e = Error::new(Code::Draining, "the host is stopping; ask another");
-        return Err(e.with_retry_after(RETRY_LEAVING_MS));
+        return Err(e.with_retry_after(RETRY_AFTER_STOPPING_MS));
     }
     let (head, body) = req.into_parts();
     let facts = facts?;
     let hostname = head.headers.get(http::header::HOST).and_then(|h| h.to_str().ok());
-    let entry = admission::AdmissionRequest {
+    let admission_request = admission::AdmissionRequest {
         hostname: hostname.or(head.uri.host()).unwrap_or_default(),
         path: head.uri.path(),
         key: facts.key.as_deref(),
     };
-    wait_for_start(traffic, facts.time_left).await;
+    wait_until_ready(traffic, facts.time_left).await;
     let view = shared.view.load_full();
-    let bound = shared.settings.bounds.revoke_within;
+    let revocation_bound = shared.settings.bounds.revoke_within;
     let catalog = view.catalog.as_deref();
-    let admitted = admission::admit(catalog, &shared.fresh, shared.now(), bound, entry)?;
+    let admitted = admission::admit(
+        catalog,
+        &shared.fresh,
+        shared.now(),
+        revocation_bound,
+        admission_request,
+    )?;
     let limits = catalog.map(|c| c.limits).unwrap_or_default();
     let route = &admitted.route;
-    let held = Duration::from_millis(route.timeout.0);
-    let time = facts.time_left.map_or(held, |t| held.min(Duration::from_millis(t.0)));
-    let (until, due) = (began + time, Moment::now().after(time.saturating_sub(began.elapsed())));
-    let body = read_body(body, limits.max_body_bytes, until).await?;
+    let route_timeout = Duration::from_millis(route.timeout.0);
+    let timeout =
+        facts.time_left.map_or(route_timeout, |t| route_timeout.min(Duration::from_millis(t.0)));
+    let (deadline, suspend_aware_deadline) =
+        (started_at + timeout, Moment::now().after(timeout.saturating_sub(started_at.elapsed())));
+    let body = read_body(body, limits.max_body_bytes, deadline).await?;
     let fingerprint = Fingerprint::of(&RequestIdentity {
         workspace: admitted.holder.as_ref().map(|h| &h.workspace),
-        hostname: entry.hostname,
+        hostname: admission_request.hostname,
         method: head.method.as_str(),
-        path: head.uri.path_and_query().map_or(entry.path, |path| path.as_str()),
+        path: head.uri.path_and_query().map_or(admission_request.path, |path| path.as_str()),
         body: &body,
     });
-    let id = facts.attempt_id.clone().unwrap_or_else(|| format!("#{}", traffic.next_number()));
-    let running = shared.suspects.admit(shared.now(), fingerprint)?;
+    let id =
+        facts.attempt_id.clone().unwrap_or_else(|| format!("#{}", traffic.next_request_number()));
+    let running_request = shared.suspects.admit(shared.now(), fingerprint)?;
     let target = route.pick_target(hash_fraction("target", &id)).cloned();
     let service = target.ok_or_else(|| Error::new(Code::UnknownRoute, "the route goes nowhere"))?;
-    let age = shared.fresh.age(shared.now()).map_or(-1, |a| a.0 as i64);
+    let config_age_ms = shared.fresh.age(shared.now()).map_or(-1, |a| a.0 as i64);
     shared.journal.routine(
         Event::RequestAdmitted,
         &[
@@ -177,8 +188,8 @@
             ("fingerprint", &fingerprint),
             ("session", &facts.session.as_deref().unwrap_or("-")),
             ("config", &catalog.map_or(0, |c| c.version)),
-            ("config_age_ms", &age),
-            ("time_ms", &time.as_millis()),
+            ("config_age_ms", &config_age_ms),
+            ("time_ms", &timeout.as_millis()),
         ],
     );
     Ok(Job {
@@ -186,94 +197,99 @@
         facts,
         admitted,
         fingerprint,
-        running,
+        running_request,
         has_failed: Cell::new(false),
         method: head.method,
         uri: head.uri,
-        head: head.headers,
+        headers: head.headers,
         body,
-        began,
-        until,
-        due,
+        started_at,
+        deadline,
+        suspend_aware_deadline,
         service,
     })
 }
 
 /// Holds a request for a moment where this host has just started and is about to know what it serves by.
-async fn wait_for_start(traffic: &Traffic, time_left: Option<Millis>) {
+async fn wait_until_ready(traffic: &Traffic, time_left: Option<Millis>) {
     let shared = &traffic.shared;
     let since_start = shared.clock.since_start();
-    let until = since_start + hold_time(since_start, time_left);
-    while !shared.can_serve() && shared.clock.since_start() < until {
-        tokio::time::sleep(START_LOOK).await;
+    let deadline = since_start + hold_time(since_start, time_left);
+    while !shared.can_serve() && shared.clock.since_start() < deadline {
+        tokio::time::sleep(STARTUP_POLL_INTERVAL).await;
     }
 }
 
-async fn read_body(body: Incoming, most: usize, until: Instant) -> Result<Bytes> {
-    let whole = Limited::new(body, most).collect();
-    let until = tokio::time::Instant::from_std(until);
-    let late = |_| Error::new(Code::TooSlow, "the body did not arrive in time");
-    let whole = tokio::time::timeout_at(until, whole).await.map_err(late)?;
-    let too_large =
+async fn read_body(body: Incoming, max_bytes: usize, deadline: Instant) -> Result<Bytes> {
+    let collected = Limited::new(body, max_bytes).collect();
+    let deadline = tokio::time::Instant::from_std(deadline);
+    let timed_out = |_| Error::new(Code::TooSlow, "the body did not arrive in time");
+    let collected = tokio::time::timeout_at(deadline, collected).await.map_err(timed_out)?;
+    let body_error =
         |e: Box<dyn std::error::Error + Send + Sync>| match e
             .downcast_ref::<http_body_util::LengthLimitError>()
         {
-            Some(_) => Error::new(Code::TooLarge, format!("the body is larger than {most} bytes")),
+            Some(_) => {
+                Error::new(Code::TooLarge, format!("the body is larger than {max_bytes} bytes"))
+            }
             None => Error::new(Code::BadBody, e.to_string()),
         };
-    Ok(whole.map_err(too_large)?.to_bytes())
+    Ok(collected.map_err(body_error)?.to_bytes())
 }
 
 /// Runs a request until an answer can be passed on, or there is nothing left to try.
-async fn run(traffic: &Rc<Traffic>, job: &Rc<Job>) -> Result<Response<AnswerBody>> {
+async fn run_attempts(traffic: &Rc<Traffic>, job: &Rc<Job>) -> Result<Response<AnswerBody>> {
     let route = &job.admitted.route;
-    let mut tries = Tries::default();
+    let mut attempts = AttemptHistory::default();
     let mut model = cascade::first_model(route).cloned();
     let mut fallback: Option<Response<AnswerBody>> = None;
     loop {
-        let sent = match try_once(traffic, job, &mut tries, model.as_ref()).await {
-            Ok(sent) => sent,
-            Err(Stop::Final(e)) => return fallback.ok_or(e),
-            Err(Stop::Again) => continue,
+        let attempt_response = match make_attempt(traffic, job, &mut attempts, model.as_ref()).await
+        {
+            Ok(attempt_response) => attempt_response,
+            Err(AttemptError::Final(e)) => return fallback.ok_or(e),
+            Err(AttemptError::Retry) => continue,
         };
-        let Sent { answered, chosen, share, began } = sent;
-        let status = answered.head.status;
+        let AttemptResponse { response, chosen, pending_work, started_at } = attempt_response;
+        let status = response.head.status;
         if status.is_success() {
             if let Some(larger) =
-                larger_model(traffic, job, &tries, model.as_ref(), &chosen, &answered).await
+                larger_model(traffic, job, &attempts, model.as_ref(), &chosen, &response).await
             {
                 // The second run was taken from the budget, and its endpoint reached, before the answer
                 // at hand is dropped.
-                tries.is_paid = true;
-                tries.note_ran(Executed::Yes);
-                chosen.live.record_outcome(traffic.shared.now(), true);
-                let seen = Seen::ended(AttemptOutcome::Superseded, began.elapsed());
-                observe(traffic, job, &chosen, model.as_ref(), &seen);
+                attempts.is_next_charged = true;
+                attempts.record_executed(Executed::Yes);
+                chosen.state.record_outcome(traffic.shared.now(), true);
+                let observation = Seen::ended(AttemptOutcome::Superseded, started_at.elapsed());
+                observe(traffic, job, &chosen, model.as_ref(), &observation);
                 model = Some(larger);
                 // Dropping the answer closes its connection, and the endpoint stops.
                 continue;
             }
-            let sent = Sent { answered, chosen, share, began };
-            match pass_on(traffic, job, &mut tries, model.as_ref(), sent).await {
+            let attempt_response = AttemptResponse { response, chosen, pending_work, started_at };
+            match forward_response(traffic, job, &mut attempts, model.as_ref(), attempt_response)
+                .await
+            {
                 Ok(resp) => return Ok(resp),
                 Err(e) => {
-                    tries.note_ran(Executed::Yes);
-                    if !may_go_on(job, &tries) {
-                        return Err(gave_up(job, &tries, e));
+                    attempts.record_executed(Executed::Yes);
+                    if !can_attempt_again(job, &attempts) {
+                        return Err(final_error(job, &attempts, e));
                     }
                     continue;
                 }
             }
         }
-        tries.note_ran(Executed::Yes);
+        attempts.record_executed(Executed::Yes);
         let is_failure = status.is_server_error();
-        let end = if is_failure { AttemptOutcome::Failed } else { AttemptOutcome::Complete };
-        let seen = Seen::ended(end, began.elapsed());
-        observe(traffic, job, &chosen, model.as_ref(), &seen);
-        chosen.live.record_outcome(traffic.shared.now(), !is_failure);
-        let resp = whole_answer(traffic, job, answered, &chosen, model.as_ref()).await;
-        drop(share);
-        if !is_failure || !may_go_on(job, &tries) {
+        let outcome = if is_failure { AttemptOutcome::Failed } else { AttemptOutcome::Complete };
+        let observation = Seen::ended(outcome, started_at.elapsed());
+        observe(traffic, job, &chosen, model.as_ref(), &observation);
+        chosen.state.record_outcome(traffic.shared.now(), !is_failure);
+        let resp = collect_response(traffic, job, response, &chosen, model.as_ref()).await;
+        drop(pending_work);
+        if !is_failure || !can_attempt_again(job, &attempts) {
             return resp;
         }
         fallback = resp.ok().or(fallback);
@@ -281,133 +297,140 @@
 }
 
 /// Why an attempt led to no answer.
-enum Stop {
+enum AttemptError {
     /// Nothing more can be tried.
     Final(Error),
     /// Another endpoint may be tried.
-    Again,
+    Retry,
 }
 
 /// An answer with what belongs to its attempt.
-struct Sent {
-    answered: Answered,
-    chosen: Chosen,
-    share: WorkShare,
-    began: Instant,
+struct AttemptResponse {
+    response: Answered,
+    chosen: ChosenEndpoint,
+    pending_work: PendingWork,
+    started_at: Instant,
 }
 
 /// Makes one attempt.
-async fn try_once(
+async fn make_attempt(
     traffic: &Rc<Traffic>,
     job: &Job,
-    tries: &mut Tries,
+    attempts: &mut AttemptHistory,
     model: Option<&ModelId>,
-) -> std::result::Result<Sent, Stop> {
-    let chosen = match choose(traffic, job, tries, model) {
+) -> std::result::Result<AttemptResponse, AttemptError> {
+    let chosen = match choose(traffic, job, attempts, model) {
         Ok(chosen) => chosen,
-        Err(e) => return Err(Stop::Final(gave_up(job, tries, e))),
+        Err(e) => return Err(AttemptError::Final(final_error(job, attempts, e))),
     };
-    if let Err(e) = check_before_send(traffic, job, tries) {
-        return Err(Stop::Final(gave_up(job, tries, e)));
+    if let Err(e) = check_before_send(traffic, job, attempts) {
+        return Err(AttemptError::Final(final_error(job, attempts, e)));
     }
-    let mut share = WorkShare::new(&chosen, job, weight_of(traffic, job, model));
-    let work = chosen.live.load(traffic.shared.now());
-    let began = Instant::now();
-    match send(traffic, job, tries, &chosen, model, None).await {
-        Ok(answered) => {
-            if job.is_engine() {
-                let us = began.elapsed().as_micros() as f64;
-                traffic.outlook.borrow_mut().record_response_start(&job.service, work, us);
+    let mut pending_work = PendingWork::new(&chosen, job, model_weight(traffic, job, model));
+    let work_ahead = chosen.state.load(traffic.shared.now());
+    let started_at = Instant::now();
+    match send(traffic, job, attempts, &chosen, model, None).await {
+        Ok(response) => {
+            if job.is_generation() {
+                let elapsed_us = started_at.elapsed().as_micros() as f64;
+                traffic.latency_estimator.borrow_mut().record_response_start(
+                    &job.service,
+                    work_ahead,
+                    elapsed_us,
+                );
             }
-            share.answer_began();
-            note_load(traffic, &chosen, &answered);
-            Ok(Sent { answered, chosen, share, began })
+            pending_work.record_response_start();
+            note_load(traffic, &chosen, &response);
+            Ok(AttemptResponse { response, chosen, pending_work, started_at })
         }
         Err(e) => {
-            failed_attempt(traffic, job, &chosen, model, &e, began.elapsed());
-            note_crash(traffic, job, &chosen, &e, began).await;
-            tries.note_ran(e.executed);
-            match may_go_on(job, tries) {
-                true => Err(Stop::Again),
-                false => Err(Stop::Final(gave_up(job, tries, e))),
+            failed_attempt(traffic, job, &chosen, model, &e, started_at.elapsed());
+            note_crash(traffic, job, &chosen, &e, started_at).await;
+            attempts.record_executed(e.executed);
+            match can_attempt_again(job, attempts) {
+                true => Err(AttemptError::Retry),
+                false => Err(AttemptError::Final(final_error(job, attempts, e))),
             }
         }
     }
 }
 
 /// Tells whether another attempt may follow a failed one.
-fn may_go_on(job: &Job, tries: &Tries) -> bool {
+fn can_attempt_again(job: &Job, attempts: &AttemptHistory) -> bool {
     let route = &job.admitted.route;
     let failed = FailedAttempt {
-        ran: tries.ran.unwrap_or(Executed::No),
+        ran: attempts.executed.unwrap_or(Executed::No),
         is_repeatable: route.work.is_repeatable(),
         has_partial_response: false,
     };
-    tries.sent < route.max_attempts && !job.is_over() && may_retry(failed)
+    attempts.sent_count < route.max_attempts && !job.is_expired() && may_retry(failed)
 }
 
 /// Makes the final error of a request: it says whether the request may have run.
-fn gave_up(job: &Job, tries: &Tries, last: Error) -> Error {
-    let ran = tries.ran.unwrap_or(Executed::No);
-    if job.is_over() {
-        return Error::new(Code::Deadline, last.message).with_executed(ran);
+fn final_error(job: &Job, attempts: &AttemptHistory, last_error: Error) -> Error {
+    let executed = attempts.executed.unwrap_or(Executed::No);
+    if job.is_expired() {
+        return Error::new(Code::Deadline, last_error.message).with_executed(executed);
     }
-    match ran {
+    match executed {
         // It is no use to come back, whatever became of it.
-        _ if last.code == Code::CrashesEndpoints => last.with_executed(ran),
-        Executed::No if last.retry_after_ms.is_some() => last.with_executed(Executed::No),
-        Executed::No if last.code.status() == 503 => {
-            last.with_executed(Executed::No).with_retry_after(RETRY_FULL_MS)
+        _ if last_error.code == Code::CrashesEndpoints => last_error.with_executed(executed),
+        Executed::No if last_error.retry_after_ms.is_some() => {
+            last_error.with_executed(Executed::No)
+        }
+        Executed::No if last_error.code.status() == 503 => {
+            last_error.with_executed(Executed::No).with_retry_after(RETRY_OVERLOADED_MS)
         }
-        Executed::No => full(&last.message),
-        _ => Error::new(Code::EndpointFailed, last.message).with_executed(ran),
+        Executed::No => overloaded_error(&last_error.message),
+        _ => Error::new(Code::EndpointFailed, last_error.message).with_executed(executed),
     }
 }
 
 /// Passes a successful answer on, as a whole or as a stream. Whichever endpoint fails here has that
 /// counted.
-async fn pass_on(
+async fn forward_response(
     traffic: &Rc<Traffic>,
     job: &Rc<Job>,
-    tries: &mut Tries,
+    attempts: &mut AttemptHistory,
     model: Option<&ModelId>,
-    sent: Sent,
+    attempt_response: AttemptResponse,
 ) -> Result<Response<AnswerBody>> {
-    let Sent { answered, chosen, share, began } = sent;
+    let AttemptResponse { response, chosen, pending_work, started_at } = attempt_response;
     if job.admitted.route.work.is_stream() {
         let model = model.cloned();
-        let stream = relay::Stream::new(traffic, job, model, answered, chosen, share, began);
-        return stream.begin(tries).await;
+        let stream =
+            relay::Stream::new(traffic, job, model, response, chosen, pending_work, started_at);
+        return stream.begin(attempts).await;
     }
-    let resp = match whole_answer(traffic, job, answered, &chosen, model).await {
+    let resp = match collect_response(traffic, job, response, &chosen, model).await {
         Ok(resp) => resp,
         Err(e) => {
-            failed_attempt(traffic, job, &chosen, model, &e, began.elapsed());
-            note_crash(traffic, job, &chosen, &e, began).await;
+            failed_attempt(traffic, job, &chosen, model, &e, started_at.elapsed());
+            note_crash(traffic, job, &chosen, &e, started_at).await;
             return Err(e);
         }
     };
-    chosen.live.record_outcome(traffic.shared.now(), true);
-    let seen = Seen::ended(AttemptOutcome::Complete, began.elapsed());
-    observe(traffic, job, &chosen, model, &seen);
-    drop(share);
+    chosen.state.record_outcome(traffic.shared.now(), true);
+    let observation = Seen::ended(AttemptOutcome::Complete, started_at.elapsed());
+    observe(traffic, job, &chosen, model, &observation);
+    drop(pending_work);
     Ok(resp)
 }
 
 /// Collects an answer and makes the caller's from it.
-async fn whole_answer(
+async fn collect_response(
     traffic: &Traffic,
     job: &Job,
-    answered: Answered,
-    chosen: &Chosen,
+    response: Answered,
+    chosen: &ChosenEndpoint,
     model: Option<&ModelId>,
 ) -> Result<Response<AnswerBody>> {
-    let shows_good_end = answered.shows_good_end();
-    let Answered { head, facts, body, lease } = answered;
-    let until = tokio::time::Instant::from_std(job.until);
-    let late = |_| Error::new(Code::Deadline, "the answer was not whole in time");
-    let collected = tokio::time::timeout_at(until, attempt::collect(body, lease));
-    let (body, lease) = collected.await.map_err(late)??;
+    let shows_good_end = response.shows_good_end();
+    let Answered { head, facts, body, lease } = response;
+    let deadline = tokio::time::Instant::from_std(job.deadline);
+    let timed_out = |_| Error::new(Code::Deadline, "the answer was not whole in time");
+    let collected = tokio::time::timeout_at(deadline, attempt::collect(body, lease));
+    let (body, lease) = collected.await.map_err(timed_out)??;
     traffic.pool.keep(chosen.id.as_str(), lease, facts.idle_time);
     if shows_good_end {
         traffic.shared.suspects.record_completion(traffic.shared.now(), job.fingerprint);
--- a/crates/tidetrack-plane/src/host.rs
+++ b/crates/tidetrack-plane/src/host.rs
@@ -24,7 +24,9 @@
 use crate::job::Traffic;
 use crate::journal::Journal;
 use crate::metrics::Metrics;
-use crate::server::{accept_loop, listen, serve_small, Connections, ServerOptions, StopStage};
+use crate::server::{
+    accept_loop, listen, serve_readiness_and_metrics, Connections, ServerOptions, StopStage,
+};
 use crate::settings::HostSettings;
 use crate::shared::Shared;
 use crate::signals::{Asked, Signals};
@@ -104,9 +106,12 @@
         let readiness = listen(settings.readiness_address)?;
         let opts = server_options(&traffic);
         tokio::task::spawn_local(accept_loop(callers, opts, connections.clone(), stage_seen));
-        tokio::task::spawn_local(serve_small(self.shared.clone(), readiness));
+        tokio::task::spawn_local(serve_readiness_and_metrics(self.shared.clone(), readiness));
         if let Some(address) = settings.metrics_address {
-            tokio::task::spawn_local(serve_small(self.shared.clone(), listen(address)?));
+            tokio::task::spawn_local(serve_readiness_and_metrics(
+                self.shared.clone(),
+                listen(address)?,
+            ));
         }
         tokio::task::spawn_local(sweep(traffic.clone()));
         let address = settings.caller_address;
@@ -149,7 +154,7 @@
             tokio::time::sleep(STOP_LOOK).await;
             let elapsed = began.elapsed();
             if elapsed >= TAKES_REQUESTS_FOR && *stage.borrow() == StopStage::Serving {
-                traffic.refuses.set(true);
+                traffic.is_refusing.set(true);
                 stage.send_replace(StopStage::Closing);
             }
             let is_idle = traffic.in_flight.get() == 0 && connections.open() == 0;
@@ -171,14 +176,14 @@
     let (for_closes, closes) = (traffic.shared.clone(), Closes::default());
     let traffic = traffic.clone();
     ServerOptions {
-        most_connections: most_files.saturating_sub(FILES_KEPT).max(2) / 2,
+        max_connections: most_files.saturating_sub(FILES_KEPT).max(2) / 2,
         limits: Rc::new(move || {
             let view = for_limits.view.load();
             view.catalog.as_ref().map(|c| c.limits).unwrap_or_default()
         }),
         handler: Rc::new(move |req| Box::pin(serve(traffic.clone(), req))),
-        accept_failed: Rc::new(move |e| for_log.journal.line(Event::AcceptFailed, &[("why", e)])),
-        closed: Rc::new(move |closed| closes.note(&for_closes, closed)),
+        on_accept_error: Rc::new(move |e| for_log.journal.line(Event::AcceptFailed, &[("why", e)])),
+        on_closed: Rc::new(move |closed| closes.note(&for_closes, closed)),
     }
 }
 
--- a/crates/tidetrack-plane/src/relay.rs
+++ b/crates/tidetrack-plane/src/relay.rs
@@ -29,10 +29,10 @@
 
 use crate::attempt::Answered;
 use crate::body::{AnswerBody, BrokenOff, Piece};
-use crate::choose::choose_again;
+use crate::choose::choose_resume_endpoint;
 use crate::crash::note_crash;
 use crate::events::{EventSplitter, StreamEvent};
-use crate::job::{Chosen, Held, Job, Traffic, Tries, WorkShare};
+use crate::job::{AttemptHistory, ChosenEndpoint, Job, PendingWork, SilentEndpoint, Traffic};
 use crate::patience::wait_running;
 use crate::pool::{broke, Lease};
 use crate::report::{answered_line, failed_attempt, observe, Seen};
@@ -74,8 +74,8 @@
     shows_good_end: bool,
     lease: Lease,
     idle_time: Option<Duration>,
-    chosen: Chosen,
-    share: Option<WorkShare>,
+    chosen: ChosenEndpoint,
+    share: Option<PendingWork>,
     splitter: EventSplitter,
     sent_at: Instant,
     first_event: Option<Instant>,
@@ -97,8 +97,8 @@
         job: &Rc<Job>,
         model: Option<ModelId>,
         answered: Answered,
-        chosen: Chosen,
-        share: WorkShare,
+        chosen: ChosenEndpoint,
+        share: PendingWork,
         sent_at: Instant,
     ) -> Stream {
         let (head, source) = Source::new(answered, chosen, share, sent_at);
@@ -115,7 +115,7 @@
     }
 
     /// Waits for the first event and makes the caller's answer; the rest is passed on by a task.
-    pub async fn begin(mut self, tries: &mut Tries) -> Result<Response<AnswerBody>> {
+    pub async fn begin(mut self, tries: &mut AttemptHistory) -> Result<Response<AnswerBody>> {
         let first = match self.next(tries).await {
             Ok(next) => next,
             Err(e) => {
@@ -137,7 +137,7 @@
     }
 
     /// Passes events on until the end, the caller's leaving or a break that cannot be mended.
-    async fn run(mut self, tx: mpsc::Sender<Piece>, first: Next, mut tries: Tries) {
+    async fn run(mut self, tx: mpsc::Sender<Piece>, first: Next, mut tries: AttemptHistory) {
         let mut next = Ok(first);
         loop {
             match next {
@@ -182,11 +182,11 @@
     }
 
     /// Gets the next event, or an error if the endpoint breaks off or the time is over.
-    async fn next(&mut self, tries: &mut Tries) -> Result<Next> {
-        let until = tokio::time::Instant::from_std(self.job.until);
+    async fn next(&mut self, tries: &mut AttemptHistory) -> Result<Next> {
+        let until = tokio::time::Instant::from_std(self.job.deadline);
         loop {
             let can_move = self.can_move(tries);
-            let silence = silence(&self.traffic, &self.job, self.source.chosen.live.clone());
+            let silence = silence(&self.traffic, &self.job, self.source.chosen.state.clone());
             tokio::select! {
                 biased;
                 next = self.source.next() => return self.heard(next),
@@ -205,36 +205,36 @@
     /// answer, and the other may never be reached. If it speaks first, the other attempt is dropped. Once
     /// the other has the request, the silent one is dropped at its first word, and soon in any case, so
     /// that not both work on the answer.
-    async fn leave_silent(&mut self, tries: &mut Tries) -> Option<Result<Next>> {
+    async fn leave_silent(&mut self, tries: &mut AttemptHistory) -> Option<Result<Next>> {
         let (traffic, job, model) = (self.traffic.clone(), self.job.clone(), self.model.clone());
-        let held = Rc::new(Held::new(self.source.chosen.id.clone()));
-        tries.held = Some(held.clone());
+        let held = Rc::new(SilentEndpoint::new(self.source.chosen.id.clone()));
+        tries.silent_endpoint = Some(held.clone());
         let mut broken = None;
         // What the other attempt led to, or else what the silent one said before.
         let came = {
             let asked = ask_another(&traffic, &job, model.as_ref(), self.last_event, tries);
             let mut asked = std::pin::pin!(asked);
-            let mut shared = std::pin::pin!(held.shared_for(MOST_SHARED));
+            let mut shared = std::pin::pin!(held.wait_until_shared_for(MOST_SHARED));
             loop {
                 tokio::select! {
                     biased;
                     next = self.source.next(), if broken.is_none() => match next {
                         Ok(next) => break Err(next),
                         Err(e) => {
-                            held.let_go();
+                            held.stop_listening();
                             broken = Some(e);
                         }
                     },
                     moved = asked.as_mut() => break Ok(moved),
                     () = shared.as_mut(), if broken.is_none() => {
-                        held.let_go();
+                        held.stop_listening();
                         self.source.close();
                         broken = Some(late("the stream fell silent"));
                     }
                 }
             }
         };
-        tries.held = None;
+        tries.silent_endpoint = None;
         let moved = match came {
             Err(next) => {
                 drop_attempt(&traffic, &job, tries, &held);
@@ -260,17 +260,17 @@
 
     /// Takes note that something came from the endpoint.
     fn heard(&self, next: Result<Next>) -> Result<Next> {
-        self.source.chosen.live.record_activity(self.traffic.shared.now());
+        self.source.chosen.state.record_activity(self.traffic.shared.now());
         next
     }
 
     /// Tells whether the answer can go on at another endpoint. One of which the caller holds events
     /// needs their ids for that.
-    fn can_move(&self, tries: &Tries) -> bool {
+    fn can_move(&self, tries: &AttemptHistory) -> bool {
         let route = &self.job.admitted.route;
         let is_resumable = route.work == WorkKind::Stream { resumable: true };
         let is_known = self.head.is_some() || self.last_event.is_some();
-        is_resumable && is_known && tries.sent < route.max_attempts
+        is_resumable && is_known && tries.sent_count < route.max_attempts
     }
 
     /// Logs that a silent endpoint is waited for.
@@ -314,9 +314,9 @@
 
     /// Goes on at another endpoint after the last event that was passed on, in place of one that broke
     /// off.
-    async fn resume(&mut self, tries: &mut Tries, why: Error) -> Result<()> {
+    async fn resume(&mut self, tries: &mut AttemptHistory, why: Error) -> Result<()> {
         self.source_failed(&why).await;
-        if !self.can_move(tries) || self.job.is_over() {
+        if !self.can_move(tries) || self.job.is_expired() {
             return Err(why);
         }
         let model = self.model.clone();
@@ -334,7 +334,7 @@
             shared.suspects.record_completion(shared.now(), self.job.fingerprint);
         }
         let Stream { traffic, source, .. } = self;
-        source.chosen.live.record_outcome(traffic.shared.now(), true);
+        source.chosen.state.record_outcome(traffic.shared.now(), true);
         traffic.pool.keep(source.chosen.id.as_str(), source.lease, source.idle_time);
     }
 
@@ -399,11 +399,11 @@
     job: &Job,
     model: Option<&ModelId>,
     last_event: Option<u64>,
-    tries: &mut Tries,
+    tries: &mut AttemptHistory,
 ) -> Result<(http::response::Parts, Source)> {
-    tries.unreached = 0;
+    tries.connect_failures = 0;
     loop {
-        let (chosen, share) = choose_again(traffic, job, tries, model)?;
+        let (chosen, share) = choose_resume_endpoint(traffic, job, tries, model)?;
         let sent_at = Instant::now();
         let failed = match send(traffic, job, tries, &chosen, model, last_event).await {
             Ok(answered) if answered.head.status.is_success() => {
@@ -418,12 +418,13 @@
         failed_attempt(traffic, job, &chosen, model, &failed, sent_at.elapsed());
         note_crash(traffic, job, &chosen, &failed, sent_at).await;
         // One that was given up may be at work for a moment yet.
-        if let Some(held) = tries.held.as_ref().filter(|_| failed.code != Code::Deadline) {
-            held.other_failed();
+        if let Some(held) = tries.silent_endpoint.as_ref().filter(|_| failed.code != Code::Deadline)
+        {
+            held.record_replacement_failure();
         }
-        let is_held = tries.held.as_ref().is_some_and(|held| held.is_heard());
-        let is_out_of_reach = is_held && tries.unreached >= job.admitted.route.max_attempts;
-        if is_out_of_reach || job.is_over() {
+        let is_held = tries.silent_endpoint.as_ref().is_some_and(|held| held.is_listening());
+        let is_out_of_reach = is_held && tries.connect_failures >= job.admitted.route.max_attempts;
+        if is_out_of_reach || job.is_expired() {
             return Err(failed);
         }
     }
@@ -432,8 +433,8 @@
 impl Source {
     fn new(
         answered: Answered,
-        chosen: Chosen,
-        share: WorkShare,
+        chosen: ChosenEndpoint,
+        share: PendingWork,
         sent_at: Instant,
     ) -> (http::response::Parts, Source) {
         let shows_good_end = answered.shows_good_end();
--- a/crates/tidetrack-plane/src/report.rs
+++ b/crates/tidetrack-plane/src/report.rs
@@ -12,14 +12,14 @@
 use tidetrack_core::traffic::reachability::{FailedConnect, FailureCause};
 use tidetrack_core::units::Millis;
 
-use crate::job::{Chosen, Job, Traffic};
+use crate::job::{ChosenEndpoint, Job, Traffic};
 use crate::pool::CONNECT_WITHIN;
 
 /// Logs a failed attempt and lets it count against the endpoint.
 pub fn failed_attempt(
     traffic: &Traffic,
     job: &Job,
-    chosen: &Chosen,
+    chosen: &ChosenEndpoint,
     model: Option<&ModelId>,
     e: &Error,
     took: Duration,
@@ -48,30 +48,30 @@
         // Neither does slowness of an endpoint that serves others, but it counts as a long time.
         Code::Deadline => {
             let since = Millis(shared.now().0.saturating_sub(took.as_millis() as u64));
-            if chosen.live.was_active_since(since) {
+            if chosen.state.was_active_since(since) {
                 let seen = Seen::ended(AttemptOutcome::TimedOut, took);
                 observe(traffic, job, chosen, model, &seen);
             } else {
-                chosen.live.record_silence(shared.now());
+                chosen.state.record_silence(shared.now());
             }
         }
         Code::EndpointUnreachable if e.disconnect_cause == Some(DisconnectCause::TimedOut) => {
             gave_no_sign(traffic, chosen, took);
         }
         Code::EndpointUnreachable | Code::EndpointMoved => {
-            chosen.live.record_unreachable(shared.now());
+            chosen.state.record_unreachable(shared.now());
             traffic.pool.forget(chosen.id.as_str());
         }
         // A break is the endpoint's end or the network's doing, and says nothing of its version.
         _ => {
-            chosen.live.record_outcome(shared.now(), false);
+            chosen.state.record_outcome(shared.now(), false);
             traffic.pool.forget(chosen.id.as_str());
         }
     }
 }
 
 /// Lets a connect that gave no sign of life count against its endpoint, or against the way.
-fn gave_no_sign(traffic: &Traffic, chosen: &Chosen, took: Duration) {
+fn gave_no_sign(traffic: &Traffic, chosen: &ChosenEndpoint, took: Duration) {
     // One that ended with its request's time says nothing.
     if took < CONNECT_WITHIN {
         return;
@@ -82,11 +82,11 @@
     let connect = FailedConnect {
         endpoint: chosen.id.clone(),
         failure_domain: chosen.failure_domain.clone(),
-        live: chosen.live.clone(),
+        live: chosen.state.clone(),
         began: ago(took),
         ended: now,
     };
-    let blame = traffic.reach.borrow_mut().record_failed_connect(connect, prompt_at);
+    let blame = traffic.reachability.borrow_mut().record_failed_connect(connect, prompt_at);
     traffic.shared.metrics.no_sign(blame.as_str());
     if blame == FailureCause::Endpoint {
         traffic.pool.forget(chosen.id.as_str());
@@ -97,12 +97,12 @@
 pub fn answered_line(
     traffic: &Traffic,
     job: &Job,
-    chosen: &Chosen,
+    chosen: &ChosenEndpoint,
     model: Option<&ModelId>,
     status: u16,
 ) {
     let shared = &traffic.shared;
-    let took = job.began.elapsed();
+    let took = job.started_at.elapsed();
     let route = job.admitted.route.name.as_str();
     let fields: [(&'static str, &dyn std::fmt::Display); 6] = [
         ("request", &job.id),
@@ -145,16 +145,16 @@
 pub fn observe(
     traffic: &Traffic,
     job: &Job,
-    chosen: &Chosen,
+    chosen: &ChosenEndpoint,
     model: Option<&ModelId>,
     seen: &Seen,
 ) {
     let shared = &traffic.shared;
-    let load = chosen.live.load(shared.now());
+    let load = chosen.state.load(shared.now());
     let head_ms = seen.head.map(|d| d.as_secs_f64() * 1_000.0);
     let has_failed_before =
         job.has_failed.replace(job.has_failed.get() || seen.end == AttemptOutcome::Failed);
-    if let Some(version) = &chosen.new_version {
+    if let Some(version) = &chosen.canary_version {
         shared.metrics.version_attempt(job.service.as_str(), seen.end.as_str());
         shared.journal.routine(
             Event::VersionSeen,
@@ -178,7 +178,7 @@
     }
     shared.tell(Input::ResponseObserved(ObservedResponse {
         service: job.service.clone(),
-        canary_version: chosen.new_version.clone(),
+        canary_version: chosen.canary_version.clone(),
         endpoint: chosen.id.clone(),
         is_load_concentrated: chosen.is_loaded,
         route: job.admitted.route.name.clone(),
--- a/crates/tidetrack-plane/src/second_run.rs
+++ b/crates/tidetrack-plane/src/second_run.rs
@@ -12,8 +12,8 @@
 use tidetrack_core::traffic::cascade::{self, SecondOpinionEstimate};
 
 use crate::attempt::Answered;
-use crate::choose::plan;
-use crate::job::{Chosen, Job, Traffic, Tries};
+use crate::choose::plan_attempt;
+use crate::job::{AttemptHistory, ChosenEndpoint, Job, Traffic};
 use crate::pool::most_rest;
 use crate::report::failed_attempt;
 
@@ -21,9 +21,9 @@
 pub async fn larger_model(
     traffic: &Traffic,
     job: &Job,
-    tries: &Tries,
+    tries: &AttemptHistory,
     model: Option<&ModelId>,
-    chosen: &Chosen,
+    chosen: &ChosenEndpoint,
     answered: &Answered,
 ) -> Option<ModelId> {
     let route = &job.admitted.route;
@@ -33,8 +33,8 @@
     let service = view.catalog.as_ref()?.services.get(&job.service)?;
     let opts = &traffic.shared.settings.cascade;
     let larger = cascade::second_opinion_model(route, model)?;
-    let (next, planned) = plan(traffic, job, tries, larger, chosen)?;
-    let expected = traffic.outlook.borrow().estimate(&job.service, planned);
+    let (next, planned) = plan_attempt(traffic, job, tries, larger, chosen)?;
+    let expected = traffic.latency_estimator.borrow().estimate(&job.service, planned);
     let prospect = SecondOpinionEstimate {
         confidence,
         in_time_probability: expected.in_time_probability(),
@@ -42,7 +42,7 @@
     };
     let weighed = cascade::weigh_second_opinion(route, service, model, prospect, size, opts)?;
     let now = traffic.shared.now();
-    let may_drop = tries.sent < route.max_attempts && route.work.is_repeatable();
+    let may_drop = tries.sent_count < route.max_attempts && route.work.is_repeatable();
     let budget =
         || traffic.with_budget(&job.service, |b| b.try_acquire(now, FurtherAttempt::SecondOpinion));
     let kept_for = match weighed.is_worth_it() {
@@ -78,7 +78,7 @@
 }
 
 /// Tells whether a connection to the endpoint of a second run is up, or comes up in time.
-async fn is_reached(traffic: &Traffic, job: &Job, model: &ModelId, next: &Chosen) -> bool {
+async fn is_reached(traffic: &Traffic, job: &Job, model: &ModelId, next: &ChosenEndpoint) -> bool {
     let began = Instant::now();
     let rest = most_rest(job.admitted.route.work.is_repeatable());
     match traffic.pool.prepare(next.id.as_str(), &next.address, rest).await {
--- a/crates/tidetrack-plane/src/send.rs
+++ b/crates/tidetrack-plane/src/send.rs
@@ -14,9 +14,9 @@
 use tidetrack_core::units::{Millis, Tokens};
 
 use crate::attempt::{self, Answered, Attempt, Echo};
-use crate::choose::take_next_send;
+use crate::choose::reserve_next_attempt;
 use crate::dialect::{AnswerFacts, Handover};
-use crate::job::{Chosen, Held, Job, Traffic, Tries};
+use crate::job::{AttemptHistory, ChosenEndpoint, Job, SilentEndpoint, Traffic};
 use crate::patience::wait_running;
 use crate::pool::most_rest;
 
@@ -44,19 +44,19 @@
 pub async fn send(
     traffic: &Traffic,
     job: &Job,
-    tries: &mut Tries,
-    chosen: &Chosen,
+    tries: &mut AttemptHistory,
+    chosen: &ChosenEndpoint,
     model: Option<&ModelId>,
     goes_on_after: Option<u64>,
 ) -> Result<Answered> {
     let shared = &traffic.shared;
-    chosen.live.record_send(shared.now());
+    chosen.state.record_send(shared.now());
     tries.tried.push(chosen.id.clone());
-    tries.sent += 1;
-    tries.sent_at = shared.now();
-    tries.is_paid = false;
-    let load = chosen.live.load(shared.now()) as u64;
-    let reported_at = chosen.live.reported_at();
+    tries.sent_count += 1;
+    tries.last_sent_at = shared.now();
+    tries.is_next_charged = false;
+    let load = chosen.state.load(shared.now()) as u64;
+    let reported_at = chosen.state.reported_at();
     let load_age = match reported_at {
         Millis(0) => -1,
         at => (shared.now() - at).0 as i64,
@@ -69,10 +69,10 @@
         Event::AttemptSent,
         &[
             ("request", &job.id),
-            ("attempt", &tries.sent),
+            ("attempt", &tries.sent_count),
             ("endpoint", &chosen.id),
             ("model", &model.map_or("-", ModelId::as_str)),
-            ("new_version", &chosen.new_version.as_ref().map_or("-", VersionName::as_str)),
+            ("new_version", &chosen.canary_version.as_ref().map_or("-", VersionName::as_str)),
             ("shared", &shared_tokens),
             ("prefix", &chosen.prefix),
             ("load", &load),
@@ -82,7 +82,7 @@
     // A run that goes on, or in a silent endpoint's place, gets a new connection: where one comes up, the
     // way to the endpoint is open, and its answer will be here soon after it begins. A kept one proves
     // nothing, and the silent endpoint would be let go for it.
-    let most_rest = match goes_on_after.is_some() || tries.held.is_some() {
+    let most_rest = match goes_on_after.is_some() || tries.silent_endpoint.is_some() {
         true => Duration::ZERO,
         false => most_rest(job.admitted.route.work.is_repeatable()),
     };
@@ -96,15 +96,15 @@
         echo: Echo::Always,
         is_repeatable: job.admitted.route.work.is_repeatable(),
         most_rest,
-        until: job.until,
+        until: job.deadline,
     };
-    let held = tries.held.clone();
+    let held = tries.silent_endpoint.clone();
     if let Some(held) = &held {
-        held.connects();
+        held.record_connect_start();
     }
     let make = || {
         if let Some(held) = &held {
-            held.writes();
+            held.record_write_start();
         }
         make_request(traffic, job, chosen, model, goes_on_after)
     };
@@ -118,11 +118,11 @@
     };
     match &sent {
         Ok(_) => {
-            chosen.live.record_activity(shared.now());
+            chosen.state.record_activity(shared.now());
             traffic.pool.came(began);
         }
         Err(e) if e.code == Code::EndpointUnreachable => {
-            tries.not_reached.push(chosen.id.clone());
+            tries.unreachable.push(chosen.id.clone());
             reached_nobody(traffic, job, tries);
         }
         Err(_) => {}
@@ -132,20 +132,25 @@
 
 /// Takes an attempt back that reached no endpoint: it counts neither as one of the request's nor in
 /// the budget. Each search for an endpoint has as many of these for nothing as the request has attempts.
-fn reached_nobody(traffic: &Traffic, job: &Job, tries: &mut Tries) {
-    if tries.unreached >= job.admitted.route.max_attempts {
+fn reached_nobody(traffic: &Traffic, job: &Job, tries: &mut AttemptHistory) {
+    if tries.connect_failures >= job.admitted.route.max_attempts {
         return;
     }
-    tries.unreached += 1;
-    tries.sent -= 1;
-    if tries.sent > 0 {
-        traffic.with_budget(&job.service, |b| b.refund(tries.sent_at));
+    tries.connect_failures += 1;
+    tries.sent_count -= 1;
+    if tries.sent_count > 0 {
+        traffic.with_budget(&job.service, |b| b.refund(tries.last_sent_at));
     }
 }
 
 /// Takes note that the attempt under way is dropped, as the endpoint in whose place it was made spoke
 /// again. Its endpoint may be asked again; before its request was written it cost nothing.
-pub fn drop_attempt(traffic: &Traffic, job: &Job, tries: &mut Tries, held: &Held) {
+pub fn drop_attempt(
+    traffic: &Traffic,
+    job: &Job,
+    tries: &mut AttemptHistory,
+    held: &SilentEndpoint,
+) {
     tries.tried.pop();
     if held.is_connecting() {
         reached_nobody(traffic, job, tries);
@@ -155,7 +160,7 @@
 fn make_request(
     traffic: &Traffic,
     job: &Job,
-    chosen: &Chosen,
+    chosen: &ChosenEndpoint,
     model: Option<&ModelId>,
     last_event: Option<u64>,
 ) -> Request<Full<Bytes>> {
@@ -164,15 +169,15 @@
         time_left: Millis(left.as_millis() as u64),
         endpoint: &chosen.id,
         workspace: job.admitted.holder.as_ref().map(|h| &h.workspace),
-        rank: job.is_engine().then(|| job.admitted.rank()),
+        rank: job.is_generation().then(|| job.admitted.rank()),
         model,
         last_event: last_event.or(job.facts.last_event),
-        prefix_from: chosen.prefix.source(),
+        prefix_from: chosen.prefix.source_address(),
     };
     let mut req = Request::new(Full::new(job.body.clone()));
     *req.method_mut() = job.method.clone();
     *req.uri_mut() = job.uri.clone();
-    *req.headers_mut() = (traffic.shared.dialect.endpoint_head)(&job.head, &handover);
+    *req.headers_mut() = (traffic.shared.dialect.endpoint_head)(&job.headers, &handover);
     req
 }
 
@@ -182,12 +187,12 @@
 async fn impatience(
     traffic: &Traffic,
     job: &Job,
-    tries: &mut Tries,
-    chosen: &Chosen,
+    tries: &mut AttemptHistory,
+    chosen: &ChosenEndpoint,
     model: Option<&ModelId>,
 ) {
     let route = &job.admitted.route;
-    if tries.sent >= route.max_attempts || !route.work.is_repeatable() {
+    if tries.sent_count >= route.max_attempts || !route.work.is_repeatable() {
         return std::future::pending().await;
     }
     let silent = job.objective().mul_f64(SILENT_TIMES).max(LEAST_PATIENCE);
@@ -195,10 +200,10 @@
     loop {
         let since = traffic.shared.now();
         wait_running(silent).await;
-        if chosen.live.was_active_since(since) {
+        if chosen.state.was_active_since(since) {
             wait_running(slow.saturating_sub(silent)).await;
         }
-        if take_next_send(traffic, job, tries, model) {
+        if reserve_next_attempt(traffic, job, tries, model) {
             return;
         }
     }
@@ -206,19 +211,19 @@
 
 /// Takes the limit that an endpoint names with an answer, or that it names none. A refusal may come from a part of it
 /// that knows of no limit, so one that names none says nothing.
-fn note_limit(traffic: &Traffic, chosen: &Chosen, facts: &AnswerFacts) {
+fn note_limit(traffic: &Traffic, chosen: &ChosenEndpoint, facts: &AnswerFacts) {
     if facts.did_not_run && facts.limit.is_none() {
         return;
     }
-    if chosen.live.update_reported_limit(facts.limit) {
+    if chosen.state.update_reported_limit(facts.limit) {
         traffic.shared.tell(Input::LimitReported(chosen.id.clone(), facts.limit));
     }
 }
 
 /// Takes the load that an endpoint tells with an answer.
-pub fn note_load(traffic: &Traffic, chosen: &Chosen, answered: &Answered) {
+pub fn note_load(traffic: &Traffic, chosen: &ChosenEndpoint, answered: &Answered) {
     if let Some(load) = answered.facts.load {
         let work = load.running * RUNNING_WORK + load.waiting * WAITING_WORK;
-        chosen.live.record_load_report(traffic.shared.now(), work, Tokens(0));
+        chosen.state.record_load_report(traffic.shared.now(), work, Tokens(0));
     }
 }
--- a/crates/tidetrack-plane/src/server.rs
+++ b/crates/tidetrack-plane/src/server.rs
@@ -28,131 +28,133 @@
 use crate::shared::{Shared, SharedRef};
 
 /// Connections that may wait to be accepted.
-const BACKLOG: u32 = 1_024;
+const LISTEN_BACKLOG: u32 = 1_024;
 
 /// Pause before accepting again after a connection could not be accepted.
-const ACCEPT_AGAIN: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Longest time that a page's bytes wait unacknowledged: whoever asked stands still or is cut off, and
 /// keeps others from what a host gives at a time.
-const PAGE_TAKEN_WITHIN: Duration = Duration::from_millis(2_000);
+const PAGE_UNACKED_TIMEOUT: Duration = Duration::from_millis(2_000);
 
 /// Bytes of a page that wait in the HTTP library, beside one part of its body. With the usual 417 KB a whole
 /// configuration would count as given before any of it is on its way.
-const PAGE_WAITS: usize = 32 << 10;
+const PAGE_BUFFER_BYTES: usize = 32 << 10;
 
 /// Bytes of a page that wait unsent in the system, which would take megabytes: a window of some 10 KB goes
 /// out at a time.
-const PAGE_UNSENT: u32 = 16 << 10;
+const PAGE_MAX_UNSENT_BYTES: u32 = 16 << 10;
 
 /// Time by which a connection may rest for longer than its limit. The limit counts from when the caller has
 /// the answer; the host sees only when the system took it. What the system holds of one goes over a line of
 /// 10 Mbit/s at 1.2 MB a second, and a collected answer has 1 MB at most.
-const ON_ITS_WAY: Duration = Duration::from_millis(1_000);
+const IDLE_DELIVERY_ALLOWANCE: Duration = Duration::from_millis(1_000);
 
 /// Smallest buffer that the HTTP library takes for a head.
-const LEAST_HEAD_BUFFER: usize = 8_192;
+const MIN_HEAD_BUFFER: usize = 8_192;
 
 /// What a connection of a caller is doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Doing {
+enum ConnectionPhase {
     /// Nothing, since then.
-    Resting(Instant),
+    Idle(Instant),
     /// Sending a head, since then.
-    SendingHead(Instant),
+    ReceivingHead(Instant),
     /// Waiting for an answer, or taking it.
-    Served,
+    HandlingRequest,
     /// Taking the end of an answer that the HTTP library holds as a whole.
-    TakingEnd,
+    FlushingResponse,
 }
 
 /// State of one connection, shared by its reader, its requests and its watchdog.
-struct ConnState {
-    doing: Cell<Doing>,
+struct ConnectionState {
+    phase: Cell<ConnectionPhase>,
     changed: Notify,
     /// Requests that came.
     requests: Cell<u32>,
     /// When the connection came up, or the last answer had been taken.
-    rests_since: Cell<Instant>,
+    idle_since: Cell<Instant>,
     /// Whether the caller ended the connection.
-    has_left: Cell<bool>,
+    is_closed_by_caller: Cell<bool>,
     /// Whether bytes were left unread at the end.
     has_unread: Cell<bool>,
 }
 
-impl ConnState {
-    fn new() -> ConnState {
+impl ConnectionState {
+    fn new() -> ConnectionState {
         let now = Instant::now();
-        ConnState {
-            doing: Cell::new(Doing::Resting(now)),
+        ConnectionState {
+            phase: Cell::new(ConnectionPhase::Idle(now)),
             changed: Notify::new(),
             requests: Cell::new(0),
-            rests_since: Cell::new(now),
-            has_left: Cell::new(false),
+            idle_since: Cell::new(now),
+            is_closed_by_caller: Cell::new(false),
             has_unread: Cell::new(false),
         }
     }
 
-    fn set(&self, doing: Doing) {
-        self.doing.set(doing);
+    fn set_phase(&self, phase: ConnectionPhase) {
+        self.phase.set(phase);
         self.changed.notify_one();
     }
 
     /// Takes note that a request came.
-    fn begins_to_serve(&self) {
+    fn record_request(&self) {
         self.requests.set(self.requests.get() + 1);
-        self.set(Doing::Served);
+        self.set_phase(ConnectionPhase::HandlingRequest);
     }
 
     /// Takes note that the HTTP library holds the rest of an answer.
-    fn answer_ended(&self) {
-        self.rests_since.set(Instant::now());
-        self.set(Doing::TakingEnd);
+    fn record_response_end(&self) {
+        self.idle_since.set(Instant::now());
+        self.set_phase(ConnectionPhase::FlushingResponse);
     }
 
     /// Takes note that nothing is left to be sent. The rest begins here, not at the end of the answer's body:
     /// over a slow line much of that is still to be sent.
-    fn flushed(&self) {
-        if self.doing.get() == Doing::TakingEnd {
+    fn record_flush(&self) {
+        if self.phase.get() == ConnectionPhase::FlushingResponse {
             let now = Instant::now();
-            self.rests_since.set(now);
-            self.set(Doing::Resting(now));
+            self.idle_since.set(now);
+            self.set_phase(ConnectionPhase::Idle(now));
         }
     }
 
     /// Notices the first byte of a head.
-    fn bytes_came(&self) {
-        if matches!(self.doing.get(), Doing::Resting(_)) {
-            self.set(Doing::SendingHead(Instant::now()));
+    fn record_received_bytes(&self) {
+        if matches!(self.phase.get(), ConnectionPhase::Idle(_)) {
+            self.set_phase(ConnectionPhase::ReceivingHead(Instant::now()));
         }
     }
 
     /// Gets when the connection oversteps a limit, if it stays as it is.
-    fn may_until(&self, limits: CallerLimits) -> Option<Instant> {
-        match self.doing.get() {
-            Doing::Resting(since) => {
-                Some(since + Duration::from_millis(limits.idle_timeout.0) + ON_ITS_WAY)
+    fn timeout_at(&self, limits: CallerLimits) -> Option<Instant> {
+        match self.phase.get() {
+            ConnectionPhase::Idle(since) => {
+                Some(since + Duration::from_millis(limits.idle_timeout.0) + IDLE_DELIVERY_ALLOWANCE)
             }
-            Doing::SendingHead(since) => Some(since + Duration::from_millis(limits.head_timeout.0)),
-            Doing::Served | Doing::TakingEnd => None,
+            ConnectionPhase::ReceivingHead(since) => {
+                Some(since + Duration::from_millis(limits.head_timeout.0))
+            }
+            ConnectionPhase::HandlingRequest | ConnectionPhase::FlushingResponse => None,
         }
     }
 
     /// Waits until the connection has overstepped a limit; the newest limits count.
-    async fn overstepped(&self, limits: impl Fn() -> CallerLimits) {
+    async fn wait_for_timeout(&self, limits: impl Fn() -> CallerLimits) {
         loop {
-            let Some(until) = self.may_until(limits()) else {
+            let Some(deadline) = self.timeout_at(limits()) else {
                 self.changed.notified().await;
                 continue;
             };
-            let sleep = tokio::time::sleep_until(tokio::time::Instant::from_std(until));
+            let sleep = tokio::time::sleep_until(tokio::time::Instant::from_std(deadline));
             tokio::select! {
                 () = self.changed.notified() => {}
                 // In a late turn the time runs out and a request is read at once; only the state
                 // that the time belongs to can overstep it. The limit may have been raised meanwhile.
                 () = sleep => {
-                    let until = self.may_until(limits());
-                    if until.is_some_and(|until| until <= Instant::now()) {
+                    let deadline = self.timeout_at(limits());
+                    if deadline.is_some_and(|deadline| deadline <= Instant::now()) {
                         return;
                     }
                 }
@@ -162,22 +164,22 @@
 }
 
 /// A caller's socket that tells when bytes come.
-struct Observing {
+struct ObservedStream {
     stream: TcpStream,
-    state: Rc<ConnState>,
+    state: Rc<ConnectionState>,
 }
 
-impl Observing {
+impl ObservedStream {
     /// Takes note of a write that found nobody.
-    fn note_write(&self, polled: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
+    fn record_write_result(&self, polled: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
         if matches!(polled, Poll::Ready(Err(_))) {
-            self.state.has_left.set(true);
+            self.state.is_closed_by_caller.set(true);
         }
         polled
     }
 }
 
-impl Drop for Observing {
+impl Drop for ObservedStream {
     fn drop(&mut self) {
         let socket = socket2::SockRef::from(&self.stream);
         // Without bytes to be read there is an error, which tells as much.
@@ -186,7 +188,7 @@
     }
 }
 
-impl AsyncRead for Observing {
+impl AsyncRead for ObservedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -195,29 +197,31 @@
         let before = buf.filled().len();
         let polled = Pin::new(&mut self.stream).poll_read(cx, buf);
         match &polled {
-            Poll::Ready(Ok(())) if buf.filled().len() > before => self.state.bytes_came(),
-            Poll::Ready(_) => self.state.has_left.set(true),
+            Poll::Ready(Ok(())) if buf.filled().len() > before => {
+                self.state.record_received_bytes()
+            }
+            Poll::Ready(_) => self.state.is_closed_by_caller.set(true),
             Poll::Pending => {}
         }
         polled
     }
 }
 
-impl AsyncWrite for Observing {
+impl AsyncWrite for ObservedStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut self.stream).poll_write(cx, buf);
-        self.note_write(polled)
+        self.record_write_result(polled)
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         // The HTTP library flushes once the system has taken all that it held.
         let polled = Pin::new(&mut self.stream).poll_flush(cx);
         if matches!(polled, Poll::Ready(Ok(()))) {
-            self.state.flushed();
+            self.state.record_flush();
         }
         polled
     }
@@ -232,7 +236,7 @@
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut self.stream).poll_write_vectored(cx, bufs);
-        self.note_write(polled)
+        self.record_write_result(polled)
     }
 
     fn is_write_vectored(&self) -> bool {
@@ -254,14 +258,14 @@
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
     socket.bind(address).map_err(|e| anyhow::anyhow!("listen on {address}: {e}"))?;
-    Ok(socket.listen(BACKLOG)?)
+    Ok(socket.listen(LISTEN_BACKLOG)?)
 }
 
 /// Connections of callers that are open.
 #[derive(Default)]
 pub struct Connections {
     open: RefCell<usize>,
-    freed: Notify,
+    slot_freed: Notify,
 }
 
 impl Connections {
@@ -272,24 +276,24 @@
 }
 
 /// Answers one request.
-pub type Handler = Rc<dyn Fn(Request<Incoming>) -> Pin<Box<dyn Future<Output = Answer>>>>;
+pub type Handler = Rc<dyn Fn(Request<Incoming>) -> Pin<Box<dyn Future<Output = HandlerResponse>>>>;
 
 /// What a handler gives back.
-pub type Answer = Response<AnswerBody>;
+pub type HandlerResponse = Response<AnswerBody>;
 
 /// How callers are served.
 #[derive(Clone)]
 pub struct ServerOptions {
     /// Most connections at a time; more wait to be accepted.
-    pub most_connections: usize,
+    pub max_connections: usize,
     /// Gets the limits. Open connections follow the newest, but for the size of their heads.
     pub limits: Rc<dyn Fn() -> CallerLimits>,
     /// Answers a request.
     pub handler: Handler,
     /// Is told of a connection that could not be accepted.
-    pub accept_failed: Rc<dyn Fn(&io::Error)>,
+    pub on_accept_error: Rc<dyn Fn(&io::Error)>,
     /// Is told of a connection that the host closed.
-    pub closed: Rc<dyn Fn(&Closed)>,
+    pub on_closed: Rc<dyn Fn(&Closed)>,
 }
 
 /// Accepts callers' connections until the process ends.
@@ -300,8 +304,8 @@
     stage: watch::Receiver<StopStage>,
 ) {
     loop {
-        while connections.open() >= opts.most_connections {
-            connections.freed.notified().await;
+        while connections.open() >= opts.max_connections {
+            connections.slot_freed.notified().await;
         }
         match listener.accept().await {
             Ok((stream, _)) => {
@@ -309,33 +313,33 @@
                 let (opts, connections) = (opts.clone(), connections.clone());
                 let stage = stage.clone();
                 tokio::task::spawn_local(async move {
-                    carry(opts, stream, stage).await;
+                    run_connection(opts, stream, stage).await;
                     *connections.open.borrow_mut() -= 1;
-                    connections.freed.notify_one();
+                    connections.slot_freed.notify_one();
                 });
             }
             Err(e) => {
-                (opts.accept_failed)(&e);
-                tokio::time::sleep(ACCEPT_AGAIN).await;
+                (opts.on_accept_error)(&e);
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
 /// Carries one connection until it ends, and tells if the host closed it.
-async fn carry(opts: ServerOptions, stream: TcpStream, stage: watch::Receiver<StopStage>) {
+async fn run_connection(opts: ServerOptions, stream: TcpStream, stage: watch::Receiver<StopStage>) {
     if let Err(e) = stream.set_nodelay(true) {
-        return (opts.accept_failed)(&e);
+        return (opts.on_accept_error)(&e);
     }
-    let state = Rc::new(ConnState::new());
+    let state = Rc::new(ConnectionState::new());
     // The socket is closed when this returns.
     let why = serve_until_end(&opts, stream, stage, &state).await;
     let Some(why) = why else { return };
-    (opts.closed)(&Closed {
+    (opts.on_closed)(&Closed {
         why,
         requests: state.requests.get(),
-        rested: state.rests_since.get().elapsed(),
-        is_served: state.doing.get() == Doing::Served,
+        rested: state.idle_since.get().elapsed(),
+        is_served: state.phase.get() == ConnectionPhase::HandlingRequest,
         has_unread: state.has_unread.get(),
     });
 }
@@ -345,34 +349,34 @@
     opts: &ServerOptions,
     stream: TcpStream,
     mut stage: watch::Receiver<StopStage>,
-    state: &Rc<ConnState>,
+    state: &Rc<ConnectionState>,
 ) -> Option<CloseReason> {
-    let service = service_fn(|req| answer(&opts.handler, state.clone(), req));
-    let io = TokioIo::new(Observing { stream, state: state.clone() });
+    let service = service_fn(|req| handle_request(&opts.handler, state.clone(), req));
+    let io = TokioIo::new(ObservedStream { stream, state: state.clone() });
     let conn = Builder::new()
-        .max_buf_size((opts.limits)().max_head_bytes.max(LEAST_HEAD_BUFFER))
+        .max_buf_size((opts.limits)().max_head_bytes.max(MIN_HEAD_BUFFER))
         .half_close(false)
         .serve_connection(io, service);
     let mut conn = std::pin::pin!(conn);
-    let mut closing_for = None;
+    let mut shutdown_reason = None;
     loop {
         tokio::select! {
             // What has come is read before a limit is looked at, so that no request that waits unread
             // is closed away.
             biased;
-            ended = conn.as_mut() => {
-                let why = closing_for.unwrap_or_else(|| why_ended(&ended));
-                return (!state.has_left.get()).then_some(why);
+            result = conn.as_mut() => {
+                let why = shutdown_reason.unwrap_or_else(|| close_reason(&result));
+                return (!state.is_closed_by_caller.get()).then_some(why);
             }
-            () = state.overstepped(&*opts.limits), if closing_for.is_none() => {
-                if !matches!(state.doing.get(), Doing::Resting(_)) {
+            () = state.wait_for_timeout(&*opts.limits), if shutdown_reason.is_none() => {
+                if !matches!(state.phase.get(), ConnectionPhase::Idle(_)) {
                     return Some(CloseReason::SlowHead);
                 }
-                closing_for = Some(CloseReason::Rest);
+                shutdown_reason = Some(CloseReason::Rest);
                 conn.as_mut().graceful_shutdown();
             }
-            () = closing(&mut stage), if closing_for.is_none() => {
-                closing_for = Some(CloseReason::Stop);
+            () = wait_for_closing(&mut stage), if shutdown_reason.is_none() => {
+                shutdown_reason = Some(CloseReason::Stop);
                 conn.as_mut().graceful_shutdown();
             }
         }
@@ -380,8 +384,8 @@
 }
 
 /// Tells why a connection ended that was not told to.
-fn why_ended(ended: &hyper::Result<()>) -> CloseReason {
-    match ended {
+fn close_reason(result: &hyper::Result<()>) -> CloseReason {
+    match result {
         Ok(()) => CloseReason::Answer,
         Err(e) if e.is_parse() => CloseReason::BadRequest,
         Err(e) if e.is_user() => CloseReason::BrokenOff,
@@ -389,23 +393,23 @@
     }
 }
 
-async fn closing(stage: &mut watch::Receiver<StopStage>) {
+async fn wait_for_closing(stage: &mut watch::Receiver<StopStage>) {
     // Without a sender the process is at its end.
     let _ = stage.wait_for(|stage| *stage == StopStage::Closing).await;
 }
 
-async fn answer(
+async fn handle_request(
     handler: &Handler,
-    state: Rc<ConnState>,
+    state: Rc<ConnectionState>,
     req: Request<Incoming>,
-) -> Result<Answer, Infallible> {
-    state.begins_to_serve();
+) -> Result<HandlerResponse, Infallible> {
+    state.record_request();
     let resp = handler(req).await;
-    Ok(resp.map(|body| body.on_end(move || state.answer_ended())))
+    Ok(resp.map(|body| body.on_end(move || state.record_response_end())))
 }
 
 /// Makes a short plain answer.
-fn plain(status: StatusCode, text: impl Into<Bytes>) -> Response<AnswerBody> {
+fn text_response(status: StatusCode, text: impl Into<Bytes>) -> Response<AnswerBody> {
     let mut resp = Response::new(AnswerBody::whole(text.into()));
     *resp.status_mut() = status;
     resp
@@ -415,61 +419,61 @@
 pub async fn serve_pages<B>(
     shared: SharedRef,
     listener: TcpListener,
-    page: impl Fn(&Request<Incoming>) -> Response<B> + 'static,
+    make_page: impl Fn(&Request<Incoming>) -> Response<B> + 'static,
 ) where
     B: Body + 'static,
     B::Error: std::error::Error + Send + Sync,
 {
-    let page = Rc::new(page);
+    let make_page = Rc::new(make_page);
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(e) => {
                 shared.journal.line(Event::AcceptFailed, &[("why", &e)]);
-                tokio::time::sleep(ACCEPT_AGAIN).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
-        let page = page.clone();
+        let make_page = make_page.clone();
         let socket = socket2::SockRef::from(&stream);
-        if let Err(e) = socket.set_tcp_notsent_lowat(PAGE_UNSENT) {
+        if let Err(e) = socket.set_tcp_notsent_lowat(PAGE_MAX_UNSENT_BYTES) {
             // What is given is bounded less well then.
             shared.journal.line(Event::AcceptFailed, &[("why", &e)]);
         }
-        if let Err(e) = socket.set_tcp_user_timeout(Some(PAGE_TAKEN_WITHIN)) {
+        if let Err(e) = socket.set_tcp_user_timeout(Some(PAGE_UNACKED_TIMEOUT)) {
             shared.journal.line(Event::AcceptFailed, &[("why", &e)]);
             continue;
         }
         tokio::task::spawn_local(async move {
             let service = service_fn(|req| {
-                let resp = page(&req);
+                let resp = make_page(&req);
                 async move { Ok::<_, Infallible>(resp) }
             });
             // Whoever asks and leaves asks again.
             let mut builder = Builder::new();
-            builder.max_buf_size(PAGE_WAITS);
+            builder.max_buf_size(PAGE_BUFFER_BYTES);
             drop(builder.serve_connection(TokioIo::new(stream), service).await);
         });
     }
 }
 
 /// Serves readiness and metrics on an address of their own.
-pub async fn serve_small(shared: SharedRef, listener: TcpListener) {
-    let of_page = shared.clone();
-    serve_pages(shared, listener, move |req| small_page(&of_page, req)).await;
+pub async fn serve_readiness_and_metrics(shared: SharedRef, listener: TcpListener) {
+    let page_shared = shared.clone();
+    serve_pages(shared, listener, move |req| readiness_or_metrics_page(&page_shared, req)).await;
 }
 
-fn small_page(shared: &Shared, req: &Request<Incoming>) -> Response<AnswerBody> {
+fn readiness_or_metrics_page(shared: &Shared, req: &Request<Incoming>) -> Response<AnswerBody> {
     match req.uri().path() {
         path if path == shared.dialect.readiness_path => match shared.is_ready() {
-            true => plain(StatusCode::OK, "ready\n"),
-            false => plain(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
+            true => text_response(StatusCode::OK, "ready\n"),
+            false => text_response(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
         },
         METRICS_PATH => match shared.metrics.text() {
-            Ok(text) => plain(StatusCode::OK, text),
-            Err(e) => plain(StatusCode::INTERNAL_SERVER_ERROR, e.to_string()),
+            Ok(text) => text_response(StatusCode::OK, text),
+            Err(e) => text_response(StatusCode::INTERNAL_SERVER_ERROR, e.to_string()),
         },
-        _ => plain(StatusCode::NOT_FOUND, "no such page\n"),
+        _ => text_response(StatusCode::NOT_FOUND, "no such page\n"),
     }
 }
 
--- a/crates/tidetrack-plane/tests/rests.rs
+++ b/crates/tidetrack-plane/tests/rests.rs
@@ -44,7 +44,7 @@
 
 fn options(limit: Arc<AtomicU64>, answer: usize) -> ServerOptions {
     ServerOptions {
-        most_connections: 8,
+        max_connections: 8,
         limits: Rc::new(move || {
             let limit = Millis(limit.load(Ordering::Relaxed));
             CallerLimits { head_timeout: limit, idle_timeout: limit, ..CallerLimits::default() }
@@ -53,8 +53,8 @@
             let body = AnswerBody::whole(Bytes::from(vec![b'x'; answer]));
             Box::pin(async move { Response::new(body) })
         }),
-        accept_failed: Rc::new(|e| panic!("accept: {e}")),
-        closed: Rc::new(|_| {}),
+        on_accept_error: Rc::new(|e| panic!("accept: {e}")),
+        on_closed: Rc::new(|_| {}),
     }
 }
 
--- a/crates/tidetrack-plane/tests/server.rs
+++ b/crates/tidetrack-plane/tests/server.rs
@@ -65,7 +65,7 @@
 
 fn options(dropped: Rc<Cell<usize>>) -> ServerOptions {
     ServerOptions {
-        most_connections: CONNECTIONS * 2,
+        max_connections: CONNECTIONS * 2,
         limits: Rc::new(|| {
             let limit = Millis(u64::try_from(LIMIT.as_millis()).expect("a short time"));
             CallerLimits { head_timeout: limit, idle_timeout: limit, ..CallerLimits::default() }
@@ -78,8 +78,8 @@
                 Response::new(AnswerBody::whole(Bytes::from_static(b"ok")))
             })
         }),
-        accept_failed: Rc::new(|e| panic!("accept: {e}")),
-        closed: Rc::new(|_| {}),
+        on_accept_error: Rc::new(|e| panic!("accept: {e}")),
+        on_closed: Rc::new(|_| {}),
     }
 }
 
--- a/crates/tidetrack-router/src/server.rs
+++ b/crates/tidetrack-router/src/server.rs
@@ -35,7 +35,7 @@
 use tidetrack_core::view::View;
 use tidetrack_plane::body::AnswerBody;
 use tidetrack_plane::closes::Closes;
-use tidetrack_plane::server::{accept_loop, Answer, ServerOptions, StopStage};
+use tidetrack_plane::server::{accept_loop, HandlerResponse, ServerOptions, StopStage};
 use tidetrack_wire::caller::{SessionRequest, SessionResponse, TicketResponse};
 
 use crate::admin;
@@ -138,10 +138,10 @@
     };
     let (for_log, for_closes, closes) = (shared.clone(), shared.clone(), Closes::default());
     ServerOptions {
-        most_connections: limits.connections,
+        max_connections: limits.connections,
         limits: Rc::new(move || caller_limits),
-        accept_failed: Rc::new(move |e| for_log.log(Event::AcceptFailed, &e.to_string())),
-        closed: Rc::new(move |closed| {
+        on_accept_error: Rc::new(move |e| for_log.log(Event::AcceptFailed, &e.to_string())),
+        on_closed: Rc::new(move |closed| {
             if let Some(left_out) = closes.take(closed) {
                 let text = format!("{closed} more_before={left_out}");
                 for_closes.log(Event::CallerClosed, &text);
@@ -168,7 +168,11 @@
 }
 
 /// Reads a request, hands it to a thread and waits for the head of its answer.
-async fn take(shared: Arc<Shared>, threads: Sender<Taken>, req: http::Request<Incoming>) -> Answer {
+async fn take(
+    shared: Arc<Shared>,
+    threads: Sender<Taken>,
+    req: http::Request<Incoming>,
+) -> HandlerResponse {
     let began = Instant::now();
     let under_way = UnderWay::new(&shared);
     let (head, body) = req.into_parts();
