--- a/crates/tidetrack-plane/src/choose.rs
+++ b/crates/tidetrack-plane/src/choose.rs
@@ -1,4 +1,4 @@
-//! Choice of the endpoint of an attempt, and whether the attempt may be made.
+//! Selection of the endpoint of an attempt, and the checks whether the attempt is allowed.
 
 use tidetrack_core::codes::Code;
 use tidetrack_core::errors::{Error, Result};
@@ -16,26 +16,29 @@
 
 use crate::job::{AttemptHistory, ChosenEndpoint, Job, PendingWork, PrefixLocation, Traffic};
 
-/// When to come back after a refusal for want of room, in milliseconds.
+/// `Retry-After` in milliseconds of a refusal because no endpoint has capacity.
 pub const RETRY_OVERLOADED_MS: u64 = 300;
 
-/// Work, in answer tokens, that an endpoint of another failure domain counts as having besides: bytes between domains
-/// cost.
+/// Work in answer tokens that is added to the load of an endpoint in another failure domain, because traffic between
+/// domains has a cost.
 const CROSS_DOMAIN_WORK: u64 = 500;
 
-/// Work of reading a prefix again, in answer tokens, from which it is fetched instead: some tenths of a second of an
-/// engine's time, where a move takes some milliseconds. Moves have a price of their own.
+/// Minimum work of rereading a prefix, in answer tokens, at which the prefix is fetched from another endpoint instead.
+/// Rereading this much takes an engine some tenths of a second, while a transfer takes some milliseconds. Less work
+/// does not justify the cost of a transfer.
 const MIN_FETCH_WORK: u64 = 1_600;
 
-/// How long a run takes at most, as a rule. A session is at work from a request's start until some time
-/// after its end.
+/// Time within which an attempt normally ends. A session is held on its release track from the start of a
+/// request until its session time after the request's end, so this is added to the session time.
 const TYPICAL_MAX_ATTEMPT_TIME: Millis = Millis(8_000);
 
-/// Checks, right before a send, that the request may still be passed on.
+/// Checks, immediately before an attempt, that the request may still be sent, and charges a further attempt to
+/// the retry budget. Fails if the request is a barred suspect, the configuration is too old or the budget is
+/// exhausted.
 ///
-/// The proof of the configuration is asked for before the first send only: a key that was held when
-/// the request came is held for all of its attempts, and a stream that breaks while the store is away
-/// may go on.
+/// The age of the configuration is only checked before the first attempt. A key that was valid when the
+/// request arrived stays valid for all its attempts, so that a stream which breaks while the store is
+/// unavailable can be continued.
 pub fn check_before_send(traffic: &Traffic, job: &Job, attempts: &AttemptHistory) -> Result<()> {
     let shared = &traffic.shared;
     let now = shared.now();
@@ -60,11 +63,12 @@
     }
     match traffic.with_budget(&job.service, |b| b.try_acquire(now, FurtherAttempt::Failure)) {
         true => Ok(()),
-        false => Err(Error::new(Code::RetryBudget, "the budget of further sends is spent")),
+        false => Err(Error::new(Code::RetryBudget, "the retry budget of the service is exhausted")),
     }
 }
 
-/// Chooses the endpoint of the next attempt.
+/// Chooses the endpoint of the next attempt and records the choice for the prefix index and the exposure bound.
+/// Fails if the request is a barred suspect or no endpoint can be used.
 pub fn choose(
     traffic: &Traffic,
     job: &Job,
@@ -73,14 +77,16 @@
 ) -> Result<ChosenEndpoint> {
     traffic.shared.suspects.check(traffic.shared.now(), job.fingerprint)?;
     let view = traffic.shared.view.load();
-    let service =
-        view.services.get(&job.service).ok_or_else(|| overloaded_error("no endpoint is listed"))?;
+    let service = view
+        .services
+        .get(&job.service)
+        .ok_or_else(|| overloaded_error("no endpoint of the service is known"))?;
     let session_hash = job.session_hash();
     let now = traffic.shared.now();
     let hold_for = traffic.shared.settings.bounds.session_time + TYPICAL_MAX_ATTEMPT_TIME;
     let chosen_track = service.side(now, session_hash, hold_for);
     let prompt = PromptPlacement::new(traffic, job, service, model);
-    let mut last_error = overloaded_error("no endpoint can be used");
+    let mut last_error = overloaded_error("no endpoint of the service is usable");
     for (track, avoided) in search_order(service, now, attempts, chosen_track) {
         match pick_endpoint(traffic, job, &avoided, service, track, &prompt) {
             Ok(chosen) => {
@@ -104,8 +110,8 @@
     Err(last_error)
 }
 
-/// Takes a further send in place of an attempt that is still waited for; tells whether there is an
-/// endpoint for it and the budget allows it.
+/// Charges a further attempt to the retry budget while an earlier one is still in progress. Reports whether an
+/// endpoint is available for it and the budget allows it.
 pub fn reserve_next_attempt(
     traffic: &Traffic,
     job: &Job,
@@ -117,7 +123,7 @@
     attempts.is_next_charged
 }
 
-/// Tells whether an endpoint can be chosen for one more attempt. Nothing is counted for it.
+/// Reports whether an endpoint can be chosen for one more attempt, without recording anything.
 fn has_candidate(
     traffic: &Traffic,
     job: &Job,
@@ -134,9 +140,9 @@
     })
 }
 
-/// Lists where an endpoint is looked for, in order: a side of a roll-out, `first` or else the other one,
-/// and the endpoints that are avoided on it. The new version's side is left out where the request may not
-/// fall back on it.
+/// Returns the order in which an endpoint is searched: pairs of a release track, starting with `first_track`, and
+/// the endpoints avoided on it. The canary track is omitted if it is not `first_track` and the service
+/// doesn't permit falling back to it.
 fn search_order<'a>(
     service: &'a ServiceView,
     now: Millis,
@@ -153,13 +159,13 @@
     tracks.iter().flat_map(|track| attempts.avoided_endpoints().map(|avoided| (*track, avoided)))
 }
 
-/// Makes the refusal for want of an endpoint with room.
+/// Builds the error for a request that no endpoint has capacity for.
 pub fn overloaded_error(message: &str) -> Error {
     Error::new(Code::Overloaded, message).with_retry_after(RETRY_OVERLOADED_MS)
 }
 
-/// Finds where a run on a model would go on the side of an earlier attempt, and how it would stand
-/// there. Nothing is counted for it.
+/// Returns the endpoint that an attempt on `model` would use, on the release track of an earlier attempt, with the
+/// figures for its latency estimate. Records nothing. Returns `None` if no endpoint is available.
 pub fn plan_attempt(
     traffic: &Traffic,
     job: &Job,
@@ -183,13 +189,13 @@
     Some((chosen, planned_attempt))
 }
 
-/// What a request's prompt means for the choice.
+/// Properties of a request's prompt that affect the choice of its endpoint.
 struct PromptPlacement {
-    /// Its shared part, as read for the model.
+    /// Key of the shared prefix for the model; `None` if the prompt has no shared prefix.
     prefix_key: Option<PrefixKey>,
-    /// Work of reading its shared part where it is not kept.
+    /// Work of an endpoint that has to reread the shared prefix, in answer tokens.
     reread_work: u64,
-    /// Endpoints that are known to keep that part.
+    /// Endpoints that are known to hold the shared prefix.
     prefix_holders: Vec<EndpointKey>,
 }
 
@@ -211,6 +217,7 @@
     }
 }
 
+/// Picks an endpoint of a release track that is not in `tried`. Fails if there is none.
 fn pick_endpoint(
     traffic: &Traffic,
     job: &Job,
@@ -256,7 +263,7 @@
     })
 }
 
-/// Tells where the request's shared part is for a picked endpoint.
+/// Returns where the request's shared prefix is held, relative to a picked endpoint.
 fn prefix_location(
     now: Millis,
     pool: &PoolView,
@@ -278,7 +285,8 @@
     }
 }
 
-/// Gets a model's weight in the work of an endpoint, by its price beside the largest model's.
+/// Returns the weight of a model in the work of an endpoint: its price relative to the largest model's, or 1 if
+/// the service or model is unknown.
 pub fn model_weight(traffic: &Traffic, job: &Job, model: Option<&ModelId>) -> f64 {
     let view = traffic.shared.view.load();
     let service = view.catalog.as_ref().and_then(|c| c.services.get(&job.service));
@@ -288,7 +296,7 @@
     }
 }
 
-/// Chooses an endpoint on which a broken stream goes on.
+/// Chooses an endpoint on which a broken stream continues. Fails if no attempt is left or allowed.
 pub fn choose_resume_endpoint(
     traffic: &Traffic,
     job: &Job,
@@ -297,7 +305,10 @@
 ) -> Result<(ChosenEndpoint, PendingWork)> {
     let route = &job.admitted.route;
     if attempts.sent_count >= route.max_attempts {
-        return Err(Error::new(Code::EndpointFailed, "no attempt is left"));
+        return Err(Error::new(
+            Code::EndpointFailed,
+            "the maximum number of attempts of the route is reached",
+        ));
     }
     let chosen = choose(traffic, job, attempts, model)?;
     check_before_send(traffic, job, attempts)?;
--- a/crates/tidetrack-plane/src/exchange.rs
+++ b/crates/tidetrack-plane/src/exchange.rs
@@ -1,7 +1,7 @@
-//! One request, from its head to the head of its answer.
+//! Handling of one request, from its head to the head of its response.
 //!
-//! The loop here only carries out what the core decides: admission, side of a roll-out, endpoint,
-//! model, whether to try again. Each decision is one line of the log.
+//! The loop in this module only carries out the decisions of the core crate: admission, release track,
+//! endpoint, model, and whether another attempt is made. Each decision is logged on one line.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -39,13 +39,14 @@
 use crate::second_run::larger_model;
 use crate::send::{note_load, send};
 
-/// When to come back to a host that is stopping; another host takes the request at once.
+/// `Retry-After` in milliseconds of a refusal by a stopping host. It is short because other hosts can accept
+/// the request immediately.
 const RETRY_AFTER_STOPPING_MS: u64 = 50;
 
-/// Pause between looks whether a host that starts can serve.
+/// Interval at which a request that arrived during startup checks whether the host can serve.
 const STARTUP_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Serves one request.
+/// Handles one request. Errors become error responses, so this always returns a response.
 pub async fn serve(traffic: Rc<Traffic>, req: Request<Incoming>) -> Response<AnswerBody> {
     let started_at = Instant::now();
     let in_flight = InFlight::new(&traffic);
@@ -72,8 +73,8 @@
     resp
 }
 
-/// Logs a caller that leaves before the head of its answer: the request is then dropped where it
-/// stands, which closes its connection to the endpoint.
+/// Logs that the caller disconnected before the head of its response was ready. The future of the request is
+/// dropped in that case, which also drops this guard and closes the connection to the endpoint.
 struct DisconnectGuard {
     traffic: Rc<Traffic>,
     id: String,
@@ -98,7 +99,7 @@
     }
 }
 
-/// Answers a request that is not served, and logs why.
+/// Logs a failed request with the reason and builds its error response.
 fn refuse(
     traffic: &Traffic,
     attempt_id: Option<&str>,
@@ -127,7 +128,8 @@
     resp.map(AnswerBody::whole)
 }
 
-/// Admits a request and reads its body.
+/// Admits a request, reads its body and selects its service. Fails if the request is refused, its body is
+/// invalid or late, or its route has no target.
 async fn prepare(
     traffic: &Rc<Traffic>,
     facts: Result<RequestFacts>,
@@ -136,7 +138,8 @@
 ) -> Result<Job> {
     let shared = &traffic.shared;
     if traffic.is_refusing.get() {
-        let e = Error::new(Code::Draining, "the host is stopping; ask another");
+        let e =
+            Error::new(Code::Draining, "the host is stopping; send the request to another host");
         return Err(e.with_retry_after(RETRY_AFTER_STOPPING_MS));
     }
     let (head, body) = req.into_parts();
@@ -177,7 +180,8 @@
         facts.attempt_id.clone().unwrap_or_else(|| format!("#{}", traffic.next_request_number()));
     let running_request = shared.suspects.admit(shared.now(), fingerprint)?;
     let target = route.pick_target(hash_fraction("target", &id)).cloned();
-    let service = target.ok_or_else(|| Error::new(Code::UnknownRoute, "the route goes nowhere"))?;
+    let service =
+        target.ok_or_else(|| Error::new(Code::UnknownRoute, "the route has no target service"))?;
     let config_age_ms = shared.fresh.age(shared.now()).map_or(-1, |a| a.0 as i64);
     shared.journal.routine(
         Event::RequestAdmitted,
@@ -210,7 +214,7 @@
     })
 }
 
-/// Holds a request for a moment where this host has just started and is about to know what it serves by.
+/// Delays a request on a recently started host until the host can serve or the startup hold time is over.
 async fn wait_until_ready(traffic: &Traffic, time_left: Option<Millis>) {
     let shared = &traffic.shared;
     let since_start = shared.clock.since_start();
@@ -220,6 +224,7 @@
     }
 }
 
+/// Reads a whole request body. Fails if it exceeds `max_bytes`, arrives after the deadline or can't be read.
 async fn read_body(body: Incoming, max_bytes: usize, deadline: Instant) -> Result<Bytes> {
     let collected = Limited::new(body, max_bytes).collect();
     let deadline = tokio::time::Instant::from_std(deadline);
@@ -237,7 +242,7 @@
     Ok(collected.map_err(body_error)?.to_bytes())
 }
 
-/// Runs a request until an answer can be passed on, or there is nothing left to try.
+/// Makes attempts until a response can be forwarded to the caller or no further attempt is possible.
 async fn run_attempts(traffic: &Rc<Traffic>, job: &Rc<Job>) -> Result<Response<AnswerBody>> {
     let route = &job.admitted.route;
     let mut attempts = AttemptHistory::default();
@@ -256,15 +261,15 @@
             if let Some(larger) =
                 larger_model(traffic, job, &attempts, model.as_ref(), &chosen, &response).await
             {
-                // The second run was taken from the budget, and its endpoint reached, before the answer
-                // at hand is dropped.
+                // The attempt on the larger model has already been charged to the retry budget, and its
+                // endpoint was reached, before the present response is dropped.
                 attempts.is_next_charged = true;
                 attempts.record_executed(Executed::Yes);
                 chosen.state.record_outcome(traffic.shared.now(), true);
                 let observation = Seen::ended(AttemptOutcome::Superseded, started_at.elapsed());
                 observe(traffic, job, &chosen, model.as_ref(), &observation);
                 model = Some(larger);
-                // Dropping the answer closes its connection, and the endpoint stops.
+                // Dropping the response closes its connection, which stops the endpoint's work.
                 continue;
             }
             let attempt_response = AttemptResponse { response, chosen, pending_work, started_at };
@@ -296,15 +301,15 @@
     }
 }
 
-/// Why an attempt led to no answer.
+/// Outcome of an attempt that returned no response.
 enum AttemptError {
-    /// Nothing more can be tried.
+    /// No further attempt is possible.
     Final(Error),
-    /// Another endpoint may be tried.
+    /// Another endpoint can be tried.
     Retry,
 }
 
-/// An answer with what belongs to its attempt.
+/// Response of an endpoint, with the state of the attempt that returned it.
 struct AttemptResponse {
     response: Answered,
     chosen: ChosenEndpoint,
@@ -312,7 +317,7 @@
     started_at: Instant,
 }
 
-/// Makes one attempt.
+/// Chooses an endpoint and sends the request to it. Returns when the head of the response has arrived.
 async fn make_attempt(
     traffic: &Rc<Traffic>,
     job: &Job,
@@ -355,7 +360,7 @@
     }
 }
 
-/// Tells whether another attempt may follow a failed one.
+/// Reports whether another attempt is allowed after a failed one, by attempt count, time and repeatability.
 fn can_attempt_again(job: &Job, attempts: &AttemptHistory) -> bool {
     let route = &job.admitted.route;
     let failed = FailedAttempt {
@@ -366,14 +371,15 @@
     attempts.sent_count < route.max_attempts && !job.is_expired() && may_retry(failed)
 }
 
-/// Makes the final error of a request: it says whether the request may have run.
+/// Builds the final error of a request, which states whether the request may have been executed.
 fn final_error(job: &Job, attempts: &AttemptHistory, last_error: Error) -> Error {
     let executed = attempts.executed.unwrap_or(Executed::No);
     if job.is_expired() {
         return Error::new(Code::Deadline, last_error.message).with_executed(executed);
     }
     match executed {
-        // It is no use to come back, whatever became of it.
+        // A retry is useless whether or not the request was executed, so the error is returned without
+        // a new `Retry-After`.
         _ if last_error.code == Code::CrashesEndpoints => last_error.with_executed(executed),
         Executed::No if last_error.retry_after_ms.is_some() => {
             last_error.with_executed(Executed::No)
@@ -386,8 +392,8 @@
     }
 }
 
-/// Passes a successful answer on, as a whole or as a stream. Whichever endpoint fails here has that
-/// counted.
+/// Forwards a successful response to the caller, collected or as a stream. If the endpoint fails while its
+/// response is read, the failure is recorded against it.
 async fn forward_response(
     traffic: &Rc<Traffic>,
     job: &Rc<Job>,
@@ -417,7 +423,7 @@
     Ok(resp)
 }
 
-/// Collects an answer and makes the caller's from it.
+/// Reads a whole response and builds the caller's response from it. Fails if the body breaks off or is late.
 async fn collect_response(
     traffic: &Traffic,
     job: &Job,
@@ -428,7 +434,8 @@
     let shows_good_end = response.shows_good_end();
     let Answered { head, facts, body, lease } = response;
     let deadline = tokio::time::Instant::from_std(job.deadline);
-    let timed_out = |_| Error::new(Code::Deadline, "the answer was not whole in time");
+    let timed_out =
+        |_| Error::new(Code::Deadline, "the response was not complete before the deadline");
     let collected = tokio::time::timeout_at(deadline, attempt::collect(body, lease));
     let (body, lease) = collected.await.map_err(timed_out)??;
     traffic.pool.keep(chosen.id.as_str(), lease, facts.idle_time);
--- a/crates/tidetrack-plane/src/job.rs
+++ b/crates/tidetrack-plane/src/job.rs
@@ -1,5 +1,5 @@
-//! A request on its way: what it is, what it has led to so far, and what the traffic thread keeps
-//! beside it.
+//! State of admitted requests: the request itself, the history of its attempts, and the state of the traffic
+//! thread that all requests share.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -31,38 +31,38 @@
 use crate::pool::Pool;
 use crate::shared::SharedRef;
 
-/// Work that a plain call counts as, in answer tokens.
+/// Work of a request without token counts, in answer tokens.
 const PLAIN_REQUEST_WORK: u64 = 400;
 
-/// Multiple of its work that reading a shared part again counts as: it costs its price, delays what
-/// runs there, and drives other parts from the endpoint's memory.
+/// Factor applied to the work of rereading a shared prefix. Besides its price, rereading delays the requests
+/// that run on the endpoint and evicts other prefixes from the endpoint's memory.
 const REREAD_WORK_FACTOR: f64 = 4.0;
 
-/// Part of the generated tokens that counts as work once the prompt has been read.
+/// Fraction of the generated tokens that counts as work after the prompt has been read.
 const GENERATED_WORK_FRACTION: f64 = 0.1;
 
-/// What the traffic thread owns.
+/// State owned by the traffic thread.
 pub struct Traffic {
-    /// What the threads share.
+    /// State shared by all threads of the host.
     pub shared: SharedRef,
-    /// Connections to endpoints.
+    /// Pool of connections to endpoints.
     pub pool: Pool,
     budgets: RefCell<HashMap<ServiceId, AttemptBudget>>,
-    /// What is expected of second runs.
+    /// Estimates the latency of an attempt on a larger model of a cascade.
     pub latency_estimator: RefCell<LatencyEstimator>,
-    /// Connects of late that gave no sign of life.
+    /// Recent connection attempts that got no reply, by endpoint and failure domain.
     pub reachability: RefCell<ReachabilityTracker>,
-    /// Whether endpoints ended whose connections broke.
+    /// Checks whether endpoints whose connections broke have crashed.
     pub crash_checks: Looks,
-    /// Requests that are not answered in full yet.
+    /// Number of requests whose responses are not complete.
     pub in_flight: Cell<usize>,
-    /// Whether new requests are refused because the host stops.
+    /// Whether new requests are refused because the host is stopping.
     pub is_refusing: Cell<bool>,
     last_request_number: Cell<u64>,
 }
 
 impl Traffic {
-    /// Makes the state of the traffic thread.
+    /// Creates the state of the traffic thread.
     pub fn new(shared: SharedRef) -> Traffic {
         let reachability =
             RefCell::new(ReachabilityTracker::new(shared.settings.failure_domain.clone()));
@@ -79,13 +79,13 @@
         }
     }
 
-    /// Numbers a request that brings no id.
+    /// Returns a new number for a request without an id, starting at 1.
     pub fn next_request_number(&self) -> u64 {
         self.last_request_number.set(self.last_request_number.get() + 1);
         self.last_request_number.get()
     }
 
-    /// Does something with the budget of further sends to a service.
+    /// Calls `f` with the retry budget of a service, which is created on first use.
     pub fn with_budget<T>(
         &self,
         service: &ServiceId,
@@ -98,11 +98,11 @@
     }
 }
 
-/// Counts a request as in flight for as long as it lives.
+/// Guard that counts a request as in flight until it is dropped.
 pub struct InFlight(Rc<Traffic>);
 
 impl InFlight {
-    /// Counts a request.
+    /// Adds a request to the count.
     pub fn new(traffic: &Rc<Traffic>) -> InFlight {
         traffic.in_flight.set(traffic.in_flight.get() + 1);
         InFlight(traffic.clone())
@@ -115,80 +115,81 @@
     }
 }
 
-/// A request that was admitted, as its attempts need it.
+/// An admitted request with everything that its attempts need.
 pub struct Job {
-    /// Its id in the log: the caller's, or this host's number.
+    /// Id in the log: the caller's attempt id, or `#` and a number of this host.
     pub id: String,
-    /// What its head says.
+    /// Values decoded from the request head.
     pub facts: RequestFacts,
-    /// Its route and workspace.
+    /// Route and workspace of the request.
     pub admitted: AdmittedRequest,
-    /// Method of the request.
+    /// HTTP method.
     pub method: Method,
-    /// Whether an endpoint failed for it.
+    /// Whether an endpoint has failed while serving the request.
     pub has_failed: Cell<bool>,
-    /// Path and query, unaltered.
+    /// Path and query, unchanged from the caller's request.
     pub uri: Uri,
-    /// What stays the same when the caller sends it again.
+    /// Fingerprint that is the same when the caller sends the request again.
     pub fingerprint: Fingerprint,
-    /// Its place among the requests that are being served.
+    /// Registration among the running requests, for the limits on suspects. Removed on drop.
     pub running_request: RunningRequest,
-    /// The caller's head.
+    /// Headers of the caller's request.
     pub headers: HeaderMap,
-    /// The whole body.
+    /// Complete request body.
     pub body: Bytes,
-    /// When its head had been read.
+    /// When the request head had been read.
     pub started_at: Instant,
-    /// When it is given up, as timers tell the time.
+    /// When the request times out, on the clock of the timers, which stops while the machine is suspended.
     pub deadline: Instant,
-    /// The same, with time in which the machine is suspended.
+    /// The same deadline on a clock that includes time in which the machine is suspended.
     pub suspend_aware_deadline: Moment,
-    /// The service it goes to.
+    /// Service that was selected from the targets of the route.
     pub service: ServiceId,
 }
 
 impl Job {
-    /// Tells whether it asks for a generation.
+    /// Reports whether the request asks an engine to generate tokens.
     pub fn is_generation(&self) -> bool {
         self.facts.size.is_some()
     }
 
-    /// Gets the time that is left for it.
+    /// Returns the time until the earlier of the two deadlines, or zero after it.
     pub fn time_left(&self) -> Duration {
         self.suspend_aware_deadline
             .left()
             .min(self.deadline.saturating_duration_since(Instant::now()))
     }
 
-    /// Tells whether its time is up.
+    /// Reports whether the deadline has passed.
     pub fn is_expired(&self) -> bool {
         self.time_left().is_zero()
     }
 
-    /// Gets its draw of versions.
+    /// Returns the hash that assigns the request's session, or the request itself, to a release track.
     pub fn session_hash(&self) -> SessionHash {
         SessionHash::new(self.facts.session.as_deref(), &self.id)
     }
 
-    /// Names the shared part of its prompt, as read for a model.
+    /// Returns the key of the shared prompt prefix for a model, or `None` if the prompt has no shared prefix.
     pub fn prefix_key(&self, model: Option<&ModelId>) -> Option<PrefixKey> {
         let prefix = self.facts.shared_prefix.as_deref()?;
         Some(PrefixKey::new(prefix, model))
     }
 
-    /// Gets the work that an endpoint without the request's shared prefix does in addition.
+    /// Returns the additional work of an endpoint that doesn't hold the shared prefix, in answer tokens.
     pub fn reread_work(&self, weight: f64) -> u64 {
         let shared = self.facts.shared_tokens.unwrap_or(Tokens(0));
         let work = request_work(shared, Tokens(0)) as f64 * weight * REREAD_WORK_FACTOR;
         (work as u64).max(1)
     }
 
-    /// Gets the time within which an answer earns its full credit.
+    /// Returns the latency objective of the route.
     pub fn objective(&self) -> Duration {
         Duration::from_millis(self.admitted.route.objective.0)
     }
 
-    /// Gets the work the request counts as at an endpoint; `weight` is the model's.
+    /// Returns the work of the request until its prompt has been read, in answer tokens. `weight` is the
+    /// weight of the model, and `has_prefix` says whether the endpoint has the shared prefix.
     pub fn work(&self, weight: f64, has_prefix: bool) -> u64 {
         let cached_tokens = self.facts.shared_tokens.filter(|_| has_prefix).unwrap_or(Tokens(0));
         let unscaled_work = match &self.facts.size {
@@ -201,7 +202,7 @@
         ((unscaled_work as f64 * weight) as u64).max(1)
     }
 
-    /// Gets the work that is left once the prompt has been read.
+    /// Returns the work that remains after the prompt has been read, in answer tokens.
     pub fn generation_work(&self, weight: f64) -> u64 {
         let size = self.facts.size.as_ref();
         size.map_or(0, |s| {
@@ -210,49 +211,49 @@
     }
 }
 
-/// An endpoint that was chosen for an attempt.
+/// Endpoint that was chosen for an attempt.
 #[derive(Clone)]
 pub struct ChosenEndpoint {
-    /// Its id.
+    /// Id of the endpoint.
     pub id: EndpointId,
-    /// Its address.
+    /// Address of the endpoint, as `IP:PORT`.
     pub address: String,
-    /// Where it stands.
+    /// Failure domain of the endpoint.
     pub failure_domain: FailureDomain,
-    /// Its load and health.
+    /// Load and health of the endpoint, shared with all users of it.
     pub state: Arc<EndpointState>,
-    /// Where the request's shared part is.
+    /// Where the request's shared prefix is held, relative to this endpoint.
     pub prefix: PrefixLocation,
-    /// The version under roll-out, if the endpoint runs it.
+    /// The canary version, if the endpoint runs it; `None` for the stable track.
     pub canary_version: Option<VersionName>,
-    /// Whether it is given more of the new version's sample than its part.
+    /// Whether the endpoint receives more than its share of the canary sample.
     pub is_loaded: bool,
 }
 
-/// Where a request's shared part is when its endpoint has been chosen, as far as is known.
+/// Where a request's shared prefix is held, relative to the chosen endpoint, as far as this host knows.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PrefixLocation {
-    /// The request has none.
+    /// The request has no shared prefix.
     None,
-    /// The endpoint keeps it.
+    /// The endpoint holds the prefix.
     Cached,
-    /// The endpoint fetches it from another one, at this address.
+    /// The endpoint fetches the prefix from another endpoint, at this address.
     Fetched(String),
-    /// Another endpoint of the domain keeps it, but has more to do.
+    /// Another endpoint of the same failure domain holds the prefix, but was not chosen because of its load.
     OnBusyEndpoint,
-    /// Only endpoints of other domains keep it.
+    /// Only endpoints of other failure domains hold the prefix.
     InOtherDomain,
-    /// No endpoint is known to keep it.
+    /// No endpoint is known to hold the prefix.
     Unknown,
 }
 
 impl PrefixLocation {
-    /// Tells whether the endpoint needs not read it.
+    /// Reports whether the endpoint has the prefix or fetches it, so that it needn't read it.
     pub fn is_available(&self) -> bool {
         matches!(self, PrefixLocation::Cached | PrefixLocation::Fetched(_))
     }
 
-    /// Gets the word for it in logs and metrics.
+    /// Returns the value for logs and metrics.
     pub fn as_str(&self) -> &'static str {
         match self {
             PrefixLocation::None => "-",
@@ -264,7 +265,7 @@
         }
     }
 
-    /// Gets the address that it is fetched from.
+    /// Returns the address from which the endpoint fetches the prefix, if it does.
     pub fn source_address(&self) -> Option<&str> {
         match self {
             PrefixLocation::Fetched(address) => Some(address),
@@ -279,7 +280,7 @@
     }
 }
 
-/// Work handed to an endpoint, until dropped.
+/// Guard that counts the work of an attempt in the load of its endpoint until it is dropped.
 pub struct PendingWork {
     state: Arc<EndpointState>,
     work: u64,
@@ -287,7 +288,7 @@
 }
 
 impl PendingWork {
-    /// Counts a job's work at an endpoint.
+    /// Adds the work of a request to the load of an endpoint. `weight` is the weight of the model.
     pub fn new(chosen: &ChosenEndpoint, job: &Job, weight: f64) -> PendingWork {
         let work = job.work(weight, chosen.prefix.is_available());
         chosen.state.begin_work(work);
@@ -298,7 +299,8 @@
         }
     }
 
-    /// Takes note that the endpoint has begun to answer: the prompt is read.
+    /// Replaces the work by the generation work, since the start of the response shows that the prompt has
+    /// been read.
     pub fn record_response_start(&mut self) {
         self.state.begin_work(self.generation_work);
         self.state.end_work(self.work);
@@ -312,19 +314,20 @@
     }
 }
 
-/// A silent endpoint that is listened to while another one is asked to go on in its place.
+/// Endpoint that has stopped sending a stream. Its connection is still read while another endpoint is asked
+/// to continue the stream.
 pub struct SilentEndpoint {
     id: EndpointId,
     is_listening: Cell<bool>,
-    /// Whether the attempt under way has no connection yet.
+    /// Whether the attempt on the other endpoint has no connection yet.
     is_connecting: Cell<bool>,
-    /// Since when another endpoint may work on the answer too.
+    /// Since when the other endpoint may be working on the response as well; `None` if it is not.
     shared_since: Cell<Option<Instant>>,
     sharing_started: Notify,
 }
 
 impl SilentEndpoint {
-    /// Listens to an endpoint.
+    /// Creates the state of a silent endpoint whose connection is still read.
     pub fn new(id: EndpointId) -> SilentEndpoint {
         SilentEndpoint {
             id,
@@ -335,27 +338,27 @@
         }
     }
 
-    /// Takes note that it is not listened to any more.
+    /// Records that the endpoint's connection is no longer read.
     pub fn stop_listening(&self) {
         self.is_listening.set(false);
     }
 
-    /// Tells whether it is still listened to.
+    /// Reports whether the endpoint's connection is still read.
     pub fn is_listening(&self) -> bool {
         self.is_listening.get()
     }
 
-    /// Takes note that a connection to another endpoint is sought.
+    /// Records that a connection to another endpoint is being established.
     pub fn record_connect_start(&self) {
         self.is_connecting.set(true);
     }
 
-    /// Tells whether the attempt under way has no connection yet.
+    /// Reports whether the attempt on the other endpoint has no connection yet.
     pub fn is_connecting(&self) -> bool {
         self.is_connecting.get()
     }
 
-    /// Takes note that the request is about to be written to another endpoint.
+    /// Records that the request is about to be written to another endpoint.
     pub fn record_write_start(&self) {
         self.is_connecting.set(false);
         if self.shared_since.get().is_none() {
@@ -364,12 +367,12 @@
         }
     }
 
-    /// Takes note that the other endpoint has ended its work.
+    /// Records that the attempt on the other endpoint has failed, so that it no longer works on the response.
     pub fn record_replacement_failure(&self) {
         self.shared_since.set(None);
     }
 
-    /// Waits until another endpoint may have worked on the answer for so long too.
+    /// Waits until another endpoint may have worked on the response for the given time.
     pub async fn wait_until_shared_for(&self, time: Duration) {
         loop {
             let Some(since) = self.shared_since.get() else {
@@ -384,32 +387,33 @@
     }
 }
 
-/// What the attempts of a request have led to so far.
+/// History of the attempts of one request.
 #[derive(Clone, Default)]
 pub struct AttemptHistory {
-    /// Endpoints that were tried.
+    /// Endpoints that were tried, in order.
     pub tried: Vec<EndpointId>,
-    /// Endpoints that the request was sent to.
+    /// Number of attempts that count against the route's maximum, without those that reached no endpoint.
     pub sent_count: u32,
-    /// When the last attempt began.
+    /// When the last attempt was started.
     pub last_sent_at: Millis,
-    /// Attempts that reached no endpoint, of the present search for one.
+    /// Number of attempts that reached no endpoint, in the present search for one.
     pub connect_failures: u32,
-    /// Endpoints that were not reached.
+    /// Endpoints that could not be reached.
     pub unreachable: Vec<EndpointId>,
-    /// Whether the request has run, as far as is known.
+    /// Whether the request was executed, as far as is known; `None` before the first attempt has ended.
     pub executed: Option<Executed>,
-    /// Whether the next send was taken from the budget already: what is at hand is given up only once
-    /// the next send is sure to be allowed.
+    /// Whether the next attempt is already charged to the retry budget. An attempt in progress is only
+    /// abandoned once the next one is certain to be allowed.
     pub is_next_charged: bool,
-    /// The endpoint in whose place another one is asked to go on.
+    /// Silent endpoint whose stream another endpoint is asked to continue.
     pub silent_endpoint: Option<Rc<SilentEndpoint>>,
 }
 
 impl AttemptHistory {
-    /// Gets which endpoints the next attempt avoids, in the order of preference: where all were tried,
-    /// all but the last are tried again, first those that were reached. One that is still listened to is
-    /// avoided always.
+    /// Returns the sets of endpoints that the next attempt avoids, in order of preference: all tried ones,
+    /// then the unreachable ones and the last one, then only the last one. If all endpoints were tried, this
+    /// tries all but the last again, first those that were reached. A silent endpoint whose connection is
+    /// still read is always avoided.
     pub fn avoided_endpoints(&self) -> [Vec<EndpointId>; 3] {
         let tried = self.tried.as_slice();
         let last_tried = &tried[tried.len().saturating_sub(1)..];
@@ -424,7 +428,7 @@
         })
     }
 
-    /// Takes note of whether an attempt ran.
+    /// Merges whether an attempt was executed: `Yes` outweighs `Unknown`, which outweighs `No`.
     pub fn record_executed(&mut self, executed: Executed) {
         let worst = match (self.executed, executed) {
             (Some(Executed::Yes), _) | (_, Executed::Yes) => Executed::Yes,
--- a/crates/tidetrack-plane/src/server.rs
+++ b/crates/tidetrack-plane/src/server.rs
@@ -1,4 +1,5 @@
-//! Callers' side: accepts connections and keeps to the limits on heads, bodies and rest.
+//! HTTP/1 server for callers: accepts connections and enforces the limits on request head size, head time
+//! and idle time. Also serves the readiness, metrics and other pages of a host.
 
 use std::cell::{Cell, RefCell};
 use std::convert::Infallible;
@@ -27,42 +28,42 @@
 use crate::closes::{CloseReason, Closed};
 use crate::shared::{Shared, SharedRef};
 
-/// Connections that may wait to be accepted.
+/// Length of the queue of connections that wait to be accepted.
 const LISTEN_BACKLOG: u32 = 1_024;
 
-/// Pause before accepting again after a connection could not be accepted.
+/// Delay before the next `accept` after a failed one.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Longest time that a page's bytes wait unacknowledged: whoever asked stands still or is cut off, and
-/// keeps others from what a host gives at a time.
+/// Time after which a connection of a page server is dropped if the client has not acknowledged sent bytes.
+/// Such a client is stalled or cut off, and it uses up part of the amount that a host serves concurrently.
 const PAGE_UNACKED_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// Bytes of a page that wait in the HTTP library, beside one part of its body. With the usual 417 KB a whole
-/// configuration would count as given before any of it is on its way.
+/// Maximum size in bytes of the HTTP library's write buffer for a page, in addition to one part of its body.
+/// With the default of 417 KB, a whole configuration would count as served before any of it is sent.
 const PAGE_BUFFER_BYTES: usize = 32 << 10;
 
-/// Bytes of a page that wait unsent in the system, which would take megabytes: a window of some 10 KB goes
-/// out at a time.
+/// Maximum number of unsent bytes of a page in the kernel's socket buffer, which would otherwise accept
+/// megabytes. About 10 KB (one window) are sent at a time.
 const PAGE_MAX_UNSENT_BYTES: u32 = 16 << 10;
 
-/// Time by which a connection may rest for longer than its limit. The limit counts from when the caller has
-/// the answer; the host sees only when the system took it. What the system holds of one goes over a line of
-/// 10 Mbit/s at 1.2 MB a second, and a collected answer has 1 MB at most.
+/// Time added to the idle timeout of a connection. The timeout is meant to start when the caller has received
+/// the response, but the host only sees when the kernel accepted the last bytes. A collected response has at
+/// most 1 MB, and a link of 10 Mbit/s delivers the buffered bytes at 1.2 MB per second.
 const IDLE_DELIVERY_ALLOWANCE: Duration = Duration::from_millis(1_000);
 
-/// Smallest buffer that the HTTP library takes for a head.
+/// Smallest head buffer size in bytes that the HTTP library accepts.
 const MIN_HEAD_BUFFER: usize = 8_192;
 
-/// What a connection of a caller is doing.
+/// Phase of a caller's connection, which determines the timeout that applies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ConnectionPhase {
-    /// Nothing, since then.
+    /// No request is in progress, since the given instant.
     Idle(Instant),
-    /// Sending a head, since then.
+    /// The caller is sending a request head, since the given instant.
     ReceivingHead(Instant),
-    /// Waiting for an answer, or taking it.
+    /// The caller is waiting for a response or receiving it.
     HandlingRequest,
-    /// Taking the end of an answer that the HTTP library holds as a whole.
+    /// The HTTP library has the complete response, and the caller is receiving the rest of it.
     FlushingResponse,
 }
 
@@ -70,13 +71,13 @@
 struct ConnectionState {
     phase: Cell<ConnectionPhase>,
     changed: Notify,
-    /// Requests that came.
+    /// Number of requests received.
     requests: Cell<u32>,
-    /// When the connection came up, or the last answer had been taken.
+    /// When the connection was accepted or the last response was completely written.
     idle_since: Cell<Instant>,
-    /// Whether the caller ended the connection.
+    /// Whether a read or write showed that the caller closed the connection.
     is_closed_by_caller: Cell<bool>,
-    /// Whether bytes were left unread at the end.
+    /// Whether received bytes were still unread when the socket was closed.
     has_unread: Cell<bool>,
 }
 
@@ -98,20 +99,20 @@
         self.changed.notify_one();
     }
 
-    /// Takes note that a request came.
+    /// Counts a request and enters the phase in which it is handled.
     fn record_request(&self) {
         self.requests.set(self.requests.get() + 1);
         self.set_phase(ConnectionPhase::HandlingRequest);
     }
 
-    /// Takes note that the HTTP library holds the rest of an answer.
+    /// Records that the response body has ended, so that the HTTP library has the rest of the response.
     fn record_response_end(&self) {
         self.idle_since.set(Instant::now());
         self.set_phase(ConnectionPhase::FlushingResponse);
     }
 
-    /// Takes note that nothing is left to be sent. The rest begins here, not at the end of the answer's body:
-    /// over a slow line much of that is still to be sent.
+    /// Records that all buffered bytes were written. The idle time starts here and not at the end of the
+    /// response body, because on a slow link much of the body is not sent yet at that point.
     fn record_flush(&self) {
         if self.phase.get() == ConnectionPhase::FlushingResponse {
             let now = Instant::now();
@@ -120,14 +121,15 @@
         }
     }
 
-    /// Notices the first byte of a head.
+    /// Records received bytes; on an idle connection they start a request head.
     fn record_received_bytes(&self) {
         if matches!(self.phase.get(), ConnectionPhase::Idle(_)) {
             self.set_phase(ConnectionPhase::ReceivingHead(Instant::now()));
         }
     }
 
-    /// Gets when the connection oversteps a limit, if it stays as it is.
+    /// Returns when the connection times out if it stays in its present phase, or `None` if that phase has
+    /// no timeout.
     fn timeout_at(&self, limits: CallerLimits) -> Option<Instant> {
         match self.phase.get() {
             ConnectionPhase::Idle(since) => {
@@ -140,7 +142,7 @@
         }
     }
 
-    /// Waits until the connection has overstepped a limit; the newest limits count.
+    /// Waits until the connection has timed out under the limits in force at that time.
     async fn wait_for_timeout(&self, limits: impl Fn() -> CallerLimits) {
         loop {
             let Some(deadline) = self.timeout_at(limits()) else {
@@ -150,8 +152,9 @@
             let sleep = tokio::time::sleep_until(tokio::time::Instant::from_std(deadline));
             tokio::select! {
                 () = self.changed.notified() => {}
-                // In a late turn the time runs out and a request is read at once; only the state
-                // that the time belongs to can overstep it. The limit may have been raised meanwhile.
+                // If the thread is scheduled late, the timer expires although a request has just been
+                // read, so the deadline is computed again for the present phase. The limit may also have
+                // been raised in the meantime.
                 () = sleep => {
                     let deadline = self.timeout_at(limits());
                     if deadline.is_some_and(|deadline| deadline <= Instant::now()) {
@@ -163,14 +166,14 @@
     }
 }
 
-/// A caller's socket that tells when bytes come.
+/// A caller's socket that records reads, writes and flushes in the state of its connection.
 struct ObservedStream {
     stream: TcpStream,
     state: Rc<ConnectionState>,
 }
 
 impl ObservedStream {
-    /// Takes note of a write that found nobody.
+    /// Marks the connection as closed by the caller if a write failed.
     fn record_write_result(&self, polled: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
         if matches!(polled, Poll::Ready(Err(_))) {
             self.state.is_closed_by_caller.set(true);
@@ -182,7 +185,7 @@
 impl Drop for ObservedStream {
     fn drop(&mut self) {
         let socket = socket2::SockRef::from(&self.stream);
-        // Without bytes to be read there is an error, which tells as much.
+        // The socket is non-blocking: without unread bytes the read fails or returns 0.
         let has_unread = (&*socket).read(&mut [0; 1]).is_ok_and(|bytes| bytes > 0);
         self.state.has_unread.set(has_unread);
     }
@@ -218,7 +221,7 @@
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        // The HTTP library flushes once the system has taken all that it held.
+        // The HTTP library flushes after the kernel has accepted all buffered bytes.
         let polled = Pin::new(&mut self.stream).poll_flush(cx);
         if matches!(polled, Poll::Ready(Ok(()))) {
             self.state.record_flush();
@@ -244,16 +247,16 @@
     }
 }
 
-/// Stages of a planned stop, as connections see them.
+/// Stages of a planned stop that matter to connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StopStage {
-    /// The host serves.
+    /// Requests are accepted.
     Serving,
-    /// Requests are refused, and resting connections closed.
+    /// Requests are refused and idle connections are closed.
     Closing,
 }
 
-/// Opens a listening socket.
+/// Opens a listening socket with address reuse. Fails if the address can't be bound.
 pub fn listen(address: SocketAddr) -> anyhow::Result<TcpListener> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
@@ -261,7 +264,7 @@
     Ok(socket.listen(LISTEN_BACKLOG)?)
 }
 
-/// Connections of callers that are open.
+/// Number of open connections of callers, and the signal that one has closed.
 #[derive(Default)]
 pub struct Connections {
     open: RefCell<usize>,
@@ -269,34 +272,35 @@
 }
 
 impl Connections {
-    /// Counts the open connections.
+    /// Returns the number of open connections.
     pub fn open(&self) -> usize {
         *self.open.borrow()
     }
 }
 
-/// Answers one request.
+/// Function that handles one request.
 pub type Handler = Rc<dyn Fn(Request<Incoming>) -> Pin<Box<dyn Future<Output = HandlerResponse>>>>;
 
-/// What a handler gives back.
+/// Response returned by a [`Handler`].
 pub type HandlerResponse = Response<AnswerBody>;
 
-/// How callers are served.
+/// Limits and callbacks of the server for callers.
 #[derive(Clone)]
 pub struct ServerOptions {
-    /// Most connections at a time; more wait to be accepted.
+    /// Maximum number of open connections; further ones wait in the accept queue.
     pub max_connections: usize,
-    /// Gets the limits. Open connections follow the newest, but for the size of their heads.
+    /// Returns the limits in force. Open connections use new timeouts at once, but keep the head size limit
+    /// with which they were accepted.
     pub limits: Rc<dyn Fn() -> CallerLimits>,
-    /// Answers a request.
+    /// Handles a request.
     pub handler: Handler,
-    /// Is told of a connection that could not be accepted.
+    /// Called with the error when a connection could not be accepted or set up.
     pub on_accept_error: Rc<dyn Fn(&io::Error)>,
-    /// Is told of a connection that the host closed.
+    /// Called after the host has closed a connection.
     pub on_closed: Rc<dyn Fn(&Closed)>,
 }
 
-/// Accepts callers' connections until the process ends.
+/// Accepts connections of callers until the process ends. Waits while the maximum number is open.
 pub async fn accept_loop(
     listener: TcpListener,
     opts: ServerOptions,
@@ -326,13 +330,13 @@
     }
 }
 
-/// Carries one connection until it ends, and tells if the host closed it.
+/// Serves one connection until it ends and calls `on_closed` if the host closed it.
 async fn run_connection(opts: ServerOptions, stream: TcpStream, stage: watch::Receiver<StopStage>) {
     if let Err(e) = stream.set_nodelay(true) {
         return (opts.on_accept_error)(&e);
     }
     let state = Rc::new(ConnectionState::new());
-    // The socket is closed when this returns.
+    // The socket is closed when this call returns, which sets `has_unread`.
     let why = serve_until_end(&opts, stream, stage, &state).await;
     let Some(why) = why else { return };
     (opts.on_closed)(&Closed {
@@ -344,7 +348,7 @@
     });
 }
 
-/// Serves a connection until it ends; gets why the host closed it, if it did.
+/// Serves a connection until it ends. Returns the reason if the host closed it, or `None` if the caller did.
 async fn serve_until_end(
     opts: &ServerOptions,
     stream: TcpStream,
@@ -361,8 +365,8 @@
     let mut shutdown_reason = None;
     loop {
         tokio::select! {
-            // What has come is read before a limit is looked at, so that no request that waits unread
-            // is closed away.
+            // Received bytes are read before a timeout is checked, so that no connection is closed while
+            // it has an unread request.
             biased;
             result = conn.as_mut() => {
                 let why = shutdown_reason.unwrap_or_else(|| close_reason(&result));
@@ -383,7 +387,7 @@
     }
 }
 
-/// Tells why a connection ended that was not told to.
+/// Derives the reason for the end of a connection that was not asked to shut down.
 fn close_reason(result: &hyper::Result<()>) -> CloseReason {
     match result {
         Ok(()) => CloseReason::Answer,
@@ -393,11 +397,13 @@
     }
 }
 
+/// Waits until the host closes its idle connections.
 async fn wait_for_closing(stage: &mut watch::Receiver<StopStage>) {
-    // Without a sender the process is at its end.
+    // The wait fails only if the sender was dropped, which happens at the end of the process.
     let _ = stage.wait_for(|stage| *stage == StopStage::Closing).await;
 }
 
+/// Passes a request to the handler and tracks the phase of its connection.
 async fn handle_request(
     handler: &Handler,
     state: Rc<ConnectionState>,
@@ -408,14 +414,14 @@
     Ok(resp.map(|body| body.on_end(move || state.record_response_end())))
 }
 
-/// Makes a short plain answer.
+/// Builds a response with the given status and text.
 fn text_response(status: StatusCode, text: impl Into<Bytes>) -> Response<AnswerBody> {
     let mut resp = Response::new(AnswerBody::whole(text.into()));
     *resp.status_mut() = status;
     resp
 }
 
-/// Serves pages that are made at once, on an address of their own, until the process ends.
+/// Serves pages on a listener of their own until the process ends. `make_page` builds a page without waiting.
 pub async fn serve_pages<B>(
     shared: SharedRef,
     listener: TcpListener,
@@ -437,7 +443,7 @@
         let make_page = make_page.clone();
         let socket = socket2::SockRef::from(&stream);
         if let Err(e) = socket.set_tcp_notsent_lowat(PAGE_MAX_UNSENT_BYTES) {
-            // What is given is bounded less well then.
+            // The page is served without this bound on unsent bytes.
             shared.journal.line(Event::AcceptFailed, &[("why", &e)]);
         }
         if let Err(e) = socket.set_tcp_user_timeout(Some(PAGE_UNACKED_TIMEOUT)) {
@@ -449,7 +455,7 @@
                 let resp = make_page(&req);
                 async move { Ok::<_, Infallible>(resp) }
             });
-            // Whoever asks and leaves asks again.
+            // A client whose connection breaks is expected to retry, so the error is ignored.
             let mut builder = Builder::new();
             builder.max_buf_size(PAGE_BUFFER_BYTES);
             drop(builder.serve_connection(TokioIo::new(stream), service).await);
@@ -457,12 +463,13 @@
     }
 }
 
-/// Serves readiness and metrics on an address of their own.
+/// Serves the readiness and metrics pages on a listener of their own until the process ends.
 pub async fn serve_readiness_and_metrics(shared: SharedRef, listener: TcpListener) {
     let page_shared = shared.clone();
     serve_pages(shared, listener, move |req| readiness_or_metrics_page(&page_shared, req)).await;
 }
 
+/// Builds the readiness or metrics page, or an error page for any other path.
 fn readiness_or_metrics_page(shared: &Shared, req: &Request<Incoming>) -> Response<AnswerBody> {
     match req.uri().path() {
         path if path == shared.dialect.readiness_path => match shared.is_ready() {
@@ -473,9 +480,9 @@
             Ok(text) => text_response(StatusCode::OK, text),
             Err(e) => text_response(StatusCode::INTERNAL_SERVER_ERROR, e.to_string()),
         },
-        _ => text_response(StatusCode::NOT_FOUND, "no such page\n"),
+        _ => text_response(StatusCode::NOT_FOUND, "page not found\n"),
     }
 }
 
-/// Where metrics are told.
+/// Path of the metrics page.
 pub const METRICS_PATH: &str = "/metrics";
