--- a/crates/tidetrack-plane/src/choose.rs
+++ b/crates/tidetrack-plane/src/choose.rs
@@ -285,7 +285,7 @@
     }
 }
 
-/// Returns the weight of a model in the work of an endpoint: its price relative to the largest model's, or 1 if
+/// Returns the weight of a model in the work of an endpoint: its price relative to the most expensive model's, or 1 if
 /// the service or model is unknown.
 pub fn model_weight(traffic: &Traffic, job: &Job, model: Option<&ModelId>) -> f64 {
     let view = traffic.shared.view.load();
