--- a/crates/tidetrack-plane/src/job.rs
+++ b/crates/tidetrack-plane/src/job.rs
@@ -48,7 +48,7 @@
     /// Pool of connections to endpoints.
     pub pool: Pool,
     budgets: RefCell<HashMap<ServiceId, AttemptBudget>>,
-    /// Estimates the latency of an attempt on a larger model of a cascade.
+    /// Estimates the latency of attempts, for the decision on another attempt on a larger model.
     pub latency_estimator: RefCell<LatencyEstimator>,
     /// Recent connection attempts that got no reply, by endpoint and failure domain.
     pub reachability: RefCell<ReachabilityTracker>,
@@ -131,7 +131,7 @@
     pub uri: Uri,
     /// Fingerprint that is the same when the caller sends the request again.
     pub fingerprint: Fingerprint,
-    /// Registration among the running requests, for the limits on suspects. Removed on drop.
+    /// Guard that counts this request as a running copy, for the limits on suspects.
     pub running_request: RunningRequest,
     /// Headers of the caller's request.
     pub headers: HeaderMap,
--- a/crates/tidetrack-plane/src/server.rs
+++ b/crates/tidetrack-plane/src/server.rs
@@ -35,7 +35,8 @@
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Time after which a connection of a page server is dropped if the client has not acknowledged sent bytes.
-/// Such a client is stalled or cut off, and it uses up part of the amount that a host serves concurrently.
+/// Such a client is stalled or cut off, and it uses up part of the limit on data that a host serves to all clients
+/// at the same time.
 const PAGE_UNACKED_TIMEOUT: Duration = Duration::from_millis(2_000);
 
 /// Maximum size in bytes of the HTTP library's write buffer for a page, in addition to one part of its body.
