--- a/crates/tidetrack-plane/src/crash.rs
+++ b/crates/tidetrack-plane/src/crash.rs
@@ -25,45 +25,45 @@
 
 /// Longest wait for the outcome of a new connection. Nobody answers in less than a way and back; an endpoint that
 /// gives no sign is not known to have ended.
-const LOOK_WITHIN: Duration = Duration::from_millis(150);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// Pause before the second look at an endpoint that took the new connection.
-const LOOK_AGAIN_AFTER: Duration = Duration::from_millis(30);
+const SECOND_PROBE_DELAY: Duration = Duration::from_millis(30);
 
 /// How long the outcome counts for other attempts that were cut at the same endpoint.
-const LOOK_KEPT: Duration = Duration::from_millis(500);
+const PROBE_RESULT_TTL: Duration = Duration::from_millis(500);
 
 /// A look whether an endpoint has ended.
-struct Look {
-    began: Instant,
+struct EndpointProbe {
+    started_at: Instant,
     /// Whether nobody listened at once, and whether nobody did a little later.
-    at_once: OnceCell<bool>,
-    later: OnceCell<bool>,
+    first_result: OnceCell<bool>,
+    second_result: OnceCell<bool>,
     /// When its end was known.
-    known_at: Cell<Option<Instant>>,
+    end_detected_at: Cell<Option<Instant>>,
 }
 
 /// Looks at endpoints whose connections broke, one at a time for each.
 #[derive(Default)]
-pub struct Looks(RefCell<HashMap<EndpointId, Rc<Look>>>);
+pub struct EndpointProbes(RefCell<HashMap<EndpointId, Rc<EndpointProbe>>>);
 
-impl Looks {
+impl EndpointProbes {
     /// Gets the look at an endpoint that is under way or not long over, or begins one.
-    fn at(&self, endpoint: &EndpointId) -> Rc<Look> {
-        let mut looks = self.0.borrow_mut();
-        looks.retain(|_, look| look.began.elapsed() < LOOK_KEPT);
-        let new = || Look {
-            began: Instant::now(),
-            at_once: OnceCell::new(),
-            later: OnceCell::new(),
-            known_at: Cell::new(None),
+    fn get_or_start(&self, endpoint: &EndpointId) -> Rc<EndpointProbe> {
+        let mut probes = self.0.borrow_mut();
+        probes.retain(|_, probe| probe.started_at.elapsed() < PROBE_RESULT_TTL);
+        let new_probe = || EndpointProbe {
+            started_at: Instant::now(),
+            first_result: OnceCell::new(),
+            second_result: OnceCell::new(),
+            end_detected_at: Cell::new(None),
         };
-        looks.entry(endpoint.clone()).or_insert_with(|| Rc::new(new())).clone()
+        probes.entry(endpoint.clone()).or_insert_with(|| Rc::new(new_probe())).clone()
     }
 }
 
 /// An attempt that was cut.
-struct Cut {
+struct InterruptedAttempt {
     request: String,
     fingerprint: Fingerprint,
     chosen: Chosen,
@@ -72,50 +72,55 @@
 
 /// Finds out whether an attempt that failed was cut by its endpoint's end, and takes note of that. Waits for the
 /// first look only; the rest goes on by itself, also where the caller leaves.
-pub async fn note_crash(
+pub async fn detect_crash(
     traffic: &Rc<Traffic>,
     job: &Job,
     chosen: &Chosen,
     e: &Error,
     sent_at: Instant,
 ) {
-    let is_cut =
+    let is_interrupted =
         matches!(e.disconnect_cause, Some(DisconnectCause::Closed | DisconnectCause::Reset));
-    if !is_cut || e.executed == Executed::No {
+    if !is_interrupted || e.executed == Executed::No {
         return;
     }
-    let look = traffic.looks.at(&chosen.id);
+    let probe = traffic.looks.get_or_start(&chosen.id);
     // What was sent to an endpoint that had ended already was not run there.
-    if look.known_at.get().is_some_and(|at| sent_at >= at) {
+    if probe.end_detected_at.get().is_some_and(|at| sent_at >= at) {
         return;
     }
     let (request, fingerprint) = (job.id.clone(), job.fingerprint);
-    let cut = Cut { request, fingerprint, chosen: chosen.clone(), sent_at };
+    let attempt = InterruptedAttempt { request, fingerprint, chosen: chosen.clone(), sent_at };
     let (tx, rx) = oneshot::channel();
-    tokio::task::spawn_local(cut.look(traffic.clone(), look, tx));
+    tokio::task::spawn_local(attempt.probe(traffic.clone(), probe, tx));
     // The other end is dropped without a word.
     let _ = rx.await;
 }
 
-impl Cut {
-    /// Looks at the endpoint; `first_look` is dropped once the first look is over and noted.
-    async fn look(self, traffic: Rc<Traffic>, look: Rc<Look>, first_look: oneshot::Sender<()>) {
-        let has_ended = |rest| has_ended(&traffic, &self.chosen, rest);
-        let mut is_over = *look.at_once.get_or_init(|| has_ended(Duration::ZERO)).await;
-        if !is_over {
-            drop(first_look);
-            tokio::time::sleep(LOOK_AGAIN_AFTER).await;
-            is_over = *look.later.get_or_init(|| has_ended(Duration::MAX)).await;
+impl InterruptedAttempt {
+    /// Looks at the endpoint; `first_done` is dropped once the first look is over and noted.
+    async fn probe(
+        self,
+        traffic: Rc<Traffic>,
+        probe: Rc<EndpointProbe>,
+        first_done: oneshot::Sender<()>,
+    ) {
+        let has_ended = |max_idle| refuses_connections(&traffic, &self.chosen, max_idle);
+        let mut is_ended = *probe.first_result.get_or_init(|| has_ended(Duration::ZERO)).await;
+        if !is_ended {
+            drop(first_done);
+            tokio::time::sleep(SECOND_PROBE_DELAY).await;
+            is_ended = *probe.second_result.get_or_init(|| has_ended(Duration::MAX)).await;
         }
-        traffic.shared.metrics.cut(is_over);
-        if is_over {
-            look.known_at.set(look.known_at.get().or_else(|| Some(Instant::now())));
-            self.note(&traffic);
+        traffic.shared.metrics.cut(is_ended);
+        if is_ended {
+            probe.end_detected_at.set(probe.end_detected_at.get().or_else(|| Some(Instant::now())));
+            self.record_crash(&traffic);
         }
     }
 
     /// Takes note of the endpoint's end.
-    fn note(&self, traffic: &Traffic) {
+    fn record_crash(&self, traffic: &Traffic) {
         let shared = &traffic.shared;
         let now = shared.now();
         let Chosen { id, failure_domain, live, .. } = &self.chosen;
@@ -139,10 +144,10 @@
 }
 
 /// Tells whether nobody listens at an endpoint's address any more. A connection to it that is kept and rested no longer
-/// than `most_rest` tells that somebody does.
-async fn has_ended(traffic: &Traffic, chosen: &Chosen, most_rest: Duration) -> bool {
-    let opened = traffic.pool.prepare(chosen.id.as_str(), &chosen.address, most_rest);
-    match tokio::time::timeout(LOOK_WITHIN, opened).await {
+/// than `max_idle` tells that somebody does.
+async fn refuses_connections(traffic: &Traffic, chosen: &Chosen, max_idle: Duration) -> bool {
+    let connect = traffic.pool.prepare(chosen.id.as_str(), &chosen.address, max_idle);
+    match tokio::time::timeout(PROBE_TIMEOUT, connect).await {
         Ok(Err(e)) => e.disconnect_cause == Some(DisconnectCause::Refused),
         Ok(Ok(())) | Err(_) => false,
     }
--- a/crates/tidetrack-plane/src/events.rs
+++ b/crates/tidetrack-plane/src/events.rs
@@ -3,10 +3,10 @@
 use bytes::{Bytes, BytesMut};
 
 /// Largest event that is waited for, in bytes; an engine's events are some hundred bytes.
-const MOST_EVENT_BYTES: usize = 1 << 20;
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// The name of the line that carries an event's id.
-const ID_LINE: &[u8] = b"id:";
+const ID_PREFIX: &[u8] = b"id:";
 
 /// One event, as it came.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -21,7 +21,7 @@
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buf: BytesMut,
-    searched: usize,
+    searched_len: usize,
 }
 
 impl EventSplitter {
@@ -33,25 +33,25 @@
     /// Takes out the next whole event.
     pub fn next_event(&mut self) -> Option<StreamEvent> {
         let end = self.find_end()?;
-        self.searched = 0;
+        self.searched_len = 0;
         let bytes = self.buf.split_to(end).freeze();
-        Some(StreamEvent { id: id_of(&bytes), bytes })
+        Some(StreamEvent { id: parse_event_id(&bytes), bytes })
     }
 
     /// Tells whether a part of an event is left.
-    pub fn has_part(&self) -> bool {
+    pub fn has_partial_event(&self) -> bool {
         !self.buf.is_empty()
     }
 
     /// Tells whether more than an event can hold is waiting.
     pub fn is_overlong(&self) -> bool {
-        self.buf.len() > MOST_EVENT_BYTES
+        self.buf.len() > MAX_EVENT_BYTES
     }
 
     /// Finds the end of the first event: a line end followed by an empty line.
     fn find_end(&mut self) -> Option<usize> {
-        let from = self.searched.saturating_sub(3);
-        for i in from..self.buf.len() {
+        let start = self.searched_len.saturating_sub(3);
+        for i in start..self.buf.len() {
             if self.buf[i] != b'\n' {
                 continue;
             }
@@ -63,12 +63,12 @@
                 return Some(i + 3);
             }
         }
-        self.searched = self.buf.len();
+        self.searched_len = self.buf.len();
         None
     }
 }
 
-fn id_of(event: &[u8]) -> Option<u64> {
-    let line = event.split(|b| *b == b'\n').find_map(|line| line.strip_prefix(ID_LINE))?;
+fn parse_event_id(event: &[u8]) -> Option<u64> {
+    let line = event.split(|b| *b == b'\n').find_map(|line| line.strip_prefix(ID_PREFIX))?;
     std::str::from_utf8(line).ok()?.trim().parse().ok()
 }
--- a/crates/tidetrack-plane/src/exchange.rs
+++ b/crates/tidetrack-plane/src/exchange.rs
@@ -25,17 +25,17 @@
 
 use tidetrack_core::units::Millis;
 
-use crate::attempt::{self, Answered};
-use crate::body::AnswerBody;
+use crate::attempt::{self, EndpointResponse};
+use crate::body::ResponseBody;
 use crate::choose::{check_before_send, choose, full, weight_of, RETRY_FULL_MS};
 use crate::clock::Moment;
-use crate::crash::note_crash;
+use crate::crash::detect_crash;
 use crate::dialect::RequestFacts;
 use crate::job::{Chosen, InFlight, Job, Traffic, Tries, WorkShare};
 use crate::relay;
-use crate::report::{answered_line, failed_attempt, observe, Seen};
-use crate::second_run::larger_model;
-use crate::send::{note_load, send};
+use crate::report::{record_failed_attempt, record_response, report_attempt, AttemptObservation};
+use crate::second_opinion::model_for_second_opinion;
+use crate::send::{record_reported_load, send};
 
 /// When to come back to a host that is stopping; another host takes the request at once.
 const RETRY_LEAVING_MS: u64 = 50;
@@ -44,7 +44,7 @@
 const START_LOOK: Duration = Duration::from_millis(10);
 
 /// Serves one request.
-pub async fn serve(traffic: Rc<Traffic>, req: Request<Incoming>) -> Response<AnswerBody> {
+pub async fn serve(traffic: Rc<Traffic>, req: Request<Incoming>) -> Response<ResponseBody> {
     let began = Instant::now();
     let in_flight = InFlight::new(&traffic);
     let facts = (traffic.shared.dialect.read_request)(req.headers());
@@ -103,7 +103,7 @@
     route: &str,
     began: Instant,
     e: &Error,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let shared = &traffic.shared;
     let ran = format!("{:?}", e.executed);
     let ms = began.elapsed().as_millis();
@@ -122,7 +122,7 @@
     );
     shared.metrics.request(route, &e.code.to_string());
     let resp = (shared.dialect.refusal)(e, attempt_id);
-    resp.map(AnswerBody::whole)
+    resp.map(ResponseBody::from_bytes)
 }
 
 /// Admits a request and reads its body.
@@ -225,11 +225,11 @@
 }
 
 /// Runs a request until an answer can be passed on, or there is nothing left to try.
-async fn run(traffic: &Rc<Traffic>, job: &Rc<Job>) -> Result<Response<AnswerBody>> {
+async fn run(traffic: &Rc<Traffic>, job: &Rc<Job>) -> Result<Response<ResponseBody>> {
     let route = &job.admitted.route;
     let mut tries = Tries::default();
     let mut model = cascade::first_model(route).cloned();
-    let mut fallback: Option<Response<AnswerBody>> = None;
+    let mut fallback: Option<Response<ResponseBody>> = None;
     loop {
         let sent = match try_once(traffic, job, &mut tries, model.as_ref()).await {
             Ok(sent) => sent,
@@ -240,15 +240,17 @@
         let status = answered.head.status;
         if status.is_success() {
             if let Some(larger) =
-                larger_model(traffic, job, &tries, model.as_ref(), &chosen, &answered).await
+                model_for_second_opinion(traffic, job, &tries, model.as_ref(), &chosen, &answered)
+                    .await
             {
                 // The second run was taken from the budget, and its endpoint reached, before the answer
                 // at hand is dropped.
                 tries.is_paid = true;
                 tries.note_ran(Executed::Yes);
                 chosen.live.record_outcome(traffic.shared.now(), true);
-                let seen = Seen::ended(AttemptOutcome::Superseded, began.elapsed());
-                observe(traffic, job, &chosen, model.as_ref(), &seen);
+                let seen =
+                    AttemptObservation::from_elapsed(AttemptOutcome::Superseded, began.elapsed());
+                report_attempt(traffic, job, &chosen, model.as_ref(), &seen);
                 model = Some(larger);
                 // Dropping the answer closes its connection, and the endpoint stops.
                 continue;
@@ -268,8 +270,8 @@
         tries.note_ran(Executed::Yes);
         let is_failure = status.is_server_error();
         let end = if is_failure { AttemptOutcome::Failed } else { AttemptOutcome::Complete };
-        let seen = Seen::ended(end, began.elapsed());
-        observe(traffic, job, &chosen, model.as_ref(), &seen);
+        let seen = AttemptObservation::from_elapsed(end, began.elapsed());
+        report_attempt(traffic, job, &chosen, model.as_ref(), &seen);
         chosen.live.record_outcome(traffic.shared.now(), !is_failure);
         let resp = whole_answer(traffic, job, answered, &chosen, model.as_ref()).await;
         drop(share);
@@ -290,7 +292,7 @@
 
 /// An answer with what belongs to its attempt.
 struct Sent {
-    answered: Answered,
+    answered: EndpointResponse,
     chosen: Chosen,
     share: WorkShare,
     began: Instant,
@@ -320,12 +322,12 @@
                 traffic.outlook.borrow_mut().record_response_start(&job.service, work, us);
             }
             share.answer_began();
-            note_load(traffic, &chosen, &answered);
+            record_reported_load(traffic, &chosen, &answered);
             Ok(Sent { answered, chosen, share, began })
         }
         Err(e) => {
-            failed_attempt(traffic, job, &chosen, model, &e, began.elapsed());
-            note_crash(traffic, job, &chosen, &e, began).await;
+            record_failed_attempt(traffic, job, &chosen, model, &e, began.elapsed());
+            detect_crash(traffic, job, &chosen, &e, began).await;
             tries.note_ran(e.executed);
             match may_go_on(job, tries) {
                 true => Err(Stop::Again),
@@ -372,24 +374,24 @@
     tries: &mut Tries,
     model: Option<&ModelId>,
     sent: Sent,
-) -> Result<Response<AnswerBody>> {
+) -> Result<Response<ResponseBody>> {
     let Sent { answered, chosen, share, began } = sent;
     if job.admitted.route.work.is_stream() {
         let model = model.cloned();
-        let stream = relay::Stream::new(traffic, job, model, answered, chosen, share, began);
-        return stream.begin(tries).await;
+        let stream = relay::StreamRelay::new(traffic, job, model, answered, chosen, share, began);
+        return stream.start(tries).await;
     }
     let resp = match whole_answer(traffic, job, answered, &chosen, model).await {
         Ok(resp) => resp,
         Err(e) => {
-            failed_attempt(traffic, job, &chosen, model, &e, began.elapsed());
-            note_crash(traffic, job, &chosen, &e, began).await;
+            record_failed_attempt(traffic, job, &chosen, model, &e, began.elapsed());
+            detect_crash(traffic, job, &chosen, &e, began).await;
             return Err(e);
         }
     };
     chosen.live.record_outcome(traffic.shared.now(), true);
-    let seen = Seen::ended(AttemptOutcome::Complete, began.elapsed());
-    observe(traffic, job, &chosen, model, &seen);
+    let seen = AttemptObservation::from_elapsed(AttemptOutcome::Complete, began.elapsed());
+    report_attempt(traffic, job, &chosen, model, &seen);
     drop(share);
     Ok(resp)
 }
@@ -398,22 +400,22 @@
 async fn whole_answer(
     traffic: &Traffic,
     job: &Job,
-    answered: Answered,
+    answered: EndpointResponse,
     chosen: &Chosen,
     model: Option<&ModelId>,
-) -> Result<Response<AnswerBody>> {
-    let shows_good_end = answered.shows_good_end();
-    let Answered { head, facts, body, lease } = answered;
+) -> Result<Response<ResponseBody>> {
+    let proves_completion = answered.proves_completion();
+    let EndpointResponse { head, facts, body, lease } = answered;
     let until = tokio::time::Instant::from_std(job.until);
     let late = |_| Error::new(Code::Deadline, "the answer was not whole in time");
     let collected = tokio::time::timeout_at(until, attempt::collect(body, lease));
     let (body, lease) = collected.await.map_err(late)??;
-    traffic.pool.keep(chosen.id.as_str(), lease, facts.idle_time);
-    if shows_good_end {
+    traffic.pool.release(chosen.id.as_str(), lease, facts.idle_time);
+    if proves_completion {
         traffic.shared.suspects.record_completion(traffic.shared.now(), job.fingerprint);
     }
-    answered_line(traffic, job, chosen, model, head.status.as_u16());
-    let mut resp = Response::new(AnswerBody::whole(body));
+    record_response(traffic, job, chosen, model, head.status.as_u16());
+    let mut resp = Response::new(ResponseBody::from_bytes(body));
     *resp.status_mut() = head.status;
     *resp.headers_mut() = (traffic.shared.dialect.caller_head)(head.headers);
     Ok(resp)
--- a/crates/tidetrack-plane/src/feed.rs
+++ b/crates/tidetrack-plane/src/feed.rs
@@ -24,7 +24,7 @@
 use tidetrack_core::traffic::feeds::{FeedKind, ReplyLimiter};
 use tidetrack_core::units::Millis;
 
-use crate::call::{call, down, Gate, Patience, Reply};
+use crate::call::{call, unavailable_error, CallTimeouts, LargeReplyControl, Reply};
 use crate::pool::Pool;
 use crate::server::{listen, serve_pages};
 use crate::shared::{Shared, SharedRef};
@@ -151,19 +151,19 @@
     address: SocketAddr,
     kind: FeedKind,
     after: u64,
-    gate: &Gate<'_>,
+    gate: &LargeReplyControl<'_>,
 ) -> Result<(Told, Reply)> {
     let mut req = Request::new(Full::new(Bytes::new()));
     let path = format!("/changes/{kind:?}/{after}");
-    *req.uri_mut() = path.parse().map_err(|e| down(format!("{path}: {e}")))?;
+    *req.uri_mut() = path.parse().map_err(|e| unavailable_error(format!("{path}: {e}")))?;
     let address = address.to_string();
-    let patience = Patience { head: ANSWER_WITHIN, part: ANSWER_WITHIN };
+    let patience = CallTimeouts { head: ANSWER_WITHIN, part: ANSWER_WITHIN };
     let reply = call(pool, &address, &address, req, patience, Some(gate)).await?;
     if reply.status != StatusCode::OK {
-        return Err(down(format!("the host answered {}", reply.status)));
+        return Err(unavailable_error(format!("the host answered {}", reply.status)));
     }
     let told = postcard::from_bytes(&reply.body);
-    Ok((told.map_err(|e| down(format!("changes that cannot be read: {e}")))?, reply))
+    Ok((told.map_err(|e| unavailable_error(format!("changes that cannot be read: {e}")))?, reply))
 }
 
 /// Gives this host's changes to others, until the process ends; `told` looks them up.
--- a/crates/tidetrack-plane/src/host.rs
+++ b/crates/tidetrack-plane/src/host.rs
@@ -188,5 +188,5 @@
         let view = traffic.shared.view.load();
         view.services.values().any(|s| s.has_endpoint(name))
     };
-    traffic.pool.keep_swept(is_listed).await;
+    traffic.pool.run_expiry(is_listed).await;
 }
--- a/crates/tidetrack-plane/src/job.rs
+++ b/crates/tidetrack-plane/src/job.rs
@@ -26,7 +26,7 @@
 use tidetrack_core::units::{Millis, Tokens};
 
 use crate::clock::Moment;
-use crate::crash::Looks;
+use crate::crash::EndpointProbes;
 use crate::dialect::RequestFacts;
 use crate::pool::Pool;
 use crate::shared::SharedRef;
@@ -53,7 +53,7 @@
     /// Connects of late that gave no sign of life.
     pub reach: RefCell<ReachabilityTracker>,
     /// Whether endpoints ended whose connections broke.
-    pub looks: Looks,
+    pub looks: EndpointProbes,
     /// Requests that are not answered in full yet.
     pub in_flight: Cell<usize>,
     /// Whether new requests are refused because the host stops.
@@ -68,10 +68,10 @@
         Traffic {
             reach,
             shared,
-            pool: Pool::to_endpoints(),
+            pool: Pool::for_endpoints(),
             budgets: RefCell::default(),
             outlook: RefCell::default(),
-            looks: Looks::default(),
+            looks: EndpointProbes::default(),
             in_flight: Cell::new(0),
             refuses: Cell::new(false),
             numbers: Cell::new(0),
--- a/crates/tidetrack-plane/src/report.rs
+++ b/crates/tidetrack-plane/src/report.rs
@@ -13,19 +13,19 @@
 use tidetrack_core::units::Millis;
 
 use crate::job::{Chosen, Job, Traffic};
-use crate::pool::CONNECT_WITHIN;
+use crate::pool::CONNECT_TIMEOUT;
 
 /// Logs a failed attempt and lets it count against the endpoint.
-pub fn failed_attempt(
+pub fn record_failed_attempt(
     traffic: &Traffic,
     job: &Job,
     chosen: &Chosen,
     model: Option<&ModelId>,
     e: &Error,
-    took: Duration,
+    elapsed: Duration,
 ) {
     let shared = &traffic.shared;
-    let ran = format!("{:?}", e.executed);
+    let executed = format!("{:?}", e.executed);
     shared.journal.line(
         Event::AttemptFailed,
         &[
@@ -34,67 +34,68 @@
             ("code", &e.code),
             ("why", &e.message),
             ("broke", &e.disconnect_cause.map_or("-", DisconnectCause::as_str)),
-            ("ran", &ran),
-            ("ms", &took.as_millis()),
+            ("ran", &executed),
+            ("ms", &elapsed.as_millis()),
         ],
     );
     shared.metrics.attempt("failed");
-    if let Some(broke) = e.disconnect_cause {
-        shared.metrics.broke(broke);
+    if let Some(cause) = e.disconnect_cause {
+        shared.metrics.broke(cause);
     }
     match e.code {
         // A refusal for want of room says nothing about the endpoint's health.
         Code::EndpointRefused => {}
         // Neither does slowness of an endpoint that serves others, but it counts as a long time.
         Code::Deadline => {
-            let since = Millis(shared.now().0.saturating_sub(took.as_millis() as u64));
+            let since = Millis(shared.now().0.saturating_sub(elapsed.as_millis() as u64));
             if chosen.live.was_active_since(since) {
-                let seen = Seen::ended(AttemptOutcome::TimedOut, took);
-                observe(traffic, job, chosen, model, &seen);
+                let observation =
+                    AttemptObservation::from_elapsed(AttemptOutcome::TimedOut, elapsed);
+                report_attempt(traffic, job, chosen, model, &observation);
             } else {
                 chosen.live.record_silence(shared.now());
             }
         }
         Code::EndpointUnreachable if e.disconnect_cause == Some(DisconnectCause::TimedOut) => {
-            gave_no_sign(traffic, chosen, took);
+            record_connect_timeout(traffic, chosen, elapsed);
         }
         Code::EndpointUnreachable | Code::EndpointMoved => {
             chosen.live.record_unreachable(shared.now());
-            traffic.pool.forget(chosen.id.as_str());
+            traffic.pool.close_idle(chosen.id.as_str());
         }
         // A break is the endpoint's end or the network's doing, and says nothing of its version.
         _ => {
             chosen.live.record_outcome(shared.now(), false);
-            traffic.pool.forget(chosen.id.as_str());
+            traffic.pool.close_idle(chosen.id.as_str());
         }
     }
 }
 
 /// Lets a connect that gave no sign of life count against its endpoint, or against the way.
-fn gave_no_sign(traffic: &Traffic, chosen: &Chosen, took: Duration) {
+fn record_connect_timeout(traffic: &Traffic, chosen: &Chosen, elapsed: Duration) {
     // One that ended with its request's time says nothing.
-    if took < CONNECT_WITHIN {
+    if elapsed < CONNECT_TIMEOUT {
         return;
     }
     let now = traffic.shared.now();
     let ago = |time: Duration| Millis(now.0.saturating_sub(time.as_millis() as u64));
-    let prompt_at = traffic.pool.prompt_at().map(|at| ago(at.elapsed()));
+    let last_prompt_at = traffic.pool.last_prompt_at().map(|at| ago(at.elapsed()));
     let connect = FailedConnect {
         endpoint: chosen.id.clone(),
         failure_domain: chosen.failure_domain.clone(),
         live: chosen.live.clone(),
-        began: ago(took),
+        began: ago(elapsed),
         ended: now,
     };
-    let blame = traffic.reach.borrow_mut().record_failed_connect(connect, prompt_at);
-    traffic.shared.metrics.no_sign(blame.as_str());
-    if blame == FailureCause::Endpoint {
-        traffic.pool.forget(chosen.id.as_str());
+    let cause = traffic.reach.borrow_mut().record_failed_connect(connect, last_prompt_at);
+    traffic.shared.metrics.no_sign(cause.as_str());
+    if cause == FailureCause::Endpoint {
+        traffic.pool.close_idle(chosen.id.as_str());
     }
 }
 
 /// Logs and counts a request whose answer is passed on.
-pub fn answered_line(
+pub fn record_response(
     traffic: &Traffic,
     job: &Job,
     chosen: &Chosen,
@@ -102,7 +103,7 @@
     status: u16,
 ) {
     let shared = &traffic.shared;
-    let took = job.began.elapsed();
+    let elapsed = job.began.elapsed();
     let route = job.admitted.route.name.as_str();
     let fields: [(&'static str, &dyn std::fmt::Display); 6] = [
         ("request", &job.id),
@@ -110,52 +111,58 @@
         ("endpoint", &chosen.id),
         ("model", &model.map_or("-", ModelId::as_str)),
         ("status", &status),
-        ("ms", &took.as_millis()),
+        ("ms", &elapsed.as_millis()),
     ];
     match status < 500 {
         true => shared.journal.routine(Event::RequestDone, &fields),
         false => shared.journal.line(Event::RequestDone, &fields),
     }
     shared.metrics.request(route, &status.to_string());
-    shared.metrics.objective(route, status < 400 && took <= job.objective());
-    shared.metrics.first_byte(route, took.as_secs_f64() * 1_000.0);
+    shared.metrics.objective(route, status < 400 && elapsed <= job.objective());
+    shared.metrics.first_byte(route, elapsed.as_secs_f64() * 1_000.0);
     shared.metrics.attempt("answered");
 }
 
 /// What was seen of an attempt, as far as it came.
-pub struct Seen {
+pub struct AttemptObservation {
     /// How it ended.
-    pub end: AttemptOutcome,
+    pub outcome: AttemptOutcome,
     /// Time to the answer, of a stream to its first event.
-    pub head: Option<Duration>,
+    pub response_time: Option<Duration>,
     /// Mean milliseconds between the events of a stream.
-    pub gap_ms: Option<f64>,
+    pub mean_gap_ms: Option<f64>,
     /// Whether its pace was told before; it is only logged then.
-    pub is_told: bool,
+    pub is_pace_reported: bool,
 }
 
-impl Seen {
+impl AttemptObservation {
     /// Makes what was seen of an attempt that has only a time.
-    pub fn ended(end: AttemptOutcome, took: Duration) -> Seen {
-        Seen { end, head: Some(took), gap_ms: None, is_told: false }
+    pub fn from_elapsed(outcome: AttemptOutcome, elapsed: Duration) -> AttemptObservation {
+        AttemptObservation {
+            outcome,
+            response_time: Some(elapsed),
+            mean_gap_ms: None,
+            is_pace_reported: false,
+        }
     }
 }
 
 /// Tells the control thread what was seen of an attempt, and logs it if a version under roll-out had it.
-pub fn observe(
+pub fn report_attempt(
     traffic: &Traffic,
     job: &Job,
     chosen: &Chosen,
     model: Option<&ModelId>,
-    seen: &Seen,
+    observation: &AttemptObservation,
 ) {
     let shared = &traffic.shared;
     let load = chosen.live.load(shared.now());
-    let head_ms = seen.head.map(|d| d.as_secs_f64() * 1_000.0);
-    let has_failed_before =
-        job.has_failed.replace(job.has_failed.get() || seen.end == AttemptOutcome::Failed);
+    let head_ms = observation.response_time.map(|d| d.as_secs_f64() * 1_000.0);
+    let has_failed_before = job
+        .has_failed
+        .replace(job.has_failed.get() || observation.outcome == AttemptOutcome::Failed);
     if let Some(version) = &chosen.new_version {
-        shared.metrics.version_attempt(job.service.as_str(), seen.end.as_str());
+        shared.metrics.version_attempt(job.service.as_str(), observation.outcome.as_str());
         shared.journal.routine(
             Event::VersionSeen,
             &[
@@ -164,16 +171,16 @@
                 ("endpoint", &chosen.id),
                 ("version", version),
                 ("model", &model.map_or("-", ModelId::as_str)),
-                ("end", &seen.end.as_str()),
+                ("end", &observation.outcome.as_str()),
                 ("has_failed", &has_failed_before),
                 ("head_ms", &format_args!("{:.0}", head_ms.unwrap_or(-1.0))),
-                ("gap_ms", &format_args!("{:.1}", seen.gap_ms.unwrap_or(-1.0))),
+                ("gap_ms", &format_args!("{:.1}", observation.mean_gap_ms.unwrap_or(-1.0))),
                 ("load", &format_args!("{load:.0}")),
                 ("loaded", &chosen.is_loaded),
             ],
         );
     }
-    if seen.is_told {
+    if observation.is_pace_reported {
         return;
     }
     shared.tell(Input::ResponseObserved(ObservedResponse {
@@ -183,11 +190,11 @@
         is_load_concentrated: chosen.is_loaded,
         route: job.admitted.route.name.clone(),
         model: model.cloned(),
-        outcome: seen.end,
+        outcome: observation.outcome,
         has_failed_before,
         is_stream: job.admitted.route.work.is_stream(),
         load,
         head_ms,
-        gap_ms: seen.gap_ms,
+        gap_ms: observation.mean_gap_ms,
     }));
 }
--- a/crates/tidetrack-plane/src/send.rs
+++ b/crates/tidetrack-plane/src/send.rs
@@ -13,42 +13,42 @@
 use tidetrack_core::traffic::control::Input;
 use tidetrack_core::units::{Millis, Tokens};
 
-use crate::attempt::{self, Answered, Attempt, Echo};
+use crate::attempt::{self, Attempt, EndpointResponse, IdEcho};
 use crate::choose::take_next_send;
 use crate::dialect::{AnswerFacts, Handover};
 use crate::job::{Chosen, Held, Job, Traffic, Tries};
-use crate::patience::wait_running;
-use crate::pool::most_rest;
+use crate::pool::max_idle_time;
+use crate::stall_aware_sleep::stall_aware_sleep;
 
 /// Work, in answer tokens, that one request counts as which an endpoint tells as running. An engine reads
 /// prompts one after another, but makes the tokens of all that run together, so what runs adds little.
-const RUNNING_WORK: u64 = 40;
+const WORK_PER_RUNNING_REQUEST: u64 = 40;
 
 /// Work, in answer tokens, that one request counts as which an endpoint tells as waiting.
-const WAITING_WORK: u64 = 400;
+const WORK_PER_WAITING_REQUEST: u64 = 400;
 
 /// Multiple of the objective after which an attempt is given up at an endpoint from which nothing came
 /// meanwhile. An endpoint that is gone is noticed by its connection, 1.2 s after a request that it does
 /// not acknowledge was first repeated and 2 s after its last sign of life; one that is only busy would
 /// have its work thrown away, and a host of a large fleet hears little from each endpoint.
-const SILENT_TIMES: f64 = 1.6;
+const SILENT_TIMEOUT_RATIO: f64 = 1.6;
 
 /// Multiple of the objective after which an attempt is given up although its endpoint still serves
 /// other requests.
-const SLOW_TIMES: f64 = 3.0;
+const SLOW_TIMEOUT_RATIO: f64 = 3.0;
 
 /// Least patience with an attempt, for objectives shorter than an endpoint's usual time.
-const LEAST_PATIENCE: Duration = Duration::from_millis(150);
+const MIN_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Sends a request to a chosen endpoint; `goes_on_after` is the last event of a run that it goes on.
+/// Sends a request to a chosen endpoint; `resume_after` is the last event of a run that it goes on.
 pub async fn send(
     traffic: &Traffic,
     job: &Job,
     tries: &mut Tries,
     chosen: &Chosen,
     model: Option<&ModelId>,
-    goes_on_after: Option<u64>,
-) -> Result<Answered> {
+    resume_after: Option<u64>,
+) -> Result<EndpointResponse> {
     let shared = &traffic.shared;
     chosen.live.record_send(shared.now());
     tries.tried.push(chosen.id.clone());
@@ -82,57 +82,57 @@
     // A run that goes on, or in a silent endpoint's place, gets a new connection: where one comes up, the
     // way to the endpoint is open, and its answer will be here soon after it begins. A kept one proves
     // nothing, and the silent endpoint would be let go for it.
-    let most_rest = match goes_on_after.is_some() || tries.held.is_some() {
+    let max_idle = match resume_after.is_some() || tries.held.is_some() {
         true => Duration::ZERO,
-        false => most_rest(job.admitted.route.work.is_repeatable()),
+        false => max_idle_time(job.admitted.route.work.is_repeatable()),
     };
     let attempt = Attempt {
         pool: &traffic.pool,
-        read_answer: shared.dialect.read_answer,
-        seen: &|facts| note_limit(traffic, chosen, facts),
+        parse_head: shared.dialect.read_answer,
+        on_head: &|facts| record_reported_limit(traffic, chosen, facts),
         endpoint: chosen.id.as_str(),
         address: &chosen.address,
         attempt_id: job.facts.attempt_id.as_deref(),
-        echo: Echo::Always,
+        echo: IdEcho::Required,
         is_repeatable: job.admitted.route.work.is_repeatable(),
-        most_rest,
-        until: job.until,
+        max_idle,
+        deadline: job.until,
     };
-    let held = tries.held.clone();
-    if let Some(held) = &held {
-        held.connects();
+    let silent_endpoint = tries.held.clone();
+    if let Some(silent_endpoint) = &silent_endpoint {
+        silent_endpoint.connects();
     }
-    let make = || {
-        if let Some(held) = &held {
-            held.writes();
+    let make_request = || {
+        if let Some(silent_endpoint) = &silent_endpoint {
+            silent_endpoint.writes();
         }
-        make_request(traffic, job, chosen, model, goes_on_after)
+        build_request(traffic, job, chosen, model, resume_after)
     };
-    let began = Instant::now();
-    let sent = tokio::select! {
+    let started_at = Instant::now();
+    let response = tokio::select! {
         biased;
-        sent = attempt::send(&attempt, make) => sent,
-        () = impatience(traffic, job, tries, chosen, model) => {
+        response = attempt::send(&attempt, make_request) => response,
+        () = wait_for_attempt_timeout(traffic, job, tries, chosen, model) => {
             Err(Error::new(Code::Deadline, "no answer in time").with_executed(Executed::Unknown))
         }
     };
-    match &sent {
+    match &response {
         Ok(_) => {
             chosen.live.record_activity(shared.now());
-            traffic.pool.came(began);
+            traffic.pool.record_response(started_at);
         }
         Err(e) if e.code == Code::EndpointUnreachable => {
             tries.not_reached.push(chosen.id.clone());
-            reached_nobody(traffic, job, tries);
+            refund_unreached_attempt(traffic, job, tries);
         }
         Err(_) => {}
     }
-    sent
+    response
 }
 
 /// Takes an attempt back that reached no endpoint: it counts neither as one of the request's nor in
 /// the budget. Each search for an endpoint has as many of these for nothing as the request has attempts.
-fn reached_nobody(traffic: &Traffic, job: &Job, tries: &mut Tries) {
+fn refund_unreached_attempt(traffic: &Traffic, job: &Job, tries: &mut Tries) {
     if tries.unreached >= job.admitted.route.max_attempts {
         return;
     }
@@ -145,23 +145,28 @@
 
 /// Takes note that the attempt under way is dropped, as the endpoint in whose place it was made spoke
 /// again. Its endpoint may be asked again; before its request was written it cost nothing.
-pub fn drop_attempt(traffic: &Traffic, job: &Job, tries: &mut Tries, held: &Held) {
+pub fn record_dropped_attempt(
+    traffic: &Traffic,
+    job: &Job,
+    tries: &mut Tries,
+    silent_endpoint: &Held,
+) {
     tries.tried.pop();
-    if held.is_connecting() {
-        reached_nobody(traffic, job, tries);
+    if silent_endpoint.is_connecting() {
+        refund_unreached_attempt(traffic, job, tries);
     }
 }
 
-fn make_request(
+fn build_request(
     traffic: &Traffic,
     job: &Job,
     chosen: &Chosen,
     model: Option<&ModelId>,
     last_event: Option<u64>,
 ) -> Request<Full<Bytes>> {
-    let left = job.time_left();
+    let remaining = job.time_left();
     let handover = Handover {
-        time_left: Millis(left.as_millis() as u64),
+        time_left: Millis(remaining.as_millis() as u64),
         endpoint: &chosen.id,
         workspace: job.admitted.holder.as_ref().map(|h| &h.workspace),
         rank: job.is_engine().then(|| job.admitted.rank()),
@@ -179,7 +184,7 @@
 /// Waits until an attempt is to be given up for another one: soon if the endpoint has fallen silent
 /// altogether, later if it is only slow. Without another one to be had it is waited for, as the answer
 /// may still be made.
-async fn impatience(
+async fn wait_for_attempt_timeout(
     traffic: &Traffic,
     job: &Job,
     tries: &mut Tries,
@@ -190,13 +195,13 @@
     if tries.sent >= route.max_attempts || !route.work.is_repeatable() {
         return std::future::pending().await;
     }
-    let silent = job.objective().mul_f64(SILENT_TIMES).max(LEAST_PATIENCE);
-    let slow = job.objective().mul_f64(SLOW_TIMES).max(LEAST_PATIENCE * 2);
+    let silent_timeout = job.objective().mul_f64(SILENT_TIMEOUT_RATIO).max(MIN_ATTEMPT_TIMEOUT);
+    let slow_timeout = job.objective().mul_f64(SLOW_TIMEOUT_RATIO).max(MIN_ATTEMPT_TIMEOUT * 2);
     loop {
         let since = traffic.shared.now();
-        wait_running(silent).await;
+        stall_aware_sleep(silent_timeout).await;
         if chosen.live.was_active_since(since) {
-            wait_running(slow.saturating_sub(silent)).await;
+            stall_aware_sleep(slow_timeout.saturating_sub(silent_timeout)).await;
         }
         if take_next_send(traffic, job, tries, model) {
             return;
@@ -206,7 +211,7 @@
 
 /// Takes the limit that an endpoint names with an answer, or that it names none. A refusal may come from a part of it
 /// that knows of no limit, so one that names none says nothing.
-fn note_limit(traffic: &Traffic, chosen: &Chosen, facts: &AnswerFacts) {
+fn record_reported_limit(traffic: &Traffic, chosen: &Chosen, facts: &AnswerFacts) {
     if facts.did_not_run && facts.limit.is_none() {
         return;
     }
@@ -216,9 +221,10 @@
 }
 
 /// Takes the load that an endpoint tells with an answer.
-pub fn note_load(traffic: &Traffic, chosen: &Chosen, answered: &Answered) {
+pub fn record_reported_load(traffic: &Traffic, chosen: &Chosen, answered: &EndpointResponse) {
     if let Some(load) = answered.facts.load {
-        let work = load.running * RUNNING_WORK + load.waiting * WAITING_WORK;
+        let work =
+            load.running * WORK_PER_RUNNING_REQUEST + load.waiting * WORK_PER_WAITING_REQUEST;
         chosen.live.record_load_report(traffic.shared.now(), work, Tokens(0));
     }
 }
--- a/crates/tidetrack-plane/src/server.rs
+++ b/crates/tidetrack-plane/src/server.rs
@@ -23,7 +23,7 @@
 use tidetrack_core::events::Event;
 use tidetrack_core::traffic::catalog::CallerLimits;
 
-use crate::body::AnswerBody;
+use crate::body::ResponseBody;
 use crate::closes::{CloseReason, Closed};
 use crate::shared::{Shared, SharedRef};
 
@@ -275,7 +275,7 @@
 pub type Handler = Rc<dyn Fn(Request<Incoming>) -> Pin<Box<dyn Future<Output = Answer>>>>;
 
 /// What a handler gives back.
-pub type Answer = Response<AnswerBody>;
+pub type Answer = Response<ResponseBody>;
 
 /// How callers are served.
 #[derive(Clone)]
@@ -405,8 +405,8 @@
 }
 
 /// Makes a short plain answer.
-fn plain(status: StatusCode, text: impl Into<Bytes>) -> Response<AnswerBody> {
-    let mut resp = Response::new(AnswerBody::whole(text.into()));
+fn plain(status: StatusCode, text: impl Into<Bytes>) -> Response<ResponseBody> {
+    let mut resp = Response::new(ResponseBody::from_bytes(text.into()));
     *resp.status_mut() = status;
     resp
 }
@@ -459,7 +459,7 @@
     serve_pages(shared, listener, move |req| small_page(&of_page, req)).await;
 }
 
-fn small_page(shared: &Shared, req: &Request<Incoming>) -> Response<AnswerBody> {
+fn small_page(shared: &Shared, req: &Request<Incoming>) -> Response<ResponseBody> {
     match req.uri().path() {
         path if path == shared.dialect.readiness_path => match shared.is_ready() {
             true => plain(StatusCode::OK, "ready\n"),
--- a/crates/tidetrack-plane/src/store.rs
+++ b/crates/tidetrack-plane/src/store.rs
@@ -15,7 +15,7 @@
 use tidetrack_core::events::Event;
 use tidetrack_core::units::Millis;
 
-use crate::call::{self, down, Gate, Patience, Reply};
+use crate::call::{self, unavailable_error, CallTimeouts, LargeReplyControl, Reply};
 use crate::dialect::{Age, FeedKind, Page, StoreCall, Stored, Unreadable};
 use crate::pool::Pool;
 use crate::shared::SharedRef;
@@ -127,7 +127,7 @@
         call: &StoreCall,
         purpose: Purpose,
         wait: Duration,
-        gate: Option<&Gate<'_>>,
+        gate: Option<&LargeReplyControl<'_>>,
     ) -> Result<Reply> {
         let result = self.call_uncounted(call, wait, gate).await;
         let outcome = match &result {
@@ -144,12 +144,13 @@
         &self,
         call: &StoreCall,
         wait: Duration,
-        gate: Option<&Gate<'_>>,
+        gate: Option<&LargeReplyControl<'_>>,
     ) -> Result<Reply> {
-        let patience = Patience { head: wait + CALL_WITHIN, part: CALL_WITHIN };
+        let patience = CallTimeouts { head: wait + CALL_WITHIN, part: CALL_WITHIN };
         let mut req = Request::new(Full::new(call.body.clone()));
         *req.method_mut() = call.method.clone();
-        *req.uri_mut() = call.path.parse().map_err(|e| down(format!("{}: {e}", call.path)))?;
+        *req.uri_mut() =
+            call.path.parse().map_err(|e| unavailable_error(format!("{}: {e}", call.path)))?;
         if !call.body.is_empty() {
             let json = http::HeaderValue::from_static("application/json");
             req.headers_mut().insert(http::header::CONTENT_TYPE, json);
@@ -163,12 +164,12 @@
             StatusCode::TOO_MANY_REQUESTS => {
                 Err(Error::new(Code::PlatformBusy, "the store is over its rate"))
             }
-            status => Err(down(format!("the store answered {status}"))),
+            status => Err(unavailable_error(format!("the store answered {status}"))),
         }
     }
 
     /// Lists a kind, page by page.
-    pub async fn list(&self, purpose: Purpose, gate: &Gate<'_>) -> Result<Listed> {
+    pub async fn list(&self, purpose: Purpose, gate: &LargeReplyControl<'_>) -> Result<Listed> {
         let Purpose { kind, age, .. } = purpose;
         let dialect = &self.shared.dialect.store;
         let began = self.shared.now();
--- a/crates/tidetrack-plane/src/watch/catch.rs
+++ b/crates/tidetrack-plane/src/watch/catch.rs
@@ -10,7 +10,7 @@
 use tidetrack_core::traffic::feeds::{Fetch, FetchSource};
 use tidetrack_core::units::Millis;
 
-use crate::call::needless;
+use crate::call::not_needed_error;
 use crate::dialect::FeedKind;
 use crate::feed;
 use crate::store::Cause;
@@ -40,10 +40,10 @@
         if std::mem::replace(&mut self.is_waiting.borrow_mut()[kind as usize], true) {
             return;
         }
-        self.large[kind as usize].is_free().await;
+        self.large[kind as usize].wait_until_free().await;
         self.is_waiting.borrow_mut()[kind as usize] = false;
         let result = match catch.source {
-            _ if self.newest(kind) > after => Err(needless()),
+            _ if self.newest(kind) > after => Err(not_needed_error()),
             FetchSource::Host(address) => self.ask_host(kind, after, address).await,
             // Of several versions only the newest is wanted, and who knows nothing wants all.
             FetchSource::Store if kind.is_single_object() || after == 0 => {
--- a/crates/tidetrack-plane/src/watch/mod.rs
+++ b/crates/tidetrack-plane/src/watch/mod.rs
@@ -21,7 +21,7 @@
 use tidetrack_core::traffic::control::{HostRoles, Input};
 use tidetrack_core::traffic::feeds::Revisions;
 
-use crate::call::{Gate, OneAtATime};
+use crate::call::{LargeReplyControl, LargeReplyLimiter};
 use crate::dialect::FeedKind;
 use crate::feed::{self, FeedLog, Told};
 use crate::pool::Pool;
@@ -45,7 +45,7 @@
     /// The newest known change, by kind.
     newest: RefCell<Revisions>,
     /// By kind, where large replies wait for each other.
-    large: [OneAtATime; 3],
+    large: [LargeReplyLimiter; 3],
     /// By kind, whether a try waits until no large reply is coming in.
     is_waiting: RefCell<[bool; 3]>,
     /// By kind, whether a host that starts lists it from the store.
@@ -93,7 +93,7 @@
         let address = shared.settings.peer_address;
         tokio::task::spawn_local(feed::serve(shared, address, told));
         let swept = watches.clone();
-        tokio::task::spawn_local(async move { swept.hosts.keep_swept(|_| true).await });
+        tokio::task::spawn_local(async move { swept.hosts.run_expiry(|_| true).await });
         watches
     }
 
@@ -120,11 +120,11 @@
 
     /// Lets a large reply in that was asked for after a revision, unless the next changes came otherwise
     /// while it waited; a list is always needed.
-    fn gate(&self, kind: FeedKind, after: Option<u64>) -> Gate<'_> {
-        Gate {
-            turns: &self.large[kind as usize],
-            is_needless: Box::new(move || after.is_some_and(|after| self.newest(kind) > after)),
-            is_coming: Box::new(move || self.shared.tell(Input::ReplyStarted(kind))),
+    fn gate(&self, kind: FeedKind, after: Option<u64>) -> LargeReplyControl<'_> {
+        LargeReplyControl {
+            limiter: &self.large[kind as usize],
+            is_obsolete: Box::new(move || after.is_some_and(|after| self.newest(kind) > after)),
+            on_progress: Box::new(move || self.shared.tell(Input::ReplyStarted(kind))),
         }
     }
 
--- a/crates/tidetrack-plane/src/watch/proof.rs
+++ b/crates/tidetrack-plane/src/watch/proof.rs
@@ -48,7 +48,7 @@
                 is_back = false;
             }
             // A configuration that is coming in is not the newest until it has come, and neither is ours.
-            let is_coming = self.large[FeedKind::Catalog as usize].is_taken();
+            let is_coming = self.large[FeedKind::Catalog as usize].is_busy();
             if (age < wanted && !is_back) || is_coming {
                 continue;
             }
--- a/crates/tidetrack-plane/tests/call.rs
+++ b/crates/tidetrack-plane/tests/call.rs
@@ -7,7 +7,7 @@
 
 use tidetrack_core::traffic::feeds::{FeedKind, FeedTracker, Fetch, FetchSource, Revisions};
 use tidetrack_core::units::Millis;
-use tidetrack_plane::call::{Gate, OneAtATime};
+use tidetrack_plane::call::{LargeReplyControl, LargeReplyLimiter};
 use tidetrack_plane::feed;
 use tidetrack_plane::pool::Pool;
 use tokio::task::LocalSet;
@@ -60,11 +60,13 @@
     told.raise(FeedKind::Endpoints, TOLD);
     let began = Instant::now();
     feeds.borrow_mut().receive_revisions(at(began), &told, address, true);
-    let turns = OneAtATime::default();
-    let gate = Gate {
-        turns: &turns,
-        is_needless: Box::new(|| false),
-        is_coming: Box::new(|| feeds.borrow_mut().record_incoming(at(began), FeedKind::Endpoints)),
+    let turns = LargeReplyLimiter::default();
+    let gate = LargeReplyControl {
+        limiter: &turns,
+        is_obsolete: Box::new(|| false),
+        on_progress: Box::new(|| {
+            feeds.borrow_mut().record_incoming(at(began), FeedKind::Endpoints)
+        }),
     };
     let pool = Pool::default();
     let mut asked = Vec::new();
--- a/crates/tidetrack-plane/tests/patience.rs
+++ b/crates/tidetrack-plane/tests/patience.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use tidetrack_plane::patience::wait_running;
+use tidetrack_plane::stall_aware_sleep::stall_aware_sleep;
 
 /// What is waited for.
 const WAITED: Duration = Duration::from_millis(50);
@@ -40,7 +40,7 @@
     run(async {
         let taken = take_core(40);
 
-        wait_running(WAITED).await;
+        stall_aware_sleep(WAITED).await;
 
         assert!(taken.get() <= 6, "it waited through {} times without a core", taken.get());
     });
@@ -52,7 +52,7 @@
         take_core(1);
         let began = Instant::now();
 
-        wait_running(WAITED).await;
+        stall_aware_sleep(WAITED).await;
 
         let took = began.elapsed();
         assert!(took >= AWAY + WAITED, "{took:?}");
--- a/crates/tidetrack-plane/tests/rests.rs
+++ b/crates/tidetrack-plane/tests/rests.rs
@@ -19,7 +19,7 @@
 use socket2::{Domain, Socket, Type};
 use tidetrack_core::traffic::catalog::CallerLimits;
 use tidetrack_core::units::Millis;
-use tidetrack_plane::body::AnswerBody;
+use tidetrack_plane::body::ResponseBody;
 use tidetrack_plane::server::{accept_loop, listen, Connections, ServerOptions, StopStage};
 use tokio::sync::watch;
 use tokio::task::LocalSet;
@@ -50,7 +50,7 @@
             CallerLimits { head_timeout: limit, idle_timeout: limit, ..CallerLimits::default() }
         }),
         handler: Rc::new(move |_| {
-            let body = AnswerBody::whole(Bytes::from(vec![b'x'; answer]));
+            let body = ResponseBody::from_bytes(Bytes::from(vec![b'x'; answer]));
             Box::pin(async move { Response::new(body) })
         }),
         accept_failed: Rc::new(|e| panic!("accept: {e}")),
--- a/crates/tidetrack-plane/tests/server.rs
+++ b/crates/tidetrack-plane/tests/server.rs
@@ -10,7 +10,7 @@
 use http::Response;
 use tidetrack_core::traffic::catalog::CallerLimits;
 use tidetrack_core::units::Millis;
-use tidetrack_plane::body::AnswerBody;
+use tidetrack_plane::body::ResponseBody;
 use tidetrack_plane::server::{accept_loop, listen, Connections, ServerOptions, StopStage};
 use tokio::runtime::Runtime;
 use tokio::sync::watch;
@@ -75,7 +75,7 @@
             Box::pin(async move {
                 tokio::time::sleep(WORK).await;
                 guard.disarm();
-                Response::new(AnswerBody::whole(Bytes::from_static(b"ok")))
+                Response::new(ResponseBody::from_bytes(Bytes::from_static(b"ok")))
             })
         }),
         accept_failed: Rc::new(|e| panic!("accept: {e}")),
--- a/crates/tidetrack-router/src/callers.rs
+++ b/crates/tidetrack-router/src/callers.rs
@@ -11,21 +11,21 @@
 use tokio::sync::{mpsc, oneshot};
 
 use tidetrack_core::errors::Result;
-use tidetrack_plane::body::{AnswerBody, Piece, WAITING};
+use tidetrack_plane::body::{BodyChunk, ResponseBody, MAX_QUEUED_CHUNKS};
 
 /// The body of an answer, on its way to the event loop.
 pub enum ReplyBody {
     /// All of it.
     Whole(Bytes),
     /// Pieces as they come.
-    Pieces(mpsc::Receiver<Piece>),
+    Pieces(mpsc::Receiver<BodyChunk>),
 }
 
-impl From<ReplyBody> for AnswerBody {
-    fn from(body: ReplyBody) -> AnswerBody {
+impl From<ReplyBody> for ResponseBody {
+    fn from(body: ReplyBody) -> ResponseBody {
         match body {
-            ReplyBody::Whole(bytes) => AnswerBody::whole(bytes),
-            ReplyBody::Pieces(rx) => AnswerBody::from_pieces(rx),
+            ReplyBody::Whole(bytes) => ResponseBody::from_bytes(bytes),
+            ReplyBody::Pieces(rx) => ResponseBody::from_receiver(rx),
         }
     }
 }
@@ -82,7 +82,7 @@
 
     /// Sends the head of an answer whose pieces follow.
     pub fn begin(self, head: Response<()>) -> io::Result<Pieces> {
-        let (tx, rx) = mpsc::channel(WAITING);
+        let (tx, rx) = mpsc::channel(MAX_QUEUED_CHUNKS);
         let resp = head.map(|()| ReplyBody::Pieces(rx));
         self.reply.send(resp).map_err(|_| has_left())?;
         Ok(Pieces(tx))
@@ -90,7 +90,7 @@
 }
 
 /// Sends the pieces of an answer. Dropping it ends the body properly.
-pub struct Pieces(mpsc::Sender<Piece>);
+pub struct Pieces(mpsc::Sender<BodyChunk>);
 
 impl Pieces {
     /// Sends a piece, waiting for a slow caller.
--- a/crates/tidetrack-router/src/errands.rs
+++ b/crates/tidetrack-router/src/errands.rs
@@ -17,10 +17,10 @@
 use tidetrack_core::codes::{Code, Executed};
 use tidetrack_core::errors::{Error, Result};
 use tidetrack_core::ids::EndpointId;
-use tidetrack_plane::attempt::{self, Answered, Attempt, Echo};
-use tidetrack_plane::body::WAITING;
+use tidetrack_plane::attempt::{self, Attempt, EndpointResponse, IdEcho};
+use tidetrack_plane::body::MAX_QUEUED_CHUNKS;
 use tidetrack_plane::dialect::AnswerFacts;
-use tidetrack_plane::pool::{broke, most_rest, Pool};
+use tidetrack_plane::pool::{disconnect_cause, max_idle_time, Pool};
 use tidetrack_wire::headers;
 
 /// A request to an endpoint.
@@ -59,9 +59,9 @@
 
 /// Carries errands out until the other end is gone.
 pub async fn run(errands: flume::Receiver<Errand>) {
-    let pool = Rc::new(Pool::to_endpoints());
+    let pool = Rc::new(Pool::for_endpoints());
     let swept = pool.clone();
-    tokio::task::spawn_local(async move { swept.keep_swept(|_| true).await });
+    tokio::task::spawn_local(async move { swept.run_expiry(|_| true).await });
     while let Ok(errand) = errands.recv_async().await {
         tokio::task::spawn_local(errand.carry_out(pool.clone()));
     }
@@ -71,15 +71,15 @@
     async fn carry_out(mut self, pool: Rc<Pool>) {
         let attempt = Attempt {
             pool: &pool,
-            read_answer,
-            seen: &|_| {},
+            parse_head: read_answer,
+            on_head: &|_| {},
             endpoint: self.endpoint.as_str(),
             address: &self.address,
             attempt_id: Some(&self.attempt_id),
-            echo: Echo::IfKnown,
+            echo: IdEcho::Optional,
             is_repeatable: self.is_repeatable,
-            most_rest: most_rest(self.is_repeatable),
-            until: self.until,
+            max_idle: max_idle_time(self.is_repeatable),
+            deadline: self.until,
         };
         let sent = tokio::select! {
             sent = attempt::send(&attempt, || self.request.clone()) => sent,
@@ -93,13 +93,13 @@
                 return;
             }
         };
-        let Answered { head, body, lease, .. } = answered;
-        let (parts, taken) = mpsc::channel(WAITING);
+        let EndpointResponse { head, body, lease, .. } = answered;
+        let (parts, taken) = mpsc::channel(MAX_QUEUED_CHUNKS);
         if self.reply.send(Ok(Reply { head, body: taken })).is_err() {
             return;
         }
         if pass_on(body, &parts, self.until).await {
-            pool.keep(self.endpoint.as_str(), lease, None);
+            pool.release(self.endpoint.as_str(), lease, None);
             drop(parts.send(Ok(BodyPart::End)).await);
         }
     }
@@ -123,9 +123,8 @@
                 Err(_) => continue,
             },
             Ok(None) => return true,
-            Ok(Some(Err(e))) => {
-                Err(broken(Code::EndpointFailed, &e.to_string()).with_disconnect_cause(broke(&e)))
-            }
+            Ok(Some(Err(e))) => Err(broken(Code::EndpointFailed, &e.to_string())
+                .with_disconnect_cause(disconnect_cause(&e))),
             Err(_) => Err(broken(Code::Deadline, "the answer was not whole in time")),
         };
         let is_over = part.is_err();
--- a/crates/tidetrack-router/src/server.rs
+++ b/crates/tidetrack-router/src/server.rs
@@ -33,7 +33,7 @@
 use tidetrack_core::traffic::catalog::CallerLimits;
 use tidetrack_core::units::Millis;
 use tidetrack_core::view::View;
-use tidetrack_plane::body::AnswerBody;
+use tidetrack_plane::body::ResponseBody;
 use tidetrack_plane::closes::Closes;
 use tidetrack_plane::server::{accept_loop, Answer, ServerOptions, StopStage};
 use tidetrack_wire::caller::{SessionRequest, SessionResponse, TicketResponse};
@@ -188,7 +188,7 @@
         // The thread panicked, or the process ends.
         callers::head(500).map(|()| ReplyBody::Whole(Bytes::new()))
     });
-    resp.map(|body| AnswerBody::from(body).on_end(move || drop(under_way)))
+    resp.map(|body| ResponseBody::from(body).on_end(move || drop(under_way)))
 }
 
 /// Reads a body within its bounds of size and time.
