--- a/crates/tidetrack-plane/src/attempt.rs
+++ b/crates/tidetrack-plane/src/attempt.rs
@@ -55,7 +55,7 @@
     /// The pool of connections.
     pub pool: &'a Pool,
     /// Reads the head of an answer.
-    pub parse_head: fn(&HeaderMap) -> AnswerFacts,
+    pub read_answer: fn(&HeaderMap) -> AnswerFacts,
     /// Is shown what the head of the endpoint's own answer says, a refusal's too.
     pub on_head: &'a dyn Fn(&AnswerFacts),
     /// Name of the endpoint.
@@ -125,7 +125,7 @@
     lease: Lease,
 ) -> Result<EndpointResponse> {
     let (head, body) = resp.into_parts();
-    let facts = (attempt.parse_head)(&head.headers);
+    let facts = (attempt.read_answer)(&head.headers);
     let is_id_absent_and_optional = attempt.echo == IdEcho::Optional && facts.attempt_id.is_none();
     if !is_id_absent_and_optional && facts.attempt_id.as_deref() != attempt.attempt_id {
         let text = format!("the answer is for {:?}", facts.attempt_id);
--- a/crates/tidetrack-plane/src/send.rs
+++ b/crates/tidetrack-plane/src/send.rs
@@ -88,7 +88,7 @@
     };
     let attempt = Attempt {
         pool: &traffic.pool,
-        parse_head: shared.dialect.read_answer,
+        read_answer: shared.dialect.read_answer,
         on_head: &|facts| record_reported_limit(traffic, chosen, facts),
         endpoint: chosen.id.as_str(),
         address: &chosen.address,
--- a/crates/tidetrack-router/src/errands.rs
+++ b/crates/tidetrack-router/src/errands.rs
@@ -71,7 +71,7 @@
     async fn carry_out(mut self, pool: Rc<Pool>) {
         let attempt = Attempt {
             pool: &pool,
-            parse_head: read_answer,
+            read_answer,
             on_head: &|_| {},
             endpoint: self.endpoint.as_str(),
             address: &self.address,
