--- a/crates/tidetrack-plane/src/send.rs
+++ b/crates/tidetrack-plane/src/send.rs
@@ -1,4 +1,4 @@
-//! Sending a request to a chosen endpoint, and waiting no longer than is sensible.
+//! Sends a request to a chosen endpoint and limits the time that the attempt may take.
 
 use std::time::{Duration, Instant};
 
@@ -20,27 +20,35 @@
 use crate::pool::max_idle_time;
 use crate::stall_aware_sleep::stall_aware_sleep;
 
-/// Work, in answer tokens, that one request counts as which an endpoint tells as running. An engine reads
-/// prompts one after another, but makes the tokens of all that run together, so what runs adds little.
+/// Work in response tokens that a request counts as if an endpoint reports it as running. An engine
+/// reads prompts one after another but generates the tokens of all running requests together, so
+/// running requests add little.
 const WORK_PER_RUNNING_REQUEST: u64 = 40;
 
-/// Work, in answer tokens, that one request counts as which an endpoint tells as waiting.
+/// Work in response tokens that a request counts as if an endpoint reports it as waiting.
 const WORK_PER_WAITING_REQUEST: u64 = 400;
 
-/// Multiple of the objective after which an attempt is given up at an endpoint from which nothing came
-/// meanwhile. An endpoint that is gone is noticed by its connection, 1.2 s after a request that it does
-/// not acknowledge was first repeated and 2 s after its last sign of life; one that is only busy would
-/// have its work thrown away, and a host of a large fleet hears little from each endpoint.
+/// Multiple of the objective after which an attempt is abandoned if its endpoint sent nothing
+/// meanwhile. An endpoint that has disappeared is detected by its connection, 1.2 s after the first
+/// retransmission of an unacknowledged request and 2 s after the last packet from the endpoint. A
+/// shorter timeout would discard the work of endpoints that are only busy, and a host in a large
+/// fleet receives little data from each endpoint.
 const SILENT_TIMEOUT_RATIO: f64 = 1.6;
 
-/// Multiple of the objective after which an attempt is given up although its endpoint still serves
-/// other requests.
+/// Multiple of the objective after which an attempt is abandoned even though its endpoint still
+/// responds to other requests.
 const SLOW_TIMEOUT_RATIO: f64 = 3.0;
 
-/// Least patience with an attempt, for objectives shorter than an endpoint's usual time.
+/// Minimum timeout of an attempt, used if the objective is shorter than the endpoint's usual
+/// response time.
 const MIN_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Sends a request to a chosen endpoint; `resume_after` is the last event of a run that it goes on.
+/// Sends a request to a chosen endpoint and returns the response once its head is received.
+/// `resume_after` is the id of the last event received if the attempt resumes an interrupted
+/// stream.
+///
+/// Fails with `Deadline` if the attempt is abandoned for another one or the request's time is over,
+/// and with the error of the attempt otherwise.
 pub async fn send(
     traffic: &Traffic,
     job: &Job,
@@ -79,9 +87,10 @@
             ("load_age_ms", &load_age),
         ],
     );
-    // A run that goes on, or in a silent endpoint's place, gets a new connection: where one comes up, the
-    // way to the endpoint is open, and its answer will be here soon after it begins. A kept one proves
-    // nothing, and the silent endpoint would be let go for it.
+    // An attempt that resumes a stream or replaces a silent endpoint uses a new connection: once it
+    // is established, the network path to the endpoint works, and the response will arrive soon
+    // after it starts. A pooled connection proves nothing, and the silent endpoint would be
+    // abandoned for it.
     let max_idle = match resume_after.is_some() || tries.held.is_some() {
         true => Duration::ZERO,
         false => max_idle_time(job.admitted.route.work.is_repeatable()),
@@ -113,7 +122,7 @@
         biased;
         response = attempt::send(&attempt, make_request) => response,
         () = wait_for_attempt_timeout(traffic, job, tries, chosen, model) => {
-            Err(Error::new(Code::Deadline, "no answer in time").with_executed(Executed::Unknown))
+            Err(Error::new(Code::Deadline, "the endpoint did not respond in time").with_executed(Executed::Unknown))
         }
     };
     match &response {
@@ -130,8 +139,9 @@
     response
 }
 
-/// Takes an attempt back that reached no endpoint: it counts neither as one of the request's nor in
-/// the budget. Each search for an endpoint has as many of these for nothing as the request has attempts.
+/// Refunds an attempt that reached no endpoint: it counts neither against the request's maximum
+/// number of attempts nor against the budget of further attempts. Each search for an endpoint gets
+/// at most `max_attempts` refunds.
 fn refund_unreached_attempt(traffic: &Traffic, job: &Job, tries: &mut Tries) {
     if tries.unreached >= job.admitted.route.max_attempts {
         return;
@@ -143,8 +153,9 @@
     }
 }
 
-/// Takes note that the attempt under way is dropped, as the endpoint in whose place it was made spoke
-/// again. Its endpoint may be asked again; before its request was written it cost nothing.
+/// Records that the current attempt is dropped because the silent endpoint that it was to replace
+/// has sent data again. The endpoint of the dropped attempt may be tried again, and the attempt is
+/// refunded if its request was not written yet.
 pub fn record_dropped_attempt(
     traffic: &Traffic,
     job: &Job,
@@ -181,9 +192,9 @@
     req
 }
 
-/// Waits until an attempt is to be given up for another one: soon if the endpoint has fallen silent
-/// altogether, later if it is only slow. Without another one to be had it is waited for, as the answer
-/// may still be made.
+/// Waits until an attempt is to be abandoned for another one: early if the endpoint is completely
+/// silent, later if it is only slow. Keeps waiting while no further attempt is allowed, because the
+/// endpoint may still respond.
 async fn wait_for_attempt_timeout(
     traffic: &Traffic,
     job: &Job,
@@ -209,8 +220,9 @@
     }
 }
 
-/// Takes the limit that an endpoint names with an answer, or that it names none. A refusal may come from a part of it
-/// that knows of no limit, so one that names none says nothing.
+/// Records the request rate limit that an endpoint reports in the head of a response, or that it
+/// reports none. A refusal may come from a component of the endpoint that does not know the limit,
+/// so a refusal without a limit is ignored.
 fn record_reported_limit(traffic: &Traffic, chosen: &Chosen, facts: &AnswerFacts) {
     if facts.did_not_run && facts.limit.is_none() {
         return;
@@ -220,7 +232,7 @@
     }
 }
 
-/// Takes the load that an endpoint tells with an answer.
+/// Records the load that an endpoint reports in the head of a response.
 pub fn record_reported_load(traffic: &Traffic, chosen: &Chosen, answered: &EndpointResponse) {
     if let Some(load) = answered.facts.load {
         let work =
