--- a/crates/tidetrack-plane/src/attempt.rs
+++ b/crates/tidetrack-plane/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: a request goes to one endpoint, and the head of its answer comes back.
+//! One attempt: sends a request to one endpoint and receives the head of its response.
 
 use std::time::{Duration, Instant};
 
@@ -15,24 +15,25 @@
 use crate::dialect::AnswerFacts;
 use crate::pool::{disconnect_cause, Lease, Pool};
 
-/// Largest answer that is collected before it is passed on, in bytes.
+/// Maximum size in bytes of a response body that is buffered before it is forwarded.
 pub const MAX_COLLECTED_BYTES: usize = 1 << 20;
 
-/// An answer whose head is the endpoint's own.
+/// A response that was checked to come from the endpoint itself and to belong to the attempt.
 pub struct EndpointResponse {
-    /// Head of the answer.
+    /// Status and headers.
     pub head: http::response::Parts,
-    /// What the head says.
+    /// Information parsed from the headers.
     pub facts: AnswerFacts,
-    /// Body of the answer.
+    /// Body, of which nothing has been read yet.
     pub body: Incoming,
-    /// The connection it comes on.
+    /// Connection that the body arrives on.
     pub lease: Lease,
 }
 
 impl EndpointResponse {
-    /// Tells whether the answer, once whole, shows that its request ran to a good end. One that ends with its connection
-    /// looks whole where its endpoint crashed, and an endpoint may fail a request before running it.
+    /// Reports whether the complete body proves that the request was executed to its end. A body
+    /// that ends when its connection closes looks complete even if the endpoint crashed, and an
+    /// endpoint that reports a server error may have failed before it executed the request.
     pub fn proves_completion(&self) -> bool {
         let headers = &self.head.headers;
         let is_framed =
@@ -41,36 +42,38 @@
     }
 }
 
-/// Whether an endpoint repeats the attempt's id with its answer.
+/// Whether an endpoint must return the id of the attempt with its response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdEcho {
-    /// Each answer does.
+    /// Every response contains the id.
     Required,
-    /// Some endpoints do not know of it; an answer with another id is another's all the same.
+    /// Endpoints that do not support attempt ids omit the id. A different id still means that the
+    /// response belongs to another request.
     Optional,
 }
 
-/// An attempt to be made.
+/// Parameters of an attempt.
 pub struct Attempt<'a> {
-    /// The pool of connections.
+    /// Pool that the connection is taken from and returned to.
     pub pool: &'a Pool,
-    /// Reads the head of an answer.
+    /// Parses the head of a response.
     pub read_answer: fn(&HeaderMap) -> AnswerFacts,
-    /// Is shown what the head of the endpoint's own answer says, a refusal's too.
+    /// Called with the parsed head of each response of the endpoint, including refusals, but not
+    /// with responses of status 421.
     pub on_head: &'a dyn Fn(&AnswerFacts),
-    /// Name of the endpoint.
+    /// Name of the endpoint, which is the key of its connections in the pool.
     pub endpoint: &'a str,
-    /// Its address.
+    /// IP address and port of the endpoint.
     pub address: &'a str,
-    /// The attempt's id.
+    /// Id of the attempt; `None` if the request carries none.
     pub attempt_id: Option<&'a str>,
-    /// Whether the answer must repeat it.
+    /// Whether the response must contain the attempt id.
     pub echo: IdEcho,
-    /// Whether it may go elsewhere after a break.
+    /// Whether the request may be sent to another endpoint after its connection is lost.
     pub is_repeatable: bool,
-    /// Longest rest of the connection it may go on.
+    /// Maximum time for which a reused connection may have been idle.
     pub max_idle: Duration,
-    /// When to give up.
+    /// Instant at which the attempt is abandoned.
     pub deadline: Instant,
 }
 
@@ -78,9 +81,10 @@
     Error::new(code, text).with_executed(executed)
 }
 
-/// Sends a request and waits for the head of its answer.
+/// Sends a request and waits for the head of the response. If the peer closes a reused connection
+/// before anything is sent, the request is sent on another one.
 ///
-/// The error tells whether the request may have run.
+/// The error states whether the request may have been executed.
 pub async fn send(
     attempt: &Attempt<'_>,
     make_request: impl Fn() -> Request<Full<Bytes>>,
@@ -89,20 +93,28 @@
     loop {
         let acquired = attempt.pool.acquire(attempt.endpoint, attempt.address, attempt.max_idle);
         let mut lease = tokio::time::timeout_at(deadline, acquired).await.map_err(|_| {
-            let e = make_error(Code::EndpointUnreachable, "no connection in time", Executed::No);
+            let e = make_error(
+                Code::EndpointUnreachable,
+                "no connection before the deadline",
+                Executed::No,
+            );
             e.with_disconnect_cause(DisconnectCause::TimedOut)
         })??;
         lease.set_unrepeatable(!attempt.is_repeatable);
         let response = lease.sender.try_send_request(make_request());
         match tokio::time::timeout_at(deadline, response).await {
             Err(_) => {
-                return Err(make_error(Code::Deadline, "no answer in time", Executed::Unknown))
+                return Err(make_error(
+                    Code::Deadline,
+                    "no response before the deadline",
+                    Executed::Unknown,
+                ))
             }
             Ok(Ok(resp)) => return check_head(attempt, resp, lease).await,
             Ok(Err(mut e)) => {
                 let (text, cause) = (format_error_chain(e.error()), disconnect_cause(e.error()));
                 match (e.take_message(), lease.is_reused) {
-                    // The other end had closed the connection before anything was sent.
+                    // The peer closed the idle connection before anything was sent.
                     (Some(_), true) => {}
                     (Some(_), false) => {
                         let e = make_error(Code::EndpointUnreachable, text, Executed::No);
@@ -118,7 +130,7 @@
     }
 }
 
-/// Checks that an answer is the endpoint's own and belongs to this request.
+/// Checks that a response comes from the endpoint itself and belongs to this attempt.
 async fn check_head(
     attempt: &Attempt<'_>,
     resp: http::Response<Incoming>,
@@ -128,14 +140,14 @@
     let facts = (attempt.read_answer)(&head.headers);
     let is_id_absent_and_optional = attempt.echo == IdEcho::Optional && facts.attempt_id.is_none();
     if !is_id_absent_and_optional && facts.attempt_id.as_deref() != attempt.attempt_id {
-        let text = format!("the answer is for {:?}", facts.attempt_id);
+        let text = format!("the response carries attempt id {:?}", facts.attempt_id);
         return Err(make_error(Code::WrongAnswer, text, Executed::Unknown));
     }
     if head.status != StatusCode::MISDIRECTED_REQUEST {
         (attempt.on_head)(&facts);
     }
     if facts.did_not_run || head.status == StatusCode::MISDIRECTED_REQUEST {
-        let text = format!("the endpoint refused with {}", head.status);
+        let text = format!("the endpoint refused the request with status {}", head.status);
         let code = match head.status {
             StatusCode::MISDIRECTED_REQUEST => Code::EndpointMoved,
             _ => Code::EndpointRefused,
@@ -147,13 +159,16 @@
     }
     let is_success = head.status.is_success();
     if !facts.is_sealed || (is_success && facts.is_encoded) {
-        let text = format!("an answer with {} that nobody vouches for", head.status);
+        let text = format!(
+            "the response with status {} has no seal of the endpoint or its body is encoded",
+            head.status
+        );
         return Err(make_error(Code::EndpointFailed, text, Executed::Unknown));
     }
     if head.status == StatusCode::SWITCHING_PROTOCOLS {
         return Err(make_error(
             Code::EndpointFailed,
-            "the endpoint changed protocols",
+            "the endpoint switched protocols (status 101)",
             Executed::Unknown,
         ));
     }
@@ -167,7 +182,8 @@
     }
 }
 
-/// Collects a whole body; the connection can then be kept.
+/// Reads a complete body of at most `MAX_COLLECTED_BYTES`. Returns the body and the connection,
+/// which can be reused.
 pub async fn collect(body: Incoming, lease: Lease) -> Result<(Bytes, Lease)> {
     let collected = Limited::new(body, MAX_COLLECTED_BYTES).collect().await;
     let collected = collected.map_err(|e| {
