--- a/crates/tidetrack-plane/src/relay.rs
+++ b/crates/tidetrack-plane/src/relay.rs
@@ -1,13 +1,14 @@
-//! Passes a stream on, event by event, and goes on at another endpoint when one breaks.
+//! Forwards an event stream to the caller, and resumes it at another endpoint if it is interrupted.
 //!
-//! Only whole events are passed on. The head goes to the caller with the first of them, so that a
-//! stream that breaks before it is an attempt like any other. After that the answer keeps its head;
-//! a break is mended by a run at another endpoint that goes on after the last event passed on, or
-//! the caller's connection is broken off too.
+//! Only complete events are forwarded. The head is sent to the caller together with the first
+//! event, so a stream that is interrupted before its first event is retried like any other attempt.
+//! From then on the head cannot change. After an interruption another attempt resumes the stream
+//! after the last forwarded event; if this is impossible, the caller's connection is aborted too.
 //!
-//! Silence is no break. An endpoint that falls silent may still make the answer, and often the way to it
-//! is only crowded. It is listened to until another one is at work in its place, and on if none can be
-//! had; but two don't work on one answer for long.
+//! Silence is not treated as an interruption. A silent endpoint may still complete the response,
+//! and often only the network path to it is congested. The endpoint is listened to until another
+//! one works in its place, and for longer if no other one is available, but two endpoints do not
+//! work on one response for long.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -38,21 +39,23 @@
 use crate::send::{record_dropped_attempt, send};
 use crate::stall_aware_sleep::stall_aware_sleep;
 
-/// Multiple of the longest pause in time after which a stream goes on elsewhere, if nothing else came
-/// from its endpoint either. A new run reads the prompt again, so a short stall is better borne.
+/// Multiple of the route's maximum event gap after which a stream is resumed elsewhere, if its
+/// endpoint sent nothing at all meanwhile. A new attempt has to read the prompt again, so it is
+/// better to wait through a short stall.
 const SILENT_GAP_RATIO: f64 = 1.3;
 
-/// The same for an endpoint that serves others meanwhile.
+/// Multiple of the maximum event gap that applies if the endpoint serves other requests meanwhile.
 const STALLED_GAP_RATIO: f64 = 3.0;
 
-/// How long a silent endpoint is listened to after the request was written to another one: two may not
-/// be at work on a stream for 400 ms, and a host on a part of a core sees its timers 100 ms late.
+/// How long a silent endpoint is listened to after the request was written to another one. Two
+/// endpoints must not work on a stream for 400 ms, and a host with a fraction of a core sees its
+/// timers fire up to 100 ms late.
 const MAX_CONCURRENT_TIME: Duration = Duration::from_millis(250);
 
-/// The longest pause where the route names none.
+/// Maximum gap between events if the route does not set one.
 const DEFAULT_MAX_EVENT_GAP: Duration = Duration::from_millis(1_200);
 
-/// A stream that is passed on.
+/// A stream that is forwarded to a caller.
 pub struct StreamRelay {
     traffic: Rc<Traffic>,
     job: Rc<Job>,
@@ -63,14 +66,15 @@
     event_count: u32,
 }
 
-/// Events of an endpoint's after which its pace is told. A long answer of a slow version would be the last
-/// one to end, and those that are told first would be the quick ones.
+/// Number of events from an endpoint after which its pace is reported. If the pace were reported
+/// only at the end, the reports on a slow version would be biased: its quick responses end first,
+/// and its long responses last.
 const EVENTS_BEFORE_PACE_REPORT: u32 = 9;
 
-/// Where the events come from.
+/// An endpoint's response that events are read from.
 struct Source {
     body: Incoming,
-    /// Whether the answer, once whole, shows that its request ran to a good end.
+    /// Whether the complete response proves that the request was executed to its end.
     proves_completion: bool,
     lease: Lease,
     idle_time: Option<Duration>,
@@ -80,18 +84,18 @@
     sent_at: Instant,
     first_event: Option<Instant>,
     event_count: u32,
-    /// Whether its pace was told.
+    /// Whether the pace of this response was already reported.
     is_pace_reported: bool,
 }
 
-/// What came next.
+/// The next element of a stream.
 enum StreamItem {
     Event(StreamEvent),
     End,
 }
 
 impl StreamRelay {
-    /// Makes a stream of an answer whose head has come.
+    /// Creates a stream relay from a response whose head was received.
     pub fn new(
         traffic: &Rc<Traffic>,
         job: &Rc<Job>,
@@ -114,7 +118,8 @@
         }
     }
 
-    /// Waits for the first event and makes the caller's answer; the rest is passed on by a task.
+    /// Waits for the first event and creates the caller's response. A spawned task forwards the
+    /// remaining events. Returns an error if the stream fails before its first event.
     pub async fn start(mut self, tries: &mut Tries) -> Result<Response<ResponseBody>> {
         let first_item = match self.next(tries).await {
             Ok(next) => next,
@@ -125,7 +130,9 @@
             }
         };
         let (tx, body) = ResponseBody::channel();
-        let head = self.head.take().ok_or_else(|| Error::new(Code::Internal, "no head"))?;
+        let head = self.head.take().ok_or_else(|| {
+            Error::new(Code::Internal, "the head of the response was already taken")
+        })?;
         let status = head.status;
         let (chosen, model) = (&self.source.chosen, self.model.as_ref());
         record_response(&self.traffic, &self.job, chosen, model, status.as_u16());
@@ -136,7 +143,8 @@
         Ok(resp)
     }
 
-    /// Passes events on until the end, the caller's leaving or a break that cannot be mended.
+    /// Forwards events until the stream ends, the caller disconnects, or an interruption cannot be
+    /// recovered from.
     async fn relay_items(
         mut self,
         tx: mpsc::Sender<BodyChunk>,
@@ -147,7 +155,8 @@
         loop {
             match next {
                 Ok(StreamItem::Event(event)) => {
-                    // An event out of order is not passed on; its endpoint is left like one that breaks off.
+                    // An event that is out of order is not forwarded; its endpoint is replaced as
+                    // if it had disconnected.
                     if let Err(e) = self.record_event(&event) {
                         next = Err(e);
                         continue;
@@ -170,11 +179,12 @@
         }
     }
 
-    /// Checks that an event follows the last one.
+    /// Records an event that is about to be forwarded. Returns `WrongAnswer` if its id does not
+    /// follow the id of the last forwarded event.
     fn record_event(&mut self, event: &StreamEvent) -> Result<()> {
         if let (Some(id), Some(last_id)) = (event.id, self.last_event) {
             if id <= last_id {
-                let text = format!("event {id} came after {last_id}");
+                let text = format!("event id {id} was received after id {last_id}");
                 return Err(Error::new(Code::WrongAnswer, text).with_executed(Executed::Yes));
             }
         }
@@ -186,7 +196,8 @@
         Ok(())
     }
 
-    /// Gets the next event, or an error if the endpoint breaks off or the time is over.
+    /// Returns the next event, or an error if the endpoint disconnects or the request's time is
+    /// over. A silent endpoint may be replaced meanwhile.
     async fn next(&mut self, tries: &mut Tries) -> Result<StreamItem> {
         let deadline = tokio::time::Instant::from_std(self.job.until);
         loop {
@@ -197,7 +208,7 @@
                 biased;
                 next = self.source.next() => return self.record_source_activity(next),
                 () = silence, if can_resume_elsewhere => {}
-                () = tokio::time::sleep_until(deadline) => return Err(timeout_error("the stream took too long")),
+                () = tokio::time::sleep_until(deadline) => return Err(timeout_error("the stream did not end before the deadline")),
             }
             if let Some(next) = self.replace_silent_source(tries).await {
                 return next;
@@ -205,18 +216,20 @@
         }
     }
 
-    /// Goes on at another endpoint in place of a silent one; gets what the silent one says meanwhile.
+    /// Tries to replace a silent endpoint by another one. Returns an item or error of the silent
+    /// endpoint if it sends one first, and `None` if the stream continues, from either endpoint.
     ///
-    /// The silent one is read on while a connection to the other comes up, for it may still make the
-    /// answer, and the other may never be reached. If it speaks first, the other attempt is dropped. Once
-    /// the other has the request, the silent one is dropped at its first word, and soon in any case, so
-    /// that not both work on the answer.
+    /// The silent endpoint is still read while a connection to the other one is established,
+    /// because it may complete the response and the other one may be unreachable. The endpoint that
+    /// sends data first continues the response, and the other one is dropped. The silent endpoint
+    /// is dropped at the latest `MAX_CONCURRENT_TIME` after the request was written to the other
+    /// one, so that two endpoints do not work on the response for long.
     async fn replace_silent_source(&mut self, tries: &mut Tries) -> Option<Result<StreamItem>> {
         let (traffic, job, model) = (self.traffic.clone(), self.job.clone(), self.model.clone());
         let silent_endpoint = Rc::new(Held::new(self.source.chosen.id.clone()));
         tries.held = Some(silent_endpoint.clone());
         let mut source_error = None;
-        // What the other attempt led to, or else what the silent one said before.
+        // Result of the other attempt, or else the item that the silent endpoint sent first.
         let outcome = {
             let attempt = resume_elsewhere(&traffic, &job, model.as_ref(), self.last_event, tries);
             let mut attempt = std::pin::pin!(attempt);
@@ -235,7 +248,7 @@
                     () = concurrent.as_mut(), if source_error.is_none() => {
                         silent_endpoint.let_go();
                         self.source.close();
-                        source_error = Some(timeout_error("the stream fell silent"));
+                        source_error = Some(timeout_error("the endpoint sent no events for too long"));
                     }
                 }
             }
@@ -244,15 +257,15 @@
         let replacement = match outcome {
             Err(next) => {
                 record_dropped_attempt(&traffic, &job, tries, &silent_endpoint);
-                self.log_source_kept("its endpoint spoke again");
+                self.log_source_kept("its endpoint sent data again");
                 return Some(self.record_source_activity(Ok(next)));
             }
             Ok(replacement) => replacement,
         };
         match (replacement, source_error) {
             (Ok(replacement), source_error) => {
-                let reason =
-                    source_error.unwrap_or_else(|| timeout_error("the stream fell silent"));
+                let reason = source_error
+                    .unwrap_or_else(|| timeout_error("the endpoint sent no events for too long"));
                 self.record_source_failure(&reason).await;
                 self.switch_source(replacement, &reason);
                 None
@@ -265,14 +278,14 @@
         }
     }
 
-    /// Takes note that something came from the endpoint.
+    /// Records that the endpoint sent data, and returns the item unchanged.
     fn record_source_activity(&self, next: Result<StreamItem>) -> Result<StreamItem> {
         self.source.chosen.live.record_activity(self.traffic.shared.now());
         next
     }
 
-    /// Tells whether the answer can go on at another endpoint. One of which the caller holds events
-    /// needs their ids for that.
+    /// Reports whether another endpoint can continue the response. Once the caller has received
+    /// events, this requires their ids.
     fn can_resume_elsewhere(&self, tries: &Tries) -> bool {
         let route = &self.job.admitted.route;
         let is_resumable = route.work == WorkKind::Stream { resumable: true };
@@ -280,7 +293,7 @@
         is_resumable && has_resume_point && tries.sent < route.max_attempts
     }
 
-    /// Logs that a silent endpoint is waited for.
+    /// Logs that the stream stays with its silent endpoint.
     fn log_source_kept(&self, reason: &str) {
         self.traffic.shared.journal.line(
             Event::StreamStayed,
@@ -293,7 +306,7 @@
         );
     }
 
-    /// Logs that the present endpoint failed, and counts it.
+    /// Logs that the current endpoint failed, and counts the failure against it.
     async fn record_source_failure(&self, reason: &Error) {
         let sent_at = self.source.sent_at;
         let chosen = &self.source.chosen;
@@ -302,7 +315,8 @@
         detect_crash(&self.traffic, &self.job, chosen, reason, sent_at).await;
     }
 
-    /// Goes on with another endpoint's answer. A caller that has no head yet gets that one's.
+    /// Continues with another endpoint's response. If the caller has not received a head yet, it
+    /// gets the head of that response.
     fn switch_source(&mut self, (head, source): (http::response::Parts, Source), reason: &Error) {
         self.traffic.shared.journal.line(
             Event::StreamResumed,
@@ -319,8 +333,8 @@
         self.source = source;
     }
 
-    /// Goes on at another endpoint after the last event that was passed on, in place of one that broke
-    /// off.
+    /// Resumes the stream at another endpoint, after the last forwarded event, because the current
+    /// endpoint failed.
     async fn resume(&mut self, tries: &mut Tries, reason: Error) -> Result<()> {
         self.record_source_failure(&reason).await;
         if !self.can_resume_elsewhere(tries) || self.job.is_over() {
@@ -334,7 +348,7 @@
         Ok(())
     }
 
-    /// Ends a stream that came to its end.
+    /// Completes a stream that has ended, and returns its connection to the pool.
     fn finish(mut self) {
         self.report_progress(AttemptOutcome::Complete);
         if self.source.proves_completion {
@@ -346,7 +360,8 @@
         traffic.pool.release(source.chosen.id.as_str(), source.lease, source.idle_time);
     }
 
-    /// Tells how far the present endpoint's answer came: when its pace is known, or else at its end.
+    /// Reports the response time and pace of the current endpoint: once the pace is known, or else
+    /// at the end of its response.
     fn report_progress(&mut self, outcome: AttemptOutcome) {
         let source = &mut self.source;
         let is_pace_reported = std::mem::replace(&mut source.is_pace_reported, true);
@@ -367,7 +382,7 @@
         self.traffic.shared.journal.line(Event::CallerLeft, &fields);
     }
 
-    /// Breaks the caller's connection off, so that the stream does not look whole.
+    /// Aborts the caller's connection, so that the stream does not look complete.
     async fn abort_response(mut self, tx: &mpsc::Sender<BodyChunk>, reason: &Error) {
         self.report_progress(AttemptOutcome::Interrupted);
         self.traffic.shared.journal.line(
@@ -381,7 +396,7 @@
                 ("broke", &reason.disconnect_cause.map_or("-", DisconnectCause::as_str)),
             ],
         );
-        // A caller that has left needs no sign.
+        // The caller may have disconnected already.
         let _ = tx.send(Err(ResponseAborted)).await;
     }
 }
@@ -390,7 +405,7 @@
     Error::new(Code::Deadline, text).with_executed(Executed::Yes)
 }
 
-/// Waits until a silent stream is to go on elsewhere.
+/// Waits until a silent stream is to be resumed elsewhere.
 async fn wait_for_silence(traffic: &Traffic, job: &Job, live: Arc<EndpointState>) {
     let max_gap = job
         .admitted
@@ -406,11 +421,13 @@
     }
 }
 
-/// Asks other endpoints to go on after an event, one after another for as long as attempts are left,
-/// until one has begun to answer.
+/// Sends the request to other endpoints, one after another, to resume the stream after
+/// `last_event`. Returns the first successful response; fails if no attempts are left or the
+/// request's time is over.
 ///
-/// What reaches nobody costs no attempt while a silent endpoint is listened to: a stream may stall often,
-/// and attempts are kept for a break. Connects are bounded for each search, and silences space those out.
+/// While a silent endpoint is listened to, an attempt that reaches no endpoint is refunded: a
+/// stream may stall often, and attempts are reserved for interruptions. Connects are limited per
+/// search, and the searches are spaced out by the silence before each of them.
 async fn resume_elsewhere(
     traffic: &Rc<Traffic>,
     job: &Job,
@@ -427,14 +444,15 @@
                 return Ok(Source::new(response, chosen, work_share, sent_at));
             }
             Ok(response) => {
-                let text = format!("going on was answered with {}", response.head.status);
+                let text =
+                    format!("the request to resume the stream got status {}", response.head.status);
                 Error::new(Code::EndpointFailed, text).with_executed(Executed::Yes)
             }
             Err(e) => e,
         };
         record_failed_attempt(traffic, job, &chosen, model, &error, sent_at.elapsed());
         detect_crash(traffic, job, &chosen, &error, sent_at).await;
-        // One that was given up may be at work for a moment yet.
+        // An endpoint whose attempt timed out may still work on the response for a moment.
         if let Some(held) = tries.held.as_ref().filter(|_| error.code != Code::Deadline) {
             held.other_failed();
         }
@@ -472,7 +490,7 @@
         (head, source)
     }
 
-    /// Ends the endpoint's work.
+    /// Closes the connection, which makes the endpoint stop its work.
     fn close(&mut self) {
         self.lease.close();
         self.work_share = None;
@@ -488,7 +506,7 @@
                 return Ok(StreamItem::Event(event));
             }
             if self.splitter.is_overlong() {
-                return Err(make_error("an event without an end".into()));
+                return Err(make_error("an event of the stream exceeds the maximum size".into()));
             }
             match self.body.frame().await {
                 Some(Ok(frame)) => {
@@ -501,8 +519,10 @@
                         .with_disconnect_cause(disconnect_cause(&e)))
                 }
                 None if self.splitter.has_partial_event() => {
-                    return Err(make_error("half an event".into())
-                        .with_disconnect_cause(DisconnectCause::Closed));
+                    return Err(make_error(
+                        "the connection closed within an event of the stream".into(),
+                    )
+                    .with_disconnect_cause(DisconnectCause::Closed));
                 }
                 None => return Ok(StreamItem::End),
             }
