--- a/crates/tidetrack-plane/src/call.rs
+++ b/crates/tidetrack-plane/src/call.rs
@@ -1,4 +1,4 @@
-//! One HTTP call on a kept connection: to the store, or to another host.
+//! One HTTP call to the store or to another host, on a pooled connection.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -17,64 +17,66 @@
 
 use crate::pool::Pool;
 
-/// Largest reply, in bytes: a page of the store is about 1 MB.
+/// Maximum size of a reply in bytes; a page of the store has about 1 MB.
 const MAX_REPLY_BYTES: usize = 8 << 20;
 
-/// Pause between words that a reply is coming in: half of the time after which a try of which nothing
-/// is heard is made again.
+/// Interval of reports that a reply is arriving: half of the time after which a request without any
+/// sign of a reply is repeated.
 const PROGRESS_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Rate below which a large reply is slow, in bytes a second: a third of a link of 10 Mbit/s. A
-/// configuration of 1 MB is then 2.5 s on its way, and a fleet's bound on it is 3 s.
+/// Rate in bytes per second below which a large reply is slow: a third of a link of 10 Mbit/s. At
+/// this rate a configuration of 1 MB takes 2.5 s, and it must reach the whole fleet within 3 s.
 const MIN_RATE: f64 = 400_000.0;
 
-/// Time in which a reply may gather pace.
+/// Time in which a reply may reach its full rate, before the rate is evaluated.
 const RATE_GRACE_PERIOD: Duration = Duration::from_millis(500);
 
-/// How many times as fast as the first slow reply a second one is that goes on beside it: less saves no
-/// time that is worth keeping others out.
+/// Minimum ratio between the rate of a second slow reply and that of the first one for both to
+/// continue. A smaller ratio does not save enough time to justify blocking other replies.
 const MIN_SPEEDUP: f64 = 2.0;
 
-/// Makes the error of a reply that is not read to its end.
+/// Returns the error for a reply that exceeds `MAX_REPLY_BYTES`.
 fn too_large_error() -> Error {
     let text = format!("the reply is larger than {MAX_REPLY_BYTES} bytes");
     Error::new(Code::ReplyTooLarge, text).with_executed(Executed::Unknown)
 }
 
-/// Makes the error of a call that led to no usable reply.
+/// Returns the error for a call that produced no usable reply.
 pub fn unavailable_error(text: impl Into<String>) -> Error {
     Error::new(Code::PlatformDown, text).with_executed(Executed::Unknown)
 }
 
-/// Makes the error of a reply that became needless before it had come.
+/// Returns the error for a reply that became obsolete before it was complete.
 pub fn not_needed_error() -> Error {
-    Error::new(Code::ReplyNotNeeded, "another reply brought the changes")
+    Error::new(Code::ReplyNotNeeded, "the reply is obsolete: another one delivered the changes")
 }
 
-/// Makes the error of a reply that was given up for one that comes about as fast.
+/// Returns the error for a reply that was abandoned because another one is about as fast.
 fn too_slow_error() -> Error {
-    Error::new(Code::ReplyNotNeeded, "another slow reply comes about as fast")
+    Error::new(Code::ReplyNotNeeded, "the reply is too slow: another slow one is about as fast")
 }
 
-/// How long a call may stand still.
+/// How long a call may make no progress.
 #[derive(Clone, Copy, Debug)]
 pub struct CallTimeouts {
-    /// Until the head of the reply.
+    /// Maximum time until the head of the reply is received.
     pub head: Duration,
-    /// Until each next part of its body.
+    /// Maximum time between two parts of the body.
     pub part: Duration,
 }
 
-/// Lets large replies about one matter in one at a time. Two copies of the same bytes share the way:
-/// each takes twice as long, and what is small and urgent waits behind both: on a link of 10 Mbit/s six
-/// copies of a configuration of 1 MB hold it up for over four seconds.
+/// Limits concurrent large replies with the same content to one. Two copies of the same bytes share
+/// the link: each takes twice as long, and small urgent messages wait behind both. On a link of 10
+/// Mbit/s six copies of a configuration of 1 MB delay them by more than four seconds.
 ///
-/// A reply that comes too slowly lets another one in beside it: it is often its giver's way that is
-/// crowded, and elsewhere the same bytes may be had at once. So may they when the other one is slow too;
-/// it gives way to a third then, and the first one goes on, so that one of them always ends.
+/// A reply that is too slow admits another one next to it: often only the link of its sender is
+/// congested, and another sender can deliver the same bytes at once. If the second reply is slow
+/// too, it is abandoned and a third one is admitted. The first reply always continues, so one of
+/// them always completes.
 pub struct LargeReplyLimiter {
     permits: Semaphore,
-    /// Rate of the reply that has let another one in, in bytes a second.
+    /// Rate in bytes per second of the reply that admitted another one; `None` if there is no such
+    /// reply.
     slow_rate: Cell<Option<f64>>,
 }
 
@@ -84,24 +86,24 @@
     }
 }
 
-/// How fast a large reply comes.
+/// Rate of a large reply compared with the minimum rate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RateClass {
-    /// At the least rate or more.
+    /// At least the minimum rate.
     Fast,
-    /// Below it.
+    /// Below the minimum rate.
     Slow,
-    /// Below it, and not much faster than another slow one.
+    /// Below the minimum rate, and not much faster than another slow reply.
     TooSlow,
 }
 
 impl LargeReplyLimiter {
-    /// Tells whether a large reply is coming in, and another one would not be let in.
+    /// Reports whether a large reply is arriving and no other one would be admitted.
     pub fn is_busy(&self) -> bool {
         self.permits.available_permits() == 0
     }
 
-    /// Waits until a large reply would be let in.
+    /// Waits until a large reply would be admitted.
     pub async fn wait_until_free(&self) {
         // The semaphore is never closed.
         drop(self.permits.acquire().await);
@@ -118,17 +120,18 @@
     }
 }
 
-/// The turn of one large reply.
+/// Permission for one large reply to be received.
 struct ReplyPermit<'a> {
     limiter: &'a LargeReplyLimiter,
     permit: Option<SemaphorePermit<'a>>,
     started_at: Instant,
-    /// Whether it is this reply that has let another one in.
+    /// Whether this reply has admitted another one.
     has_admitted_another: bool,
 }
 
 impl ReplyPermit<'_> {
-    /// Takes note that so many bytes have come in this turn; tells how fast that is.
+    /// Records the number of bytes received since the permit was acquired, and returns the class of
+    /// their rate. Admits another reply if this one is the first slow one.
     fn record_progress(&mut self, bytes: usize) -> RateClass {
         let elapsed = self.started_at.elapsed();
         let rate = bytes as f64 / elapsed.as_secs_f64();
@@ -156,39 +159,40 @@
 impl Drop for ReplyPermit<'_> {
     fn drop(&mut self) {
         if let Some(permit) = self.permit.take().filter(|_| self.has_admitted_another) {
-            // The turn was given to another reply already.
+            // The permit was already passed on to another reply.
             self.limiter.slow_rate.set(None);
             permit.forget();
         }
     }
 }
 
-/// What a call does about a large reply.
+/// How a call treats a large reply.
 pub struct LargeReplyControl<'a> {
-    /// Where large replies wait for each other.
+    /// Limits how many large replies are received at once.
     pub limiter: &'a LargeReplyLimiter,
-    /// Tells whether the reply has become needless while it waited.
+    /// Reports whether the reply has become obsolete while it waited.
     pub is_obsolete: Box<dyn Fn() -> bool + 'a>,
-    /// Is called now and then while the reply comes in.
+    /// Called periodically while the reply arrives.
     pub on_progress: Box<dyn Fn() + 'a>,
 }
 
-/// A reply that came as a whole.
+/// A reply that was received completely.
 #[derive(Clone, Debug)]
 pub struct Reply {
-    /// Its status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// Its body.
+    /// Complete body.
     pub body: Bytes,
-    /// Time from its head to the end of its body: long on a crowded way.
+    /// Time from the head of the reply to the end of its body; long if the network path is
+    /// congested.
     pub body_time: Duration,
 }
 
-/// Makes a call to `address`; `name` is what its connections are kept under. A large reply passes the
-/// gate, where there is one.
+/// Sends a request to `address` and returns the complete reply. `name` is the key of the
+/// connections in the pool. A large reply is subject to `control` if there is one.
 ///
-/// The connection is kept after a whole reply. In every other case it is closed, for nothing more can
-/// be expected on it.
+/// The connection returns to the pool after a complete reply. Otherwise it is closed, because
+/// unread data may still arrive on it.
 pub async fn call(
     pool: &Pool,
     name: &str,
@@ -198,7 +202,7 @@
     control: Option<&LargeReplyControl<'_>>,
 ) -> Result<Reply> {
     let until = Instant::now() + timeouts.head;
-    let timeout_error = |_| unavailable_error("no reply in time");
+    let timeout_error = |_| unavailable_error("no reply within the time limit");
     let acquired = tokio::time::timeout_at(until, pool.acquire(name, address, Duration::MAX));
     let mut lease =
         acquired.await.map_err(timeout_error)?.map_err(|e| unavailable_error(e.message))?;
@@ -217,7 +221,8 @@
     Ok(Reply { status: head.status, body, body_time: head_at.elapsed() })
 }
 
-/// Collects a body whose parts follow each other within `part`; a large one waits for its turn.
+/// Reads a body whose parts arrive within `part_timeout` of each other. A large body waits for a
+/// permit.
 async fn collect(
     body: Incoming,
     part_timeout: Duration,
@@ -236,7 +241,7 @@
             permit = Some(control.limiter.acquire().await);
             permit_start_len = collected.len();
             if (control.is_obsolete)() {
-                // Dropped, its connection is closed, and nothing more of it comes.
+                // Returning drops the body, which closes the connection and stops the transfer.
                 return Err(not_needed_error());
             }
         }
@@ -251,8 +256,9 @@
         if rate_class == Some(RateClass::TooSlow) {
             return Err(too_slow_error());
         }
-        // A small reply that is no slower than a large one may be has come before anybody asks again; one
-        // that drips must not keep its change from being got elsewhere.
+        // A small reply at a normal rate arrives before another request is due. A slow one must not
+        // be reported as arriving, because that would prevent its changes from being requested
+        // elsewhere.
         let is_progress_due =
             rate_class == Some(RateClass::Fast) && last_progress_at.elapsed() >= PROGRESS_INTERVAL;
         if let Some(control) = control.filter(|_| is_progress_due) {
@@ -260,7 +266,9 @@
             (control.on_progress)();
         }
         let frame = tokio::time::timeout(part_timeout, body.frame()).await;
-        match frame.map_err(|_| unavailable_error("the reply stopped in the middle"))? {
+        match frame.map_err(|_| {
+            unavailable_error("the body of the reply stalled for longer than the time limit")
+        })? {
             Some(Ok(frame)) => {
                 collected.extend_from_slice(frame.data_ref().unwrap_or(&Bytes::new()))
             }
