--- a/crates/tidetrack-plane/src/body.rs
+++ b/crates/tidetrack-plane/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of the answers to callers.
+//! Bodies of the responses to callers.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -7,23 +7,24 @@
 use hyper::body::{Body, Frame, SizeHint};
 use tokio::sync::mpsc;
 
-/// Pieces of an answer that may wait for a slow reader; more hold the endpoint up.
+/// Maximum number of body chunks queued for a slow caller; beyond that, reading from the endpoint
+/// pauses.
 pub const MAX_QUEUED_CHUNKS: usize = 16;
 
-/// The answer ended before it was whole. The connection is then broken off, so that the caller
-/// cannot take it for complete.
+/// Error for a response that ended before it was complete. The connection is then aborted, so that
+/// the caller does not take the response for a complete one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResponseAborted;
 
 impl std::fmt::Display for ResponseAborted {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("the answer was broken off")
+        f.write_str("the response was aborted before it was complete")
     }
 }
 
 impl std::error::Error for ResponseAborted {}
 
-/// What may be sent into a piped body.
+/// A chunk of a body that is fed through a channel, or the error that aborts the response.
 pub type BodyChunk = Result<Bytes, ResponseAborted>;
 
 enum Source {
@@ -31,30 +32,31 @@
     Channel(mpsc::Receiver<BodyChunk>),
 }
 
-/// The body of an answer; `on_end` runs when the connection is done with it.
+/// Body of a response. The `on_end` callbacks run when the connection has finished with it.
 pub struct ResponseBody {
     source: Source,
     on_end: Option<Box<dyn FnOnce()>>,
 }
 
 impl ResponseBody {
-    /// Makes a body that is there as a whole.
+    /// Creates a body from bytes that are complete.
     pub fn from_bytes(bytes: Bytes) -> ResponseBody {
         ResponseBody { source: Source::Complete(Some(bytes)), on_end: None }
     }
 
-    /// Makes a body that comes piece by piece.
+    /// Creates a body and the channel that feeds its chunks.
     pub fn channel() -> (mpsc::Sender<BodyChunk>, ResponseBody) {
         let (tx, rx) = mpsc::channel(MAX_QUEUED_CHUNKS);
         (tx, ResponseBody::from_receiver(rx))
     }
 
-    /// Makes a body from pieces that come over a channel.
+    /// Creates a body whose chunks are read from `rx`.
     pub fn from_receiver(rx: mpsc::Receiver<BodyChunk>) -> ResponseBody {
         ResponseBody { source: Source::Channel(rx), on_end: None }
     }
 
-    /// Adds what is to be done when the connection is done with the body.
+    /// Adds a callback that runs when the connection has finished with the body, after those added
+    /// before.
     pub fn on_end(mut self, f: impl FnOnce() + 'static) -> ResponseBody {
         let previous = self.on_end.take();
         self.on_end = Some(Box::new(move || {
