--- a/crates/tidetrack-plane/src/events.rs
+++ b/crates/tidetrack-plane/src/events.rs
@@ -1,23 +1,23 @@
-//! Splits a stream into whole events.
+//! Splits a byte stream into complete server-sent events.
 
 use bytes::{Bytes, BytesMut};
 
-/// Largest event that is waited for, in bytes; an engine's events are some hundred bytes.
+/// Maximum size of an event in bytes; events of engines have a few hundred bytes.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// The name of the line that carries an event's id.
+/// Prefix of the line that contains the id of an event.
 const ID_PREFIX: &[u8] = b"id:";
 
-/// One event, as it came.
+/// One event, with its bytes as received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StreamEvent {
-    /// Its id, if it has one.
+    /// Numeric id; `None` if the event has none.
     pub id: Option<u64>,
-    /// All its bytes, with the blank line that ends it.
+    /// All bytes of the event, including the blank line that ends it.
     pub bytes: Bytes,
 }
 
-/// Collects bytes and gives back whole events.
+/// Buffers bytes and returns complete events.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buf: BytesMut,
@@ -25,12 +25,12 @@
 }
 
 impl EventSplitter {
-    /// Takes bytes as they came.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buf.extend_from_slice(bytes);
     }
 
-    /// Takes out the next whole event.
+    /// Removes and returns the next complete event; `None` if more bytes are needed.
     pub fn next_event(&mut self) -> Option<StreamEvent> {
         let end = self.find_end()?;
         self.searched_len = 0;
@@ -38,17 +38,18 @@
         Some(StreamEvent { id: parse_event_id(&bytes), bytes })
     }
 
-    /// Tells whether a part of an event is left.
+    /// Reports whether bytes of an incomplete event are buffered.
     pub fn has_partial_event(&self) -> bool {
         !self.buf.is_empty()
     }
 
-    /// Tells whether more than an event can hold is waiting.
+    /// Reports whether more bytes are buffered than an event may have.
     pub fn is_overlong(&self) -> bool {
         self.buf.len() > MAX_EVENT_BYTES
     }
 
-    /// Finds the end of the first event: a line end followed by an empty line.
+    /// Returns the length of the first event: up to the end of a line that is followed by an empty
+    /// line.
     fn find_end(&mut self) -> Option<usize> {
         let start = self.searched_len.saturating_sub(3);
         for i in start..self.buf.len() {
