--- a/crates/tidetrack-plane/src/second_opinion.rs
+++ b/crates/tidetrack-plane/src/second_opinion.rs
@@ -1,8 +1,9 @@
-//! Whether an answer at hand is dropped for a larger model's.
+//! Decides whether a response is dropped for a second opinion by a larger model.
 //!
-//! The core weighs; here is put together what it weighs: the answer's confidence, the endpoint that a
-//! second run would go to, what is expected of it there, and the budget. An answer is dropped only once
-//! a connection to that endpoint is up: on a full line there is none to be had in time.
+//! `tidetrack_core::traffic::cascade` compares gain and cost. This module collects its input: the
+//! confidence of the response, the endpoint that a second attempt would be sent to, the latency
+//! estimate for that endpoint, and the budget. A response is dropped only once a connection to that
+//! endpoint is established, because on a saturated link no connection is established in time.
 
 use std::time::Instant;
 
@@ -17,7 +18,8 @@
 use crate::pool::max_idle_time;
 use crate::report::record_failed_attempt;
 
-/// Gets the larger model that an answer is to be dropped for.
+/// Returns the larger model that a response is to be dropped for, or `None` if the response is
+/// kept.
 pub async fn model_for_second_opinion(
     traffic: &Traffic,
     job: &Job,
@@ -40,12 +42,12 @@
         in_time_probability: latency.in_time_probability(),
         wait: latency.wait,
     };
-    let comparison = cascade::weigh_second_opinion(route, service, model, estimate, size, opts)?;
+    let tradeoff = cascade::weigh_second_opinion(route, service, model, estimate, size, opts)?;
     let now = traffic.shared.now();
     let can_retry = tries.sent < route.max_attempts && route.work.is_repeatable();
     let has_budget =
         || traffic.with_budget(&job.service, |b| b.try_acquire(now, FurtherAttempt::SecondOpinion));
-    let keep_reason = match comparison.is_worth_it() {
+    let keep_reason = match tradeoff.is_worth_it() {
         false => Some("cost"),
         true if !can_retry => Some("attempts"),
         true if !has_budget() => Some("budget"),
@@ -69,15 +71,16 @@
             ("own", &format_args!("{:.0}", planned.own_work)),
             ("wait", &format_args!("{:.2}", latency.wait)),
             ("begins", &format_args!("{:.2}", latency.response_start)),
-            ("larger", comparison.larger_model),
-            ("gain", &format_args!("{:.3}", comparison.gain)),
-            ("cost", &format_args!("{:.3}", comparison.cost)),
+            ("larger", tradeoff.larger_model),
+            ("gain", &format_args!("{:.3}", tradeoff.gain)),
+            ("cost", &format_args!("{:.3}", tradeoff.cost)),
         ],
     );
-    keep_reason.is_none().then(|| comparison.larger_model.clone())
+    keep_reason.is_none().then(|| tradeoff.larger_model.clone())
 }
 
-/// Tells whether a connection to the endpoint of a second run is up, or comes up in time.
+/// Reports whether a connection to the endpoint of a second attempt is available or is established
+/// in time.
 async fn is_reachable(traffic: &Traffic, job: &Job, model: &ModelId, candidate: &Chosen) -> bool {
     let started_at = Instant::now();
     let max_idle = max_idle_time(job.admitted.route.work.is_repeatable());
