--- a/crates/tidetrack-plane/src/stall_aware_sleep.rs
+++ b/crates/tidetrack-plane/src/stall_aware_sleep.rs
@@ -1,19 +1,21 @@
-//! Waiting for somebody else, counted in time in which this process could have heard them.
+//! Sleep that counts only time in which this process was able to receive data.
 
 use std::time::{Duration, Instant};
 
-/// Latest that a timer fires in a process that runs: a host on a part of a core gets its slice once in
-/// 100 ms.
+/// Maximum delay of a timer in a running process: a host with a fraction of a core is scheduled
+/// once in 100 ms.
 const MAX_TIMER_DELAY: Duration = Duration::from_millis(100);
 
-/// How often the time counts anew at most: a process whose timers are all late waits for an end too.
+/// Maximum number of times that the sleep is restarted, so that it also ends in a process whose
+/// timers are always late.
 const MAX_RESTARTS: u32 = 2;
 
-/// Waits for a time during which this process ran.
+/// Sleeps for a duration during which this process was running.
 ///
-/// A process that was stopped or had no core has read nothing meanwhile: what came waits in its
-/// sockets, so that the time counts anew. It does so a few times only, for on a small part of a core
-/// each timer may be late, and whoever is gone for good must be left all the same.
+/// A process that was stopped or got no CPU time has read nothing meanwhile: data that arrived
+/// waits in its socket buffers, so the sleep is restarted. It is restarted only a few times,
+/// because with a small fraction of a core every timer may be late, and a peer that has disappeared
+/// must be abandoned nevertheless.
 pub async fn stall_aware_sleep(duration: Duration) {
     for _ in 0..=MAX_RESTARTS {
         let deadline = Instant::now() + duration;
