--- a/crates/tidetrack-plane/src/crash.rs
+++ b/crates/tidetrack-plane/src/crash.rs
@@ -1,9 +1,11 @@
-//! Whether an attempt was cut by the end of its endpoint.
+//! Detects whether an attempt was interrupted because its endpoint crashed.
 //!
-//! A connection that breaks says little: it may have been reset on its way, or closed by an endpoint that goes on.
-//! A new connection tells. Where nobody listens any more, the endpoint has ended; otherwise the connection that
-//! came up is kept for the next request. A process that ends may still listen for a moment after its connections
-//! have been closed, so one that came up is looked at once more a little later; nobody waits for that.
+//! A lost connection alone does not show this: it may have been reset on the network path, or
+//! closed by an endpoint that keeps running. A new connection does. If it is refused, the
+//! endpoint's process has ended; otherwise the established connection is kept for the next request.
+//! A process that is ending may still accept connections for a moment after its own were closed, so
+//! an endpoint that accepted is probed once more a little later. No request waits for the second
+//! probe.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -23,32 +25,33 @@
 
 use crate::job::{Chosen, Job, Traffic};
 
-/// Longest wait for the outcome of a new connection. Nobody answers in less than a way and back; an endpoint that
-/// gives no sign is not known to have ended.
+/// Maximum time to wait for the result of a new connection. A result takes at least one round trip;
+/// an endpoint that does not respond is not known to have ended.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Pause before the second look at an endpoint that took the new connection.
+/// Delay before the second probe of an endpoint that accepted the new connection.
 const SECOND_PROBE_DELAY: Duration = Duration::from_millis(30);
 
-/// How long the outcome counts for other attempts that were cut at the same endpoint.
+/// How long the result of a probe is used for other attempts that were interrupted at the same
+/// endpoint.
 const PROBE_RESULT_TTL: Duration = Duration::from_millis(500);
 
-/// A look whether an endpoint has ended.
+/// A check whether an endpoint has ended.
 struct EndpointProbe {
     started_at: Instant,
-    /// Whether nobody listened at once, and whether nobody did a little later.
+    /// Whether the endpoint had ended at the first probe, and at the second one.
     first_result: OnceCell<bool>,
     second_result: OnceCell<bool>,
-    /// When its end was known.
+    /// When the end of the endpoint was detected; `None` if it was not.
     end_detected_at: Cell<Option<Instant>>,
 }
 
-/// Looks at endpoints whose connections broke, one at a time for each.
+/// Probes of endpoints whose connections were lost, at most one at a time for each endpoint.
 #[derive(Default)]
 pub struct EndpointProbes(RefCell<HashMap<EndpointId, Rc<EndpointProbe>>>);
 
 impl EndpointProbes {
-    /// Gets the look at an endpoint that is under way or not long over, or begins one.
+    /// Returns the probe of an endpoint that is running or recent, or starts one.
     fn get_or_start(&self, endpoint: &EndpointId) -> Rc<EndpointProbe> {
         let mut probes = self.0.borrow_mut();
         probes.retain(|_, probe| probe.started_at.elapsed() < PROBE_RESULT_TTL);
@@ -62,7 +65,7 @@
     }
 }
 
-/// An attempt that was cut.
+/// An attempt whose connection was lost.
 struct InterruptedAttempt {
     request: String,
     fingerprint: Fingerprint,
@@ -70,8 +73,9 @@
     sent_at: Instant,
 }
 
-/// Finds out whether an attempt that failed was cut by its endpoint's end, and takes note of that. Waits for the
-/// first look only; the rest goes on by itself, also where the caller leaves.
+/// Checks whether a failed attempt was interrupted by the end of its endpoint, and records a crash
+/// if so. Waits only for the first probe; the rest continues in a task, even if the caller
+/// disconnects.
 pub async fn detect_crash(
     traffic: &Rc<Traffic>,
     job: &Job,
@@ -85,7 +89,7 @@
         return;
     }
     let probe = traffic.looks.get_or_start(&chosen.id);
-    // What was sent to an endpoint that had ended already was not run there.
+    // A request that was sent after the endpoint had ended was not executed there.
     if probe.end_detected_at.get().is_some_and(|at| sent_at >= at) {
         return;
     }
@@ -93,12 +97,13 @@
     let attempt = InterruptedAttempt { request, fingerprint, chosen: chosen.clone(), sent_at };
     let (tx, rx) = oneshot::channel();
     tokio::task::spawn_local(attempt.probe(traffic.clone(), probe, tx));
-    // The other end is dropped without a word.
+    // The sender is dropped without a value when the first probe is done.
     let _ = rx.await;
 }
 
 impl InterruptedAttempt {
-    /// Looks at the endpoint; `first_done` is dropped once the first look is over and noted.
+    /// Probes the endpoint. `first_done` is dropped once the first probe is finished and a
+    /// crash that it detected is recorded.
     async fn probe(
         self,
         traffic: Rc<Traffic>,
@@ -119,7 +124,7 @@
         }
     }
 
-    /// Takes note of the endpoint's end.
+    /// Records that the endpoint crashed.
     fn record_crash(&self, traffic: &Traffic) {
         let shared = &traffic.shared;
         let now = shared.now();
@@ -128,7 +133,7 @@
         let sent_at = Millis(now.0.saturating_sub(self.sent_at.elapsed().as_millis() as u64));
         let crashes =
             shared.suspects.record_crash(now, self.fingerprint, id, failure_domain, sent_at);
-        // Other hosts are told within a tenth of a second.
+        // Reports the crash to other hosts, which receive it within 100 ms.
         shared.tell(Input::Tick);
         shared.journal.line(
             Event::EndpointCrashed,
@@ -143,8 +148,8 @@
     }
 }
 
-/// Tells whether nobody listens at an endpoint's address any more. A connection to it that is kept and rested no longer
-/// than `max_idle` tells that somebody does.
+/// Reports whether the endpoint's address refuses connections. A pooled connection that was idle
+/// for at most `max_idle` counts as accepted.
 async fn refuses_connections(traffic: &Traffic, chosen: &Chosen, max_idle: Duration) -> bool {
     let connect = traffic.pool.prepare(chosen.id.as_str(), &chosen.address, max_idle);
     match tokio::time::timeout(PROBE_TIMEOUT, connect).await {
