--- a/crates/tidetrack-plane/src/report.rs
+++ b/crates/tidetrack-plane/src/report.rs
@@ -1,4 +1,4 @@
-//! What is logged, counted and told of attempts and answers.
+//! Logs, counts and reports the results of attempts and requests.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 use crate::job::{Chosen, Job, Traffic};
 use crate::pool::CONNECT_TIMEOUT;
 
-/// Logs a failed attempt and lets it count against the endpoint.
+/// Logs a failed attempt and counts it against its endpoint.
 pub fn record_failed_attempt(
     traffic: &Traffic,
     job: &Job,
@@ -43,9 +43,10 @@
         shared.metrics.broke(cause);
     }
     match e.code {
-        // A refusal for want of room says nothing about the endpoint's health.
+        // A refusal for lack of capacity says nothing about the endpoint's health.
         Code::EndpointRefused => {}
-        // Neither does slowness of an endpoint that serves others, but it counts as a long time.
+        // Neither does a slow response of an endpoint that serves other requests, but it is
+        // reported as a long response time.
         Code::Deadline => {
             let since = Millis(shared.now().0.saturating_sub(elapsed.as_millis() as u64));
             if chosen.live.was_active_since(since) {
@@ -63,7 +64,7 @@
             chosen.live.record_unreachable(shared.now());
             traffic.pool.close_idle(chosen.id.as_str());
         }
-        // A break is the endpoint's end or the network's doing, and says nothing of its version.
+        // The endpoint ended or the network failed; neither says anything about its version.
         _ => {
             chosen.live.record_outcome(shared.now(), false);
             traffic.pool.close_idle(chosen.id.as_str());
@@ -71,9 +72,10 @@
     }
 }
 
-/// Lets a connect that gave no sign of life count against its endpoint, or against the way.
+/// Records a connect that timed out without any response, either against its endpoint or against
+/// the network path.
 fn record_connect_timeout(traffic: &Traffic, chosen: &Chosen, elapsed: Duration) {
-    // One that ended with its request's time says nothing.
+    // The connect was cut short by the request's own deadline, so it says nothing.
     if elapsed < CONNECT_TIMEOUT {
         return;
     }
@@ -94,7 +96,7 @@
     }
 }
 
-/// Logs and counts a request whose answer is passed on.
+/// Logs and counts a request whose response is forwarded.
 pub fn record_response(
     traffic: &Traffic,
     job: &Job,
@@ -123,20 +125,20 @@
     shared.metrics.attempt("answered");
 }
 
-/// What was seen of an attempt, as far as it came.
+/// What was observed of an attempt.
 pub struct AttemptObservation {
-    /// How it ended.
+    /// How the attempt ended, or that it is in progress.
     pub outcome: AttemptOutcome,
-    /// Time to the answer, of a stream to its first event.
+    /// Time to the response, or to the first event of a stream; `None` if neither was received.
     pub response_time: Option<Duration>,
-    /// Mean milliseconds between the events of a stream.
+    /// Mean time in milliseconds between the events of a stream; `None` if it was not measured.
     pub mean_gap_ms: Option<f64>,
-    /// Whether its pace was told before; it is only logged then.
+    /// Whether the pace was already reported; the observation is then only logged.
     pub is_pace_reported: bool,
 }
 
 impl AttemptObservation {
-    /// Makes what was seen of an attempt that has only a time.
+    /// Creates an observation of an attempt of which only the elapsed time is known.
     pub fn from_elapsed(outcome: AttemptOutcome, elapsed: Duration) -> AttemptObservation {
         AttemptObservation {
             outcome,
@@ -147,7 +149,8 @@
     }
 }
 
-/// Tells the control thread what was seen of an attempt, and logs it if a version under roll-out had it.
+/// Reports an observation to the control thread, and logs it if the endpoint runs a version under
+/// roll-out.
 pub fn report_attempt(
     traffic: &Traffic,
     job: &Job,
