--- a/crates/tidetrack-plane/src/pool.rs
+++ b/crates/tidetrack-plane/src/pool.rs
@@ -1,7 +1,8 @@
-//! Kept connections to endpoints and to the store.
+//! Pooled connections to endpoints, to the store and to other hosts.
 //!
-//! A connection carries one request at a time. It goes back to the pool only after a whole answer
-//! that was its own; in every other case it is closed, which also tells the endpoint to stop.
+//! A connection carries one request at a time. It returns to the pool only after a complete
+//! response that belongs to its request. In all other cases it is closed, which also makes the
+//! endpoint stop its work.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -23,25 +24,25 @@
 use crate::clock::Moment;
 use crate::way::{Ends, Waits, Way};
 
-/// Longest time for a connection to come up. Within a region one takes a few milliseconds; the rest
-/// covers a lost packet.
+/// Maximum time for a connection to be established. Within a region this takes a few milliseconds;
+/// the rest allows for the loss of a packet.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Idle connections kept to one endpoint.
+/// Maximum number of idle connections per peer.
 const MAX_IDLE_CONNECTIONS: usize = 24;
 
-/// How long a connection rests at most, where its other end names no time.
+/// Idle time after which a peer is assumed to close a connection, if it does not announce one.
 const DEFAULT_IDLE_TIME: Duration = Duration::from_secs(20);
 
-/// Part of the named time after which a resting connection is not used any more.
+/// Fraction of the peer's idle time after which an idle connection is no longer used.
 const IDLE_TIME_FRACTION: f64 = 0.7;
 
-/// Longest rest of a connection for a request that must not be sent twice. Endpoints may forget a
-/// connection without a word once it rested for some 300 ms; whether the request came there is then not
-/// known, and a new connection costs a millisecond.
+/// Maximum idle time of a connection for a request that must not be sent twice. Endpoints may
+/// silently forget a connection that was idle for about 300 ms; it is then unknown whether they
+/// received the request, and a new connection takes only a millisecond.
 const MAX_IDLE_IF_UNREPEATABLE: Duration = Duration::from_millis(200);
 
-/// Gets the longest rest of a connection on which a request may go.
+/// Returns the maximum time for which a connection may have been idle to carry a request.
 pub fn max_idle_time(is_repeatable: bool) -> Duration {
     if is_repeatable {
         Duration::MAX
@@ -50,24 +51,25 @@
     }
 }
 
-/// Pause between sweeps of connections that rest.
+/// Interval at which idle connections are checked for expiry.
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Largest head of an answer, in bytes.
+/// Maximum size in bytes of the head of a response.
 const MAX_HEAD_BYTES: usize = 64 << 10;
 
-/// A connection that one request uses. Dropped without being kept, it is closed.
+/// A connection in use by one request. It is closed when dropped, unless it is returned to the
+/// pool.
 pub struct Lease {
     /// Sends the request.
     pub sender: SendRequest<Full<Bytes>>,
     task: JoinHandle<()>,
     is_unrepeatable: Waits,
-    /// Whether it carried an earlier request.
+    /// Whether the connection carried an earlier request.
     pub is_reused: bool,
 }
 
 impl Lease {
-    /// Sets whether the request about to be sent can't go elsewhere if the connection breaks.
+    /// Sets whether the next request cannot be sent elsewhere if the connection is lost.
     pub fn set_unrepeatable(&self, is_unrepeatable: bool) {
         self.is_unrepeatable.set(is_unrepeatable);
     }
@@ -90,22 +92,22 @@
     expires_at: Moment,
 }
 
-/// Connections by the name of their other end.
+/// Connections, by the name of the peer.
 #[derive(Default)]
 pub struct Pool {
     idle: RefCell<HashMap<String, Vec<Idle>>>,
     peer_kind: Ends,
-    /// When the last one began of what came up or was answered promptly.
+    /// Start of the latest connect or request that succeeded within `MAX_PROMPT_LATENCY`.
     last_prompt_at: Cell<Option<Instant>>,
 }
 
 impl Pool {
-    /// Makes a pool of connections to endpoints.
+    /// Creates a pool of connections to endpoints.
     pub fn for_endpoints() -> Pool {
         Pool { peer_kind: Ends::Endpoints, ..Pool::default() }
     }
 
-    /// Takes a kept connection that rested no longer than `max_idle`, or opens one.
+    /// Returns a pooled connection that was idle for at most `max_idle`, or opens one.
     pub async fn acquire(&self, name: &str, address: &str, max_idle: Duration) -> Result<Lease> {
         while let Some(mut idle) = self.pop_newest(name, max_idle) {
             let is_usable = Moment::now() < idle.expires_at && !idle.lease.sender.is_closed();
@@ -117,7 +119,7 @@
         self.open(address).await
     }
 
-    /// Sees to it that a connection is kept for a request that is about to be sent.
+    /// Makes sure that a connection is in the pool for a request that is about to be sent.
     pub async fn prepare(&self, name: &str, address: &str, max_idle: Duration) -> Result<()> {
         let now = Moment::now();
         let is_usable = |newest: &Idle| {
@@ -145,19 +147,21 @@
         Ok(lease)
     }
 
-    /// Takes note that something came that was asked for at an instant.
+    /// Records a successful connect or response, by the instant at which it was started.
     pub fn record_response(&self, started_at: Instant) {
         if started_at.elapsed().as_millis() <= u128::from(MAX_PROMPT_LATENCY.0) {
             self.last_prompt_at.set(Some(started_at));
         }
     }
 
-    /// Gets when the last one began of what came up or was answered promptly.
+    /// Returns the start of the latest connect or request that succeeded within
+    /// `MAX_PROMPT_LATENCY`.
     pub fn last_prompt_at(&self) -> Option<Instant> {
         self.last_prompt_at.get()
     }
 
-    /// Keeps a connection whose answer has come to its end.
+    /// Returns a connection to the pool after a complete response. `idle_time` is the time after
+    /// which the peer closes it, if announced.
     pub fn release(&self, name: &str, lease: Lease, idle_time: Option<Duration>) {
         if lease.sender.is_closed() {
             return;
@@ -171,12 +175,13 @@
         }
     }
 
-    /// Closes all connections to an end.
+    /// Closes all idle connections to a peer.
     pub fn close_idle(&self, name: &str) {
         self.idle.borrow_mut().remove(name);
     }
 
-    /// Closes connections that rested too long, and those whose other end is not `is_wanted`.
+    /// Closes connections that have expired, and those to peers for which `is_wanted` returns
+    /// false.
     fn remove_expired(&self, is_wanted: impl Fn(&str) -> bool) {
         let now = Moment::now();
         self.idle.borrow_mut().retain(|name, connections| {
@@ -185,7 +190,7 @@
         });
     }
 
-    /// Sweeps again and again, until the process ends.
+    /// Closes expired and unwanted connections periodically until the process ends.
     pub async fn run_expiry(&self, is_wanted: impl Fn(&str) -> bool) {
         loop {
             tokio::time::sleep(EXPIRY_INTERVAL).await;
@@ -193,7 +198,7 @@
         }
     }
 
-    /// Gets the connection that rested least, if it rested no longer than `max_idle`.
+    /// Removes and returns the most recently used connection if it was idle for at most `max_idle`.
     fn pop_newest(&self, name: &str, max_idle: Duration) -> Option<Idle> {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(name)?;
@@ -208,10 +213,10 @@
         .with_disconnect_cause(cause)
 }
 
-/// Tells how a connection broke from the HTTP library's error.
+/// Returns the cause of a lost connection from an error of the HTTP library.
 pub fn disconnect_cause(e: &hyper::Error) -> DisconnectCause {
     match DisconnectCause::from_error(e) {
-        // The end of the connection in the middle of a message is no error of its socket.
+        // A connection that ends in the middle of a message is not reported as a socket error.
         DisconnectCause::Other if e.is_incomplete_message() || e.is_closed() => {
             DisconnectCause::Closed
         }
@@ -238,7 +243,7 @@
             |e| unreachable_error(address, &format_error_chain(&e), disconnect_cause(&e)),
         )?;
     let task = tokio::task::spawn_local(async move {
-        // Whoever waits for the answer sees the same error.
+        // The error is also returned to the request that waits for the response.
         drop(conn.await);
     });
     Ok(Lease { sender, task, is_unrepeatable, is_reused: false })
