--- a/crates/tidetrack-plane/src/body.rs
+++ b/crates/tidetrack-plane/src/body.rs
@@ -39,7 +39,7 @@
 }
 
 impl ResponseBody {
-    /// Creates a body from bytes that are complete.
+    /// Creates a body from its complete bytes.
     pub fn from_bytes(bytes: Bytes) -> ResponseBody {
         ResponseBody { source: Source::Complete(Some(bytes)), on_end: None }
     }
@@ -94,7 +94,10 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(&self.source, Source::Complete(bytes) if bytes.as_ref().is_none_or(Bytes::is_empty))
+        matches!(
+            &self.source,
+            Source::Complete(bytes) if bytes.as_ref().is_none_or(Bytes::is_empty)
+        )
     }
 
     fn size_hint(&self) -> SizeHint {
--- a/crates/tidetrack-plane/src/call.rs
+++ b/crates/tidetrack-plane/src/call.rs
@@ -215,10 +215,10 @@
         .map_err(timeout_error)?
         .map_err(|e| unavailable_error(format_error_chain(&e)))?
         .into_parts();
-    let head_at = Instant::now();
+    let head_received_at = Instant::now();
     let body = collect(body, timeouts.part, control).await?;
     pool.release(name, lease, None);
-    Ok(Reply { status: head.status, body, body_time: head_at.elapsed() })
+    Ok(Reply { status: head.status, body, body_time: head_received_at.elapsed() })
 }
 
 /// Reads a body whose parts arrive within `part_timeout` of each other. A large body waits for a
--- a/crates/tidetrack-plane/src/crash.rs
+++ b/crates/tidetrack-plane/src/crash.rs
@@ -39,8 +39,9 @@
 /// A check whether an endpoint has ended.
 struct EndpointProbe {
     started_at: Instant,
-    /// Whether the endpoint had ended at the first probe, and at the second one.
+    /// Whether the endpoint had ended at the first probe.
     first_result: OnceCell<bool>,
+    /// Whether the endpoint had ended at the second probe.
     second_result: OnceCell<bool>,
     /// When the end of the endpoint was detected; `None` if it was not.
     end_detected_at: Cell<Option<Instant>>,
@@ -133,7 +134,7 @@
         let sent_at = Millis(now.0.saturating_sub(self.sent_at.elapsed().as_millis() as u64));
         let crashes =
             shared.suspects.record_crash(now, self.fingerprint, id, failure_domain, sent_at);
-        // Reports the crash to other hosts, which receive it within 100 ms.
+        // Makes the control thread report the crash to other hosts, within 100 ms.
         shared.tell(Input::Tick);
         shared.journal.line(
             Event::EndpointCrashed,
@@ -151,7 +152,8 @@
 /// Reports whether the endpoint's address refuses connections. A pooled connection that was idle
 /// for at most `max_idle` counts as accepted.
 async fn refuses_connections(traffic: &Traffic, chosen: &Chosen, max_idle: Duration) -> bool {
-    let connect = traffic.pool.prepare(chosen.id.as_str(), &chosen.address, max_idle);
+    let connect =
+        traffic.pool.ensure_idle_connection(chosen.id.as_str(), &chosen.address, max_idle);
     match tokio::time::timeout(PROBE_TIMEOUT, connect).await {
         Ok(Err(e)) => e.disconnect_cause == Some(DisconnectCause::Refused),
         Ok(Ok(())) | Err(_) => false,
--- a/crates/tidetrack-plane/src/pool.rs
+++ b/crates/tidetrack-plane/src/pool.rs
@@ -86,7 +86,7 @@
     }
 }
 
-struct Idle {
+struct IdleConnection {
     lease: Lease,
     idle_since: Moment,
     expires_at: Moment,
@@ -95,7 +95,7 @@
 /// Connections, by the name of the peer.
 #[derive(Default)]
 pub struct Pool {
-    idle: RefCell<HashMap<String, Vec<Idle>>>,
+    idle: RefCell<HashMap<String, Vec<IdleConnection>>>,
     peer_kind: Ends,
     /// Start of the latest connect or request that succeeded within `MAX_PROMPT_LATENCY`.
     last_prompt_at: Cell<Option<Instant>>,
@@ -120,9 +120,14 @@
     }
 
     /// Makes sure that a connection is in the pool for a request that is about to be sent.
-    pub async fn prepare(&self, name: &str, address: &str, max_idle: Duration) -> Result<()> {
+    pub async fn ensure_idle_connection(
+        &self,
+        name: &str,
+        address: &str,
+        max_idle: Duration,
+    ) -> Result<()> {
         let now = Moment::now();
-        let is_usable = |newest: &Idle| {
+        let is_usable = |newest: &IdleConnection| {
             newest.idle_since.elapsed() <= max_idle
                 && now < newest.expires_at
                 && !newest.lease.sender.is_closed()
@@ -171,7 +176,11 @@
         let connections = idle.entry(name.to_string()).or_default();
         if connections.len() < MAX_IDLE_CONNECTIONS {
             let now = Moment::now();
-            connections.push(Idle { lease, idle_since: now, expires_at: now.after(usable_time) });
+            connections.push(IdleConnection {
+                lease,
+                idle_since: now,
+                expires_at: now.after(usable_time),
+            });
         }
     }
 
@@ -199,7 +208,7 @@
     }
 
     /// Removes and returns the most recently used connection if it was idle for at most `max_idle`.
-    fn pop_newest(&self, name: &str, max_idle: Duration) -> Option<Idle> {
+    fn pop_newest(&self, name: &str, max_idle: Duration) -> Option<IdleConnection> {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(name)?;
         connections.pop_if(|newest| newest.idle_since.elapsed() <= max_idle)
--- a/crates/tidetrack-plane/src/relay.rs
+++ b/crates/tidetrack-plane/src/relay.rs
@@ -62,7 +62,7 @@
     model: Option<ModelId>,
     source: Source,
     head: Option<http::response::Parts>,
-    last_event: Option<u64>,
+    last_event_id: Option<u64>,
     event_count: u32,
 }
 
@@ -82,7 +82,7 @@
     work_share: Option<WorkShare>,
     splitter: EventSplitter,
     sent_at: Instant,
-    first_event: Option<Instant>,
+    first_event_at: Option<Instant>,
     event_count: u32,
     /// Whether the pace of this response was already reported.
     is_pace_reported: bool,
@@ -106,14 +106,14 @@
         sent_at: Instant,
     ) -> StreamRelay {
         let (head, source) = Source::new(response, chosen, work_share, sent_at);
-        let last_event = job.facts.last_event;
+        let last_event_id = job.facts.last_event;
         StreamRelay {
             traffic: traffic.clone(),
             job: job.clone(),
             model,
             source,
             head: Some(head),
-            last_event,
+            last_event_id,
             event_count: 0,
         }
     }
@@ -182,13 +182,13 @@
     /// Records an event that is about to be forwarded. Returns `WrongAnswer` if its id does not
     /// follow the id of the last forwarded event.
     fn record_event(&mut self, event: &StreamEvent) -> Result<()> {
-        if let (Some(id), Some(last_id)) = (event.id, self.last_event) {
+        if let (Some(id), Some(last_id)) = (event.id, self.last_event_id) {
             if id <= last_id {
                 let text = format!("event id {id} was received after id {last_id}");
                 return Err(Error::new(Code::WrongAnswer, text).with_executed(Executed::Yes));
             }
         }
-        self.last_event = event.id.or(self.last_event);
+        self.last_event_id = event.id.or(self.last_event_id);
         self.event_count += 1;
         if self.source.event_count == EVENTS_BEFORE_PACE_REPORT {
             self.report_progress(AttemptOutcome::InProgress);
@@ -208,7 +208,8 @@
                 biased;
                 next = self.source.next() => return self.record_source_activity(next),
                 () = silence, if can_resume_elsewhere => {}
-                () = tokio::time::sleep_until(deadline) => return Err(timeout_error("the stream did not end before the deadline")),
+                () = tokio::time::sleep_until(deadline) =>
+                    return Err(timeout_error("the stream did not end before the deadline")),
             }
             if let Some(next) = self.replace_silent_source(tries).await {
                 return next;
@@ -231,9 +232,11 @@
         let mut source_error = None;
         // Result of the other attempt, or else the item that the silent endpoint sent first.
         let outcome = {
-            let attempt = resume_elsewhere(&traffic, &job, model.as_ref(), self.last_event, tries);
+            let attempt =
+                resume_elsewhere(&traffic, &job, model.as_ref(), self.last_event_id, tries);
             let mut attempt = std::pin::pin!(attempt);
-            let mut concurrent = std::pin::pin!(silent_endpoint.shared_for(MAX_CONCURRENT_TIME));
+            let mut concurrent_limit =
+                std::pin::pin!(silent_endpoint.shared_for(MAX_CONCURRENT_TIME));
             loop {
                 tokio::select! {
                     biased;
@@ -245,10 +248,11 @@
                         }
                     },
                     replacement = attempt.as_mut() => break Ok(replacement),
-                    () = concurrent.as_mut(), if source_error.is_none() => {
+                    () = concurrent_limit.as_mut(), if source_error.is_none() => {
                         silent_endpoint.let_go();
                         self.source.close();
-                        source_error = Some(timeout_error("the endpoint sent no events for too long"));
+                        source_error =
+                            Some(timeout_error("the endpoint sent no events for too long"));
                     }
                 }
             }
@@ -289,7 +293,7 @@
     fn can_resume_elsewhere(&self, tries: &Tries) -> bool {
         let route = &self.job.admitted.route;
         let is_resumable = route.work == WorkKind::Stream { resumable: true };
-        let has_resume_point = self.head.is_some() || self.last_event.is_some();
+        let has_resume_point = self.head.is_some() || self.last_event_id.is_some();
         is_resumable && has_resume_point && tries.sent < route.max_attempts
     }
 
@@ -300,7 +304,7 @@
             &[
                 ("request", &self.job.id),
                 ("endpoint", &self.source.chosen.id),
-                ("after_event", &self.last_event.unwrap_or(0)),
+                ("after_event", &self.last_event_id.unwrap_or(0)),
                 ("why", &reason),
             ],
         );
@@ -323,7 +327,7 @@
             &[
                 ("request", &self.job.id),
                 ("endpoint", &source.chosen.id),
-                ("after_event", &self.last_event.unwrap_or(0)),
+                ("after_event", &self.last_event_id.unwrap_or(0)),
                 ("why", &reason.message),
             ],
         );
@@ -341,9 +345,10 @@
             return Err(reason);
         }
         let model = self.model.clone();
-        let last_event = self.last_event;
+        let last_event_id = self.last_event_id;
         let replacement =
-            resume_elsewhere(&self.traffic, &self.job, model.as_ref(), last_event, tries).await?;
+            resume_elsewhere(&self.traffic, &self.job, model.as_ref(), last_event_id, tries)
+                .await?;
         self.switch_source(replacement, &reason);
         Ok(())
     }
@@ -365,7 +370,7 @@
     fn report_progress(&mut self, outcome: AttemptOutcome) {
         let source = &mut self.source;
         let is_pace_reported = std::mem::replace(&mut source.is_pace_reported, true);
-        let response_time = source.first_event.map(|at| at - source.sent_at);
+        let response_time = source.first_event_at.map(|at| at - source.sent_at);
         let observation = AttemptObservation {
             outcome,
             response_time,
@@ -422,7 +427,7 @@
 }
 
 /// Sends the request to other endpoints, one after another, to resume the stream after
-/// `last_event`. Returns the first successful response; fails if no attempts are left or the
+/// `last_event_id`. Returns the first successful response; fails if no attempts are left or the
 /// request's time is over.
 ///
 /// While a silent endpoint is listened to, an attempt that reaches no endpoint is refunded: a
@@ -432,14 +437,14 @@
     traffic: &Rc<Traffic>,
     job: &Job,
     model: Option<&ModelId>,
-    last_event: Option<u64>,
+    last_event_id: Option<u64>,
     tries: &mut Tries,
 ) -> Result<(http::response::Parts, Source)> {
     tries.unreached = 0;
     loop {
         let (chosen, work_share) = choose_again(traffic, job, tries, model)?;
         let sent_at = Instant::now();
-        let error = match send(traffic, job, tries, &chosen, model, last_event).await {
+        let error = match send(traffic, job, tries, &chosen, model, last_event_id).await {
             Ok(response) if response.head.status.is_success() => {
                 return Ok(Source::new(response, chosen, work_share, sent_at));
             }
@@ -456,9 +461,9 @@
         if let Some(held) = tries.held.as_ref().filter(|_| error.code != Code::Deadline) {
             held.other_failed();
         }
-        let is_silent_heard = tries.held.as_ref().is_some_and(|held| held.is_heard());
+        let has_silent_endpoint = tries.held.as_ref().is_some_and(|held| held.is_heard());
         let has_exhausted_connects =
-            is_silent_heard && tries.unreached >= job.admitted.route.max_attempts;
+            has_silent_endpoint && tries.unreached >= job.admitted.route.max_attempts;
         if has_exhausted_connects || job.is_over() {
             return Err(error);
         }
@@ -483,7 +488,7 @@
             work_share: Some(work_share),
             splitter: EventSplitter::default(),
             sent_at,
-            first_event: None,
+            first_event_at: None,
             event_count: 0,
             is_pace_reported: false,
         };
@@ -502,7 +507,7 @@
         loop {
             if let Some(event) = self.splitter.next_event() {
                 self.event_count += 1;
-                self.first_event.get_or_insert_with(Instant::now);
+                self.first_event_at.get_or_insert_with(Instant::now);
                 return Ok(StreamItem::Event(event));
             }
             if self.splitter.is_overlong() {
@@ -530,8 +535,8 @@
     }
 
     fn mean_gap_ms(&self) -> Option<f64> {
-        let first_event = self.first_event?;
+        let first_event_at = self.first_event_at?;
         let gap_count = self.event_count.checked_sub(1).filter(|n| *n >= 2)?;
-        Some(first_event.elapsed().as_secs_f64() * 1_000.0 / f64::from(gap_count))
+        Some(first_event_at.elapsed().as_secs_f64() * 1_000.0 / f64::from(gap_count))
     }
 }
--- a/crates/tidetrack-plane/src/report.rs
+++ b/crates/tidetrack-plane/src/report.rs
@@ -80,13 +80,13 @@
         return;
     }
     let now = traffic.shared.now();
-    let ago = |time: Duration| Millis(now.0.saturating_sub(time.as_millis() as u64));
-    let last_prompt_at = traffic.pool.last_prompt_at().map(|at| ago(at.elapsed()));
+    let millis_before_now = |time: Duration| Millis(now.0.saturating_sub(time.as_millis() as u64));
+    let last_prompt_at = traffic.pool.last_prompt_at().map(|at| millis_before_now(at.elapsed()));
     let connect = FailedConnect {
         endpoint: chosen.id.clone(),
         failure_domain: chosen.failure_domain.clone(),
         live: chosen.live.clone(),
-        began: ago(elapsed),
+        began: millis_before_now(elapsed),
         ended: now,
     };
     let cause = traffic.reach.borrow_mut().record_failed_connect(connect, last_prompt_at);
--- a/crates/tidetrack-plane/src/second_opinion.rs
+++ b/crates/tidetrack-plane/src/second_opinion.rs
@@ -45,12 +45,12 @@
     let tradeoff = cascade::weigh_second_opinion(route, service, model, estimate, size, opts)?;
     let now = traffic.shared.now();
     let can_retry = tries.sent < route.max_attempts && route.work.is_repeatable();
-    let has_budget =
+    let try_acquire_budget =
         || traffic.with_budget(&job.service, |b| b.try_acquire(now, FurtherAttempt::SecondOpinion));
     let keep_reason = match tradeoff.is_worth_it() {
         false => Some("cost"),
         true if !can_retry => Some("attempts"),
-        true if !has_budget() => Some("budget"),
+        true if !try_acquire_budget() => Some("budget"),
         true if !is_reachable(traffic, job, larger, &candidate).await => {
             traffic.with_budget(&job.service, |b| b.refund(now));
             Some("connection")
@@ -84,7 +84,11 @@
 async fn is_reachable(traffic: &Traffic, job: &Job, model: &ModelId, candidate: &Chosen) -> bool {
     let started_at = Instant::now();
     let max_idle = max_idle_time(job.admitted.route.work.is_repeatable());
-    match traffic.pool.prepare(candidate.id.as_str(), &candidate.address, max_idle).await {
+    match traffic
+        .pool
+        .ensure_idle_connection(candidate.id.as_str(), &candidate.address, max_idle)
+        .await
+    {
         Ok(()) => true,
         Err(e) => {
             record_failed_attempt(traffic, job, candidate, Some(model), &e, started_at.elapsed());
--- a/crates/tidetrack-plane/src/send.rs
+++ b/crates/tidetrack-plane/src/send.rs
@@ -30,7 +30,7 @@
 
 /// Multiple of the objective after which an attempt is abandoned if its endpoint sent nothing
 /// meanwhile. An endpoint that has disappeared is detected by its connection, 1.2 s after the first
-/// retransmission of an unacknowledged request and 2 s after the last packet from the endpoint. A
+/// retransmission of an unacknowledged request or 2 s after the last packet from the endpoint. A
 /// shorter timeout would discard the work of endpoints that are only busy, and a host in a large
 /// fleet receives little data from each endpoint.
 const SILENT_TIMEOUT_RATIO: f64 = 1.6;
@@ -122,7 +122,8 @@
         biased;
         response = attempt::send(&attempt, make_request) => response,
         () = wait_for_attempt_timeout(traffic, job, tries, chosen, model) => {
-            Err(Error::new(Code::Deadline, "the endpoint did not respond in time").with_executed(Executed::Unknown))
+            Err(Error::new(Code::Deadline, "the endpoint did not respond in time")
+                .with_executed(Executed::Unknown))
         }
     };
     match &response {
@@ -173,7 +174,7 @@
     job: &Job,
     chosen: &Chosen,
     model: Option<&ModelId>,
-    last_event: Option<u64>,
+    resume_after: Option<u64>,
 ) -> Request<Full<Bytes>> {
     let remaining = job.time_left();
     let handover = Handover {
@@ -182,7 +183,7 @@
         workspace: job.admitted.holder.as_ref().map(|h| &h.workspace),
         rank: job.is_engine().then(|| job.admitted.rank()),
         model,
-        last_event: last_event.or(job.facts.last_event),
+        last_event: resume_after.or(job.facts.last_event),
         prefix_from: chosen.prefix.source(),
     };
     let mut req = Request::new(Full::new(job.body.clone()));
@@ -193,8 +194,8 @@
 }
 
 /// Waits until an attempt is to be abandoned for another one: early if the endpoint is completely
-/// silent, later if it is only slow. Keeps waiting while no further attempt is allowed, because the
-/// endpoint may still respond.
+/// silent, later if it is only slow. Returns after it has taken the other attempt from the budget.
+/// Keeps waiting while no further attempt is allowed, because the endpoint may still respond.
 async fn wait_for_attempt_timeout(
     traffic: &Traffic,
     job: &Job,
@@ -233,8 +234,8 @@
 }
 
 /// Records the load that an endpoint reports in the head of a response.
-pub fn record_reported_load(traffic: &Traffic, chosen: &Chosen, answered: &EndpointResponse) {
-    if let Some(load) = answered.facts.load {
+pub fn record_reported_load(traffic: &Traffic, chosen: &Chosen, response: &EndpointResponse) {
+    if let Some(load) = response.facts.load {
         let work =
             load.running * WORK_PER_RUNNING_REQUEST + load.waiting * WORK_PER_WAITING_REQUEST;
         chosen.live.record_load_report(traffic.shared.now(), work, Tokens(0));
