--- a/crates/tidetrack-plane/src/call.rs
+++ b/crates/tidetrack-plane/src/call.rs
@@ -170,9 +170,9 @@
 pub struct LargeReplyControl<'a> {
     /// Limits how many large replies are received at once.
     pub limiter: &'a LargeReplyLimiter,
-    /// Reports whether the reply has become obsolete while it waited.
+    /// Reports whether the reply has become obsolete because another one delivered its changes.
     pub is_obsolete: Box<dyn Fn() -> bool + 'a>,
-    /// Called periodically while the reply arrives.
+    /// Called at most once per `PROGRESS_INTERVAL` while the reply arrives and is not slow.
     pub on_progress: Box<dyn Fn() + 'a>,
 }
 
@@ -201,15 +201,15 @@
     timeouts: CallTimeouts,
     control: Option<&LargeReplyControl<'_>>,
 ) -> Result<Reply> {
-    let until = Instant::now() + timeouts.head;
+    let deadline = Instant::now() + timeouts.head;
     let timeout_error = |_| unavailable_error("no reply within the time limit");
-    let acquired = tokio::time::timeout_at(until, pool.acquire(name, address, Duration::MAX));
+    let acquired = tokio::time::timeout_at(deadline, pool.acquire(name, address, Duration::MAX));
     let mut lease =
         acquired.await.map_err(timeout_error)?.map_err(|e| unavailable_error(e.message))?;
     let host_header =
         http::HeaderValue::from_str(address).map_err(|e| unavailable_error(e.to_string()))?;
     req.headers_mut().insert(http::header::HOST, host_header);
-    let response = tokio::time::timeout_at(until, lease.sender.send_request(req));
+    let response = tokio::time::timeout_at(deadline, lease.sender.send_request(req));
     let (head, body) = response
         .await
         .map_err(timeout_error)?
--- a/crates/tidetrack-plane/src/relay.rs
+++ b/crates/tidetrack-plane/src/relay.rs
@@ -524,10 +524,8 @@
                         .with_disconnect_cause(disconnect_cause(&e)))
                 }
                 None if self.splitter.has_partial_event() => {
-                    return Err(make_error(
-                        "the connection closed within an event of the stream".into(),
-                    )
-                    .with_disconnect_cause(DisconnectCause::Closed));
+                    return Err(make_error("the stream ended in the middle of an event".into())
+                        .with_disconnect_cause(DisconnectCause::Closed));
                 }
                 None => return Ok(StreamItem::End),
             }
