--- a/crates/tidetrack-plane/src/crash.rs
+++ b/crates/tidetrack-plane/src/crash.rs
@@ -1,9 +1,11 @@
-//! Whether an attempt was cut by the end of its endpoint.
+//! Detects whether an attempt was interrupted because its endpoint crashed.
 //!
-//! A connection that breaks says little: it may have been reset on its way, or closed by an endpoint that goes on.
-//! A new connection tells. Where nobody listens any more, the endpoint has ended; otherwise the connection that
-//! came up is kept for the next request. A process that ends may still listen for a moment after its connections
-//! have been closed, so one that came up is looked at once more a little later; nobody waits for that.
+//! A lost connection alone does not show this: it may have been reset on the network path, or
+//! closed by an endpoint that keeps running. A new connection does. If it is refused, the
+//! endpoint's process has ended; otherwise the established connection is kept for the next request.
+//! A process that is ending may still accept connections for a moment after its own were closed, so
+//! an endpoint that accepted is probed once more a little later. No request waits for the second
+//! probe.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -23,99 +25,108 @@
 
 use crate::job::{ChosenEndpoint, Job, Traffic};
 
-/// Longest wait for the outcome of a new connection. Nobody answers in less than a way and back; an endpoint that
-/// gives no sign is not known to have ended.
-const LOOK_WITHIN: Duration = Duration::from_millis(150);
+/// Maximum time to wait for the result of a new connection. A result takes at least one round trip;
+/// an endpoint that does not respond is not known to have ended.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Pause before the second look at an endpoint that took the new connection.
-const LOOK_AGAIN_AFTER: Duration = Duration::from_millis(30);
+/// Delay before the second probe of an endpoint that accepted the new connection.
+const SECOND_PROBE_DELAY: Duration = Duration::from_millis(30);
 
-/// How long the outcome counts for other attempts that were cut at the same endpoint.
-const LOOK_KEPT: Duration = Duration::from_millis(500);
+/// How long the result of a probe is used for other attempts that were interrupted at the same
+/// endpoint.
+const PROBE_RESULT_TTL: Duration = Duration::from_millis(500);
 
-/// A look whether an endpoint has ended.
-struct Look {
-    began: Instant,
-    /// Whether nobody listened at once, and whether nobody did a little later.
-    at_once: OnceCell<bool>,
-    later: OnceCell<bool>,
-    /// When its end was known.
-    known_at: Cell<Option<Instant>>,
+/// A check whether an endpoint has ended.
+struct EndpointProbe {
+    started_at: Instant,
+    /// Whether the endpoint had ended at the first probe.
+    first_result: OnceCell<bool>,
+    /// Whether the endpoint had ended at the second probe.
+    second_result: OnceCell<bool>,
+    /// When the end of the endpoint was detected; `None` if it was not.
+    end_detected_at: Cell<Option<Instant>>,
 }
 
-/// Looks at endpoints whose connections broke, one at a time for each.
+/// Probes of endpoints whose connections were lost, at most one at a time for each endpoint.
 #[derive(Default)]
-pub struct Looks(RefCell<HashMap<EndpointId, Rc<Look>>>);
+pub struct EndpointProbes(RefCell<HashMap<EndpointId, Rc<EndpointProbe>>>);
 
-impl Looks {
-    /// Gets the look at an endpoint that is under way or not long over, or begins one.
-    fn at(&self, endpoint: &EndpointId) -> Rc<Look> {
-        let mut looks = self.0.borrow_mut();
-        looks.retain(|_, look| look.began.elapsed() < LOOK_KEPT);
-        let new = || Look {
-            began: Instant::now(),
-            at_once: OnceCell::new(),
-            later: OnceCell::new(),
-            known_at: Cell::new(None),
+impl EndpointProbes {
+    /// Returns the probe of an endpoint that is running or recent, or starts one.
+    fn get_or_start(&self, endpoint: &EndpointId) -> Rc<EndpointProbe> {
+        let mut probes = self.0.borrow_mut();
+        probes.retain(|_, probe| probe.started_at.elapsed() < PROBE_RESULT_TTL);
+        let new_probe = || EndpointProbe {
+            started_at: Instant::now(),
+            first_result: OnceCell::new(),
+            second_result: OnceCell::new(),
+            end_detected_at: Cell::new(None),
         };
-        looks.entry(endpoint.clone()).or_insert_with(|| Rc::new(new())).clone()
+        probes.entry(endpoint.clone()).or_insert_with(|| Rc::new(new_probe())).clone()
     }
 }
 
-/// An attempt that was cut.
-struct Cut {
+/// An attempt whose connection was lost.
+struct InterruptedAttempt {
     request: String,
     fingerprint: Fingerprint,
     chosen: ChosenEndpoint,
     sent_at: Instant,
 }
 
-/// Finds out whether an attempt that failed was cut by its endpoint's end, and takes note of that. Waits for the
-/// first look only; the rest goes on by itself, also where the caller leaves.
-pub async fn note_crash(
+/// Checks whether a failed attempt was interrupted by the end of its endpoint, and records a crash
+/// if so. Waits only for the first probe; the rest continues in a task, even if the caller
+/// disconnects.
+pub async fn detect_crash(
     traffic: &Rc<Traffic>,
     job: &Job,
     chosen: &ChosenEndpoint,
     e: &Error,
     sent_at: Instant,
 ) {
-    let is_cut =
+    let is_interrupted =
         matches!(e.disconnect_cause, Some(DisconnectCause::Closed | DisconnectCause::Reset));
-    if !is_cut || e.executed == Executed::No {
+    if !is_interrupted || e.executed == Executed::No {
         return;
     }
-    let look = traffic.crash_checks.at(&chosen.id);
-    // What was sent to an endpoint that had ended already was not run there.
-    if look.known_at.get().is_some_and(|at| sent_at >= at) {
+    let probe = traffic.crash_checks.get_or_start(&chosen.id);
+    // A request that was sent after the endpoint had ended was not executed there.
+    if probe.end_detected_at.get().is_some_and(|at| sent_at >= at) {
         return;
     }
     let (request, fingerprint) = (job.id.clone(), job.fingerprint);
-    let cut = Cut { request, fingerprint, chosen: chosen.clone(), sent_at };
+    let attempt = InterruptedAttempt { request, fingerprint, chosen: chosen.clone(), sent_at };
     let (tx, rx) = oneshot::channel();
-    tokio::task::spawn_local(cut.look(traffic.clone(), look, tx));
-    // The other end is dropped without a word.
+    tokio::task::spawn_local(attempt.probe(traffic.clone(), probe, tx));
+    // The sender is dropped without a value when the first probe is done.
     let _ = rx.await;
 }
 
-impl Cut {
-    /// Looks at the endpoint; `first_look` is dropped once the first look is over and noted.
-    async fn look(self, traffic: Rc<Traffic>, look: Rc<Look>, first_look: oneshot::Sender<()>) {
-        let has_ended = |rest| has_ended(&traffic, &self.chosen, rest);
-        let mut is_over = *look.at_once.get_or_init(|| has_ended(Duration::ZERO)).await;
-        if !is_over {
-            drop(first_look);
-            tokio::time::sleep(LOOK_AGAIN_AFTER).await;
-            is_over = *look.later.get_or_init(|| has_ended(Duration::MAX)).await;
+impl InterruptedAttempt {
+    /// Probes the endpoint. `first_done` is dropped once the first probe is finished and a
+    /// crash that it detected is recorded.
+    async fn probe(
+        self,
+        traffic: Rc<Traffic>,
+        probe: Rc<EndpointProbe>,
+        first_done: oneshot::Sender<()>,
+    ) {
+        let has_ended = |max_idle| refuses_connections(&traffic, &self.chosen, max_idle);
+        let mut is_ended = *probe.first_result.get_or_init(|| has_ended(Duration::ZERO)).await;
+        if !is_ended {
+            drop(first_done);
+            tokio::time::sleep(SECOND_PROBE_DELAY).await;
+            is_ended = *probe.second_result.get_or_init(|| has_ended(Duration::MAX)).await;
         }
-        traffic.shared.metrics.cut(is_over);
-        if is_over {
-            look.known_at.set(look.known_at.get().or_else(|| Some(Instant::now())));
-            self.note(&traffic);
+        traffic.shared.metrics.cut(is_ended);
+        if is_ended {
+            probe.end_detected_at.set(probe.end_detected_at.get().or_else(|| Some(Instant::now())));
+            self.record_crash(&traffic);
         }
     }
 
-    /// Takes note of the endpoint's end.
-    fn note(&self, traffic: &Traffic) {
+    /// Records that the endpoint crashed.
+    fn record_crash(&self, traffic: &Traffic) {
         let shared = &traffic.shared;
         let now = shared.now();
         let ChosenEndpoint { id, failure_domain, state, .. } = &self.chosen;
@@ -123,7 +134,7 @@
         let sent_at = Millis(now.0.saturating_sub(self.sent_at.elapsed().as_millis() as u64));
         let crashes =
             shared.suspects.record_crash(now, self.fingerprint, id, failure_domain, sent_at);
-        // Other hosts are told within a tenth of a second.
+        // Makes the control thread report the crash to other hosts, within 100 ms.
         shared.tell(Input::Tick);
         shared.journal.line(
             Event::EndpointCrashed,
@@ -138,11 +149,16 @@
     }
 }
 
-/// Tells whether nobody listens at an endpoint's address any more. A connection to it that is kept and rested no longer
-/// than `most_rest` tells that somebody does.
-async fn has_ended(traffic: &Traffic, chosen: &ChosenEndpoint, most_rest: Duration) -> bool {
-    let opened = traffic.pool.prepare(chosen.id.as_str(), &chosen.address, most_rest);
-    match tokio::time::timeout(LOOK_WITHIN, opened).await {
+/// Reports whether the endpoint's address refuses connections. A pooled connection that was idle
+/// for at most `max_idle` counts as accepted.
+async fn refuses_connections(
+    traffic: &Traffic,
+    chosen: &ChosenEndpoint,
+    max_idle: Duration,
+) -> bool {
+    let connect =
+        traffic.pool.ensure_idle_connection(chosen.id.as_str(), &chosen.address, max_idle);
+    match tokio::time::timeout(PROBE_TIMEOUT, connect).await {
         Ok(Err(e)) => e.disconnect_cause == Some(DisconnectCause::Refused),
         Ok(Ok(())) | Err(_) => false,
     }
--- a/crates/tidetrack-plane/src/exchange.rs
+++ b/crates/tidetrack-plane/src/exchange.rs
@@ -25,19 +25,19 @@
 
 use tidetrack_core::units::Millis;
 
-use crate::attempt::{self, Answered};
-use crate::body::AnswerBody;
+use crate::attempt::{self, EndpointResponse};
+use crate::body::ResponseBody;
 use crate::choose::{
     check_before_send, choose, model_weight, overloaded_error, RETRY_OVERLOADED_MS,
 };
 use crate::clock::Moment;
-use crate::crash::note_crash;
+use crate::crash::detect_crash;
 use crate::dialect::RequestFacts;
 use crate::job::{AttemptHistory, ChosenEndpoint, InFlight, Job, PendingWork, Traffic};
 use crate::relay;
-use crate::report::{answered_line, failed_attempt, observe, Seen};
-use crate::second_run::larger_model;
-use crate::send::{note_load, send};
+use crate::report::{record_failed_attempt, record_response, report_attempt, AttemptObservation};
+use crate::second_opinion::model_for_second_opinion;
+use crate::send::{record_reported_load, send};
 
 /// `Retry-After` in milliseconds of a refusal by a stopping host. It is short because other hosts can accept
 /// the request immediately.
@@ -47,7 +47,7 @@
 const STARTUP_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Handles one request. Errors become error responses, so this always returns a response.
-pub async fn serve(traffic: Rc<Traffic>, req: Request<Incoming>) -> Response<AnswerBody> {
+pub async fn serve(traffic: Rc<Traffic>, req: Request<Incoming>) -> Response<ResponseBody> {
     let started_at = Instant::now();
     let in_flight = InFlight::new(&traffic);
     let facts = (traffic.shared.dialect.read_request)(req.headers());
@@ -106,7 +106,7 @@
     route: &str,
     started_at: Instant,
     e: &Error,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let shared = &traffic.shared;
     let executed = format!("{:?}", e.executed);
     let elapsed_ms = started_at.elapsed().as_millis();
@@ -125,7 +125,7 @@
     );
     shared.metrics.request(route, &e.code.to_string());
     let resp = (shared.dialect.refusal)(e, attempt_id);
-    resp.map(AnswerBody::whole)
+    resp.map(ResponseBody::from_bytes)
 }
 
 /// Admits a request, reads its body and selects its service. Fails if the request is refused, its body is
@@ -243,11 +243,11 @@
 }
 
 /// Makes attempts until a response can be forwarded to the caller or no further attempt is possible.
-async fn run_attempts(traffic: &Rc<Traffic>, job: &Rc<Job>) -> Result<Response<AnswerBody>> {
+async fn run_attempts(traffic: &Rc<Traffic>, job: &Rc<Job>) -> Result<Response<ResponseBody>> {
     let route = &job.admitted.route;
     let mut attempts = AttemptHistory::default();
     let mut model = cascade::first_model(route).cloned();
-    let mut fallback: Option<Response<AnswerBody>> = None;
+    let mut fallback: Option<Response<ResponseBody>> = None;
     loop {
         let attempt_response = match make_attempt(traffic, job, &mut attempts, model.as_ref()).await
         {
@@ -258,16 +258,26 @@
         let AttemptResponse { response, chosen, pending_work, started_at } = attempt_response;
         let status = response.head.status;
         if status.is_success() {
-            if let Some(larger) =
-                larger_model(traffic, job, &attempts, model.as_ref(), &chosen, &response).await
+            if let Some(larger) = model_for_second_opinion(
+                traffic,
+                job,
+                &attempts,
+                model.as_ref(),
+                &chosen,
+                &response,
+            )
+            .await
             {
                 // The attempt on the larger model has already been charged to the retry budget, and its
                 // endpoint was reached, before the present response is dropped.
                 attempts.is_next_charged = true;
                 attempts.record_executed(Executed::Yes);
                 chosen.state.record_outcome(traffic.shared.now(), true);
-                let observation = Seen::ended(AttemptOutcome::Superseded, started_at.elapsed());
-                observe(traffic, job, &chosen, model.as_ref(), &observation);
+                let observation = AttemptObservation::from_elapsed(
+                    AttemptOutcome::Superseded,
+                    started_at.elapsed(),
+                );
+                report_attempt(traffic, job, &chosen, model.as_ref(), &observation);
                 model = Some(larger);
                 // Dropping the response closes its connection, which stops the endpoint's work.
                 continue;
@@ -289,8 +299,8 @@
         attempts.record_executed(Executed::Yes);
         let is_failure = status.is_server_error();
         let outcome = if is_failure { AttemptOutcome::Failed } else { AttemptOutcome::Complete };
-        let observation = Seen::ended(outcome, started_at.elapsed());
-        observe(traffic, job, &chosen, model.as_ref(), &observation);
+        let observation = AttemptObservation::from_elapsed(outcome, started_at.elapsed());
+        report_attempt(traffic, job, &chosen, model.as_ref(), &observation);
         chosen.state.record_outcome(traffic.shared.now(), !is_failure);
         let resp = collect_response(traffic, job, response, &chosen, model.as_ref()).await;
         drop(pending_work);
@@ -311,7 +321,7 @@
 
 /// Response of an endpoint, with the state of the attempt that returned it.
 struct AttemptResponse {
-    response: Answered,
+    response: EndpointResponse,
     chosen: ChosenEndpoint,
     pending_work: PendingWork,
     started_at: Instant,
@@ -345,12 +355,12 @@
                 );
             }
             pending_work.record_response_start();
-            note_load(traffic, &chosen, &response);
+            record_reported_load(traffic, &chosen, &response);
             Ok(AttemptResponse { response, chosen, pending_work, started_at })
         }
         Err(e) => {
-            failed_attempt(traffic, job, &chosen, model, &e, started_at.elapsed());
-            note_crash(traffic, job, &chosen, &e, started_at).await;
+            record_failed_attempt(traffic, job, &chosen, model, &e, started_at.elapsed());
+            detect_crash(traffic, job, &chosen, &e, started_at).await;
             attempts.record_executed(e.executed);
             match can_attempt_again(job, attempts) {
                 true => Err(AttemptError::Retry),
@@ -400,25 +410,33 @@
     attempts: &mut AttemptHistory,
     model: Option<&ModelId>,
     attempt_response: AttemptResponse,
-) -> Result<Response<AnswerBody>> {
+) -> Result<Response<ResponseBody>> {
     let AttemptResponse { response, chosen, pending_work, started_at } = attempt_response;
     if job.admitted.route.work.is_stream() {
         let model = model.cloned();
-        let stream =
-            relay::Stream::new(traffic, job, model, response, chosen, pending_work, started_at);
-        return stream.begin(attempts).await;
+        let stream = relay::StreamRelay::new(
+            traffic,
+            job,
+            model,
+            response,
+            chosen,
+            pending_work,
+            started_at,
+        );
+        return stream.start(attempts).await;
     }
     let resp = match collect_response(traffic, job, response, &chosen, model).await {
         Ok(resp) => resp,
         Err(e) => {
-            failed_attempt(traffic, job, &chosen, model, &e, started_at.elapsed());
-            note_crash(traffic, job, &chosen, &e, started_at).await;
+            record_failed_attempt(traffic, job, &chosen, model, &e, started_at.elapsed());
+            detect_crash(traffic, job, &chosen, &e, started_at).await;
             return Err(e);
         }
     };
     chosen.state.record_outcome(traffic.shared.now(), true);
-    let observation = Seen::ended(AttemptOutcome::Complete, started_at.elapsed());
-    observe(traffic, job, &chosen, model, &observation);
+    let observation =
+        AttemptObservation::from_elapsed(AttemptOutcome::Complete, started_at.elapsed());
+    report_attempt(traffic, job, &chosen, model, &observation);
     drop(pending_work);
     Ok(resp)
 }
@@ -427,23 +445,23 @@
 async fn collect_response(
     traffic: &Traffic,
     job: &Job,
-    response: Answered,
+    response: EndpointResponse,
     chosen: &ChosenEndpoint,
     model: Option<&ModelId>,
-) -> Result<Response<AnswerBody>> {
-    let shows_good_end = response.shows_good_end();
-    let Answered { head, facts, body, lease } = response;
+) -> Result<Response<ResponseBody>> {
+    let proves_completion = response.proves_completion();
+    let EndpointResponse { head, facts, body, lease } = response;
     let deadline = tokio::time::Instant::from_std(job.deadline);
     let timed_out =
         |_| Error::new(Code::Deadline, "the response was not complete before the deadline");
     let collected = tokio::time::timeout_at(deadline, attempt::collect(body, lease));
     let (body, lease) = collected.await.map_err(timed_out)??;
-    traffic.pool.keep(chosen.id.as_str(), lease, facts.idle_time);
-    if shows_good_end {
+    traffic.pool.release(chosen.id.as_str(), lease, facts.idle_time);
+    if proves_completion {
         traffic.shared.suspects.record_completion(traffic.shared.now(), job.fingerprint);
     }
-    answered_line(traffic, job, chosen, model, head.status.as_u16());
-    let mut resp = Response::new(AnswerBody::whole(body));
+    record_response(traffic, job, chosen, model, head.status.as_u16());
+    let mut resp = Response::new(ResponseBody::from_bytes(body));
     *resp.status_mut() = head.status;
     *resp.headers_mut() = (traffic.shared.dialect.caller_head)(head.headers);
     Ok(resp)
--- a/crates/tidetrack-plane/src/job.rs
+++ b/crates/tidetrack-plane/src/job.rs
@@ -26,7 +26,7 @@
 use tidetrack_core::units::{Millis, Tokens};
 
 use crate::clock::Moment;
-use crate::crash::Looks;
+use crate::crash::EndpointProbes;
 use crate::dialect::RequestFacts;
 use crate::pool::Pool;
 use crate::shared::SharedRef;
@@ -53,7 +53,7 @@
     /// Recent connection attempts that got no reply, by endpoint and failure domain.
     pub reachability: RefCell<ReachabilityTracker>,
     /// Checks whether endpoints whose connections broke have crashed.
-    pub crash_checks: Looks,
+    pub crash_checks: EndpointProbes,
     /// Number of requests whose responses are not complete.
     pub in_flight: Cell<usize>,
     /// Whether new requests are refused because the host is stopping.
@@ -69,10 +69,10 @@
         Traffic {
             reachability,
             shared,
-            pool: Pool::to_endpoints(),
+            pool: Pool::for_endpoints(),
             budgets: RefCell::default(),
             latency_estimator: RefCell::default(),
-            crash_checks: Looks::default(),
+            crash_checks: EndpointProbes::default(),
             in_flight: Cell::new(0),
             is_refusing: Cell::new(false),
             last_request_number: Cell::new(0),
--- a/crates/tidetrack-plane/src/relay.rs
+++ b/crates/tidetrack-plane/src/relay.rs
@@ -1,13 +1,14 @@
-//! Passes a stream on, event by event, and goes on at another endpoint when one breaks.
+//! Forwards an event stream to the caller, and resumes it at another endpoint if it is interrupted.
 //!
-//! Only whole events are passed on. The head goes to the caller with the first of them, so that a
-//! stream that breaks before it is an attempt like any other. After that the answer keeps its head;
-//! a break is mended by a run at another endpoint that goes on after the last event passed on, or
-//! the caller's connection is broken off too.
+//! Only complete events are forwarded. The head is sent to the caller together with the first
+//! event, so a stream that is interrupted before its first event is retried like any other attempt.
+//! From then on the head cannot change. After an interruption another attempt resumes the stream
+//! after the last forwarded event; if this is impossible, the caller's connection is aborted too.
 //!
-//! Silence is no break. An endpoint that falls silent may still make the answer, and often the way to it
-//! is only crowded. It is listened to until another one is at work in its place, and on if none can be
-//! had; but two don't work on one answer for long.
+//! Silence is not treated as an interruption. A silent endpoint may still complete the response,
+//! and often only the network path to it is congested. The endpoint is listened to until another
+//! one works in its place, and for longer if no other one is available, but two endpoints do not
+//! work on one response for long.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -27,451 +28,495 @@
 use tidetrack_core::traffic::catalog::WorkKind;
 use tidetrack_core::traffic::judge::AttemptOutcome;
 
-use crate::attempt::Answered;
-use crate::body::{AnswerBody, BrokenOff, Piece};
+use crate::attempt::EndpointResponse;
+use crate::body::{BodyChunk, ResponseAborted, ResponseBody};
 use crate::choose::choose_resume_endpoint;
-use crate::crash::note_crash;
+use crate::crash::detect_crash;
 use crate::events::{EventSplitter, StreamEvent};
 use crate::job::{AttemptHistory, ChosenEndpoint, Job, PendingWork, SilentEndpoint, Traffic};
-use crate::patience::wait_running;
-use crate::pool::{broke, Lease};
-use crate::report::{answered_line, failed_attempt, observe, Seen};
-use crate::send::{drop_attempt, send};
+use crate::pool::{disconnect_cause, Lease};
+use crate::report::{record_failed_attempt, record_response, report_attempt, AttemptObservation};
+use crate::send::{record_dropped_attempt, send};
+use crate::stall_aware_sleep::stall_aware_sleep;
 
-/// Multiple of the longest pause in time after which a stream goes on elsewhere, if nothing else came
-/// from its endpoint either. A new run reads the prompt again, so a short stall is better borne.
-const SILENT_TIMES: f64 = 1.3;
+/// Multiple of the route's maximum event gap after which a stream is resumed elsewhere, if its
+/// endpoint sent nothing at all meanwhile. A new attempt has to read the prompt again, so it is
+/// better to wait through a short stall.
+const SILENT_GAP_RATIO: f64 = 1.3;
 
-/// The same for an endpoint that serves others meanwhile.
-const STALLED_TIMES: f64 = 3.0;
+/// Multiple of the maximum event gap that applies if the endpoint serves other requests meanwhile.
+const STALLED_GAP_RATIO: f64 = 3.0;
 
-/// How long a silent endpoint is listened to after the request was written to another one: two may not
-/// be at work on a stream for 400 ms, and a host on a part of a core sees its timers 100 ms late.
-const MOST_SHARED: Duration = Duration::from_millis(250);
+/// How long a silent endpoint is listened to after the request was written to another one. Two
+/// endpoints must not work on a stream for 400 ms, and a host with a fraction of a core sees its
+/// timers fire up to 100 ms late.
+const MAX_CONCURRENT_TIME: Duration = Duration::from_millis(250);
 
-/// The longest pause where the route names none.
-const USUAL_GAP: Duration = Duration::from_millis(1_200);
+/// Maximum gap between events if the route does not set one.
+const DEFAULT_MAX_EVENT_GAP: Duration = Duration::from_millis(1_200);
 
-/// A stream that is passed on.
-pub struct Stream {
+/// A stream that is forwarded to a caller.
+pub struct StreamRelay {
     traffic: Rc<Traffic>,
     job: Rc<Job>,
     model: Option<ModelId>,
     source: Source,
     head: Option<http::response::Parts>,
-    last_event: Option<u64>,
-    events: u32,
+    last_event_id: Option<u64>,
+    event_count: u32,
 }
 
-/// Events of an endpoint's after which its pace is told. A long answer of a slow version would be the last
-/// one to end, and those that are told first would be the quick ones.
-const EVENTS_TO_TELL: u32 = 9;
+/// Number of events from an endpoint after which its pace is reported. If the pace were reported
+/// only at the end, the reports on a slow version would be biased: its quick responses end first,
+/// and its long responses last.
+const EVENTS_BEFORE_PACE_REPORT: u32 = 9;
 
-/// Where the events come from.
+/// An endpoint's response that events are read from.
 struct Source {
     body: Incoming,
-    /// Whether the answer, once whole, shows that its request ran to a good end.
-    shows_good_end: bool,
+    /// Whether the complete response proves that the request was executed to its end.
+    proves_completion: bool,
     lease: Lease,
     idle_time: Option<Duration>,
     chosen: ChosenEndpoint,
-    share: Option<PendingWork>,
+    work_share: Option<PendingWork>,
     splitter: EventSplitter,
     sent_at: Instant,
-    first_event: Option<Instant>,
-    events: u32,
-    /// Whether its pace was told.
-    is_told: bool,
+    first_event_at: Option<Instant>,
+    event_count: u32,
+    /// Whether the pace of this response was already reported.
+    is_pace_reported: bool,
 }
 
-/// What came next.
-enum Next {
+/// The next element of a stream.
+enum StreamItem {
     Event(StreamEvent),
     End,
 }
 
-impl Stream {
-    /// Makes a stream of an answer whose head has come.
+impl StreamRelay {
+    /// Creates a stream relay from a response whose head was received.
     pub fn new(
         traffic: &Rc<Traffic>,
         job: &Rc<Job>,
         model: Option<ModelId>,
-        answered: Answered,
+        response: EndpointResponse,
         chosen: ChosenEndpoint,
-        share: PendingWork,
+        work_share: PendingWork,
         sent_at: Instant,
-    ) -> Stream {
-        let (head, source) = Source::new(answered, chosen, share, sent_at);
-        let last_event = job.facts.last_event;
-        Stream {
+    ) -> StreamRelay {
+        let (head, source) = Source::new(response, chosen, work_share, sent_at);
+        let last_event_id = job.facts.last_event;
+        StreamRelay {
             traffic: traffic.clone(),
             job: job.clone(),
             model,
             source,
             head: Some(head),
-            last_event,
-            events: 0,
+            last_event_id,
+            event_count: 0,
         }
     }
 
-    /// Waits for the first event and makes the caller's answer; the rest is passed on by a task.
-    pub async fn begin(mut self, tries: &mut AttemptHistory) -> Result<Response<AnswerBody>> {
-        let first = match self.next(tries).await {
+    /// Waits for the first event and creates the caller's response. A spawned task forwards the
+    /// remaining events. Returns an error if the stream fails before its first event.
+    pub async fn start(mut self, tries: &mut AttemptHistory) -> Result<Response<ResponseBody>> {
+        let first_item = match self.next(tries).await {
             Ok(next) => next,
             Err(e) => {
                 let e = e.with_executed(Executed::Yes);
-                self.source_failed(&e).await;
+                self.record_source_failure(&e).await;
                 return Err(e);
             }
         };
-        let (tx, body) = AnswerBody::piped();
-        let head = self.head.take().ok_or_else(|| Error::new(Code::Internal, "no head"))?;
+        let (tx, body) = ResponseBody::channel();
+        let head = self.head.take().ok_or_else(|| {
+            Error::new(Code::Internal, "the head of the response was already taken")
+        })?;
         let status = head.status;
         let (chosen, model) = (&self.source.chosen, self.model.as_ref());
-        answered_line(&self.traffic, &self.job, chosen, model, status.as_u16());
+        record_response(&self.traffic, &self.job, chosen, model, status.as_u16());
         let mut resp = Response::new(body);
         *resp.status_mut() = status;
         *resp.headers_mut() = (self.traffic.shared.dialect.caller_head)(head.headers);
-        tokio::task::spawn_local(self.run(tx, first, tries.clone()));
+        tokio::task::spawn_local(self.relay_items(tx, first_item, tries.clone()));
         Ok(resp)
     }
 
-    /// Passes events on until the end, the caller's leaving or a break that cannot be mended.
-    async fn run(mut self, tx: mpsc::Sender<Piece>, first: Next, mut tries: AttemptHistory) {
-        let mut next = Ok(first);
+    /// Forwards events until the stream ends, the caller disconnects, or an interruption cannot be
+    /// recovered from.
+    async fn relay_items(
+        mut self,
+        tx: mpsc::Sender<BodyChunk>,
+        first_item: StreamItem,
+        mut tries: AttemptHistory,
+    ) {
+        let mut next = Ok(first_item);
         loop {
             match next {
-                Ok(Next::Event(event)) => {
-                    // An event out of order is not passed on; its endpoint is left like one that breaks off.
-                    if let Err(e) = self.take_note(&event) {
+                Ok(StreamItem::Event(event)) => {
+                    // An event that is out of order is not forwarded; its endpoint is replaced as
+                    // if it had disconnected.
+                    if let Err(e) = self.record_event(&event) {
                         next = Err(e);
                         continue;
                     }
                     if tx.send(Ok(event.bytes)).await.is_err() {
-                        return self.caller_left();
+                        return self.record_caller_left();
                     }
                 }
-                Ok(Next::End) => return self.finish(),
+                Ok(StreamItem::End) => return self.finish(),
                 Err(e) => {
                     if let Err(e) = self.resume(&mut tries, e).await {
-                        return self.cut(&tx, &e).await;
+                        return self.abort_response(&tx, &e).await;
                     }
                 }
             }
             next = tokio::select! {
                 next = self.next(&mut tries) => next,
-                () = tx.closed() => return self.caller_left(),
+                () = tx.closed() => return self.record_caller_left(),
             };
         }
     }
 
-    /// Checks that an event follows the last one.
-    fn take_note(&mut self, event: &StreamEvent) -> Result<()> {
-        if let (Some(id), Some(last)) = (event.id, self.last_event) {
-            if id <= last {
-                let text = format!("event {id} came after {last}");
+    /// Records an event that is about to be forwarded. Returns `WrongAnswer` if its id does not
+    /// follow the id of the last forwarded event.
+    fn record_event(&mut self, event: &StreamEvent) -> Result<()> {
+        if let (Some(id), Some(last_id)) = (event.id, self.last_event_id) {
+            if id <= last_id {
+                let text = format!("event id {id} was received after id {last_id}");
                 return Err(Error::new(Code::WrongAnswer, text).with_executed(Executed::Yes));
             }
         }
-        self.last_event = event.id.or(self.last_event);
-        self.events += 1;
-        if self.source.events == EVENTS_TO_TELL {
-            self.observe(AttemptOutcome::InProgress);
+        self.last_event_id = event.id.or(self.last_event_id);
+        self.event_count += 1;
+        if self.source.event_count == EVENTS_BEFORE_PACE_REPORT {
+            self.report_progress(AttemptOutcome::InProgress);
         }
         Ok(())
     }
 
-    /// Gets the next event, or an error if the endpoint breaks off or the time is over.
-    async fn next(&mut self, tries: &mut AttemptHistory) -> Result<Next> {
-        let until = tokio::time::Instant::from_std(self.job.deadline);
+    /// Returns the next event, or an error if the endpoint disconnects or the request's time is
+    /// over. A silent endpoint may be replaced meanwhile.
+    async fn next(&mut self, tries: &mut AttemptHistory) -> Result<StreamItem> {
+        let deadline = tokio::time::Instant::from_std(self.job.deadline);
         loop {
-            let can_move = self.can_move(tries);
-            let silence = silence(&self.traffic, &self.job, self.source.chosen.state.clone());
+            let can_resume_elsewhere = self.can_resume_elsewhere(tries);
+            let silence =
+                wait_for_silence(&self.traffic, &self.job, self.source.chosen.state.clone());
             tokio::select! {
                 biased;
-                next = self.source.next() => return self.heard(next),
-                () = silence, if can_move => {}
-                () = tokio::time::sleep_until(until) => return Err(late("the stream took too long")),
+                next = self.source.next() => return self.record_source_activity(next),
+                () = silence, if can_resume_elsewhere => {}
+                () = tokio::time::sleep_until(deadline) =>
+                    return Err(timeout_error("the stream did not end before the deadline")),
             }
-            if let Some(next) = self.leave_silent(tries).await {
+            if let Some(next) = self.replace_silent_source(tries).await {
                 return next;
             }
         }
     }
 
-    /// Goes on at another endpoint in place of a silent one; gets what the silent one says meanwhile.
+    /// Tries to replace a silent endpoint by another one. Returns an item or error of the silent
+    /// endpoint if it sends one first, and `None` if the stream continues, from either endpoint.
     ///
-    /// The silent one is read on while a connection to the other comes up, for it may still make the
-    /// answer, and the other may never be reached. If it speaks first, the other attempt is dropped. Once
-    /// the other has the request, the silent one is dropped at its first word, and soon in any case, so
-    /// that not both work on the answer.
-    async fn leave_silent(&mut self, tries: &mut AttemptHistory) -> Option<Result<Next>> {
+    /// The silent endpoint is still read while a connection to the other one is established,
+    /// because it may complete the response and the other one may be unreachable. The endpoint that
+    /// sends data first continues the response, and the other one is dropped. The silent endpoint
+    /// is dropped at the latest `MAX_CONCURRENT_TIME` after the request was written to the other
+    /// one, so that two endpoints do not work on the response for long.
+    async fn replace_silent_source(
+        &mut self,
+        tries: &mut AttemptHistory,
+    ) -> Option<Result<StreamItem>> {
         let (traffic, job, model) = (self.traffic.clone(), self.job.clone(), self.model.clone());
-        let held = Rc::new(SilentEndpoint::new(self.source.chosen.id.clone()));
-        tries.silent_endpoint = Some(held.clone());
-        let mut broken = None;
-        // What the other attempt led to, or else what the silent one said before.
-        let came = {
-            let asked = ask_another(&traffic, &job, model.as_ref(), self.last_event, tries);
-            let mut asked = std::pin::pin!(asked);
-            let mut shared = std::pin::pin!(held.wait_until_shared_for(MOST_SHARED));
+        let silent_endpoint = Rc::new(SilentEndpoint::new(self.source.chosen.id.clone()));
+        tries.silent_endpoint = Some(silent_endpoint.clone());
+        let mut source_error = None;
+        // Result of the other attempt, or else the item that the silent endpoint sent first.
+        let outcome = {
+            let attempt =
+                resume_elsewhere(&traffic, &job, model.as_ref(), self.last_event_id, tries);
+            let mut attempt = std::pin::pin!(attempt);
+            let mut concurrent_limit =
+                std::pin::pin!(silent_endpoint.wait_until_shared_for(MAX_CONCURRENT_TIME));
             loop {
                 tokio::select! {
                     biased;
-                    next = self.source.next(), if broken.is_none() => match next {
+                    next = self.source.next(), if source_error.is_none() => match next {
                         Ok(next) => break Err(next),
                         Err(e) => {
-                            held.stop_listening();
-                            broken = Some(e);
+                            silent_endpoint.stop_listening();
+                            source_error = Some(e);
                         }
                     },
-                    moved = asked.as_mut() => break Ok(moved),
-                    () = shared.as_mut(), if broken.is_none() => {
-                        held.stop_listening();
+                    replacement = attempt.as_mut() => break Ok(replacement),
+                    () = concurrent_limit.as_mut(), if source_error.is_none() => {
+                        silent_endpoint.stop_listening();
                         self.source.close();
-                        broken = Some(late("the stream fell silent"));
+                        source_error =
+                            Some(timeout_error("the endpoint sent no events for too long"));
                     }
                 }
             }
         };
         tries.silent_endpoint = None;
-        let moved = match came {
+        let replacement = match outcome {
             Err(next) => {
-                drop_attempt(&traffic, &job, tries, &held);
-                self.stayed("its endpoint spoke again");
-                return Some(self.heard(Ok(next)));
+                record_dropped_attempt(&traffic, &job, tries, &silent_endpoint);
+                self.log_source_kept("its endpoint sent data again");
+                return Some(self.record_source_activity(Ok(next)));
             }
-            Ok(moved) => moved,
+            Ok(replacement) => replacement,
         };
-        match (moved, broken) {
-            (Ok(other), broken) => {
-                let why = broken.unwrap_or_else(|| late("the stream fell silent"));
-                self.source_failed(&why).await;
-                self.go_on_at(other, &why);
+        match (replacement, source_error) {
+            (Ok(replacement), source_error) => {
+                let reason = source_error
+                    .unwrap_or_else(|| timeout_error("the endpoint sent no events for too long"));
+                self.record_source_failure(&reason).await;
+                self.switch_source(replacement, &reason);
                 None
             }
-            (Err(_), Some(broken)) => Some(Err(broken)),
+            (Err(_), Some(source_error)) => Some(Err(source_error)),
             (Err(e), None) => {
-                self.stayed(&e.message);
+                self.log_source_kept(&e.message);
                 None
             }
         }
     }
 
-    /// Takes note that something came from the endpoint.
-    fn heard(&self, next: Result<Next>) -> Result<Next> {
+    /// Records that the endpoint sent data, and returns the item unchanged.
+    fn record_source_activity(&self, next: Result<StreamItem>) -> Result<StreamItem> {
         self.source.chosen.state.record_activity(self.traffic.shared.now());
         next
     }
 
-    /// Tells whether the answer can go on at another endpoint. One of which the caller holds events
-    /// needs their ids for that.
-    fn can_move(&self, tries: &AttemptHistory) -> bool {
+    /// Reports whether another endpoint can continue the response. Once the caller has received
+    /// events, this requires their ids.
+    fn can_resume_elsewhere(&self, tries: &AttemptHistory) -> bool {
         let route = &self.job.admitted.route;
         let is_resumable = route.work == WorkKind::Stream { resumable: true };
-        let is_known = self.head.is_some() || self.last_event.is_some();
-        is_resumable && is_known && tries.sent_count < route.max_attempts
+        let has_resume_point = self.head.is_some() || self.last_event_id.is_some();
+        is_resumable && has_resume_point && tries.sent_count < route.max_attempts
     }
 
-    /// Logs that a silent endpoint is waited for.
-    fn stayed(&self, why: &str) {
+    /// Logs that the stream stays with its silent endpoint.
+    fn log_source_kept(&self, reason: &str) {
         self.traffic.shared.journal.line(
             Event::StreamStayed,
             &[
                 ("request", &self.job.id),
                 ("endpoint", &self.source.chosen.id),
-                ("after_event", &self.last_event.unwrap_or(0)),
-                ("why", &why),
+                ("after_event", &self.last_event_id.unwrap_or(0)),
+                ("why", &reason),
             ],
         );
     }
 
-    /// Logs that the present endpoint failed, and counts it.
-    async fn source_failed(&self, why: &Error) {
+    /// Logs that the current endpoint failed, and counts the failure against it.
+    async fn record_source_failure(&self, reason: &Error) {
         let sent_at = self.source.sent_at;
         let chosen = &self.source.chosen;
         let model = self.model.as_ref();
-        failed_attempt(&self.traffic, &self.job, chosen, model, why, sent_at.elapsed());
-        note_crash(&self.traffic, &self.job, chosen, why, sent_at).await;
+        record_failed_attempt(&self.traffic, &self.job, chosen, model, reason, sent_at.elapsed());
+        detect_crash(&self.traffic, &self.job, chosen, reason, sent_at).await;
     }
 
-    /// Goes on with another endpoint's answer. A caller that has no head yet gets that one's.
-    fn go_on_at(&mut self, (head, source): (http::response::Parts, Source), why: &Error) {
+    /// Continues with another endpoint's response. If the caller has not received a head yet, it
+    /// gets the head of that response.
+    fn switch_source(&mut self, (head, source): (http::response::Parts, Source), reason: &Error) {
         self.traffic.shared.journal.line(
             Event::StreamResumed,
             &[
                 ("request", &self.job.id),
                 ("endpoint", &source.chosen.id),
-                ("after_event", &self.last_event.unwrap_or(0)),
-                ("why", &why.message),
+                ("after_event", &self.last_event_id.unwrap_or(0)),
+                ("why", &reason.message),
             ],
         );
-        if let Some(unsent) = &mut self.head {
-            *unsent = head;
+        if let Some(pending_head) = &mut self.head {
+            *pending_head = head;
         }
         self.source = source;
     }
 
-    /// Goes on at another endpoint after the last event that was passed on, in place of one that broke
-    /// off.
-    async fn resume(&mut self, tries: &mut AttemptHistory, why: Error) -> Result<()> {
-        self.source_failed(&why).await;
-        if !self.can_move(tries) || self.job.is_expired() {
-            return Err(why);
+    /// Resumes the stream at another endpoint, after the last forwarded event, because the current
+    /// endpoint failed.
+    async fn resume(&mut self, tries: &mut AttemptHistory, reason: Error) -> Result<()> {
+        self.record_source_failure(&reason).await;
+        if !self.can_resume_elsewhere(tries) || self.job.is_expired() {
+            return Err(reason);
         }
         let model = self.model.clone();
-        let last = self.last_event;
-        let other = ask_another(&self.traffic, &self.job, model.as_ref(), last, tries).await?;
-        self.go_on_at(other, &why);
+        let last_event_id = self.last_event_id;
+        let replacement =
+            resume_elsewhere(&self.traffic, &self.job, model.as_ref(), last_event_id, tries)
+                .await?;
+        self.switch_source(replacement, &reason);
         Ok(())
     }
 
-    /// Ends a stream that came to its end.
+    /// Completes a stream that has ended, and returns its connection to the pool.
     fn finish(mut self) {
-        self.observe(AttemptOutcome::Complete);
-        if self.source.shows_good_end {
+        self.report_progress(AttemptOutcome::Complete);
+        if self.source.proves_completion {
             let shared = &self.traffic.shared;
             shared.suspects.record_completion(shared.now(), self.job.fingerprint);
         }
-        let Stream { traffic, source, .. } = self;
+        let StreamRelay { traffic, source, .. } = self;
         source.chosen.state.record_outcome(traffic.shared.now(), true);
-        traffic.pool.keep(source.chosen.id.as_str(), source.lease, source.idle_time);
+        traffic.pool.release(source.chosen.id.as_str(), source.lease, source.idle_time);
     }
 
-    /// Tells how far the present endpoint's answer came: when its pace is known, or else at its end.
-    fn observe(&mut self, end: AttemptOutcome) {
+    /// Reports the response time and pace of the current endpoint: once the pace is known, or else
+    /// at the end of its response.
+    fn report_progress(&mut self, outcome: AttemptOutcome) {
         let source = &mut self.source;
-        let is_told = std::mem::replace(&mut source.is_told, true);
-        let head = source.first_event.map(|at| at - source.sent_at);
-        let seen = Seen { end, head, gap_ms: source.mean_gap_ms(), is_told };
-        observe(&self.traffic, &self.job, &source.chosen, self.model.as_ref(), &seen);
+        let is_pace_reported = std::mem::replace(&mut source.is_pace_reported, true);
+        let response_time = source.first_event_at.map(|at| at - source.sent_at);
+        let observation = AttemptObservation {
+            outcome,
+            response_time,
+            mean_gap_ms: source.mean_gap_ms(),
+            is_pace_reported,
+        };
+        report_attempt(&self.traffic, &self.job, &source.chosen, self.model.as_ref(), &observation);
     }
 
-    fn caller_left(mut self) {
-        self.observe(AttemptOutcome::CallerLeft);
+    fn record_caller_left(mut self) {
+        self.report_progress(AttemptOutcome::CallerLeft);
         let fields: [(&'static str, &dyn std::fmt::Display); 2] =
-            [("request", &self.job.id), ("events", &self.events)];
+            [("request", &self.job.id), ("events", &self.event_count)];
         self.traffic.shared.journal.line(Event::CallerLeft, &fields);
     }
 
-    /// Breaks the caller's connection off, so that the stream does not look whole.
-    async fn cut(mut self, tx: &mpsc::Sender<Piece>, why: &Error) {
-        self.observe(AttemptOutcome::Interrupted);
+    /// Aborts the caller's connection, so that the stream does not look complete.
+    async fn abort_response(mut self, tx: &mpsc::Sender<BodyChunk>, reason: &Error) {
+        self.report_progress(AttemptOutcome::Interrupted);
         self.traffic.shared.journal.line(
             Event::AnswerCut,
             &[
                 ("request", &self.job.id),
                 ("endpoint", &self.source.chosen.id),
-                ("events", &self.events),
-                ("code", &why.code),
-                ("why", &why.message),
-                ("broke", &why.disconnect_cause.map_or("-", DisconnectCause::as_str)),
+                ("events", &self.event_count),
+                ("code", &reason.code),
+                ("why", &reason.message),
+                ("broke", &reason.disconnect_cause.map_or("-", DisconnectCause::as_str)),
             ],
         );
-        // A caller that has left needs no sign.
-        let _ = tx.send(Err(BrokenOff)).await;
+        // The caller may have disconnected already.
+        let _ = tx.send(Err(ResponseAborted)).await;
     }
 }
 
-fn late(text: &str) -> Error {
+fn timeout_error(text: &str) -> Error {
     Error::new(Code::Deadline, text).with_executed(Executed::Yes)
 }
 
-/// Waits until a silent stream is to go on elsewhere.
-async fn silence(traffic: &Traffic, job: &Job, live: Arc<EndpointState>) {
-    let gap =
-        job.admitted.route.max_event_gap.map_or(USUAL_GAP, |gap| Duration::from_millis(gap.0));
+/// Waits until a silent stream is to be resumed elsewhere.
+async fn wait_for_silence(traffic: &Traffic, job: &Job, live: Arc<EndpointState>) {
+    let max_gap = job
+        .admitted
+        .route
+        .max_event_gap
+        .map_or(DEFAULT_MAX_EVENT_GAP, |gap| Duration::from_millis(gap.0));
     let since = traffic.shared.now();
-    let (silent, stalled) = (gap.mul_f64(SILENT_TIMES), gap.mul_f64(STALLED_TIMES));
-    wait_running(silent).await;
+    let (silent_timeout, stalled_timeout) =
+        (max_gap.mul_f64(SILENT_GAP_RATIO), max_gap.mul_f64(STALLED_GAP_RATIO));
+    stall_aware_sleep(silent_timeout).await;
     if live.was_active_since(since) {
-        wait_running(stalled.saturating_sub(silent)).await;
+        stall_aware_sleep(stalled_timeout.saturating_sub(silent_timeout)).await;
     }
 }
 
-/// Asks other endpoints to go on after an event, one after another for as long as attempts are left,
-/// until one has begun to answer.
+/// Sends the request to other endpoints, one after another, to resume the stream after
+/// `last_event_id`. Returns the first successful response; fails if no attempts are left or the
+/// request's time is over.
 ///
-/// What reaches nobody costs no attempt while a silent endpoint is listened to: a stream may stall often,
-/// and attempts are kept for a break. Connects are bounded for each search, and silences space those out.
-async fn ask_another(
+/// While a silent endpoint is listened to, an attempt that reaches no endpoint is refunded: a
+/// stream may stall often, and attempts are reserved for interruptions. Connects are limited per
+/// search, and the searches are spaced out by the silence before each of them.
+async fn resume_elsewhere(
     traffic: &Rc<Traffic>,
     job: &Job,
     model: Option<&ModelId>,
-    last_event: Option<u64>,
+    last_event_id: Option<u64>,
     tries: &mut AttemptHistory,
 ) -> Result<(http::response::Parts, Source)> {
     tries.connect_failures = 0;
     loop {
-        let (chosen, share) = choose_resume_endpoint(traffic, job, tries, model)?;
+        let (chosen, work_share) = choose_resume_endpoint(traffic, job, tries, model)?;
         let sent_at = Instant::now();
-        let failed = match send(traffic, job, tries, &chosen, model, last_event).await {
-            Ok(answered) if answered.head.status.is_success() => {
-                return Ok(Source::new(answered, chosen, share, sent_at));
+        let error = match send(traffic, job, tries, &chosen, model, last_event_id).await {
+            Ok(response) if response.head.status.is_success() => {
+                return Ok(Source::new(response, chosen, work_share, sent_at));
             }
-            Ok(answered) => {
-                let text = format!("going on was answered with {}", answered.head.status);
+            Ok(response) => {
+                let text =
+                    format!("the request to resume the stream got status {}", response.head.status);
                 Error::new(Code::EndpointFailed, text).with_executed(Executed::Yes)
             }
             Err(e) => e,
         };
-        failed_attempt(traffic, job, &chosen, model, &failed, sent_at.elapsed());
-        note_crash(traffic, job, &chosen, &failed, sent_at).await;
-        // One that was given up may be at work for a moment yet.
-        if let Some(held) = tries.silent_endpoint.as_ref().filter(|_| failed.code != Code::Deadline)
+        record_failed_attempt(traffic, job, &chosen, model, &error, sent_at.elapsed());
+        detect_crash(traffic, job, &chosen, &error, sent_at).await;
+        // An endpoint whose attempt timed out may still work on the response for a moment.
+        if let Some(held) = tries.silent_endpoint.as_ref().filter(|_| error.code != Code::Deadline)
         {
             held.record_replacement_failure();
         }
-        let is_held = tries.silent_endpoint.as_ref().is_some_and(|held| held.is_listening());
-        let is_out_of_reach = is_held && tries.connect_failures >= job.admitted.route.max_attempts;
-        if is_out_of_reach || job.is_expired() {
-            return Err(failed);
+        let has_silent_endpoint =
+            tries.silent_endpoint.as_ref().is_some_and(|held| held.is_listening());
+        let has_exhausted_connects =
+            has_silent_endpoint && tries.connect_failures >= job.admitted.route.max_attempts;
+        if has_exhausted_connects || job.is_expired() {
+            return Err(error);
         }
     }
 }
 
 impl Source {
     fn new(
-        answered: Answered,
+        response: EndpointResponse,
         chosen: ChosenEndpoint,
-        share: PendingWork,
+        work_share: PendingWork,
         sent_at: Instant,
     ) -> (http::response::Parts, Source) {
-        let shows_good_end = answered.shows_good_end();
-        let Answered { head, facts, body, lease } = answered;
+        let proves_completion = response.proves_completion();
+        let EndpointResponse { head, facts, body, lease } = response;
         let source = Source {
-            shows_good_end,
+            proves_completion,
             body,
             lease,
             idle_time: facts.idle_time,
             chosen,
-            share: Some(share),
+            work_share: Some(work_share),
             splitter: EventSplitter::default(),
             sent_at,
-            first_event: None,
-            events: 0,
-            is_told: false,
+            first_event_at: None,
+            event_count: 0,
+            is_pace_reported: false,
         };
         (head, source)
     }
 
-    /// Ends the endpoint's work.
+    /// Closes the connection, which makes the endpoint stop its work.
     fn close(&mut self) {
         self.lease.close();
-        self.share = None;
+        self.work_share = None;
     }
 
-    async fn next(&mut self) -> Result<Next> {
-        let broken =
+    async fn next(&mut self) -> Result<StreamItem> {
+        let make_error =
             |text: String| Error::new(Code::EndpointFailed, text).with_executed(Executed::Yes);
         loop {
             if let Some(event) = self.splitter.next_event() {
-                self.events += 1;
-                self.first_event.get_or_insert_with(Instant::now);
-                return Ok(Next::Event(event));
+                self.event_count += 1;
+                self.first_event_at.get_or_insert_with(Instant::now);
+                return Ok(StreamItem::Event(event));
             }
             if self.splitter.is_overlong() {
-                return Err(broken("an event without an end".into()));
+                return Err(make_error("an event of the stream exceeds the maximum size".into()));
             }
             match self.body.frame().await {
                 Some(Ok(frame)) => {
@@ -480,20 +525,21 @@
                     }
                 }
                 Some(Err(e)) => {
-                    return Err(broken(format_error_chain(&e)).with_disconnect_cause(broke(&e)))
+                    return Err(make_error(format_error_chain(&e))
+                        .with_disconnect_cause(disconnect_cause(&e)))
                 }
-                None if self.splitter.has_part() => {
-                    return Err(broken("half an event".into())
+                None if self.splitter.has_partial_event() => {
+                    return Err(make_error("the stream ended in the middle of an event".into())
                         .with_disconnect_cause(DisconnectCause::Closed));
                 }
-                None => return Ok(Next::End),
+                None => return Ok(StreamItem::End),
             }
         }
     }
 
     fn mean_gap_ms(&self) -> Option<f64> {
-        let first = self.first_event?;
-        let gaps = self.events.checked_sub(1).filter(|n| *n >= 2)?;
-        Some(first.elapsed().as_secs_f64() * 1_000.0 / f64::from(gaps))
+        let first_event_at = self.first_event_at?;
+        let gap_count = self.event_count.checked_sub(1).filter(|n| *n >= 2)?;
+        Some(first_event_at.elapsed().as_secs_f64() * 1_000.0 / f64::from(gap_count))
     }
 }
--- a/crates/tidetrack-plane/src/server.rs
+++ b/crates/tidetrack-plane/src/server.rs
@@ -24,7 +24,7 @@
 use tidetrack_core::events::Event;
 use tidetrack_core::traffic::catalog::CallerLimits;
 
-use crate::body::AnswerBody;
+use crate::body::ResponseBody;
 use crate::closes::{CloseReason, Closed};
 use crate::shared::{Shared, SharedRef};
 
@@ -283,7 +283,7 @@
 pub type Handler = Rc<dyn Fn(Request<Incoming>) -> Pin<Box<dyn Future<Output = HandlerResponse>>>>;
 
 /// Response returned by a [`Handler`].
-pub type HandlerResponse = Response<AnswerBody>;
+pub type HandlerResponse = Response<ResponseBody>;
 
 /// Limits and callbacks of the server for callers.
 #[derive(Clone)]
@@ -416,8 +416,8 @@
 }
 
 /// Builds a response with the given status and text.
-fn text_response(status: StatusCode, text: impl Into<Bytes>) -> Response<AnswerBody> {
-    let mut resp = Response::new(AnswerBody::whole(text.into()));
+fn text_response(status: StatusCode, text: impl Into<Bytes>) -> Response<ResponseBody> {
+    let mut resp = Response::new(ResponseBody::from_bytes(text.into()));
     *resp.status_mut() = status;
     resp
 }
@@ -471,7 +471,7 @@
 }
 
 /// Builds the readiness or metrics page, or an error page for any other path.
-fn readiness_or_metrics_page(shared: &Shared, req: &Request<Incoming>) -> Response<AnswerBody> {
+fn readiness_or_metrics_page(shared: &Shared, req: &Request<Incoming>) -> Response<ResponseBody> {
     match req.uri().path() {
         path if path == shared.dialect.readiness_path => match shared.is_ready() {
             true => text_response(StatusCode::OK, "ready\n"),
