--- a/crates/tidetrack-plane/src/attempt.rs
+++ b/crates/tidetrack-plane/src/attempt.rs
@@ -12,7 +12,7 @@
 use tidetrack_core::disconnect::{format_error_chain, DisconnectCause};
 use tidetrack_core::errors::{Error, Result};
 
-use crate::dialect::AnswerFacts;
+use crate::dialect::ResponseFacts;
 use crate::pool::{broke, Lease, Pool};
 
 /// Largest answer that is collected before it is passed on, in bytes.
@@ -23,7 +23,7 @@
     /// Head of the answer.
     pub head: http::response::Parts,
     /// What the head says.
-    pub facts: AnswerFacts,
+    pub facts: ResponseFacts,
     /// Body of the answer.
     pub body: Incoming,
     /// The connection it comes on.
@@ -55,9 +55,9 @@
     /// The pool of connections.
     pub pool: &'a Pool,
     /// Reads the head of an answer.
-    pub read_answer: fn(&HeaderMap) -> AnswerFacts,
+    pub read_answer: fn(&HeaderMap) -> ResponseFacts,
     /// Is shown what the head of the endpoint's own answer says, a refusal's too.
-    pub seen: &'a dyn Fn(&AnswerFacts),
+    pub seen: &'a dyn Fn(&ResponseFacts),
     /// Name of the endpoint.
     pub endpoint: &'a str,
     /// Its address.
--- a/crates/tidetrack-plane/src/choose.rs
+++ b/crates/tidetrack-plane/src/choose.rs
@@ -43,9 +43,11 @@
         return Ok(());
     }
     shared.suspects.check(now, job.fingerprint)?;
-    let bound = shared.settings.bounds.revoke_within;
+    let bound = shared.settings.bounds.revocation_bound;
     let needs_proof = tries.sent == 0 && job.admitted.holder.is_some();
-    if needs_proof && bound.is_some_and(|bound| !shared.fresh.permits_keyed_requests(now, bound)) {
+    if needs_proof
+        && bound.is_some_and(|bound| !shared.freshness.permits_keyed_requests(now, bound))
+    {
         return Err(admission::stale_config_error());
     }
     if tries.sent == 0 {
@@ -72,7 +74,7 @@
     let service = view.services.get(&job.service).ok_or_else(|| full("no endpoint is listed"))?;
     let who = job.version_draw();
     let now = traffic.shared.now();
-    let hold_for = traffic.shared.settings.bounds.session_time + RUN_TIME;
+    let hold_for = traffic.shared.settings.bounds.session_timeout + RUN_TIME;
     let drawn = service.side(now, who, hold_for);
     let prompt = Prompt::new(traffic, job, service, model);
     let mut last = full("no endpoint can be used");
@@ -83,7 +85,7 @@
                     service.prefixes.record_use(now, part, EndpointKey::from(&chosen.id));
                 }
                 if service.canary.is_some() {
-                    traffic.shared.metrics.version_send(job.service.as_str(), side.as_str());
+                    traffic.shared.metrics.record_version_send(job.service.as_str(), side.as_str());
                 }
                 match side {
                     ReleaseTrack::Stable => service.exposure.hold(now, who, hold_for),
--- a/crates/tidetrack-plane/src/control.rs
+++ b/crates/tidetrack-plane/src/control.rs
@@ -15,26 +15,26 @@
 use tidetrack_core::traffic::control::{Action, FleetState, HostRoles, Input};
 use tidetrack_core::traffic::peers::PeerTable;
 
-use crate::clock::{Moment, Suspensions};
-use crate::dialect::{Age, FeedKind};
-use crate::peers::Peers;
+use crate::clock::{BootInstant, SuspensionDetector};
+use crate::dialect::{FeedKind, ListAge};
+use crate::peers::PeerSocket;
 use crate::shared::SharedRef;
-use crate::store::{Cause, Purpose, Store};
-use crate::watch::Watches;
+use crate::store::{CallPurpose, CallReason, StoreClient};
+use crate::watch::StoreSync;
 
 /// How often the beliefs are told that time has passed.
-const TICK: Duration = Duration::from_millis(100);
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Runs the control thread until the process ends.
-pub fn run(shared: SharedRef, inputs: Receiver<Input>) -> std::io::Result<()> {
+pub fn run(shared: SharedRef, input_receiver: Receiver<Input>) -> std::io::Result<()> {
     let runtime = Builder::new_current_thread().enable_io().enable_time().build()?;
     LocalSet::new().block_on(&runtime, async move {
-        let store = Rc::new(Store::new(shared.clone()));
-        let (duties, duties_seen) = watch::channel(HostRoles::default());
-        let watches = Watches::start(shared.clone(), store.clone(), duties_seen);
+        let store = Rc::new(StoreClient::new(shared.clone()));
+        let (roles, roles_receiver) = watch::channel(HostRoles::default());
+        let store_sync = StoreSync::start(shared.clone(), store.clone(), roles_receiver);
         let settings = &shared.settings;
         let (host, address) = (settings.host.clone(), settings.peer_address);
-        let book = PeerTable::new(
+        let peer_table = PeerTable::new(
             host.clone(),
             address,
             settings.failure_domain.clone(),
@@ -42,71 +42,76 @@
         )
         .with_incarnation(rand::random())
         .with_well_connected(is_well_connected(settings.link));
-        let peers = Peers::start(shared.clone()).await;
-        let starter = BootstrapInfo {
+        let peers = PeerSocket::start(shared.clone()).await;
+        let bootstrap = BootstrapInfo {
             link: settings.link,
             is_seed: settings.seeds.is_empty() || settings.seeds.contains(&address),
             random_fraction: rand::random(),
         };
-        let mut beliefs = FleetState::new(host, book)
-            .with_exposure_bound(settings.bounds.new_version)
+        let mut fleet_state = FleetState::new(host, peer_table)
+            .with_exposure_bound(settings.bounds.canary_exposure)
             .with_suspects(shared.suspects.clone())
-            .with_bootstrap(shared.now(), starter);
+            .with_bootstrap(shared.now(), bootstrap);
         // Others are told of this start at once.
-        shared.tell(Input::Tick);
-        let outlets = Outlets { shared: shared.clone(), store, watches, peers };
-        let (began, steady) = (Moment::now(), Instant::now());
-        let mut suspensions = Suspensions::default();
+        shared.send_input(Input::Tick);
+        let executor = ActionExecutor { shared: shared.clone(), store, store_sync, peers };
+        let (boot_start, monotonic_start) = (BootInstant::now(), Instant::now());
+        let mut suspension_detector = SuspensionDetector::default();
         loop {
-            let input = match tokio::time::timeout(TICK, inputs.recv_async()).await {
+            let input = match tokio::time::timeout(TICK_INTERVAL, input_receiver.recv_async()).await
+            {
                 Ok(Ok(input)) => input,
                 Ok(Err(_)) => return,
                 Err(_) => Input::Tick,
             };
-            if let Some(time) = suspensions.look(began.elapsed(), steady.elapsed()) {
-                shared.journal.line(Event::Suspended, &[("ms", &time.as_millis())]);
-                shared.metrics.suspended(time);
+            if let Some(suspended_for) =
+                suspension_detector.update(boot_start.elapsed(), monotonic_start.elapsed())
+            {
+                shared.journal.log(Event::Suspended, &[("ms", &suspended_for.as_millis())]);
+                shared.metrics.record_suspension(suspended_for);
             }
-            for action in beliefs.handle_input(shared.now(), input, &shared.fresh) {
-                outlets.carry_out(action);
+            for action in fleet_state.handle_input(shared.now(), input, &shared.freshness) {
+                executor.execute(action);
             }
-            if inputs.is_empty() {
-                beliefs
+            if input_receiver.is_empty() {
+                fleet_state
                     .refresh_view(shared.now())
                     .into_iter()
-                    .for_each(|view| outlets.carry_out(view));
+                    .for_each(|view| executor.execute(view));
             }
-            let now = beliefs.roles();
-            duties.send_if_modified(|is| std::mem::replace(is, now) != now);
+            let new_roles = fleet_state.roles();
+            roles.send_if_modified(|current| std::mem::replace(current, new_roles) != new_roles);
         }
     });
     Ok(())
 }
 
 /// What the control thread acts through.
-struct Outlets {
+struct ActionExecutor {
     shared: SharedRef,
-    store: Rc<Store>,
-    watches: Rc<Watches>,
+    store: Rc<StoreClient>,
+    store_sync: Rc<StoreSync>,
     /// `None` if messages of other hosts cannot be heard.
-    peers: Option<Peers>,
+    peers: Option<PeerSocket>,
 }
 
-impl Outlets {
-    fn carry_out(&self, action: Action) {
+impl ActionExecutor {
+    fn execute(&self, action: Action) {
         let shared = &self.shared;
         match action {
             Action::PublishView(view) => shared.view.store(view),
-            Action::ConfigConfirmed(began) => shared.fresh.record_proof(began),
+            Action::ConfigConfirmed(read_started_at) => {
+                shared.freshness.record_proof(read_started_at)
+            }
             Action::SendMessages(messages) => {
                 if let Some(peers) = &self.peers {
                     peers.send(&messages);
                 }
             }
-            Action::Fetch(catch) => {
-                tokio::task::spawn_local(self.watches.clone().catch(catch));
+            Action::Fetch(fetch) => {
+                tokio::task::spawn_local(self.store_sync.clone().fetch(fetch));
             }
-            Action::Log(event, text) => shared.journal.line(event, &[("detail", &text)]),
+            Action::Log(event, text) => shared.journal.log(event, &[("detail", &text)]),
             Action::WriteProgress(write) => {
                 tokio::task::spawn_local(write_progress(shared.clone(), self.store.clone(), write));
             }
@@ -115,9 +120,10 @@
 }
 
 /// Writes a roll-out's progress. The watch tells what came of it; another host may have been first.
-async fn write_progress(shared: SharedRef, store: Rc<Store>, write: ProgressWrite) {
+async fn write_progress(shared: SharedRef, store: Rc<StoreClient>, write: ProgressWrite) {
     let call = (shared.dialect.store.write_progress)(&write);
-    let purpose = Purpose { kind: FeedKind::Rollouts, cause: Cause::Write, age: Age::Newest };
+    let purpose =
+        CallPurpose { kind: FeedKind::Rollouts, reason: CallReason::Write, age: ListAge::Newest };
     let result = store.call(&call, purpose, Duration::ZERO, None).await;
     let state = format!("{:?}", write.progress.state);
     let fields: [(&'static str, &dyn std::fmt::Display); 4] = [
@@ -127,14 +133,14 @@
         ("revision", &write.revision),
     ];
     match result {
-        Ok(_) => shared.journal.line(Event::ProgressWritten, &fields),
+        Ok(_) => shared.journal.log(Event::ProgressWritten, &fields),
         Err(e) if e.code == Code::Conflict => {
-            shared.journal.routine(Event::ProgressLost, &fields);
+            shared.journal.log_routine(Event::ProgressLost, &fields);
         }
         Err(e) => {
             let [service, version, state, revision] = fields;
-            let why = ("why", &e as &dyn std::fmt::Display);
-            shared.journal.line(Event::ProgressLost, &[service, version, state, revision, why]);
+            let reason = ("why", &e as &dyn std::fmt::Display);
+            shared.journal.log(Event::ProgressLost, &[service, version, state, revision, reason]);
         }
     }
 }
--- a/crates/tidetrack-plane/src/crash.rs
+++ b/crates/tidetrack-plane/src/crash.rs
@@ -107,7 +107,7 @@
             tokio::time::sleep(LOOK_AGAIN_AFTER).await;
             is_over = *look.later.get_or_init(|| has_ended(Duration::MAX)).await;
         }
-        traffic.shared.metrics.cut(is_over);
+        traffic.shared.metrics.record_interrupted_attempt(is_over);
         if is_over {
             look.known_at.set(look.known_at.get().or_else(|| Some(Instant::now())));
             self.note(&traffic);
@@ -124,8 +124,8 @@
         let crashes =
             shared.suspects.record_crash(now, self.fingerprint, id, failure_domain, sent_at);
         // Other hosts are told within a tenth of a second.
-        shared.tell(Input::Tick);
-        shared.journal.line(
+        shared.send_input(Input::Tick);
+        shared.journal.log(
             Event::EndpointCrashed,
             &[
                 ("request", &self.request),
--- a/crates/tidetrack-plane/src/dialect.rs
+++ b/crates/tidetrack-plane/src/dialect.rs
@@ -44,7 +44,7 @@
 
 /// What the system tells an endpoint with a request.
 #[derive(Clone, Debug)]
-pub struct Handover<'a> {
+pub struct EndpointRequestInfo<'a> {
     /// Time the endpoint has.
     pub time_left: Millis,
     /// The endpoint that is meant.
@@ -63,7 +63,7 @@
 
 /// Load that an endpoint tells of itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ToldLoad {
+pub struct ReportedLoad {
     /// Requests it works on.
     pub running: u64,
     /// Requests that wait.
@@ -72,7 +72,7 @@
 
 /// What the head of an endpoint's answer says.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct AnswerFacts {
+pub struct ResponseFacts {
     /// The attempt's id as the endpoint repeats it.
     pub attempt_id: Option<String>,
     /// Whether the endpoint vouches for the answer as its own.
@@ -80,7 +80,7 @@
     /// Whether the endpoint says that it did not run the request.
     pub did_not_run: bool,
     /// Load.
-    pub load: Option<ToldLoad>,
+    pub load: Option<ReportedLoad>,
     /// Requests a second that the endpoint takes from all hosts together, where it names that.
     pub limit: Option<Rate>,
     /// How sure the model is of its answer, 0 to 100.
@@ -93,26 +93,26 @@
 
 /// How old a list may be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Age {
+pub enum ListAge {
     /// It is the store's newest state.
     Newest,
     /// It may be some seconds old; changes after its revision tell the rest.
-    OfLate,
+    Recent,
 }
 
-impl Age {
+impl ListAge {
     /// Gets the word for it in metrics.
     pub fn as_str(self) -> &'static str {
         match self {
-            Age::Newest => "newest",
-            Age::OfLate => "of_late",
+            ListAge::Newest => "newest",
+            ListAge::Recent => "of_late",
         }
     }
 }
 
 /// An object of the store, decoded.
 #[derive(Clone, Debug)]
-pub enum Stored {
+pub enum DecodedObject {
     /// The configuration.
     Catalog(Catalog),
     /// An endpoint.
@@ -122,31 +122,31 @@
 }
 
 /// Characters of a name or a reason that are kept: no name of ours has as many.
-const MOST_KEPT: usize = 100;
+const MAX_TEXT_CHARS: usize = 100;
 
 /// An object that could not be read.
 #[derive(Debug)]
-pub struct Unreadable {
+pub struct UnreadableObject {
     /// Its name, or how that begins.
     pub name: String,
     /// Why.
-    pub why: Error,
+    pub reason: Error,
 }
 
-impl Unreadable {
+impl UnreadableObject {
     /// Takes note of an object by its name and of what is wrong with it. A writer that goes wrong may write a
     /// megabyte into either, and each host keeps and logs them.
-    pub fn of(kind: FeedKind, name: &str, why: &dyn fmt::Display) -> Unreadable {
-        let name = beginning(name);
-        let why = beginning(&why.to_string());
-        let why = Error::new(Code::BadDeclaration, format!("{kind:?}/{name}: {why}"));
-        Unreadable { name, why }
+    pub fn new(kind: FeedKind, name: &str, reason: &dyn fmt::Display) -> UnreadableObject {
+        let name = truncate(name);
+        let reason = truncate(&reason.to_string());
+        let reason = Error::new(Code::BadDeclaration, format!("{kind:?}/{name}: {reason}"));
+        UnreadableObject { name, reason }
     }
 }
 
 /// Gets how a text begins; where that is not all, it ends with a mark that no name has.
-fn beginning(text: &str) -> String {
-    match text.char_indices().nth(MOST_KEPT) {
+fn truncate(text: &str) -> String {
+    match text.char_indices().nth(MAX_TEXT_CHARS) {
         Some((end, _)) => format!("{}…", &text[..end]),
         None => text.to_string(),
     }
@@ -156,39 +156,39 @@
 #[derive(Debug, Default)]
 pub struct Page {
     /// The objects that could be read.
-    pub objects: Vec<Stored>,
+    pub objects: Vec<DecodedObject>,
     /// Objects that could not be read.
-    pub unreadable: Vec<Unreadable>,
+    pub unreadable: Vec<UnreadableObject>,
     /// Name of the last object, if the list goes on after it.
-    pub continues_after: Option<String>,
+    pub next_after: Option<String>,
     /// The store's revision.
     pub revision: u64,
     /// Revision of the newest change of an object that is listed.
-    pub newest: u64,
+    pub newest_change: u64,
 }
 
 /// One change of a watched kind.
 #[derive(Debug)]
 pub enum Change {
     /// An object is new or changed.
-    Put(Stored),
+    Put(DecodedObject),
     /// An endpoint is gone.
-    EndpointGone(EndpointId),
+    EndpointRemoved(EndpointId),
     /// A roll-out is gone.
-    RolloutGone(ServiceId),
+    RolloutRemoved(ServiceId),
     /// The object could not be read.
-    Unreadable(Unreadable),
+    Unreadable(UnreadableObject),
 }
 
 /// What a watch gave.
 #[derive(Debug, Default)]
-pub struct Changes {
+pub struct ChangeSet {
     /// The changes in order.
     pub changes: Vec<Change>,
     /// The store's revision up to which they are told.
     pub revision: u64,
     /// Revision of the newest of the changes, where the store tells it.
-    pub newest: Option<u64>,
+    pub newest_change: Option<u64>,
 }
 
 /// A call to the store.
@@ -206,13 +206,13 @@
 #[derive(Clone, Copy)]
 pub struct StoreDialect {
     /// Lists a kind, from the start or after a name, as it is now or, cheaper, as it was of late.
-    pub list: fn(FeedKind, Option<&str>, Age) -> StoreCall,
+    pub list: fn(FeedKind, Option<&str>, ListAge) -> StoreCall,
     /// Waits for changes of a kind after a revision.
     pub watch: fn(FeedKind, u64, Millis) -> StoreCall,
     /// Reads a page.
     pub read_page: fn(FeedKind, &[u8]) -> Result<Page>,
     /// Reads what a watch gave.
-    pub read_changes: fn(FeedKind, &[u8]) -> Result<Changes>,
+    pub read_changes: fn(FeedKind, &[u8]) -> Result<ChangeSet>,
     /// Leaves of what a watch gave the last change only.
     pub last_change: fn(&[u8]) -> Result<Vec<u8>>,
     /// Writes a roll-out's progress.
@@ -225,9 +225,9 @@
     /// Reads a request's head.
     pub read_request: fn(&HeaderMap) -> Result<RequestFacts>,
     /// Makes the head that an endpoint gets from the caller's.
-    pub endpoint_head: fn(&HeaderMap, &Handover<'_>) -> HeaderMap,
+    pub endpoint_head: fn(&HeaderMap, &EndpointRequestInfo<'_>) -> HeaderMap,
     /// Reads the head of an answer.
-    pub read_answer: fn(&HeaderMap) -> AnswerFacts,
+    pub read_answer: fn(&HeaderMap) -> ResponseFacts,
     /// Makes the head that a caller gets from the endpoint's.
     pub caller_head: fn(HeaderMap) -> HeaderMap,
     /// Makes the answer for a request that was not served.
--- a/crates/tidetrack-plane/src/exchange.rs
+++ b/crates/tidetrack-plane/src/exchange.rs
@@ -28,7 +28,7 @@
 use crate::attempt::{self, Answered};
 use crate::body::AnswerBody;
 use crate::choose::{check_before_send, choose, full, weight_of, RETRY_FULL_MS};
-use crate::clock::Moment;
+use crate::clock::BootInstant;
 use crate::crash::note_crash;
 use crate::dialect::RequestFacts;
 use crate::job::{Chosen, InFlight, Job, Traffic, Tries, WorkShare};
@@ -91,7 +91,7 @@
 impl Drop for LeaveGuard {
     fn drop(&mut self) {
         if self.is_armed {
-            self.traffic.shared.journal.line(Event::CallerLeft, &[("request", &self.id)]);
+            self.traffic.shared.journal.log(Event::CallerLeft, &[("request", &self.id)]);
         }
     }
 }
@@ -108,7 +108,7 @@
     let ran = format!("{:?}", e.executed);
     let ms = began.elapsed().as_millis();
     let retry_after_ms = e.retry_after_ms.unwrap_or(0);
-    shared.journal.line(
+    shared.journal.log(
         Event::RequestRefused,
         &[
             ("request", &attempt_id.unwrap_or("-")),
@@ -120,7 +120,7 @@
             ("ms", &ms),
         ],
     );
-    shared.metrics.request(route, &e.code.to_string());
+    shared.metrics.record_request(route, &e.code.to_string());
     let resp = (shared.dialect.refusal)(e, attempt_id);
     resp.map(AnswerBody::whole)
 }
@@ -147,14 +147,15 @@
     };
     wait_for_start(traffic, facts.time_left).await;
     let view = shared.view.load_full();
-    let bound = shared.settings.bounds.revoke_within;
+    let bound = shared.settings.bounds.revocation_bound;
     let catalog = view.catalog.as_deref();
-    let admitted = admission::admit(catalog, &shared.fresh, shared.now(), bound, entry)?;
+    let admitted = admission::admit(catalog, &shared.freshness, shared.now(), bound, entry)?;
     let limits = catalog.map(|c| c.limits).unwrap_or_default();
     let route = &admitted.route;
     let held = Duration::from_millis(route.timeout.0);
     let time = facts.time_left.map_or(held, |t| held.min(Duration::from_millis(t.0)));
-    let (until, due) = (began + time, Moment::now().after(time.saturating_sub(began.elapsed())));
+    let (until, due) =
+        (began + time, BootInstant::now().saturating_add(time.saturating_sub(began.elapsed())));
     let body = read_body(body, limits.max_body_bytes, until).await?;
     let fingerprint = Fingerprint::of(&RequestIdentity {
         workspace: admitted.holder.as_ref().map(|h| &h.workspace),
@@ -167,8 +168,8 @@
     let running = shared.suspects.admit(shared.now(), fingerprint)?;
     let target = route.pick_target(hash_fraction("target", &id)).cloned();
     let service = target.ok_or_else(|| Error::new(Code::UnknownRoute, "the route goes nowhere"))?;
-    let age = shared.fresh.age(shared.now()).map_or(-1, |a| a.0 as i64);
-    shared.journal.routine(
+    let age = shared.freshness.age(shared.now()).map_or(-1, |a| a.0 as i64);
+    shared.journal.log_routine(
         Event::RequestAdmitted,
         &[
             ("request", &id),
--- a/crates/tidetrack-plane/src/feed.rs
+++ b/crates/tidetrack-plane/src/feed.rs
@@ -31,28 +31,28 @@
 
 /// Bytes of changes kept of a kind. A configuration of some hundred routes is about 100 KB; the memory
 /// of a host is priced.
-const MOST_KEPT: usize = 256 << 10;
+const MAX_LOG_BYTES: usize = 256 << 10;
 
 /// Longest time that an answer of another host stands still, in which the change can still be got elsewhere.
-const ANSWER_WITHIN: Duration = Duration::from_millis(350);
+const REPLY_STALL_TIMEOUT: Duration = Duration::from_millis(350);
 
 /// Bytes of a reply that go out at a time.
-const PIECE: usize = 32 << 10;
+const MAX_FRAME_BYTES: usize = 32 << 10;
 
 /// Some changes, as the store told them at one time.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Chunk {
+pub struct ChangeBatch {
     /// All changes up to this revision are told with it and those before it.
-    pub to: u64,
+    pub newest_revision: u64,
     /// The store's reply.
     pub bytes: Vec<u8>,
 }
 
 /// A list of a kind, as the store told it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ListChunk {
+pub struct ListSnapshot {
     /// The revision it was taken at.
-    pub at: u64,
+    pub revision: u64,
     /// The store's replies, page by page.
     pub pages: Vec<Vec<u8>>,
 }
@@ -63,58 +63,64 @@
     /// Whether the newest change tells all of the kind.
     is_one_object: bool,
     /// The list that the changes follow, until the oldest of them have been dropped.
-    list: Option<ListChunk>,
+    list: Option<ListSnapshot>,
     /// Changes after this revision are kept.
-    base: u64,
+    base_revision: u64,
     /// All changes up to this revision are known.
-    to: u64,
-    chunks: VecDeque<Chunk>,
+    newest_revision: u64,
+    chunks: VecDeque<ChangeBatch>,
     bytes: usize,
 }
 
 impl FeedLog {
     /// Makes the log of a kind of which nothing is known.
-    pub fn of(kind: FeedKind) -> FeedLog {
+    pub fn new(kind: FeedKind) -> FeedLog {
         FeedLog { is_one_object: kind.is_single_object(), ..FeedLog::default() }
     }
 
     /// Gets the revision up to which all changes are known; 0 if the kind was never listed.
     pub fn position(&self) -> u64 {
-        self.to
+        self.newest_revision
     }
 
     /// Begins anew after a list; tells whether it is as new as what is known.
-    pub fn listed(&mut self, list: ListChunk) -> bool {
-        if list.at < self.to {
+    pub fn reset_to_list(&mut self, list: ListSnapshot) -> bool {
+        if list.revision < self.newest_revision {
             return false;
         }
-        let (at, is_one_object) = (list.at, self.is_one_object);
-        *self = FeedLog { is_one_object, base: at, to: at, list: Some(list), ..FeedLog::default() };
+        let (revision, is_one_object) = (list.revision, self.is_one_object);
+        *self = FeedLog {
+            is_one_object,
+            base_revision: revision,
+            newest_revision: revision,
+            list: Some(list),
+            ..FeedLog::default()
+        };
         true
     }
 
-    /// Takes note that nothing else changed up to `to`.
-    pub fn advance(&mut self, to: u64) {
-        self.to = self.to.max(to);
+    /// Takes note that nothing else changed up to `newest_revision`.
+    pub fn advance(&mut self, newest_revision: u64) {
+        self.newest_revision = self.newest_revision.max(newest_revision);
     }
 
     /// Keeps changes; tells whether they are new. Old ones must not be applied, for they would undo
     /// later ones.
-    pub fn push(&mut self, chunk: Chunk) -> bool {
-        if chunk.to <= self.to {
+    pub fn push(&mut self, chunk: ChangeBatch) -> bool {
+        if chunk.newest_revision <= self.newest_revision {
             return false;
         }
         if self.is_one_object {
             // What came before is of no use to anybody, and may be a megabyte.
             *self = FeedLog { is_one_object: true, ..FeedLog::default() };
         }
-        self.to = chunk.to;
+        self.newest_revision = chunk.newest_revision;
         self.bytes += chunk.bytes.len();
         self.chunks.push_back(chunk);
-        while self.bytes > MOST_KEPT && self.chunks.len() > 1 {
+        while self.bytes > MAX_LOG_BYTES && self.chunks.len() > 1 {
             if let Some(oldest) = self.chunks.pop_front() {
                 self.bytes -= oldest.bytes.len();
-                self.base = oldest.to;
+                self.base_revision = oldest.newest_revision;
                 self.list = None;
             }
         }
@@ -122,113 +128,121 @@
     }
 
     /// Gets what brings another host from a revision to the newest one, or `None` if that is not kept.
-    pub fn after(&self, revision: u64) -> Option<Told> {
-        let list = self.list.as_ref().filter(|_| revision < self.base);
-        if revision < self.base && list.is_none() {
+    pub fn changes_after(&self, revision: u64) -> Option<FeedReply> {
+        let list = self.list.as_ref().filter(|_| revision < self.base_revision);
+        if revision < self.base_revision && list.is_none() {
             return None;
         }
-        let chunks = self.chunks.iter().filter(|c| c.to > revision).cloned().collect();
-        Some(Told { complete: self.to, list: list.cloned(), chunks, proof_age: None })
+        let chunks = self.chunks.iter().filter(|c| c.newest_revision > revision).cloned().collect();
+        Some(FeedReply {
+            complete_to: self.newest_revision,
+            list: list.cloned(),
+            chunks,
+            proof_age: None,
+        })
     }
 }
 
 /// What one host tells another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
+pub struct FeedReply {
     /// All changes up to this revision are told.
-    pub complete: u64,
+    pub complete_to: u64,
     /// A list that comes first, where the changes alone are not enough.
-    pub list: Option<ListChunk>,
+    pub list: Option<ListSnapshot>,
     /// The changes, in order.
-    pub chunks: Vec<Chunk>,
+    pub chunks: Vec<ChangeBatch>,
     /// Age of the teller's proof that it knows the newest configuration, where that is asked for.
     pub proof_age: Option<Millis>,
 }
 
 /// Gets the changes of a kind after a revision that another host knows.
-pub async fn ask(
+pub async fn fetch_changes(
     pool: &Pool,
     address: SocketAddr,
     kind: FeedKind,
     after: u64,
     gate: &Gate<'_>,
-) -> Result<(Told, Reply)> {
+) -> Result<(FeedReply, Reply)> {
     let mut req = Request::new(Full::new(Bytes::new()));
     let path = format!("/changes/{kind:?}/{after}");
     *req.uri_mut() = path.parse().map_err(|e| down(format!("{path}: {e}")))?;
     let address = address.to_string();
-    let patience = Patience { head: ANSWER_WITHIN, part: ANSWER_WITHIN };
-    let reply = call(pool, &address, &address, req, patience, Some(gate)).await?;
-    if reply.status != StatusCode::OK {
-        return Err(down(format!("the host answered {}", reply.status)));
+    let patience = Patience { head: REPLY_STALL_TIMEOUT, part: REPLY_STALL_TIMEOUT };
+    let response = call(pool, &address, &address, req, patience, Some(gate)).await?;
+    if response.status != StatusCode::OK {
+        return Err(down(format!("the host answered {}", response.status)));
     }
-    let told = postcard::from_bytes(&reply.body);
-    Ok((told.map_err(|e| down(format!("changes that cannot be read: {e}")))?, reply))
+    let reply = postcard::from_bytes(&response.body);
+    Ok((reply.map_err(|e| down(format!("changes that cannot be read: {e}")))?, response))
 }
 
-/// Gives this host's changes to others, until the process ends; `told` looks them up.
+/// Gives this host's changes to others, until the process ends; `reply` looks them up.
 pub async fn serve(
     shared: SharedRef,
     address: SocketAddr,
-    told: impl Fn(FeedKind, u64) -> Option<Told> + 'static,
+    lookup: impl Fn(FeedKind, u64) -> Option<FeedReply> + 'static,
 ) {
     let listener = match listen(address) {
         Ok(listener) => listener,
         Err(e) => {
-            shared.journal.line(Event::PeerSocketFailed, &[("why", &e)]);
+            shared.journal.log(Event::PeerSocketFailed, &[("why", &e)]);
             return;
         }
     };
-    let giving = Rc::new(RefCell::new(ReplyLimiter::new(shared.settings.link)));
-    let answering = shared.clone();
-    serve_pages(shared, listener, move |req| answer(&answering, &giving, req, &told)).await;
+    let reply_limiter = Rc::new(RefCell::new(ReplyLimiter::new(shared.settings.link)));
+    let shared_for_replies = shared.clone();
+    serve_pages(shared, listener, move |req| {
+        respond(&shared_for_replies, &reply_limiter, req, &lookup)
+    })
+    .await;
 }
 
-fn answer(
+fn respond(
     shared: &Shared,
-    giving: &Rc<RefCell<ReplyLimiter>>,
+    reply_limiter: &Rc<RefCell<ReplyLimiter>>,
     req: &Request<Incoming>,
-    told: &impl Fn(FeedKind, u64) -> Option<Told>,
-) -> Response<GivenBody> {
-    let asked = question(req.uri().path());
-    let found = asked.and_then(|(kind, after)| Some((kind, told(kind, after)?)));
-    let bytes = found.and_then(|(kind, told)| Some((kind, postcard::to_allocvec(&told).ok()?)));
-    let Some((kind, bytes)) = bytes else { return refusal(StatusCode::NOT_FOUND) };
+    lookup: &impl Fn(FeedKind, u64) -> Option<FeedReply>,
+) -> Response<ReplyBody> {
+    let requested = parse_changes_path(req.uri().path());
+    let changes = requested.and_then(|(kind, after)| Some((kind, lookup(kind, after)?)));
+    let bytes = changes.and_then(|(kind, reply)| Some((kind, postcard::to_allocvec(&reply).ok()?)));
+    let Some((kind, bytes)) = bytes else { return empty_response(StatusCode::NOT_FOUND) };
     let len = bytes.len() as u64;
-    if !giving.borrow_mut().try_begin(len) {
-        shared.metrics.feed_given(kind.as_str(), "declined", len);
-        return refusal(StatusCode::SERVICE_UNAVAILABLE);
+    if !reply_limiter.borrow_mut().try_begin(len) {
+        shared.metrics.record_feed_reply(kind.as_str(), "declined", len);
+        return empty_response(StatusCode::SERVICE_UNAVAILABLE);
     }
-    shared.metrics.feed_given(kind.as_str(), "given", len);
-    let share = Share { giving: giving.clone(), bytes: len };
-    Response::new(GivenBody { left: Bytes::from(bytes), _share: Some(share) })
+    shared.metrics.record_feed_reply(kind.as_str(), "given", len);
+    let permit = ReplyPermit { reply_limiter: reply_limiter.clone(), bytes: len };
+    Response::new(ReplyBody { remaining: Bytes::from(bytes), _permit: Some(permit) })
 }
 
-fn refusal(status: StatusCode) -> Response<GivenBody> {
-    let mut resp = Response::new(GivenBody { left: Bytes::new(), _share: None });
+fn empty_response(status: StatusCode) -> Response<ReplyBody> {
+    let mut resp = Response::new(ReplyBody { remaining: Bytes::new(), _permit: None });
     *resp.status_mut() = status;
     resp
 }
 
 /// A reply's part in what the host gives, until dropped.
-struct Share {
-    giving: Rc<RefCell<ReplyLimiter>>,
+struct ReplyPermit {
+    reply_limiter: Rc<RefCell<ReplyLimiter>>,
     bytes: u64,
 }
 
-impl Drop for Share {
+impl Drop for ReplyPermit {
     fn drop(&mut self) {
-        self.giving.borrow_mut().end(self.bytes);
+        self.reply_limiter.borrow_mut().end(self.bytes);
     }
 }
 
 /// A body that goes out in pieces, so that it lives about as long as its reply is under way.
-struct GivenBody {
-    left: Bytes,
-    _share: Option<Share>,
+struct ReplyBody {
+    remaining: Bytes,
+    _permit: Option<ReplyPermit>,
 }
 
-impl Body for GivenBody {
+impl Body for ReplyBody {
     type Data = Bytes;
     type Error = Infallible;
 
@@ -236,22 +250,22 @@
         mut self: Pin<&mut Self>,
         _cx: &mut Context<'_>,
     ) -> Poll<Option<std::result::Result<Frame<Bytes>, Infallible>>> {
-        let len = self.left.len().min(PIECE);
-        let piece = self.left.split_to(len);
-        Poll::Ready((len > 0).then(|| Ok(Frame::data(piece))))
+        let len = self.remaining.len().min(MAX_FRAME_BYTES);
+        let frame = self.remaining.split_to(len);
+        Poll::Ready((len > 0).then(|| Ok(Frame::data(frame))))
     }
 
     fn is_end_stream(&self) -> bool {
-        self.left.is_empty()
+        self.remaining.is_empty()
     }
 
     fn size_hint(&self) -> SizeHint {
-        SizeHint::with_exact(self.left.len() as u64)
+        SizeHint::with_exact(self.remaining.len() as u64)
     }
 }
 
 /// Reads which changes are asked for.
-pub fn question(path: &str) -> Option<(FeedKind, u64)> {
+pub fn parse_changes_path(path: &str) -> Option<(FeedKind, u64)> {
     let (kind, after) = path.strip_prefix("/changes/")?.split_once('/')?;
     let kind = FeedKind::ALL.into_iter().find(|k| format!("{k:?}") == kind)?;
     Some((kind, after.parse().ok()?))
--- a/crates/tidetrack-plane/src/job.rs
+++ b/crates/tidetrack-plane/src/job.rs
@@ -25,7 +25,7 @@
 use tidetrack_core::traffic::suspects::RunningRequest;
 use tidetrack_core::units::{Millis, Tokens};
 
-use crate::clock::Moment;
+use crate::clock::BootInstant;
 use crate::crash::Looks;
 use crate::dialect::RequestFacts;
 use crate::pool::Pool;
@@ -92,7 +92,7 @@
     ) -> T {
         let bounds = &self.shared.settings.bounds;
         let mut budgets = self.budgets.borrow_mut();
-        let new = || AttemptBudget::new(bounds.resend_ratio, bounds.resend_window);
+        let new = || AttemptBudget::new(bounds.retry_ratio, bounds.retry_window);
         f(budgets.entry(service.clone()).or_insert_with(new))
     }
 }
@@ -141,7 +141,7 @@
     /// When it is given up, as timers tell the time.
     pub until: Instant,
     /// The same, with time in which the machine is suspended.
-    pub due: Moment,
+    pub due: BootInstant,
     /// The service it goes to.
     pub service: ServiceId,
 }
@@ -154,7 +154,7 @@
 
     /// Gets the time that is left for it.
     pub fn time_left(&self) -> Duration {
-        self.due.left().min(self.until.saturating_duration_since(Instant::now()))
+        self.due.remaining().min(self.until.saturating_duration_since(Instant::now()))
     }
 
     /// Tells whether its time is up.
--- a/crates/tidetrack-plane/src/journal.rs
+++ b/crates/tidetrack-plane/src/journal.rs
@@ -14,10 +14,10 @@
 use tidetrack_core::events::Event;
 
 /// Lines that may wait for the writer.
-const WAITING: usize = 2_048;
+const QUEUE_CAPACITY: usize = 2_048;
 
 /// Lines above which those of requests that went well are left out.
-const WAITING_ROUTINE: usize = WAITING / 2;
+const ROUTINE_QUEUE_LIMIT: usize = QUEUE_CAPACITY / 2;
 
 /// A value of a line, by name.
 pub type Field<'a> = (&'static str, &'a dyn Display);
@@ -27,14 +27,14 @@
 pub struct Journal {
     logger: slog::Logger,
     queue: flume::Sender<Vec<u8>>,
-    unwritten: Arc<AtomicU64>,
+    pending_lines: Arc<AtomicU64>,
 }
 
 /// Turns records into lines and queues them.
 struct QueueDrain {
     queue: flume::Sender<Vec<u8>>,
-    left_out: Arc<AtomicU64>,
-    unwritten: Arc<AtomicU64>,
+    dropped_count: Arc<AtomicU64>,
+    pending_lines: Arc<AtomicU64>,
 }
 
 impl Drain for QueueDrain {
@@ -43,20 +43,20 @@
 
     fn log(&self, record: &Record<'_>, values: &OwnedKVList) -> Result<(), slog::Never> {
         let mut line = Vec::with_capacity(256);
-        let left_out = self.left_out.load(Ordering::Relaxed);
+        let dropped_count = self.dropped_count.load(Ordering::Relaxed);
         let json = slog_json::Json::new(&mut line);
         let json = json.add_key_value(slog::o!(
             "level" => slog::FnValue(|r: &Record<'_>| r.level().as_short_str()),
             "msg" => slog::PushFnValue(|r: &Record<'_>, ser| ser.emit(r.msg())),
         ));
         let written = json.build().log(record, values);
-        self.unwritten.fetch_add(1, Ordering::AcqRel);
+        self.pending_lines.fetch_add(1, Ordering::AcqRel);
         let queued = written.is_ok() && self.queue.try_send(line).is_ok();
         match queued {
-            true => drop(self.left_out.fetch_sub(left_out, Ordering::Relaxed)),
+            true => drop(self.dropped_count.fetch_sub(dropped_count, Ordering::Relaxed)),
             false => {
-                self.unwritten.fetch_sub(1, Ordering::AcqRel);
-                self.left_out.fetch_add(1, Ordering::Relaxed);
+                self.pending_lines.fetch_sub(1, Ordering::AcqRel);
+                self.dropped_count.fetch_add(1, Ordering::Relaxed);
             }
         }
         Ok(())
@@ -83,50 +83,51 @@
 
     /// Starts the log of a host, with a thread that writes to `out`.
     pub fn start_to(host: &str, out: impl Write + Send + 'static) -> std::io::Result<Journal> {
-        let (queue, lines) = flume::bounded::<Vec<u8>>(WAITING);
+        let (queue, lines) = flume::bounded::<Vec<u8>>(QUEUE_CAPACITY);
         let journal = Journal::to_queue(host, queue);
-        let unwritten = journal.unwritten.clone();
+        let pending_lines = journal.pending_lines.clone();
         let thread = std::thread::Builder::new().name("journal".into()).stack_size(64 * 1024);
-        thread.spawn(move || write_lines(&lines, out, &unwritten))?;
+        thread.spawn(move || write_lines(&lines, out, &pending_lines))?;
         Ok(journal)
     }
 
     /// Makes a log whose lines go to a queue.
     fn to_queue(host: &str, queue: flume::Sender<Vec<u8>>) -> Journal {
-        let left_out = Arc::new(AtomicU64::new(0));
-        let unwritten = Arc::new(AtomicU64::new(0));
+        let dropped_count = Arc::new(AtomicU64::new(0));
+        let pending_lines = Arc::new(AtomicU64::new(0));
         let drain = QueueDrain {
             queue: queue.clone(),
-            left_out: left_out.clone(),
-            unwritten: unwritten.clone(),
+            dropped_count: dropped_count.clone(),
+            pending_lines: pending_lines.clone(),
         };
         let logger = slog::Logger::root(
             drain.fuse(),
             slog::o!(
-                "time" => slog::FnValue(|_: &Record<'_>| seconds_now()),
+                "time" => slog::FnValue(|_: &Record<'_>| unix_time_seconds()),
                 "host" => host.to_string(),
-                "left_out" => slog::FnValue(move |_: &Record<'_>| left_out.load(Ordering::Relaxed)),
+                "left_out" => slog::FnValue(move |_: &Record<'_>| dropped_count.load(Ordering::Relaxed)),
             ),
         );
-        Journal { logger, queue, unwritten }
+        Journal { logger, queue, pending_lines }
     }
 
     /// Writes an event.
-    pub fn line(&self, event: Event, fields: &[Field<'_>]) {
+    pub fn log(&self, event: Event, fields: &[Field<'_>]) {
         slog::info!(self.logger, "{}", event.text(); "event" => event.to_string(), Fields(fields));
     }
 
     /// Writes an event of a request that goes well; left out first when lines pile up.
-    pub fn routine(&self, event: Event, fields: &[Field<'_>]) {
-        if self.queue.len() < WAITING_ROUTINE {
-            self.line(event, fields);
+    pub fn log_routine(&self, event: Event, fields: &[Field<'_>]) {
+        if self.queue.len() < ROUTINE_QUEUE_LIMIT {
+            self.log(event, fields);
         }
     }
 
-    /// Waits until all lines are written, for as long as `most`.
-    pub fn flush(&self, most: std::time::Duration) {
-        let until = std::time::Instant::now() + most;
-        while self.unwritten.load(Ordering::Acquire) > 0 && std::time::Instant::now() < until {
+    /// Waits until all lines are written, for as long as `timeout`.
+    pub fn flush(&self, timeout: std::time::Duration) {
+        let deadline = std::time::Instant::now() + timeout;
+        while self.pending_lines.load(Ordering::Acquire) > 0 && std::time::Instant::now() < deadline
+        {
             std::thread::sleep(std::time::Duration::from_millis(2));
         }
     }
@@ -134,23 +135,23 @@
 
 /// Gets the time of day in seconds, to the millisecond. It orders lines of several hosts; nothing is
 /// decided by it.
-fn seconds_now() -> f64 {
-    let since = std::time::UNIX_EPOCH.elapsed().unwrap_or_default();
-    since.as_millis() as f64 / 1_000.0
+fn unix_time_seconds() -> f64 {
+    let elapsed = std::time::UNIX_EPOCH.elapsed().unwrap_or_default();
+    elapsed.as_millis() as f64 / 1_000.0
 }
 
 /// Writes lines until the process ends, several at a time where several wait.
-fn write_lines(lines: &flume::Receiver<Vec<u8>>, mut out: impl Write, unwritten: &AtomicU64) {
+fn write_lines(lines: &flume::Receiver<Vec<u8>>, mut out: impl Write, pending_lines: &AtomicU64) {
     while let Ok(mut text) = lines.recv() {
-        let mut taken = 1;
+        let mut line_count = 1;
         for line in lines.drain() {
             text.extend_from_slice(&line);
-            taken += 1;
+            line_count += 1;
         }
         // Without a reader of the log there is nobody left to tell.
         if out.write_all(&text).and_then(|()| out.flush()).is_err() {
             return;
         }
-        unwritten.fetch_sub(taken, Ordering::AcqRel);
+        pending_lines.fetch_sub(line_count, Ordering::AcqRel);
     }
 }
--- a/crates/tidetrack-plane/src/metrics.rs
+++ b/crates/tidetrack-plane/src/metrics.rs
@@ -9,11 +9,11 @@
 
 use tidetrack_core::disconnect::DisconnectCause;
 
-use crate::store::Purpose;
+use crate::store::CallPurpose;
 
 /// Bounds of the histograms in milliseconds: around the objectives of desks (100 to 150) and of
 /// streams (1,500 to 3,000).
-const BOUNDS_MS: [f64; 12] =
+const HISTOGRAM_BOUNDS_MS: [f64; 12] =
     [5.0, 10.0, 25.0, 50.0, 100.0, 150.0, 300.0, 750.0, 1_500.0, 3_000.0, 8_000.0, 25_000.0];
 
 /// Makes a registry and the provider of the instruments that are shown there.
@@ -29,29 +29,29 @@
 
 /// Renders a registry as Prometheus text.
 pub fn render(registry: &Registry) -> anyhow::Result<Vec<u8>> {
-    let mut out = Vec::new();
-    TextEncoder::new().encode(&registry.gather(), &mut out)?;
-    Ok(out)
+    let mut text = Vec::new();
+    TextEncoder::new().encode(&registry.gather(), &mut text)?;
+    Ok(text)
 }
 
 /// The instruments of a host.
 pub struct Metrics {
     registry: Registry,
     /// Keeps the instruments connected to the registry.
-    _provider: SdkMeterProvider,
+    _meter_provider: SdkMeterProvider,
     requests: Counter<u64>,
     objective: Counter<u64>,
     attempts: Counter<u64>,
-    broke: Counter<u64>,
-    closed: Counter<u64>,
-    no_sign: Counter<u64>,
-    cut: Counter<u64>,
-    suspended: Counter<u64>,
+    disconnects: Counter<u64>,
+    closed_connections: Counter<u64>,
+    silent_connects: Counter<u64>,
+    interrupted_attempts: Counter<u64>,
+    suspended_ms: Counter<u64>,
     store_calls: Counter<u64>,
     peer_messages: Counter<u64>,
     feed_calls: Counter<u64>,
     feed_bytes: Counter<u64>,
-    feed_given: Counter<u64>,
+    feed_reply_bytes: Counter<u64>,
     shared_tokens: Counter<u64>,
     second_runs: Counter<u64>,
     version_sends: Counter<u64>,
@@ -69,74 +69,75 @@
             requests: meter.u64_counter("tidetrack_requests").build(),
             objective: meter.u64_counter("tidetrack_objective").build(),
             attempts: meter.u64_counter("tidetrack_attempts").build(),
-            broke: meter.u64_counter("tidetrack_broke").build(),
-            closed: meter.u64_counter("tidetrack_closed").build(),
-            no_sign: meter.u64_counter("tidetrack_no_sign").build(),
-            cut: meter.u64_counter("tidetrack_cut_attempts").build(),
-            suspended: meter.u64_counter("tidetrack_suspended_ms").build(),
+            disconnects: meter.u64_counter("tidetrack_broke").build(),
+            closed_connections: meter.u64_counter("tidetrack_closed").build(),
+            silent_connects: meter.u64_counter("tidetrack_no_sign").build(),
+            interrupted_attempts: meter.u64_counter("tidetrack_cut_attempts").build(),
+            suspended_ms: meter.u64_counter("tidetrack_suspended_ms").build(),
             store_calls: meter.u64_counter("tidetrack_store_calls").build(),
             peer_messages: meter.u64_counter("tidetrack_peer_messages").build(),
             feed_calls: meter.u64_counter("tidetrack_feed_calls").build(),
             feed_bytes: meter.u64_counter("tidetrack_feed_bytes").build(),
-            feed_given: meter.u64_counter("tidetrack_feed_given_bytes").build(),
+            feed_reply_bytes: meter.u64_counter("tidetrack_feed_given_bytes").build(),
             shared_tokens: meter.u64_counter("tidetrack_shared_tokens").build(),
             second_runs: meter.u64_counter("tidetrack_second_runs").build(),
             version_sends: meter.u64_counter("tidetrack_version_sends").build(),
             version_attempts: meter.u64_counter("tidetrack_version_attempts").build(),
-            first_byte: histogram.with_boundaries(BOUNDS_MS.to_vec()).build(),
+            first_byte: histogram.with_boundaries(HISTOGRAM_BOUNDS_MS.to_vec()).build(),
             registry,
-            _provider: provider,
+            _meter_provider: provider,
         })
     }
 
     /// Counts a finished request of a route under its result.
-    pub fn request(&self, route: &str, result: &str) {
+    pub fn record_request(&self, route: &str, result: &str) {
         let labels =
             [KeyValue::new("route", route.to_string()), KeyValue::new("code", result.to_string())];
         self.requests.add(1, &labels);
     }
 
     /// Counts a request against its route's objective.
-    pub fn objective(&self, route: &str, is_met: bool) {
+    pub fn record_objective(&self, route: &str, is_met: bool) {
         let labels = [KeyValue::new("route", route.to_string()), KeyValue::new("good", is_met)];
         self.objective.add(1, &labels);
     }
 
     /// Counts an attempt at an endpoint by how it went.
-    pub fn attempt(&self, result: &'static str) {
+    pub fn record_attempt(&self, result: &'static str) {
         self.attempts.add(1, &[KeyValue::new("result", result)]);
     }
 
     /// Counts a connection to an endpoint that broke under an attempt, or did not come up, by how.
-    pub fn broke(&self, how: DisconnectCause) {
-        self.broke.add(1, &[KeyValue::new("how", how.as_str())]);
+    pub fn record_disconnect(&self, cause: DisconnectCause) {
+        self.disconnects.add(1, &[KeyValue::new("how", cause.as_str())]);
     }
 
     /// Counts a caller's connection that the host closed, by why and whether bytes were left unread.
-    pub fn closed(&self, why: &'static str, has_unread: bool) {
-        self.closed.add(1, &[KeyValue::new("why", why), KeyValue::new("unread", has_unread)]);
+    pub fn record_closed_connection(&self, reason: &'static str, has_unread: bool) {
+        self.closed_connections
+            .add(1, &[KeyValue::new("why", reason), KeyValue::new("unread", has_unread)]);
     }
 
     /// Counts a connect that gave no sign of life, by what it speaks against.
-    pub fn no_sign(&self, blame: &'static str) {
-        self.no_sign.add(1, &[KeyValue::new("blame", blame)]);
+    pub fn record_silent_connect(&self, suspected_cause: &'static str) {
+        self.silent_connects.add(1, &[KeyValue::new("blame", suspected_cause)]);
     }
 
     /// Counts an attempt whose connection broke while it may have run, by whether its endpoint had ended.
-    pub fn cut(&self, has_ended: bool) {
-        self.cut.add(1, &[KeyValue::new("endpoint_ended", has_ended)]);
+    pub fn record_interrupted_attempt(&self, has_ended: bool) {
+        self.interrupted_attempts.add(1, &[KeyValue::new("endpoint_ended", has_ended)]);
     }
 
     /// Counts the time for which the machine was suspended.
-    pub fn suspended(&self, time: Duration) {
-        self.suspended.add(time.as_millis() as u64, &[]);
+    pub fn record_suspension(&self, time: Duration) {
+        self.suspended_ms.add(time.as_millis() as u64, &[]);
     }
 
     /// Counts a call to the store by what it was for and how it went.
-    pub fn store_call(&self, purpose: Purpose, result: &'static str) {
+    pub fn record_store_call(&self, purpose: CallPurpose, result: &'static str) {
         let labels = [
             KeyValue::new("kind", purpose.kind.as_str()),
-            KeyValue::new("cause", purpose.cause.as_str()),
+            KeyValue::new("cause", purpose.reason.as_str()),
             KeyValue::new("age", purpose.age.as_str()),
             KeyValue::new("result", result),
         ];
@@ -144,18 +145,24 @@
     }
 
     /// Counts a message between hosts by what became of it.
-    pub fn peer_message(&self, result: &'static str) {
+    pub fn record_peer_message(&self, result: &'static str) {
         self.peer_messages.add(1, &[KeyValue::new("result", result)]);
     }
 
     /// Counts a call for changes of the store by where it went and how.
-    pub fn feed_call(&self, result: &'static str) {
+    pub fn record_feed_call(&self, result: &'static str) {
         self.feed_calls.add(1, &[KeyValue::new("result", result)]);
     }
 
     /// Counts bytes of replies with changes of the store, by where they came from and whether any of
     /// it was new.
-    pub fn feed_bytes(&self, kind: &'static str, source: &'static str, is_new: bool, bytes: usize) {
+    pub fn record_feed_bytes(
+        &self,
+        kind: &'static str,
+        source: &'static str,
+        is_new: bool,
+        bytes: usize,
+    ) {
         let labels = [
             KeyValue::new("kind", kind),
             KeyValue::new("source", source),
@@ -165,46 +172,46 @@
     }
 
     /// Counts bytes of changes of the store that other hosts asked for, given to them or declined.
-    pub fn feed_given(&self, kind: &'static str, outcome: &'static str, bytes: u64) {
+    pub fn record_feed_reply(&self, kind: &'static str, outcome: &'static str, bytes: u64) {
         let labels = [KeyValue::new("kind", kind), KeyValue::new("outcome", outcome)];
-        self.feed_given.add(bytes, &labels);
+        self.feed_reply_bytes.add(bytes, &labels);
     }
 
     /// Counts tokens of shared parts of prompts sent to endpoints, by where the part was.
-    pub fn shared_tokens(&self, prefix: &'static str, tokens: u64) {
+    pub fn record_shared_tokens(&self, prefix: &'static str, tokens: u64) {
         self.shared_tokens.add(tokens, &[KeyValue::new("prefix", prefix)]);
     }
 
     /// Counts answers that could have been dropped for a larger model's, by why they were kept, or as
     /// asked again.
-    pub fn second_run(&self, outcome: &'static str) {
+    pub fn record_second_run(&self, outcome: &'static str) {
         self.second_runs.add(1, &[KeyValue::new("outcome", outcome)]);
     }
 
     /// Counts a send to a service under roll-out, by the side it went to.
-    pub fn version_send(&self, service: &str, side: &'static str) {
+    pub fn record_version_send(&self, service: &str, side: &'static str) {
         let labels = [KeyValue::new("service", service.to_string()), KeyValue::new("side", side)];
         self.version_sends.add(1, &labels);
     }
 
     /// Counts an attempt at a version under roll-out that ended, by how.
-    pub fn version_attempt(&self, service: &str, end: &'static str) {
+    pub fn record_version_attempt(&self, service: &str, end: &'static str) {
         let labels = [KeyValue::new("service", service.to_string()), KeyValue::new("end", end)];
         self.version_attempts.add(1, &labels);
     }
 
     /// Counts messages that were sent.
-    pub fn peer_messages_sent(&self, n: usize) {
+    pub fn record_sent_peer_messages(&self, n: usize) {
         self.peer_messages.add(n as u64, &[KeyValue::new("result", "sent")]);
     }
 
     /// Records the time to the first byte of an answer.
-    pub fn first_byte(&self, route: &str, ms: f64) {
+    pub fn record_first_byte(&self, route: &str, ms: f64) {
         self.first_byte.record(ms, &[KeyValue::new("route", route.to_string())]);
     }
 
     /// Renders all metrics as Prometheus text.
-    pub fn text(&self) -> anyhow::Result<Vec<u8>> {
+    pub fn to_text(&self) -> anyhow::Result<Vec<u8>> {
         render(&self.registry)
     }
 }
--- a/crates/tidetrack-plane/src/pool.rs
+++ b/crates/tidetrack-plane/src/pool.rs
@@ -20,8 +20,8 @@
 use tidetrack_core::errors::{Error, Result};
 use tidetrack_core::traffic::reachability::MAX_PROMPT_LATENCY;
 
-use crate::clock::Moment;
-use crate::way::{Ends, Waits, Way};
+use crate::clock::BootInstant;
+use crate::socket::{MonitoredSocket, PeerKind, PinnedRequestFlag};
 
 /// Longest time for a connection to come up. Within a region one takes a few milliseconds; the rest
 /// covers a lost packet.
@@ -61,7 +61,7 @@
     /// Sends the request.
     pub sender: SendRequest<Full<Bytes>>,
     task: JoinHandle<()>,
-    waits: Waits,
+    waits: PinnedRequestFlag,
     /// Whether it carried an earlier request.
     pub is_reused: bool,
 }
@@ -86,15 +86,15 @@
 
 struct Idle {
     lease: Lease,
-    since: Moment,
-    until: Moment,
+    since: BootInstant,
+    until: BootInstant,
 }
 
 /// Connections by the name of their other end.
 #[derive(Default)]
 pub struct Pool {
     idle: RefCell<HashMap<String, Vec<Idle>>>,
-    ends: Ends,
+    ends: PeerKind,
     /// When the last one began of what came up or was answered promptly.
     prompt_at: Cell<Option<Instant>>,
 }
@@ -102,13 +102,13 @@
 impl Pool {
     /// Makes a pool of connections to endpoints.
     pub fn to_endpoints() -> Pool {
-        Pool { ends: Ends::Endpoints, ..Pool::default() }
+        Pool { ends: PeerKind::Endpoint, ..Pool::default() }
     }
 
     /// Takes a kept connection that rested no longer than `most_rest`, or opens one.
     pub async fn take(&self, name: &str, address: &str, most_rest: Duration) -> Result<Lease> {
         while let Some(mut idle) = self.pop(name, most_rest) {
-            let is_usable = Moment::now() < idle.until && !idle.lease.sender.is_closed();
+            let is_usable = BootInstant::now() < idle.until && !idle.lease.sender.is_closed();
             if is_usable && idle.lease.sender.ready().await.is_ok() {
                 idle.lease.is_reused = true;
                 return Ok(idle.lease);
@@ -119,7 +119,7 @@
 
     /// Sees to it that a connection is kept for a request that is about to be sent.
     pub async fn prepare(&self, name: &str, address: &str, most_rest: Duration) -> Result<()> {
-        let now = Moment::now();
+        let now = BootInstant::now();
         let is_usable = |newest: &Idle| {
             newest.since.elapsed() <= most_rest
                 && now < newest.until
@@ -162,8 +162,8 @@
         let mut all = self.idle.borrow_mut();
         let of_end = all.entry(name.to_string()).or_default();
         if of_end.len() < MOST_IDLE {
-            let now = Moment::now();
-            of_end.push(Idle { lease, since: now, until: now.after(rest) });
+            let now = BootInstant::now();
+            of_end.push(Idle { lease, since: now, until: now.saturating_add(rest) });
         }
     }
 
@@ -174,7 +174,7 @@
 
     /// Closes connections that rested too long, and those whose other end is not `wanted`.
     fn sweep(&self, wanted: impl Fn(&str) -> bool) {
-        let now = Moment::now();
+        let now = BootInstant::now();
         self.idle.borrow_mut().retain(|name, of_end| {
             of_end.retain(|i| now < i.until && !i.lease.sender.is_closed());
             !of_end.is_empty() && wanted(name)
@@ -216,7 +216,7 @@
 }
 
 /// Opens a connection.
-async fn open(address: &str, ends: Ends) -> Result<Lease> {
+async fn open(address: &str, ends: PeerKind) -> Result<Lease> {
     let of_socket =
         |e: std::io::Error| unreachable(address, &e.to_string(), DisconnectCause::from_error(&e));
     let parsed: SocketAddr = address
@@ -226,8 +226,8 @@
         .await
         .map_err(|_| unreachable(address, "timed out", DisconnectCause::TimedOut))?
         .map_err(of_socket)?;
-    let waits = Waits::default();
-    let way = Way::new(stream, ends, waits.clone()).map_err(of_socket)?;
+    let waits = PinnedRequestFlag::default();
+    let way = MonitoredSocket::new(stream, ends, waits.clone()).map_err(of_socket)?;
     let (sender, conn) = Builder::new()
         .max_buf_size(MOST_HEAD_BYTES)
         .handshake(TokioIo::new(way))
--- a/crates/tidetrack-plane/src/relay.rs
+++ b/crates/tidetrack-plane/src/relay.rs
@@ -275,7 +275,7 @@
 
     /// Logs that a silent endpoint is waited for.
     fn stayed(&self, why: &str) {
-        self.traffic.shared.journal.line(
+        self.traffic.shared.journal.log(
             Event::StreamStayed,
             &[
                 ("request", &self.job.id),
@@ -297,7 +297,7 @@
 
     /// Goes on with another endpoint's answer. A caller that has no head yet gets that one's.
     fn go_on_at(&mut self, (head, source): (http::response::Parts, Source), why: &Error) {
-        self.traffic.shared.journal.line(
+        self.traffic.shared.journal.log(
             Event::StreamResumed,
             &[
                 ("request", &self.job.id),
@@ -351,13 +351,13 @@
         self.observe(AttemptOutcome::CallerLeft);
         let fields: [(&'static str, &dyn std::fmt::Display); 2] =
             [("request", &self.job.id), ("events", &self.events)];
-        self.traffic.shared.journal.line(Event::CallerLeft, &fields);
+        self.traffic.shared.journal.log(Event::CallerLeft, &fields);
     }
 
     /// Breaks the caller's connection off, so that the stream does not look whole.
     async fn cut(mut self, tx: &mpsc::Sender<Piece>, why: &Error) {
         self.observe(AttemptOutcome::Interrupted);
-        self.traffic.shared.journal.line(
+        self.traffic.shared.journal.log(
             Event::AnswerCut,
             &[
                 ("request", &self.job.id),
--- a/crates/tidetrack-plane/src/report.rs
+++ b/crates/tidetrack-plane/src/report.rs
@@ -26,7 +26,7 @@
 ) {
     let shared = &traffic.shared;
     let ran = format!("{:?}", e.executed);
-    shared.journal.line(
+    shared.journal.log(
         Event::AttemptFailed,
         &[
             ("request", &job.id),
@@ -38,9 +38,9 @@
             ("ms", &took.as_millis()),
         ],
     );
-    shared.metrics.attempt("failed");
+    shared.metrics.record_attempt("failed");
     if let Some(broke) = e.disconnect_cause {
-        shared.metrics.broke(broke);
+        shared.metrics.record_disconnect(broke);
     }
     match e.code {
         // A refusal for want of room says nothing about the endpoint's health.
@@ -87,7 +87,7 @@
         ended: now,
     };
     let blame = traffic.reach.borrow_mut().record_failed_connect(connect, prompt_at);
-    traffic.shared.metrics.no_sign(blame.as_str());
+    traffic.shared.metrics.record_silent_connect(blame.as_str());
     if blame == FailureCause::Endpoint {
         traffic.pool.forget(chosen.id.as_str());
     }
@@ -113,13 +113,13 @@
         ("ms", &took.as_millis()),
     ];
     match status < 500 {
-        true => shared.journal.routine(Event::RequestDone, &fields),
-        false => shared.journal.line(Event::RequestDone, &fields),
+        true => shared.journal.log_routine(Event::RequestDone, &fields),
+        false => shared.journal.log(Event::RequestDone, &fields),
     }
-    shared.metrics.request(route, &status.to_string());
-    shared.metrics.objective(route, status < 400 && took <= job.objective());
-    shared.metrics.first_byte(route, took.as_secs_f64() * 1_000.0);
-    shared.metrics.attempt("answered");
+    shared.metrics.record_request(route, &status.to_string());
+    shared.metrics.record_objective(route, status < 400 && took <= job.objective());
+    shared.metrics.record_first_byte(route, took.as_secs_f64() * 1_000.0);
+    shared.metrics.record_attempt("answered");
 }
 
 /// What was seen of an attempt, as far as it came.
@@ -155,8 +155,8 @@
     let has_failed_before =
         job.has_failed.replace(job.has_failed.get() || seen.end == AttemptOutcome::Failed);
     if let Some(version) = &chosen.new_version {
-        shared.metrics.version_attempt(job.service.as_str(), seen.end.as_str());
-        shared.journal.routine(
+        shared.metrics.record_version_attempt(job.service.as_str(), seen.end.as_str());
+        shared.journal.log_routine(
             Event::VersionSeen,
             &[
                 ("request", &job.id),
@@ -176,7 +176,7 @@
     if seen.is_told {
         return;
     }
-    shared.tell(Input::ResponseObserved(ObservedResponse {
+    shared.send_input(Input::ResponseObserved(ObservedResponse {
         service: job.service.clone(),
         canary_version: chosen.new_version.clone(),
         endpoint: chosen.id.clone(),
--- a/crates/tidetrack-plane/src/second_run.rs
+++ b/crates/tidetrack-plane/src/second_run.rs
@@ -56,8 +56,8 @@
         true => None,
     };
     let event = if kept_for.is_some() { Event::AnswerKept } else { Event::AnswerDropped };
-    traffic.shared.metrics.second_run(kept_for.unwrap_or("asked"));
-    traffic.shared.journal.routine(
+    traffic.shared.metrics.record_second_run(kept_for.unwrap_or("asked"));
+    traffic.shared.journal.log_routine(
         event,
         &[
             ("request", &job.id),
--- a/crates/tidetrack-plane/src/send.rs
+++ b/crates/tidetrack-plane/src/send.rs
@@ -15,7 +15,7 @@
 
 use crate::attempt::{self, Answered, Attempt, Echo};
 use crate::choose::take_next_send;
-use crate::dialect::{AnswerFacts, Handover};
+use crate::dialect::{EndpointRequestInfo, ResponseFacts};
 use crate::job::{Chosen, Held, Job, Traffic, Tries};
 use crate::patience::wait_running;
 use crate::pool::most_rest;
@@ -63,9 +63,9 @@
     };
     let shared_tokens = job.facts.shared_tokens.map_or(0, |t| t.0);
     if shared_tokens > 0 {
-        shared.metrics.shared_tokens(chosen.prefix.as_str(), shared_tokens);
+        shared.metrics.record_shared_tokens(chosen.prefix.as_str(), shared_tokens);
     }
-    shared.journal.routine(
+    shared.journal.log_routine(
         Event::AttemptSent,
         &[
             ("request", &job.id),
@@ -160,7 +160,7 @@
     last_event: Option<u64>,
 ) -> Request<Full<Bytes>> {
     let left = job.time_left();
-    let handover = Handover {
+    let handover = EndpointRequestInfo {
         time_left: Millis(left.as_millis() as u64),
         endpoint: &chosen.id,
         workspace: job.admitted.holder.as_ref().map(|h| &h.workspace),
@@ -206,12 +206,12 @@
 
 /// Takes the limit that an endpoint names with an answer, or that it names none. A refusal may come from a part of it
 /// that knows of no limit, so one that names none says nothing.
-fn note_limit(traffic: &Traffic, chosen: &Chosen, facts: &AnswerFacts) {
+fn note_limit(traffic: &Traffic, chosen: &Chosen, facts: &ResponseFacts) {
     if facts.did_not_run && facts.limit.is_none() {
         return;
     }
     if chosen.live.update_reported_limit(facts.limit) {
-        traffic.shared.tell(Input::LimitReported(chosen.id.clone(), facts.limit));
+        traffic.shared.send_input(Input::LimitReported(chosen.id.clone(), facts.limit));
     }
 }
 
--- a/crates/tidetrack-plane/src/server.rs
+++ b/crates/tidetrack-plane/src/server.rs
@@ -24,7 +24,7 @@
 use tidetrack_core::traffic::catalog::CallerLimits;
 
 use crate::body::AnswerBody;
-use crate::closes::{CloseReason, Closed};
+use crate::closed_connections::{CloseReason, ClosedConnection};
 use crate::shared::{Shared, SharedRef};
 
 /// Connections that may wait to be accepted.
@@ -289,7 +289,7 @@
     /// Is told of a connection that could not be accepted.
     pub accept_failed: Rc<dyn Fn(&io::Error)>,
     /// Is told of a connection that the host closed.
-    pub closed: Rc<dyn Fn(&Closed)>,
+    pub closed: Rc<dyn Fn(&ClosedConnection)>,
 }
 
 /// Accepts callers' connections until the process ends.
@@ -331,11 +331,11 @@
     // The socket is closed when this returns.
     let why = serve_until_end(&opts, stream, stage, &state).await;
     let Some(why) = why else { return };
-    (opts.closed)(&Closed {
-        why,
+    (opts.closed)(&ClosedConnection {
+        reason: why,
         requests: state.requests.get(),
-        rested: state.rests_since.get().elapsed(),
-        is_served: state.doing.get() == Doing::Served,
+        idle_time: state.rests_since.get().elapsed(),
+        is_serving: state.doing.get() == Doing::Served,
         has_unread: state.has_unread.get(),
     });
 }
@@ -366,13 +366,13 @@
             }
             () = state.overstepped(&*opts.limits), if closing_for.is_none() => {
                 if !matches!(state.doing.get(), Doing::Resting(_)) {
-                    return Some(CloseReason::SlowHead);
+                    return Some(CloseReason::HeaderTimeout);
                 }
-                closing_for = Some(CloseReason::Rest);
+                closing_for = Some(CloseReason::IdleTimeout);
                 conn.as_mut().graceful_shutdown();
             }
             () = closing(&mut stage), if closing_for.is_none() => {
-                closing_for = Some(CloseReason::Stop);
+                closing_for = Some(CloseReason::HostStop);
                 conn.as_mut().graceful_shutdown();
             }
         }
@@ -382,10 +382,10 @@
 /// Tells why a connection ended that was not told to.
 fn why_ended(ended: &hyper::Result<()>) -> CloseReason {
     match ended {
-        Ok(()) => CloseReason::Answer,
+        Ok(()) => CloseReason::ResponseComplete,
         Err(e) if e.is_parse() => CloseReason::BadRequest,
-        Err(e) if e.is_user() => CloseReason::BrokenOff,
-        Err(_) => CloseReason::Otherwise,
+        Err(e) if e.is_user() => CloseReason::ResponseAborted,
+        Err(_) => CloseReason::Other,
     }
 }
 
@@ -425,7 +425,7 @@
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(e) => {
-                shared.journal.line(Event::AcceptFailed, &[("why", &e)]);
+                shared.journal.log(Event::AcceptFailed, &[("why", &e)]);
                 tokio::time::sleep(ACCEPT_AGAIN).await;
                 continue;
             }
@@ -434,10 +434,10 @@
         let socket = socket2::SockRef::from(&stream);
         if let Err(e) = socket.set_tcp_notsent_lowat(PAGE_UNSENT) {
             // What is given is bounded less well then.
-            shared.journal.line(Event::AcceptFailed, &[("why", &e)]);
+            shared.journal.log(Event::AcceptFailed, &[("why", &e)]);
         }
         if let Err(e) = socket.set_tcp_user_timeout(Some(PAGE_TAKEN_WITHIN)) {
-            shared.journal.line(Event::AcceptFailed, &[("why", &e)]);
+            shared.journal.log(Event::AcceptFailed, &[("why", &e)]);
             continue;
         }
         tokio::task::spawn_local(async move {
@@ -465,7 +465,7 @@
             true => plain(StatusCode::OK, "ready\n"),
             false => plain(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
         },
-        METRICS_PATH => match shared.metrics.text() {
+        METRICS_PATH => match shared.metrics.to_text() {
             Ok(text) => plain(StatusCode::OK, text),
             Err(e) => plain(StatusCode::INTERNAL_SERVER_ERROR, e.to_string()),
         },
--- a/crates/tidetrack-plane/src/settings.rs
+++ b/crates/tidetrack-plane/src/settings.rs
@@ -28,7 +28,7 @@
     /// The platform's store.
     pub store_address: SocketAddr,
     /// Most files the process may have open.
-    pub most_files: usize,
+    pub max_files: usize,
     /// What the host's link passes, each way.
     pub link: Bandwidth,
     /// Bounds that the fleet keeps to.
@@ -43,15 +43,15 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
     /// A key taken away passes no request on after this time, on any host; `None` sets no bound.
-    pub revoke_within: Option<Millis>,
+    pub revocation_bound: Option<Millis>,
     /// Further sends allowed for each first one, over all hosts.
-    pub resend_ratio: f64,
+    pub retry_ratio: f64,
     /// The sliding window in which these are counted.
-    pub resend_window: Millis,
+    pub retry_window: Millis,
     /// A session has ended when nothing came of it for this time.
-    pub session_time: Millis,
+    pub session_timeout: Millis,
     /// Time from a stop signal until the process is ended by force.
-    pub stop_within: Millis,
+    pub stop_timeout: Millis,
     /// What a version under roll-out may get of a service's requests before its deadline.
-    pub new_version: ExposureBound,
+    pub canary_exposure: ExposureBound,
 }
--- a/crates/tidetrack-plane/src/shared.rs
+++ b/crates/tidetrack-plane/src/shared.rs
@@ -28,13 +28,13 @@
     /// What traffic decides on.
     pub view: ArcSwap<FleetView>,
     /// The youngest proof that the configuration is the newest.
-    pub fresh: Freshness,
+    pub freshness: Freshness,
     /// Requests under which endpoints crashed.
     pub suspects: Arc<Suspects>,
     /// Whether the host is stopping.
     pub is_leaving: AtomicBool,
     /// Inputs for the control thread.
-    pub inputs: flume::Sender<Input>,
+    pub input_sender: flume::Sender<Input>,
     /// Logs.
     pub journal: Journal,
     /// Metrics.
@@ -48,9 +48,9 @@
     }
 
     /// Sends an input to the control thread.
-    pub fn tell(&self, input: Input) {
+    pub fn send_input(&self, input: Input) {
         // The control thread ends after all others; an input sent later concerns nobody.
-        let _ = self.inputs.send(input);
+        let _ = self.input_sender.send(input);
     }
 
     /// Tells whether the host is stopping.
@@ -66,9 +66,10 @@
     /// Tells whether the host knows what it serves by: a fresh configuration and the endpoints.
     pub fn can_serve(&self) -> bool {
         let view = self.view.load();
-        let bound = self.settings.bounds.revoke_within;
-        let fresh = bound.is_none_or(|bound| self.fresh.permits_keyed_requests(self.now(), bound));
-        view.catalog.is_some() && view.has_endpoints && fresh
+        let bound = self.settings.bounds.revocation_bound;
+        let is_fresh =
+            bound.is_none_or(|bound| self.freshness.permits_keyed_requests(self.now(), bound));
+        view.catalog.is_some() && view.has_endpoints && is_fresh
     }
 }
 
--- a/crates/tidetrack-plane/src/signals.rs
+++ b/crates/tidetrack-plane/src/signals.rs
@@ -8,11 +8,11 @@
 use tokio::sync::mpsc;
 
 /// Signals that may wait to be looked at.
-const WAITING: usize = 8;
+const QUEUE_CAPACITY: usize = 8;
 
 /// What a signal asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Asked {
+pub(crate) enum SignalRequest {
     /// A planned stop.
     Stop,
     /// To read the settings anew.
@@ -20,19 +20,20 @@
 }
 
 /// The signals that have come, in order.
-pub struct Signals(mpsc::Receiver<Asked>);
+pub struct Signals(mpsc::Receiver<SignalRequest>);
 
 impl Signals {
     /// Catches the process's signals from now on. Fails if the system lets none be caught.
-    pub fn catch() -> Result<Signals> {
-        let (tx, rx) = mpsc::channel(WAITING);
+    pub fn install() -> Result<Signals> {
+        let (tx, rx) = mpsc::channel(QUEUE_CAPACITY);
         let mut signals =
             signal_hook::iterator::Signals::new([SIGTERM, SIGINT, SIGHUP]).context("signals")?;
         let thread = std::thread::Builder::new().name("signals".into()).stack_size(64 << 10);
         thread.spawn(move || {
             for signal in signals.forever() {
-                let asked = if signal == SIGHUP { Asked::Reload } else { Asked::Stop };
-                if tx.blocking_send(asked).is_err() {
+                let request =
+                    if signal == SIGHUP { SignalRequest::Reload } else { SignalRequest::Stop };
+                if tx.blocking_send(request).is_err() {
                     return;
                 }
             }
@@ -41,7 +42,7 @@
     }
 
     /// Waits for the next one.
-    pub(crate) async fn next(&mut self) -> Option<Asked> {
+    pub(crate) async fn next(&mut self) -> Option<SignalRequest> {
         self.0.recv().await
     }
 }
--- a/crates/tidetrack-plane/src/way.rs
+++ b/crates/tidetrack-plane/src/socket.rs
@@ -22,145 +22,156 @@
 /// Time after which unacknowledged bytes break a connection to an end that is cut off or without power,
 /// soon enough for another endpoint to answer in time. Three losses of a packet in a row do not last
 /// that long.
-const WRITTEN_FOR: Duration = Duration::from_millis(1_200);
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1_200);
 
 /// A connection on which nothing moves is probed this often, so that one whose other end is cut off or
 /// without power is noticed while a request or a watch waits on it.
-const PROBE_EVERY: Duration = Duration::from_secs(1);
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Probes that may stay unanswered; on links that lose a few packets in a hundred, three in a row are
 /// not lost by chance.
-const PROBES: u32 = 3;
+const MAX_LOST_PROBES: u32 = 3;
 
 /// Limit that lets all these probes be sent: it ends between the last of them and the next.
-const QUIET_FOR: Duration = Duration::from_millis(3_500);
+const QUIET_TIMEOUT: Duration = Duration::from_millis(3_500);
 
 /// Time after the last write from which a connection counts as quiet. The limit on what was written runs
 /// from its first repetition, 0.2 to 0.4 s after it, and is over by then; the first probe without an answer
 /// would end the connection 2 s after the last sign of life.
-const QUIET_AFTER: Duration = Duration::from_millis(1_800);
+const QUIET_DELAY: Duration = Duration::from_millis(1_800);
 
 /// Most bytes of a request that the other end surely has room for before it reads: a quarter of the
 /// room that systems give to a new connection.
-const ROOM: usize = 16 << 10;
+const MIN_RECEIVE_BUFFER_BYTES: usize = 16 << 10;
 
 /// Which ends a connection leads to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Ends {
+pub enum PeerKind {
     /// The store and other hosts: a lost call is made again at once, elsewhere too, and costs little.
     #[default]
-    Own,
+    Internal,
     /// Endpoints: a connection that is given up may be an answer lost.
-    Endpoints,
+    Endpoint,
 }
 
 /// Whether a request waits on a connection that can't go elsewhere if it breaks.
-pub type Waits = Rc<Cell<bool>>;
+pub type PinnedRequestFlag = Rc<Cell<bool>>;
 
 /// A socket of a connection.
-pub struct Way {
+pub struct MonitoredSocket {
     stream: TcpStream,
-    ends: Ends,
-    waits: Waits,
-    limit: Duration,
+    peer_kind: PeerKind,
+    pinned_request: PinnedRequestFlag,
+    timeout: Duration,
     /// Bytes that were written since the other end spoke last.
-    written: usize,
+    unread_bytes: usize,
     /// Runs while a write may be unacknowledged.
-    becomes_quiet: Option<Pin<Box<Sleep>>>,
+    quiet_timer: Option<Pin<Box<Sleep>>>,
 }
 
-impl Way {
+impl MonitoredSocket {
     /// Sets the limits of a connection that came up.
-    pub fn new(stream: TcpStream, ends: Ends, waits: Waits) -> io::Result<Way> {
+    pub fn new(
+        stream: TcpStream,
+        peer_kind: PeerKind,
+        pinned_request: PinnedRequestFlag,
+    ) -> io::Result<MonitoredSocket> {
         stream.set_nodelay(true)?;
         let probes = TcpKeepalive::new()
-            .with_time(PROBE_EVERY)
-            .with_interval(PROBE_EVERY)
-            .with_retries(PROBES);
+            .with_time(PROBE_INTERVAL)
+            .with_interval(PROBE_INTERVAL)
+            .with_retries(MAX_LOST_PROBES);
         SockRef::from(&stream).set_tcp_keepalive(&probes)?;
-        let (limit, written, becomes_quiet) = (Duration::ZERO, 0, None);
-        let mut way = Way { stream, ends, waits, limit, written, becomes_quiet };
-        way.limit_silence(WRITTEN_FOR)?;
-        Ok(way)
+        let (timeout, unread_bytes, quiet_timer) = (Duration::ZERO, 0, None);
+        let mut socket = MonitoredSocket {
+            stream,
+            peer_kind,
+            pinned_request,
+            timeout,
+            unread_bytes,
+            quiet_timer,
+        };
+        socket.set_timeout(UNACKNOWLEDGED_TIMEOUT)?;
+        Ok(socket)
     }
 
-    fn limit_silence(&mut self, limit: Duration) -> io::Result<()> {
-        if limit != self.limit {
-            SockRef::from(&self.stream).set_tcp_user_timeout(Some(limit))?;
-            self.limit = limit;
+    fn set_timeout(&mut self, timeout: Duration) -> io::Result<()> {
+        if timeout != self.timeout {
+            SockRef::from(&self.stream).set_tcp_user_timeout(Some(timeout))?;
+            self.timeout = timeout;
         }
         Ok(())
     }
 
     /// Sets the limit for bytes that are about to be written.
-    fn writes(&mut self, cx: &mut Context<'_>, bytes: usize) -> io::Result<()> {
-        if self.ends == Ends::Own {
+    fn before_write(&mut self, cx: &mut Context<'_>, bytes: usize) -> io::Result<()> {
+        if self.peer_kind == PeerKind::Internal {
             return Ok(());
         }
-        let has_room = self.written.saturating_add(bytes) <= ROOM;
-        self.limit_silence(if has_room { WRITTEN_FOR } else { QUIET_FOR })?;
-        let at = Instant::now() + QUIET_AFTER;
-        match &mut self.becomes_quiet {
-            Some(sleep) => sleep.as_mut().reset(at),
-            None => self.becomes_quiet = Some(Box::pin(tokio::time::sleep_until(at))),
+        let fits_buffer = self.unread_bytes.saturating_add(bytes) <= MIN_RECEIVE_BUFFER_BYTES;
+        self.set_timeout(if fits_buffer { UNACKNOWLEDGED_TIMEOUT } else { QUIET_TIMEOUT })?;
+        let quiet_at = Instant::now() + QUIET_DELAY;
+        match &mut self.quiet_timer {
+            Some(timer) => timer.as_mut().reset(quiet_at),
+            None => self.quiet_timer = Some(Box::pin(tokio::time::sleep_until(quiet_at))),
         }
         // A connection that waits for its answer is not read until it is woken.
-        self.look_whether_quiet(cx)
+        self.poll_quiet_timer(cx)
     }
 
     /// Sets the limit for a quiet connection when it has become one.
-    fn look_whether_quiet(&mut self, cx: &mut Context<'_>) -> io::Result<()> {
-        let sleep = self.becomes_quiet.as_mut();
-        if sleep.is_some_and(|sleep| sleep.as_mut().poll(cx).is_ready()) {
-            self.becomes_quiet = None;
-            if self.written == 0 || self.waits.get() {
-                self.limit_silence(QUIET_FOR)?;
+    fn poll_quiet_timer(&mut self, cx: &mut Context<'_>) -> io::Result<()> {
+        let timer = self.quiet_timer.as_mut();
+        if timer.is_some_and(|timer| timer.as_mut().poll(cx).is_ready()) {
+            self.quiet_timer = None;
+            if self.unread_bytes == 0 || self.pinned_request.get() {
+                self.set_timeout(QUIET_TIMEOUT)?;
             }
         }
         Ok(())
     }
 
     /// Takes note that the other end spoke: it has what was written.
-    fn has_spoken(&mut self) -> io::Result<()> {
-        self.written = 0;
-        match (self.ends, &self.becomes_quiet) {
-            (Ends::Endpoints, None) => self.limit_silence(QUIET_FOR),
+    fn record_read(&mut self) -> io::Result<()> {
+        self.unread_bytes = 0;
+        match (self.peer_kind, &self.quiet_timer) {
+            (PeerKind::Endpoint, None) => self.set_timeout(QUIET_TIMEOUT),
             _ => Ok(()),
         }
     }
 
-    fn has_written(&mut self, polled: &Poll<io::Result<usize>>) {
+    fn record_write(&mut self, polled: &Poll<io::Result<usize>>) {
         if let Poll::Ready(Ok(bytes)) = polled {
-            self.written = self.written.saturating_add(*bytes);
+            self.unread_bytes = self.unread_bytes.saturating_add(*bytes);
         }
     }
 }
 
-impl AsyncRead for Way {
+impl AsyncRead for MonitoredSocket {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        self.look_whether_quiet(cx)?;
+        self.poll_quiet_timer(cx)?;
         let before = buf.filled().len();
         let polled = Pin::new(&mut self.stream).poll_read(cx, buf);
         if buf.filled().len() > before {
-            self.has_spoken()?;
+            self.record_read()?;
         }
         polled
     }
 }
 
-impl AsyncWrite for Way {
+impl AsyncWrite for MonitoredSocket {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
-        self.writes(cx, buf.len())?;
+        self.before_write(cx, buf.len())?;
         let polled = Pin::new(&mut self.stream).poll_write(cx, buf);
-        self.has_written(&polled);
+        self.record_write(&polled);
         polled
     }
 
@@ -177,9 +188,9 @@
         cx: &mut Context<'_>,
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        self.writes(cx, bufs.iter().map(|buf| buf.len()).sum())?;
+        self.before_write(cx, bufs.iter().map(|buf| buf.len()).sum())?;
         let polled = Pin::new(&mut self.stream).poll_write_vectored(cx, bufs);
-        self.has_written(&polled);
+        self.record_write(&polled);
         polled
     }
 
--- a/crates/tidetrack-plane/src/watch/mod.rs
+++ b/crates/tidetrack-plane/src/watch/mod.rs
@@ -2,12 +2,12 @@
 //! few hosts watch the store for them; the others get them host to host (`feed`). A list follows later
 //! only where the store has forgotten the changes, and for the configuration, whose list is its newest state.
 //!
-//! A few hosts also prove that the configuration is the newest, by short reads; the others are told.
+//! A few hosts also prove that the configuration is the newest, by short reads; the others are reply.
 //! A host whose proof grows old all the same reads for itself, and notices there that it has lost the
 //! store; once the store answers again, all kinds go on from the last change they know.
 //!
 //! Here is what the jobs share: `follow` lists and watches the store, `proof` keeps a young proof of the
-//! configuration, `catch` gets what other hosts told of, `read` makes the calls to the store, and `intake`
+//! configuration, `fetch` gets what other hosts told of, `read` makes the calls to the store, and `intake`
 //! applies what came and keeps it for others.
 
 use std::cell::RefCell;
@@ -23,78 +23,78 @@
 
 use crate::call::{Gate, OneAtATime};
 use crate::dialect::FeedKind;
-use crate::feed::{self, FeedLog, Told};
+use crate::feed::{self, FeedLog, FeedReply};
 use crate::pool::Pool;
 use crate::shared::SharedRef;
-use crate::store::Store;
+use crate::store::StoreClient;
 
-mod catch;
+mod apply;
+mod fetch;
 mod follow;
-mod intake;
 mod proof;
 mod read;
 
 /// What the watches of a host share.
-pub struct Watches {
+pub struct StoreSync {
     shared: SharedRef,
-    store: Rc<Store>,
+    store: Rc<StoreClient>,
     /// Connections to other hosts.
-    hosts: Pool,
+    host_pool: Pool,
     /// The newest changes, by kind.
     logs: RefCell<[FeedLog; 3]>,
     /// The newest known change, by kind.
     newest: RefCell<Revisions>,
     /// By kind, where large replies wait for each other.
-    large: [OneAtATime; 3],
+    large_replies: [OneAtATime; 3],
     /// By kind, whether a try waits until no large reply is coming in.
-    is_waiting: RefCell<[bool; 3]>,
+    has_waiting_fetch: RefCell<[bool; 3]>,
     /// By kind, whether a host that starts lists it from the store.
     is_listing: RefCell<[bool; 3]>,
     /// Tells that a kind was brought to a state of the store.
-    brought: watch::Sender<()>,
+    sync_events: watch::Sender<()>,
     /// Counts the returns of the store, for the other kinds to start again.
-    returns: watch::Sender<u64>,
-    duties: watch::Receiver<HostRoles>,
+    store_recoveries: watch::Sender<u64>,
+    roles: watch::Receiver<HostRoles>,
     /// By kind, whether the store did not answer the last read.
-    is_lost: RefCell<[bool; 3]>,
-    started: Instant,
+    is_unreachable: RefCell<[bool; 3]>,
+    started_at: Instant,
 }
 
-impl Watches {
+impl StoreSync {
     /// Starts the watches of all kinds on the present thread.
     pub fn start(
         shared: SharedRef,
-        store: Rc<Store>,
-        duties: watch::Receiver<HostRoles>,
-    ) -> Rc<Watches> {
-        let (returns, _) = watch::channel(0);
-        let (brought, _) = watch::channel(());
-        let watches = Rc::new(Watches {
+        store: Rc<StoreClient>,
+        roles: watch::Receiver<HostRoles>,
+    ) -> Rc<StoreSync> {
+        let (store_recoveries, _) = watch::channel(0);
+        let (sync_events, _) = watch::channel(());
+        let store_sync = Rc::new(StoreSync {
             shared: shared.clone(),
             store,
-            hosts: Pool::default(),
-            logs: RefCell::new(FeedKind::ALL.map(FeedLog::of)),
+            host_pool: Pool::default(),
+            logs: RefCell::new(FeedKind::ALL.map(FeedLog::new)),
             newest: RefCell::default(),
-            large: Default::default(),
-            is_waiting: RefCell::default(),
+            large_replies: Default::default(),
+            has_waiting_fetch: RefCell::default(),
             is_listing: RefCell::default(),
-            brought,
-            returns,
-            duties,
-            is_lost: RefCell::default(),
-            started: Instant::now(),
+            sync_events,
+            store_recoveries,
+            roles,
+            is_unreachable: RefCell::default(),
+            started_at: Instant::now(),
         });
-        tokio::task::spawn_local(watches.clone().keep_proof());
+        tokio::task::spawn_local(store_sync.clone().maintain_proof());
         for kind in FeedKind::ALL {
-            tokio::task::spawn_local(watches.clone().keep(kind));
+            tokio::task::spawn_local(store_sync.clone().follow_forever(kind));
         }
-        let told = watches.clone();
-        let told = move |kind, after| told.told(kind, after);
+        let reply_source = store_sync.clone();
+        let lookup = move |kind, after| reply_source.changes_after(kind, after);
         let address = shared.settings.peer_address;
-        tokio::task::spawn_local(feed::serve(shared, address, told));
-        let swept = watches.clone();
-        tokio::task::spawn_local(async move { swept.hosts.keep_swept(|_| true).await });
-        watches
+        tokio::task::spawn_local(feed::serve(shared, address, lookup));
+        let pool_owner = store_sync.clone();
+        tokio::task::spawn_local(async move { pool_owner.host_pool.keep_swept(|_| true).await });
+        store_sync
     }
 
     fn log<T>(&self, kind: FeedKind, f: impl FnOnce(&mut FeedLog) -> T) -> T {
@@ -103,10 +103,10 @@
 
     /// Gets what brings another host from a revision to the newest one. With the configuration goes the proof of it,
     /// or a host that starts would have to ask for one next.
-    fn told(&self, kind: FeedKind, after: u64) -> Option<Told> {
-        let told = self.log(kind, |log| log.after(after))?;
-        let age = self.shared.fresh.age(self.shared.now());
-        Some(Told { proof_age: age.filter(|_| kind == FeedKind::Catalog), ..told })
+    fn changes_after(&self, kind: FeedKind, after: u64) -> Option<FeedReply> {
+        let reply = self.log(kind, |log| log.changes_after(after))?;
+        let age = self.shared.freshness.age(self.shared.now());
+        Some(FeedReply { proof_age: age.filter(|_| kind == FeedKind::Catalog), ..reply })
     }
 
     fn position(&self, kind: FeedKind) -> u64 {
@@ -120,44 +120,44 @@
 
     /// Lets a large reply in that was asked for after a revision, unless the next changes came otherwise
     /// while it waited; a list is always needed.
-    fn gate(&self, kind: FeedKind, after: Option<u64>) -> Gate<'_> {
+    fn reply_gate(&self, kind: FeedKind, after: Option<u64>) -> Gate<'_> {
         Gate {
-            turns: &self.large[kind as usize],
+            turns: &self.large_replies[kind as usize],
             is_needless: Box::new(move || after.is_some_and(|after| self.newest(kind) > after)),
-            is_coming: Box::new(move || self.shared.tell(Input::ReplyStarted(kind))),
+            is_coming: Box::new(move || self.shared.send_input(Input::ReplyStarted(kind))),
         }
     }
 
-    fn is_lost(&self, kind: FeedKind) -> bool {
-        self.is_lost.borrow()[kind as usize]
+    fn is_unreachable(&self, kind: FeedKind) -> bool {
+        self.is_unreachable.borrow()[kind as usize]
     }
 
     /// Takes note that a kind could not be read; tells whether that is news.
-    fn lost(&self, kind: FeedKind, e: &Error) -> bool {
-        let before = *self.is_lost.borrow();
-        if before[kind as usize] {
+    fn record_failure(&self, kind: FeedKind, e: &Error) -> bool {
+        let unreachable_before = *self.is_unreachable.borrow();
+        if unreachable_before[kind as usize] {
             return false;
         }
-        self.is_lost.borrow_mut()[kind as usize] = true;
+        self.is_unreachable.borrow_mut()[kind as usize] = true;
         let kind_name = format!("{kind:?}");
-        self.shared.journal.line(Event::PlatformLost, &[("kind", &kind_name), ("why", e)]);
-        if before == [false; 3] {
-            self.shared.tell(Input::StoreUnreachable);
+        self.shared.journal.log(Event::PlatformLost, &[("kind", &kind_name), ("why", e)]);
+        if unreachable_before == [false; 3] {
+            self.shared.send_input(Input::StoreUnreachable);
         }
         true
     }
 
     /// Takes note that a kind was read.
-    fn back(&self, kind: FeedKind) {
-        if !std::mem::take(&mut self.is_lost.borrow_mut()[kind as usize]) {
+    fn record_recovery(&self, kind: FeedKind) {
+        if !std::mem::take(&mut self.is_unreachable.borrow_mut()[kind as usize]) {
             return;
         }
-        self.shared.journal.line(Event::PlatformBack, &[("kind", &format!("{kind:?}"))]);
-        if *self.is_lost.borrow() == [false; 3] {
-            self.shared.tell(Input::StoreReachable);
+        self.shared.journal.log(Event::PlatformBack, &[("kind", &format!("{kind:?}"))]);
+        if *self.is_unreachable.borrow() == [false; 3] {
+            self.shared.send_input(Input::StoreReachable);
         }
         if kind == FeedKind::Catalog {
-            self.returns.send_modify(|n| *n += 1);
+            self.store_recoveries.send_modify(|n| *n += 1);
         }
     }
 }
--- a/crates/tidetrack-plane/src/watch/read.rs
+++ b/crates/tidetrack-plane/src/watch/read.rs
@@ -7,28 +7,28 @@
 use tidetrack_core::events::Event;
 use tidetrack_core::units::Millis;
 
-use crate::dialect::{Age, FeedKind};
-use crate::feed::{Chunk, ListChunk};
-use crate::store::{Cause, Purpose};
+use crate::dialect::{FeedKind, ListAge};
+use crate::feed::{ChangeBatch, ListSnapshot};
+use crate::store::{CallPurpose, CallReason};
 
-use super::intake::FROM_STORE;
-use super::Watches;
+use super::apply::SOURCE_STORE;
+use super::StoreSync;
 
-impl Watches {
+impl StoreSync {
     /// Reads the changes after a revision from the store, which may wait for one, or the whole kind if they
     /// are forgotten, or more than a reply may have: each try would end there.
-    pub(super) async fn read_store(
+    pub(super) async fn read_changes_or_list(
         &self,
         kind: FeedKind,
         after: u64,
         wait: Millis,
-        cause: Cause,
+        reason: CallReason,
     ) -> Result<()> {
-        match self.read_changes(kind, after, wait, cause).await {
+        match self.read_changes(kind, after, wait, reason).await {
             Err(e) if matches!(e.code, Code::HistoryGone | Code::ReplyTooLarge) => {
                 let kind_name = format!("{kind:?}");
-                self.shared.journal.line(Event::HistoryGone, &[("kind", &kind_name), ("why", &e)]);
-                self.read_all(kind, None, Cause::HistoryGone).await
+                self.shared.journal.log(Event::HistoryGone, &[("kind", &kind_name), ("why", &e)]);
+                self.read_list(kind, None, CallReason::HistoryGone).await
             }
             result => result,
         }
@@ -40,39 +40,41 @@
     /// else. Only the newest listed change is told of it, which all know otherwise, or each start would
     /// cost every host a list. `after` is the revision whose next change is wanted, where anything but
     /// that is not.
-    pub(super) async fn read_all(
+    pub(super) async fn read_list(
         &self,
         kind: FeedKind,
         after: Option<u64>,
-        cause: Cause,
+        reason: CallReason,
     ) -> Result<()> {
         let is_first = self.position(kind) == 0;
-        let age = if is_first && kind != FeedKind::Catalog { Age::OfLate } else { Age::Newest };
-        let purpose = Purpose { kind, cause, age };
+        let age =
+            if is_first && kind != FeedKind::Catalog { ListAge::Recent } else { ListAge::Newest };
+        let purpose = CallPurpose { kind, reason, age };
         let newest_listed = loop {
-            let listed = self.store.list(purpose, &self.gate(kind, after)).await?;
-            let (at, newest) = (listed.revision, listed.newest);
-            let pages: Vec<Vec<u8>> = listed.pages.iter().map(|page| page.to_vec()).collect();
+            let listing = self.store.list(purpose, &self.reply_gate(kind, after)).await?;
+            let (revision, newest) = (listing.revision, listing.newest_change);
+            let pages: Vec<Vec<u8>> = listing.pages.iter().map(|page| page.to_vec()).collect();
             let bytes = pages.iter().map(Vec::len).sum();
             let before = self.newest(kind);
-            let list = ListChunk { at, pages };
-            let is_taken = self.take_list(kind, listed.objects, &listed.unreadable, list, newest);
-            let is_new = is_taken && self.newest(kind) > before;
-            self.note_reply(kind, FROM_STORE, bytes, listed.body_time, is_new);
+            let list = ListSnapshot { revision, pages };
+            let is_applied =
+                self.apply_list(kind, listing.objects, &listing.unreadable, list, newest);
+            let is_new = is_applied && self.newest(kind) > before;
+            self.record_reply(kind, SOURCE_STORE, bytes, listing.body_time, is_new);
             if kind == FeedKind::Catalog {
-                self.catalog_read(listed.began);
+                self.record_catalog_read(listing.started_at);
             }
             // A list that is older than what is known has nothing new; of one object nothing is missing.
-            if is_taken || kind.is_single_object() {
+            if is_applied || kind.is_single_object() {
                 break newest;
             }
         };
-        if age == Age::OfLate {
-            self.caught_up(kind, Some(newest_listed));
-            let since = self.read_changes(kind, self.position(kind), Millis(0), cause).await;
-            since.or_else(unless_needless)?;
+        if age == ListAge::Recent {
+            self.report_position(kind, Some(newest_listed));
+            let since = self.read_changes(kind, self.position(kind), Millis(0), reason).await;
+            since.or_else(ignore_unneeded)?;
         } else if !is_first {
-            self.caught_up(kind, Some(self.newest(kind)));
+            self.report_position(kind, Some(self.newest(kind)));
         }
         Ok(())
     }
@@ -83,40 +85,40 @@
         kind: FeedKind,
         after: u64,
         wait: Millis,
-        cause: Cause,
+        reason: CallReason,
     ) -> Result<()> {
         let dialect = &self.shared.dialect.store;
-        let began = self.shared.now();
+        let started_at = self.shared.now();
         let call = (dialect.watch)(kind, after, wait);
-        let gate = self.gate(kind, Some(after));
-        let purpose = Purpose { kind, cause, age: Age::Newest };
+        let gate = self.reply_gate(kind, Some(after));
+        let purpose = CallPurpose { kind, reason, age: ListAge::Newest };
         let wait = Duration::from_millis(wait.0);
         let reply = self.store.call(&call, purpose, wait, Some(&gate)).await?;
         let changes = (dialect.read_changes)(kind, &reply.body)?;
-        let to = changes.revision;
+        let newest_revision = changes.revision;
         // The store's revision rises with changes of other kinds too, so it does not tell.
-        let is_new = changes.newest.is_some_and(|newest| newest > self.position(kind));
+        let is_new = changes.newest_change.is_some_and(|newest| newest > self.position(kind));
         if is_new {
             // Other hosts have no use for the states before the newest, each of which may be a megabyte.
-            let is_cut = kind.is_single_object() && changes.changes.len() > 1;
-            let bytes = match is_cut {
+            let keeps_only_last = kind.is_single_object() && changes.changes.len() > 1;
+            let bytes = match keeps_only_last {
                 true => (dialect.last_change)(&reply.body)?,
                 false => reply.body.to_vec(),
             };
-            self.take(kind, changes, Chunk { to, bytes });
+            self.apply_changes(kind, changes, ChangeBatch { newest_revision, bytes });
         }
-        self.note_reply(kind, FROM_STORE, reply.body.len(), reply.body_time, is_new);
-        self.log(kind, |log| log.advance(to));
-        self.caught_up(kind, None);
+        self.record_reply(kind, SOURCE_STORE, reply.body.len(), reply.body_time, is_new);
+        self.log(kind, |log| log.advance(newest_revision));
+        self.report_position(kind, None);
         if kind == FeedKind::Catalog {
-            self.catalog_read(began);
+            self.record_catalog_read(started_at);
         }
         Ok(())
     }
 }
 
 /// Takes a reply that was not needed any more for one that came.
-pub(super) fn unless_needless(e: Error) -> Result<()> {
+pub(super) fn ignore_unneeded(e: Error) -> Result<()> {
     match e.code {
         Code::ReplyNotNeeded => Ok(()),
         _ => Err(e),
--- a/crates/tidetrack-plane/tests/call.rs
+++ b/crates/tidetrack-plane/tests/call.rs
@@ -78,7 +78,7 @@
         }
     };
     tokio::select! {
-        result = feed::ask(&pool, address, FeedKind::Endpoints, KNOWN, &gate) => {
+        result = feed::fetch_changes(&pool, address, FeedKind::Endpoints, KNOWN, &gate) => {
             panic!("the reply has ended: {:?}", result.err());
         }
         () = telling => asked,
--- a/crates/tidetrack-plane/tests/journal.rs
+++ b/crates/tidetrack-plane/tests/journal.rs
@@ -28,7 +28,7 @@
     let out = Slow::default();
     let journal = Journal::start_to("h1", out.clone()).expect("a thread");
 
-    journal.line(Event::Stopped, &[("cut", &0)]);
+    journal.log(Event::Stopped, &[("cut", &0)]);
     journal.flush(Duration::from_secs(20));
 
     let text = out.0.lock().expect("no holder of the lock panics").clone();
--- a/crates/tidetrack-plane/tests/suspension.rs
+++ b/crates/tidetrack-plane/tests/suspension.rs
@@ -5,7 +5,7 @@
 
 use tidetrack_core::traffic::freshness::Freshness;
 use tidetrack_core::units::Millis;
-use tidetrack_plane::clock::{Clock, Moment, Suspensions};
+use tidetrack_plane::clock::{BootInstant, Clock, SuspensionDetector};
 
 /// Time since the machine's start, in milliseconds, as the test sets it.
 static NOW_MS: AtomicU64 = AtomicU64::new(50_000);
@@ -18,7 +18,7 @@
 #[test]
 fn a_proof_is_older_by_the_time_in_which_the_machine_was_suspended() {
     let bound = Millis(5_000);
-    let clock = Clock::reading(now);
+    let clock = Clock::with_source(now);
     let fresh = Freshness::default();
     fresh.record_proof(clock.now());
     let was_fresh = fresh.permits_keyed_requests(clock.now(), bound);
@@ -32,24 +32,24 @@
 
 #[test]
 fn a_suspension_is_noticed_once_and_a_stopped_process_is_none() {
-    let mut suspensions = Suspensions::default();
+    let mut suspensions = SuspensionDetector::default();
     let s = Duration::from_secs;
     let looks = [(s(1), s(1)), (s(9), s(9)), (s(14), s(10)), (s(15), s(11))];
 
     let seen: Vec<Option<Duration>> =
-        looks.iter().map(|(counting, steady)| suspensions.look(*counting, *steady)).collect();
+        looks.iter().map(|(counting, steady)| suspensions.update(*counting, *steady)).collect();
 
     assert_eq!(seen, [None, None, Some(s(4)), None]);
 }
 
 #[test]
 fn moments_go_on_with_the_time() {
-    let (began, steady) = (Moment::now(), Instant::now());
-    let due = began.after(Duration::from_millis(30));
+    let (began, steady) = (BootInstant::now(), Instant::now());
+    let due = began.saturating_add(Duration::from_millis(30));
 
     std::thread::sleep(Duration::from_millis(30));
 
     assert!(began.elapsed() >= Duration::from_millis(30));
     assert!(began.elapsed() <= steady.elapsed() + Duration::from_secs(1));
-    assert_eq!(due.left(), Duration::ZERO);
+    assert_eq!(due.remaining(), Duration::ZERO);
 }
--- a/crates/tidetrack-router/src/errands.rs
+++ b/crates/tidetrack-router/src/errands.rs
@@ -19,7 +19,7 @@
 use tidetrack_core::ids::EndpointId;
 use tidetrack_plane::attempt::{self, Answered, Attempt, Echo};
 use tidetrack_plane::body::WAITING;
-use tidetrack_plane::dialect::AnswerFacts;
+use tidetrack_plane::dialect::ResponseFacts;
 use tidetrack_plane::pool::{broke, most_rest, Pool};
 use tidetrack_wire::headers;
 
@@ -141,11 +141,11 @@
 
 /// Reads what the plane's client has to know of an answer. Refusals and load are read by whoever
 /// asked, for the product's endpoints tell them in words of their own.
-fn read_answer(head: &HeaderMap) -> AnswerFacts {
+fn read_answer(head: &HeaderMap) -> ResponseFacts {
     let attempt_id = head.get(headers::ATTEMPT).and_then(|v| v.to_str().ok());
-    AnswerFacts {
+    ResponseFacts {
         attempt_id: attempt_id.map(str::to_string),
         is_sealed: true,
-        ..AnswerFacts::default()
+        ..ResponseFacts::default()
     }
 }
--- a/crates/tidetrack-router/src/server.rs
+++ b/crates/tidetrack-router/src/server.rs
@@ -34,7 +34,7 @@
 use tidetrack_core::units::Millis;
 use tidetrack_core::view::View;
 use tidetrack_plane::body::AnswerBody;
-use tidetrack_plane::closes::Closes;
+use tidetrack_plane::closed_connections::CloseLog;
 use tidetrack_plane::server::{accept_loop, Answer, ServerOptions, StopStage};
 use tidetrack_wire::caller::{SessionRequest, SessionResponse, TicketResponse};
 
@@ -136,13 +136,13 @@
         head_timeout: HEAD_TIME,
         idle_timeout: IDLE_TIME,
     };
-    let (for_log, for_closes, closes) = (shared.clone(), shared.clone(), Closes::default());
+    let (for_log, for_closes, closes) = (shared.clone(), shared.clone(), CloseLog::default());
     ServerOptions {
         most_connections: limits.connections,
         limits: Rc::new(move || caller_limits),
         accept_failed: Rc::new(move |e| for_log.log(Event::AcceptFailed, &e.to_string())),
         closed: Rc::new(move |closed| {
-            if let Some(left_out) = closes.take(closed) {
+            if let Some(left_out) = closes.admit(closed) {
                 let text = format!("{closed} more_before={left_out}");
                 for_closes.log(Event::CallerClosed, &text);
             }
