--- a/crates/tidetrack-plane/src/feed.rs
+++ b/crates/tidetrack-plane/src/feed.rs
@@ -61,21 +61,21 @@
 #[derive(Clone, Debug, Default)]
 pub struct FeedLog {
     /// Whether the newest change tells all of the kind.
-    is_one_object: bool,
+    is_single_object: bool,
     /// The list that the changes follow, until the oldest of them have been dropped.
     list: Option<ListSnapshot>,
     /// Changes after this revision are kept.
     base_revision: u64,
     /// All changes up to this revision are known.
     newest_revision: u64,
-    chunks: VecDeque<ChangeBatch>,
+    batches: VecDeque<ChangeBatch>,
     bytes: usize,
 }
 
 impl FeedLog {
     /// Makes the log of a kind of which nothing is known.
     pub fn new(kind: FeedKind) -> FeedLog {
-        FeedLog { is_one_object: kind.is_single_object(), ..FeedLog::default() }
+        FeedLog { is_single_object: kind.is_single_object(), ..FeedLog::default() }
     }
 
     /// Gets the revision up to which all changes are known; 0 if the kind was never listed.
@@ -88,9 +88,9 @@
         if list.revision < self.newest_revision {
             return false;
         }
-        let (revision, is_one_object) = (list.revision, self.is_one_object);
+        let (revision, is_single_object) = (list.revision, self.is_single_object);
         *self = FeedLog {
-            is_one_object,
+            is_single_object,
             base_revision: revision,
             newest_revision: revision,
             list: Some(list),
@@ -106,19 +106,19 @@
 
     /// Keeps changes; tells whether they are new. Old ones must not be applied, for they would undo
     /// later ones.
-    pub fn push(&mut self, chunk: ChangeBatch) -> bool {
-        if chunk.newest_revision <= self.newest_revision {
+    pub fn push(&mut self, batch: ChangeBatch) -> bool {
+        if batch.newest_revision <= self.newest_revision {
             return false;
         }
-        if self.is_one_object {
+        if self.is_single_object {
             // What came before is of no use to anybody, and may be a megabyte.
-            *self = FeedLog { is_one_object: true, ..FeedLog::default() };
+            *self = FeedLog { is_single_object: true, ..FeedLog::default() };
         }
-        self.newest_revision = chunk.newest_revision;
-        self.bytes += chunk.bytes.len();
-        self.chunks.push_back(chunk);
-        while self.bytes > MAX_LOG_BYTES && self.chunks.len() > 1 {
-            if let Some(oldest) = self.chunks.pop_front() {
+        self.newest_revision = batch.newest_revision;
+        self.bytes += batch.bytes.len();
+        self.batches.push_back(batch);
+        while self.bytes > MAX_LOG_BYTES && self.batches.len() > 1 {
+            if let Some(oldest) = self.batches.pop_front() {
                 self.bytes -= oldest.bytes.len();
                 self.base_revision = oldest.newest_revision;
                 self.list = None;
@@ -133,11 +133,12 @@
         if revision < self.base_revision && list.is_none() {
             return None;
         }
-        let chunks = self.chunks.iter().filter(|c| c.newest_revision > revision).cloned().collect();
+        let batches =
+            self.batches.iter().filter(|c| c.newest_revision > revision).cloned().collect();
         Some(FeedReply {
             complete_to: self.newest_revision,
             list: list.cloned(),
-            chunks,
+            batches,
             proof_age: None,
         })
     }
@@ -151,7 +152,7 @@
     /// A list that comes first, where the changes alone are not enough.
     pub list: Option<ListSnapshot>,
     /// The changes, in order.
-    pub chunks: Vec<ChangeBatch>,
+    pub batches: Vec<ChangeBatch>,
     /// Age of the teller's proof that it knows the newest configuration, where that is asked for.
     pub proof_age: Option<Millis>,
 }
--- a/crates/tidetrack-plane/src/server.rs
+++ b/crates/tidetrack-plane/src/server.rs
@@ -329,10 +329,10 @@
     }
     let state = Rc::new(ConnState::new());
     // The socket is closed when this returns.
-    let why = serve_until_end(&opts, stream, stage, &state).await;
-    let Some(why) = why else { return };
+    let reason = serve_until_end(&opts, stream, stage, &state).await;
+    let Some(reason) = reason else { return };
     (opts.closed)(&ClosedConnection {
-        reason: why,
+        reason,
         requests: state.requests.get(),
         idle_time: state.rests_since.get().elapsed(),
         is_serving: state.doing.get() == Doing::Served,
--- a/crates/tidetrack-plane/src/watch/fetch.rs
+++ b/crates/tidetrack-plane/src/watch/fetch.rs
@@ -99,7 +99,7 @@
             }
             self.apply_list(kind, objects, &unreadable, list, newest);
         }
-        for batch in feed_reply.chunks {
+        for batch in feed_reply.batches {
             let changes = (self.shared.dialect.store.read_changes)(kind, &batch.bytes)?;
             self.apply_changes(kind, changes, batch);
         }
