--- a/crates/tidetrack-plane/src/control.rs
+++ b/crates/tidetrack-plane/src/control.rs
@@ -1,4 +1,4 @@
-//! The control thread: owns the beliefs, publishes views, and talks with the store.
+//! The control thread. It owns the fleet state, publishes views of it and calls the store.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -22,10 +22,10 @@
 use crate::store::{CallPurpose, CallReason, StoreClient};
 use crate::watch::StoreSync;
 
-/// How often the beliefs are told that time has passed.
+/// Interval at which the fleet state is updated when no input arrives.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Runs the control thread until the process ends.
+/// Runs the control thread until the process ends. Fails if the runtime cannot be created.
 pub fn run(shared: SharedRef, input_receiver: Receiver<Input>) -> std::io::Result<()> {
     let runtime = Builder::new_current_thread().enable_io().enable_time().build()?;
     LocalSet::new().block_on(&runtime, async move {
@@ -52,7 +52,7 @@
             .with_exposure_bound(settings.bounds.canary_exposure)
             .with_suspects(shared.suspects.clone())
             .with_bootstrap(shared.now(), bootstrap);
-        // Others are told of this start at once.
+        // Sends the first messages at once, so that other hosts learn of the start.
         shared.send_input(Input::Tick);
         let executor = ActionExecutor { shared: shared.clone(), store, store_sync, peers };
         let (boot_start, monotonic_start) = (BootInstant::now(), Instant::now());
@@ -86,12 +86,12 @@
     Ok(())
 }
 
-/// What the control thread acts through.
+/// Executes the actions that the fleet state returns.
 struct ActionExecutor {
     shared: SharedRef,
     store: Rc<StoreClient>,
     store_sync: Rc<StoreSync>,
-    /// `None` if messages of other hosts cannot be heard.
+    /// `None` if the socket for messages between hosts could not be bound.
     peers: Option<PeerSocket>,
 }
 
@@ -119,7 +119,8 @@
     }
 }
 
-/// Writes a roll-out's progress. The watch tells what came of it; another host may have been first.
+/// Writes the progress of a roll-out. The result is taken from the watch of the store and not from
+/// the reply, since another host may have written first.
 async fn write_progress(shared: SharedRef, store: Rc<StoreClient>, write: ProgressWrite) {
     let call = (shared.dialect.store.write_progress)(&write);
     let purpose =
--- a/crates/tidetrack-plane/src/host.rs
+++ b/crates/tidetrack-plane/src/host.rs
@@ -1,4 +1,4 @@
-//! One host's process: starts its threads, and stops as planned.
+//! The process of a host: starts the threads and performs graceful stops.
 
 use std::rc::Rc;
 use std::sync::atomic::Ordering;
@@ -29,35 +29,36 @@
 use crate::shared::Shared;
 use crate::signals::{SignalRequest, Signals};
 
-/// Time after a stop signal in which requests are still taken: a balancer asks for readiness once a
-/// second and acts on the second miss.
+/// Time after a stop signal in which requests are still accepted. A load balancer checks readiness
+/// once a second and removes the host after the second failed check.
 const ACCEPT_TIME_AFTER_STOP: Duration = Duration::from_millis(2_300);
 
-/// Least time from a stop signal to the end of the process.
+/// Minimum time from a stop signal to the end of the process.
 const MIN_STOP_TIME: Duration = Duration::from_millis(3_000);
 
-/// Time kept before the process would be ended by force.
+/// Time reserved before the moment at which the process would be killed.
 const FORCED_STOP_MARGIN: Duration = Duration::from_millis(350);
 
-/// Pause between looks at whether a planned stop has come to its end.
+/// Interval at which a stop checks whether all requests and connections have ended.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Longest wait for the last lines of the log.
+/// Maximum time to wait until the last log lines are written.
 const LOG_FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Files kept free for logs, the store and what the runtime needs.
+/// File descriptors reserved for logs, the store and the runtime.
 const RESERVED_FILES: usize = 264;
 
-/// Stack of the threads, in bytes.
+/// Stack size of a thread, in bytes.
 const THREAD_STACK_BYTES: usize = 512 << 10;
 
-/// A host's process.
+/// The process of a host.
 pub struct Host {
     shared: Arc<Shared>,
 }
 
 impl Host {
-    /// Serves until a stop signal; `reload` reads the settings anew.
+    /// Serves callers until a stop signal. `reload` reads the settings again and is called on a
+    /// reload signal. Fails if the threads cannot be started or an address cannot be bound.
     pub fn run(
         settings: HostSettings,
         dialect: Dialect,
@@ -128,8 +129,8 @@
         Ok(())
     }
 
-    /// Logs what a reload changed. Addresses and bounds of a running process stay; the platform
-    /// starts a host anew to change them.
+    /// Logs whether the settings have changed. The addresses and bounds of a running process stay
+    /// as they are; the platform restarts a host to change them.
     fn log_reload(&self, settings: Result<HostSettings>) {
         let outcome = match settings {
             Ok(new) if new == self.shared.settings => "unchanged".to_string(),
@@ -139,7 +140,8 @@
         self.shared.journal.log(Event::SettingsReloaded, &[("outcome", &outcome)]);
     }
 
-    /// Stops as planned: says so, lets balancers notice, then waits for what is in flight.
+    /// Stops gracefully: reports the host as not ready, gives load balancers time to notice, and
+    /// then waits for requests in flight.
     async fn stop(
         &self,
         traffic: &Traffic,
@@ -170,9 +172,10 @@
     }
 }
 
-/// Gets how the traffic plane serves callers.
+/// Builds the options for serving callers.
 fn server_options(traffic: &Rc<Traffic>) -> ServerOptions {
-    // Half of the files are for endpoints: each request in flight has one of either kind.
+    // Half of the file descriptors are for connections to endpoints, since each request in flight
+    // needs one descriptor for its caller and one for its endpoint.
     let max_files = traffic.shared.settings.max_files;
     let (limits_shared, log_shared) = (traffic.shared.clone(), traffic.shared.clone());
     let (close_shared, close_log) = (traffic.shared.clone(), CloseLog::default());
@@ -189,7 +192,8 @@
     }
 }
 
-/// CloseLog kept connections that rested too long or whose endpoint is gone.
+/// Closes pooled connections that have been idle for too long or whose endpoint is not registered
+/// any more.
 async fn remove_unused_connections(traffic: Rc<Traffic>) {
     let is_listed = |name: &str| {
         let view = traffic.shared.view.load();
--- a/crates/tidetrack-plane/src/lib.rs
+++ b/crates/tidetrack-plane/src/lib.rs
@@ -1,10 +1,10 @@
-//! The traffic plane: takes callers' requests, runs them on endpoints and passes the answers on.
+//! The traffic plane: accepts callers' requests, runs them on endpoints and relays the responses.
 //!
-//! One thread carries all traffic on an event loop (`server`, `exchange`, `attempt`, `relay`,
-//! `pool`); another owns the beliefs about the fleet and talks with the platform's store (`control`,
-//! `watch`, `store`). They meet in `shared`: traffic decides on an immutable view that the control
-//! thread publishes, and sends what it saw back over a channel. How requests, answers and stored
-//! objects are spelled is the business of a `Dialect`.
+//! One thread handles all traffic on an event loop (`server`, `exchange`, `attempt`, `relay`,
+//! `pool`). Another owns the state of the fleet and calls the platform's store (`control`, `watch`,
+//! `store`). They communicate through `shared`: the traffic thread routes by an immutable view that
+//! the control thread publishes, and sends its observations back over a channel. A `Dialect`
+//! defines the encoding of requests, responses and stored objects.
 
 #![forbid(unsafe_code)]
 #![warn(rust_2018_idioms)]
--- a/crates/tidetrack-plane/src/settings.rs
+++ b/crates/tidetrack-plane/src/settings.rs
@@ -11,47 +11,48 @@
 /// The settings of a host's process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HostSettings {
-    /// The host's name.
+    /// The unique name of the host.
     pub host: HostId,
-    /// The failure domain it stands in.
+    /// The failure domain that the host belongs to.
     pub failure_domain: FailureDomain,
-    /// Where callers are served.
+    /// Address on which callers are served.
     pub caller_address: SocketAddr,
-    /// Where readiness is told.
+    /// Address of the readiness check.
     pub readiness_address: SocketAddr,
-    /// Where metrics are told.
+    /// Address at which metrics are served. `None` if they are not served.
     pub metrics_address: Option<SocketAddr>,
-    /// Where messages of other hosts are heard, over UDP.
+    /// UDP address for messages from other hosts.
     pub peer_address: SocketAddr,
-    /// Where some other hosts may hear messages.
+    /// Addresses of other hosts for the first contact. Empty if there are none.
     pub seeds: Vec<SocketAddr>,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub store_address: SocketAddr,
-    /// Most files the process may have open.
+    /// Maximum number of open file descriptors.
     pub max_files: usize,
-    /// What the host's link passes, each way.
+    /// Bandwidth of the host's network link in each direction.
     pub link: Bandwidth,
-    /// Bounds that the fleet keeps to.
+    /// Limits that apply to the fleet as a whole.
     pub bounds: Bounds,
-    /// What the choice of the model rests on.
+    /// Options for choosing the model of a cascade.
     pub cascade: CascadeOptions,
-    /// How requests are treated under which endpoints crash.
+    /// Options for handling requests that may have crashed endpoints.
     pub suspects: SuspectOptions,
 }
 
-/// Bounds that the fleet keeps to. They come with the settings.
+/// Limits that apply to the fleet as a whole, set by the settings of each host.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
-    /// A key taken away passes no request on after this time, on any host; `None` sets no bound.
+    /// Time after which no host accepts a revoked key any more, in milliseconds. `None` sets no
+    /// bound.
     pub revocation_bound: Option<Millis>,
-    /// Further sends allowed for each first one, over all hosts.
+    /// Number of further attempts allowed per first attempt, over all hosts.
     pub retry_ratio: f64,
-    /// The sliding window in which these are counted.
+    /// Sliding window over which the attempts are counted, in milliseconds.
     pub retry_window: Millis,
-    /// A session has ended when nothing came of it for this time.
+    /// Time without requests after which a session has ended, in milliseconds.
     pub session_timeout: Millis,
-    /// Time from a stop signal until the process is ended by force.
+    /// Time from a stop signal until the process is killed, in milliseconds.
     pub stop_timeout: Millis,
-    /// What a version under roll-out may get of a service's requests before its deadline.
+    /// Share of a service's requests that a version under roll-out may receive before its deadline.
     pub canary_exposure: ExposureBound,
 }
--- a/crates/tidetrack-plane/src/shared.rs
+++ b/crates/tidetrack-plane/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the threads of a host share.
+//! State shared by the threads of a host.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
@@ -17,53 +17,55 @@
 use crate::metrics::Metrics;
 use crate::settings::HostSettings;
 
-/// What the threads of a host share.
+/// State shared by the threads of a host.
 pub struct Shared {
-    /// The settings the process started with.
+    /// The settings with which the process started.
     pub settings: HostSettings,
-    /// How others are spoken to.
+    /// Encoding of requests, responses and stored objects.
     pub dialect: Dialect,
-    /// The clock.
+    /// The clock of the process.
     pub clock: Clock,
-    /// What traffic decides on.
+    /// The current view of the fleet, by which requests are routed.
     pub view: ArcSwap<FleetView>,
-    /// The youngest proof that the configuration is the newest.
+    /// Age of the newest proof that the configuration is current.
     pub freshness: Freshness,
-    /// Requests under which endpoints crashed.
+    /// Requests that may have crashed endpoints.
     pub suspects: Arc<Suspects>,
     /// Whether the host is stopping.
     pub is_leaving: AtomicBool,
-    /// Inputs for the control thread.
+    /// Channel for inputs to the control thread.
     pub input_sender: flume::Sender<Input>,
-    /// Logs.
+    /// The log of the process.
     pub journal: Journal,
-    /// Metrics.
+    /// The metrics of the process.
     pub metrics: Metrics,
 }
 
 impl Shared {
-    /// Gets the time.
+    /// Returns the current time of the host's clock.
     pub fn now(&self) -> Millis {
         self.clock.now()
     }
 
     /// Sends an input to the control thread.
     pub fn send_input(&self, input: Input) {
-        // The control thread ends after all others; an input sent later concerns nobody.
+        // The control thread ends after all others, so an input that cannot be sent is not needed
+        // any more.
         let _ = self.input_sender.send(input);
     }
 
-    /// Tells whether the host is stopping.
+    /// Reports whether the host is stopping.
     pub fn is_leaving(&self) -> bool {
         self.is_leaving.load(Ordering::Acquire)
     }
 
-    /// Tells whether the host takes requests.
+    /// Reports whether the host accepts requests.
     pub fn is_ready(&self) -> bool {
         self.can_serve() && !self.is_leaving()
     }
 
-    /// Tells whether the host knows what it serves by: a fresh configuration and the endpoints.
+    /// Reports whether the host has what it needs to serve: a configuration, confirmed within the
+    /// revocation bound if one is set, and the list of endpoints.
     pub fn can_serve(&self) -> bool {
         let view = self.view.load();
         let bound = self.settings.bounds.revocation_bound;
@@ -73,5 +75,5 @@
     }
 }
 
-/// A reference to what the threads share.
+/// A reference to the shared state.
 pub type SharedRef = Arc<Shared>;
--- a/crates/tidetrack-plane/src/signals.rs
+++ b/crates/tidetrack-plane/src/signals.rs
@@ -1,29 +1,31 @@
-//! The process's signals as messages.
+//! Delivers the signals of the process as messages.
 //!
-//! They are caught before anything else is done: a stop that comes while the process still starts is a planned one
-//! too, and the signal itself would end it as if it had failed.
+//! The handlers are installed before anything else is done: a stop signal that arrives during the
+//! start also requests a graceful stop, and without a handler it would end the process as if it had
+//! failed.
 
 use anyhow::{Context, Result};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use tokio::sync::mpsc;
 
-/// Signals that may wait to be looked at.
+/// Maximum number of queued signals.
 const QUEUE_CAPACITY: usize = 8;
 
-/// What a signal asks for.
+/// Action requested by a signal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SignalRequest {
-    /// A planned stop.
+    /// Stop gracefully.
     Stop,
-    /// To read the settings anew.
+    /// Read the settings again.
     Reload,
 }
 
-/// The signals that have come, in order.
+/// The received signals, in order.
 pub struct Signals(mpsc::Receiver<SignalRequest>);
 
 impl Signals {
-    /// Catches the process's signals from now on. Fails if the system lets none be caught.
+    /// Installs the handlers for the stop and reload signals. Fails if the operating system refuses
+    /// them.
     pub fn install() -> Result<Signals> {
         let (tx, rx) = mpsc::channel(QUEUE_CAPACITY);
         let mut signals =
@@ -41,7 +43,7 @@
         Ok(Signals(rx))
     }
 
-    /// Waits for the next one.
+    /// Waits for the next signal. Returns `None` if the signal thread has ended.
     pub(crate) async fn next(&mut self) -> Option<SignalRequest> {
         self.0.recv().await
     }
