--- a/crates/tidetrack-plane/src/dialect.rs
+++ b/crates/tidetrack-plane/src/dialect.rs
@@ -1,7 +1,7 @@
-//! How requests, answers and stored objects are spelled, as plain functions given by an adapter.
+//! Encoding of requests, responses and stored objects, as plain functions supplied by an adapter.
 //!
-//! The plane knows what these things mean; a dialect knows their names. No function here decides
-//! anything.
+//! The plane defines the meaning of these values, and a dialect defines their names on the wire.
+//! The functions here make no decisions.
 
 use std::fmt;
 use std::time::Duration;
@@ -19,89 +19,90 @@
 pub use tidetrack_core::traffic::feeds::FeedKind;
 use tidetrack_core::units::{Millis, Rate, Tokens};
 
-/// What a request's head says.
+/// Contents of the head of a request.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RequestFacts {
     /// The caller's id of this attempt.
     pub attempt_id: Option<String>,
-    /// How long the caller waits.
+    /// Time for which the caller waits, in milliseconds.
     pub time_left: Option<Millis>,
-    /// The key.
+    /// The API key.
     pub key: Option<String>,
-    /// The session the request belongs to.
+    /// The session that the request belongs to.
     pub session: Option<String>,
-    /// Size, if it asks for a generation.
+    /// Size of the generation. `None` if the request does not ask for one.
     pub size: Option<GenerationSize>,
-    /// What to place the request by: the longest part of its prompt that others share.
+    /// Key for prefix-aware routing: the longest part of the prompt that other requests share.
     pub shared_prefix: Option<String>,
-    /// Tokens of the prompt up to the end of that part.
+    /// Number of prompt tokens up to the end of the shared prefix.
     pub shared_tokens: Option<Tokens>,
-    /// The model the caller names.
+    /// The model requested by the caller.
     pub model: Option<String>,
-    /// The last event the caller holds of a stream that broke.
+    /// Id of the last event that the caller received of an interrupted stream.
     pub last_event: Option<u64>,
 }
 
-/// What the system tells an endpoint with a request.
+/// Values passed to an endpoint in the head of a request.
 #[derive(Clone, Debug)]
 pub struct EndpointRequestInfo<'a> {
-    /// Time the endpoint has.
+    /// Time that the endpoint has for the request, in milliseconds.
     pub time_left: Millis,
-    /// The endpoint that is meant.
+    /// The endpoint that the request is addressed to.
     pub endpoint: &'a EndpointId,
-    /// The workspace whose key the request carried.
+    /// The workspace that the request's key belongs to.
     pub workspace: Option<&'a WorkspaceId>,
-    /// Urgency, 0 first; for engines only.
+    /// Priority, 0 being the most urgent. Only set for inference engines.
     pub rank: Option<u8>,
-    /// The model chosen by the system.
+    /// The model chosen for the request.
     pub model: Option<&'a ModelId>,
-    /// The last event that was passed on of a stream to be continued.
+    /// Id of the last event relayed to the caller, if a stream is to be resumed.
     pub last_event: Option<u64>,
-    /// Address of another endpoint that keeps the prompt's shared part.
+    /// Address of another endpoint that has the shared prefix cached.
     pub prefix_from: Option<&'a str>,
 }
 
-/// Load that an endpoint tells of itself.
+/// Load reported by an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReportedLoad {
-    /// Requests it works on.
+    /// Number of requests being executed.
     pub running: u64,
-    /// Requests that wait.
+    /// Number of queued requests.
     pub waiting: u64,
 }
 
-/// What the head of an endpoint's answer says.
+/// Contents of the head of an endpoint's response.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ResponseFacts {
-    /// The attempt's id as the endpoint repeats it.
+    /// The attempt id as repeated by the endpoint.
     pub attempt_id: Option<String>,
-    /// Whether the endpoint vouches for the answer as its own.
+    /// Whether the endpoint marks the response as its own, so that it does not come from an
+    /// intermediary.
     pub is_sealed: bool,
-    /// Whether the endpoint says that it did not run the request.
+    /// Whether the endpoint reports that it did not execute the request.
     pub did_not_run: bool,
-    /// Load.
+    /// The endpoint's load, if reported.
     pub load: Option<ReportedLoad>,
-    /// Requests a second that the endpoint takes from all hosts together, where it names that.
+    /// Requests per second that the endpoint accepts from all hosts together, if reported.
     pub limit: Option<Rate>,
-    /// How sure the model is of its answer, 0 to 100.
+    /// Confidence of the model in its response, from 0 to 100.
     pub confidence: Option<u8>,
-    /// How long the connection may rest.
+    /// Time for which the endpoint keeps the idle connection open.
     pub idle_time: Option<Duration>,
-    /// Whether the body is in an encoding that nobody asked for.
+    /// Whether the body has a content encoding that was not requested.
     pub is_encoded: bool,
 }
 
 /// How old a list may be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListAge {
-    /// It is the store's newest state.
+    /// The list contains the newest state of the store.
     Newest,
-    /// It may be some seconds old; changes after its revision tell the rest.
+    /// The list may be some seconds old. The changes after its revision complete it.
     Recent,
 }
 
 impl ListAge {
-    /// Gets the word for it in metrics.
+    /// Returns the name used in metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             ListAge::Newest => "newest",
@@ -110,32 +111,33 @@
     }
 }
 
-/// An object of the store, decoded.
+/// A decoded object of the store.
 #[derive(Clone, Debug)]
 pub enum DecodedObject {
     /// The configuration.
     Catalog(Catalog),
-    /// An endpoint.
+    /// A registered endpoint.
     Endpoint(EndpointRecord),
-    /// A roll-out.
+    /// The order and progress of a roll-out.
     Rollout(RolloutOrder),
 }
 
-/// Characters of a name or a reason that are kept: no name of ours has as many.
+/// Maximum number of characters kept of a name or an error message. Valid names are shorter.
 const MAX_TEXT_CHARS: usize = 100;
 
-/// An object that could not be read.
+/// An object that could not be decoded.
 #[derive(Debug)]
 pub struct UnreadableObject {
-    /// Its name, or how that begins.
+    /// The name of the object, truncated if too long.
     pub name: String,
-    /// Why.
+    /// The decoding error.
     pub reason: Error,
 }
 
 impl UnreadableObject {
-    /// Takes note of an object by its name and of what is wrong with it. A writer that goes wrong may write a
-    /// megabyte into either, and each host keeps and logs them.
+    /// Creates the record of an object that could not be decoded. The name and the reason are
+    /// truncated, because a faulty writer may put a megabyte into either, and each host keeps and
+    /// logs them.
     pub fn new(kind: FeedKind, name: &str, reason: &dyn fmt::Display) -> UnreadableObject {
         let name = truncate(name);
         let reason = truncate(&reason.to_string());
@@ -144,7 +146,8 @@
     }
 }
 
-/// Gets how a text begins; where that is not all, it ends with a mark that no name has.
+/// Truncates a text to the maximum length. A truncated text ends with a character that valid names
+/// cannot contain.
 fn truncate(text: &str) -> String {
     match text.char_indices().nth(MAX_TEXT_CHARS) {
         Some((end, _)) => format!("{}…", &text[..end]),
@@ -155,85 +158,87 @@
 /// One page of a list.
 #[derive(Debug, Default)]
 pub struct Page {
-    /// The objects that could be read.
+    /// The objects that could be decoded.
     pub objects: Vec<DecodedObject>,
-    /// Objects that could not be read.
+    /// The objects that could not be decoded.
     pub unreadable: Vec<UnreadableObject>,
-    /// Name of the last object, if the list goes on after it.
+    /// Name of the last object of the page, if more pages follow.
     pub next_after: Option<String>,
     /// The store's revision.
     pub revision: u64,
-    /// Revision of the newest change of an object that is listed.
+    /// Revision of the newest change among the listed objects.
     pub newest_change: u64,
 }
 
 /// One change of a watched kind.
 #[derive(Debug)]
 pub enum Change {
-    /// An object is new or changed.
+    /// An object was created or modified.
     Put(DecodedObject),
-    /// An endpoint is gone.
+    /// An endpoint was removed.
     EndpointRemoved(EndpointId),
-    /// A roll-out is gone.
+    /// A roll-out was removed.
     RolloutRemoved(ServiceId),
-    /// The object could not be read.
+    /// The new state of an object could not be decoded.
     Unreadable(UnreadableObject),
 }
 
-/// What a watch gave.
+/// Changes returned by a watch.
 #[derive(Debug, Default)]
 pub struct ChangeSet {
-    /// The changes in order.
+    /// The changes, in order of revision.
     pub changes: Vec<Change>,
-    /// The store's revision up to which they are told.
+    /// Store revision up to which the changes are complete.
     pub revision: u64,
-    /// Revision of the newest of the changes, where the store tells it.
+    /// Revision of the newest change in the set, if the store reports it.
     pub newest_change: Option<u64>,
 }
 
 /// A call to the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoreCall {
-    /// The method.
+    /// The HTTP method.
     pub method: http::Method,
     /// Path and query.
     pub path: String,
-    /// The body.
+    /// The body. Empty if there is none.
     pub body: Bytes,
 }
 
-/// How the store is spoken to.
+/// Encoding of calls to the store and of its replies.
 #[derive(Clone, Copy)]
 pub struct StoreDialect {
-    /// Lists a kind, from the start or after a name, as it is now or, cheaper, as it was of late.
+    /// Builds the call that lists a kind, starting after a name if one is given. A list that may be
+    /// slightly old is cheaper for the store than the newest one.
     pub list: fn(FeedKind, Option<&str>, ListAge) -> StoreCall,
-    /// Waits for changes of a kind after a revision.
+    /// Builds the call that waits for changes of a kind after a revision, for a maximum time.
     pub watch: fn(FeedKind, u64, Millis) -> StoreCall,
-    /// Reads a page.
+    /// Decodes a page of a list.
     pub read_page: fn(FeedKind, &[u8]) -> Result<Page>,
-    /// Reads what a watch gave.
+    /// Decodes the changes returned by a watch.
     pub read_changes: fn(FeedKind, &[u8]) -> Result<ChangeSet>,
-    /// Leaves of what a watch gave the last change only.
+    /// Reduces the encoded changes returned by a watch to the last one.
     pub last_change: fn(&[u8]) -> Result<Vec<u8>>,
-    /// Writes a roll-out's progress.
+    /// Builds the call that writes the progress of a roll-out.
     pub write_progress: fn(&ProgressWrite) -> StoreCall,
 }
 
-/// How callers, endpoints and the store are spoken to.
+/// Encoding used with callers, endpoints and the store.
 #[derive(Clone, Copy)]
 pub struct Dialect {
-    /// Reads a request's head.
+    /// Decodes the head of a caller's request.
     pub read_request: fn(&HeaderMap) -> Result<RequestFacts>,
-    /// Makes the head that an endpoint gets from the caller's.
+    /// Builds the head sent to the endpoint from the caller's.
     pub endpoint_head: fn(&HeaderMap, &EndpointRequestInfo<'_>) -> HeaderMap,
-    /// Reads the head of an answer.
+    /// Decodes the head of an endpoint's response.
     pub read_answer: fn(&HeaderMap) -> ResponseFacts,
-    /// Makes the head that a caller gets from the endpoint's.
+    /// Builds the head sent to the caller from the endpoint's.
     pub caller_head: fn(HeaderMap) -> HeaderMap,
-    /// Makes the answer for a request that was not served.
+    /// Builds the error response for a request that was not served, with the id of the attempt if
+    /// it is known.
     pub refusal: fn(&Error, Option<&str>) -> Response<Bytes>,
-    /// The path at which readiness is asked.
+    /// Path of the readiness check.
     pub readiness_path: &'static str,
-    /// The store.
+    /// Encoding used with the store.
     pub store: StoreDialect,
 }
--- a/crates/tidetrack-plane/src/feed.rs
+++ b/crates/tidetrack-plane/src/feed.rs
@@ -1,8 +1,9 @@
-//! Changes of the store, passed from host to host.
+//! Relays store changes between hosts.
 //!
-//! Each host keeps the newest changes it got, as the store told them, and gives them to hosts that
-//! ask. The question is a plain HTTP request on a kept connection: the reply is bytes of the store,
-//! which a remote procedure call would only wrap once more.
+//! Each host keeps the latest changes it received, as the encoded replies of the store, and serves
+//! them to other hosts on request. The protocol is plain HTTP on persistent connections: the
+//! payload consists of bytes of the store, to which a remote procedure call would only add another
+//! envelope.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -29,61 +30,64 @@
 use crate::server::{listen, serve_pages};
 use crate::shared::{Shared, SharedRef};
 
-/// Bytes of changes kept of a kind. A configuration of some hundred routes is about 100 KB; the memory
-/// of a host is priced.
+/// Maximum bytes of changes kept per kind. A configuration with a few hundred routes takes about
+/// 100 KB; the limit is low because the memory of a host has a cost.
 const MAX_LOG_BYTES: usize = 256 << 10;
 
-/// Longest time that an answer of another host stands still, in which the change can still be got elsewhere.
+/// Time without data after which a reply of another host is given up. It leaves enough time to
+/// fetch the change from another source.
 const REPLY_STALL_TIMEOUT: Duration = Duration::from_millis(350);
 
-/// Bytes of a reply that go out at a time.
+/// Maximum size of one body frame, in bytes.
 const MAX_FRAME_BYTES: usize = 32 << 10;
 
-/// Some changes, as the store told them at one time.
+/// Changes that the store returned in one reply.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeBatch {
-    /// All changes up to this revision are told with it and those before it.
+    /// Revision up to which this batch, together with all earlier ones, contains every change.
     pub newest_revision: u64,
-    /// The store's reply.
+    /// The encoded reply of the store.
     pub bytes: Vec<u8>,
 }
 
-/// A list of a kind, as the store told it.
+/// All objects of a kind at one revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListSnapshot {
-    /// The revision it was taken at.
+    /// The store revision of the list.
     pub revision: u64,
-    /// The store's replies, page by page.
+    /// The encoded replies of the store, one per page.
     pub pages: Vec<Vec<u8>>,
 }
 
-/// The newest changes of a kind.
+/// The latest changes of a kind, with the list that they follow if it is still kept.
 #[derive(Clone, Debug, Default)]
 pub struct FeedLog {
-    /// Whether the newest change tells all of the kind.
+    /// Whether the kind has a single object, so that its newest change replaces all earlier ones.
     is_single_object: bool,
-    /// The list that the changes follow, until the oldest of them have been dropped.
+    /// The list that the batches follow. `None` once the oldest batch has been dropped.
     list: Option<ListSnapshot>,
-    /// Changes after this revision are kept.
+    /// Revision after which all changes are kept.
     base_revision: u64,
-    /// All changes up to this revision are known.
+    /// Revision up to which all changes are known.
     newest_revision: u64,
     batches: VecDeque<ChangeBatch>,
     bytes: usize,
 }
 
 impl FeedLog {
-    /// Makes the log of a kind of which nothing is known.
+    /// Creates an empty log for a kind.
     pub fn new(kind: FeedKind) -> FeedLog {
         FeedLog { is_single_object: kind.is_single_object(), ..FeedLog::default() }
     }
 
-    /// Gets the revision up to which all changes are known; 0 if the kind was never listed.
+    /// Returns the revision up to which all changes are known, or 0 if nothing of the kind has been
+    /// received.
     pub fn position(&self) -> u64 {
         self.newest_revision
     }
 
-    /// Begins anew after a list; tells whether it is as new as what is known.
+    /// Replaces the log by a list. Returns false, without replacing it, if the list is older than
+    /// the log.
     pub fn reset_to_list(&mut self, list: ListSnapshot) -> bool {
         if list.revision < self.newest_revision {
             return false;
@@ -99,19 +103,20 @@
         true
     }
 
-    /// Takes note that nothing else changed up to `newest_revision`.
+    /// Records that there are no further changes up to `newest_revision`.
     pub fn advance(&mut self, newest_revision: u64) {
         self.newest_revision = self.newest_revision.max(newest_revision);
     }
 
-    /// Keeps changes; tells whether they are new. Old ones must not be applied, for they would undo
-    /// later ones.
+    /// Appends a batch. Returns false if its changes are known already; the caller must not apply
+    /// them then, since they would undo later ones.
     pub fn push(&mut self, batch: ChangeBatch) -> bool {
         if batch.newest_revision <= self.newest_revision {
             return false;
         }
         if self.is_single_object {
-            // What came before is of no use to anybody, and may be a megabyte.
+            // Earlier versions of the single object are not needed any more, and may take a
+            // megabyte.
             *self = FeedLog { is_single_object: true, ..FeedLog::default() };
         }
         self.newest_revision = batch.newest_revision;
@@ -127,7 +132,8 @@
         true
     }
 
-    /// Gets what brings another host from a revision to the newest one, or `None` if that is not kept.
+    /// Returns what another host needs to get from `revision` to the newest one, or `None` if the
+    /// log does not reach back that far.
     pub fn changes_after(&self, revision: u64) -> Option<FeedReply> {
         let list = self.list.as_ref().filter(|_| revision < self.base_revision);
         if revision < self.base_revision && list.is_none() {
@@ -144,20 +150,22 @@
     }
 }
 
-/// What one host tells another.
+/// Reply of one host to another host's request for changes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FeedReply {
-    /// All changes up to this revision are told.
+    /// Revision up to which the reply contains all changes.
     pub complete_to: u64,
-    /// A list that comes first, where the changes alone are not enough.
+    /// List to apply before the batches, if the log does not reach back to the requested revision.
     pub list: Option<ListSnapshot>,
-    /// The changes, in order.
+    /// The batches, in order of revision.
     pub batches: Vec<ChangeBatch>,
-    /// Age of the teller's proof that it knows the newest configuration, where that is asked for.
+    /// Age of the sender's proof that it knows the newest configuration, in milliseconds. `None`
+    /// for other kinds, or if the sender has no proof.
     pub proof_age: Option<Millis>,
 }
 
-/// Gets the changes of a kind after a revision that another host knows.
+/// Fetches the changes of a kind after revision `after` from another host. Fails if the host does
+/// not answer in time, declines or sends an unreadable reply.
 pub async fn fetch_changes(
     pool: &Pool,
     address: SocketAddr,
@@ -178,7 +186,8 @@
     Ok((reply.map_err(|e| down(format!("changes that cannot be read: {e}")))?, response))
 }
 
-/// Gives this host's changes to others, until the process ends; `reply` looks them up.
+/// Serves this host's changes to other hosts until the process ends. `lookup` returns the changes
+/// of a kind after a revision.
 pub async fn serve(
     shared: SharedRef,
     address: SocketAddr,
@@ -225,7 +234,7 @@
     resp
 }
 
-/// A reply's part in what the host gives, until dropped.
+/// A reply's entry in the limiter, removed on drop.
 struct ReplyPermit {
     reply_limiter: Rc<RefCell<ReplyLimiter>>,
     bytes: u64,
@@ -237,7 +246,8 @@
     }
 }
 
-/// A body that goes out in pieces, so that it lives about as long as its reply is under way.
+/// A response body sent in frames of limited size, so that it, and with it the permit, exists for
+/// about as long as the reply is being sent.
 struct ReplyBody {
     remaining: Bytes,
     _permit: Option<ReplyPermit>,
@@ -265,7 +275,7 @@
     }
 }
 
-/// Reads which changes are asked for.
+/// Parses the path of a request for changes. Returns `None` if it is invalid.
 pub fn parse_changes_path(path: &str) -> Option<(FeedKind, u64)> {
     let (kind, after) = path.strip_prefix("/changes/")?.split_once('/')?;
     let kind = FeedKind::ALL.into_iter().find(|k| format!("{k:?}") == kind)?;
--- a/crates/tidetrack-plane/src/peers.rs
+++ b/crates/tidetrack-plane/src/peers.rs
@@ -1,7 +1,7 @@
 //! Messages between hosts, over UDP.
 //!
-//! Each message tells the present state, so lost and late ones need no care; that is why these are
-//! datagrams and not calls.
+//! Each message contains the current state of its sender, so lost and late messages need no special
+//! handling. Datagrams are used instead of calls for this reason.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -14,7 +14,7 @@
 
 use crate::shared::SharedRef;
 
-/// Largest message, in bytes; larger ones are not sent.
+/// Maximum size of a message, in bytes. Larger messages are not sent.
 const MAX_MESSAGE_BYTES: usize = 8 << 10;
 
 /// The socket for messages between hosts.
@@ -24,7 +24,8 @@
 }
 
 impl PeerSocket {
-    /// Begins to hear messages; without a socket the host goes on alone.
+    /// Binds the socket and starts to receive messages. Returns `None` if the socket cannot be
+    /// bound; the host then runs without contact to others.
     pub async fn start(shared: SharedRef) -> Option<PeerSocket> {
         let socket = match UdpSocket::bind(shared.settings.peer_address).await {
             Ok(socket) => Rc::new(socket),
@@ -37,7 +38,8 @@
         Some(PeerSocket { shared, socket })
     }
 
-    /// Sends messages; one that can't be sent now is as good as lost.
+    /// Sends messages without waiting. A message that cannot be sent now is counted and dropped,
+    /// like one that is lost on the network.
     pub fn send(&self, messages: &[(SocketAddr, PeerMessage)]) {
         for (address, message) in messages {
             let result =
@@ -60,7 +62,8 @@
     loop {
         let len = match socket.recv_from(&mut buf).await {
             Ok((len, _)) => len,
-            // On a datagram socket this is news of an earlier message that found nobody.
+            // On a datagram socket this error reports that an earlier message did not reach its
+            // destination.
             Err(_) => continue,
         };
         match postcard::from_bytes::<PeerMessage>(&buf[..len]) {
--- a/crates/tidetrack-plane/src/store.rs
+++ b/crates/tidetrack-plane/src/store.rs
@@ -1,8 +1,8 @@
-//! The client of the platform's store: one call at a time on a kept connection.
+//! Client of the platform's store, with one call at a time per persistent connection.
 //!
-//! A call that fails or takes too long closes its connection, for nothing more can be expected on
-//! it. Whether a write whose reply was lost was done is found out by whoever reads the object next;
-//! writes are made under a revision, so one that is made again changes nothing twice.
+//! A call that fails or times out closes its connection, since the state of that connection is
+//! unknown. Whether a write with a lost reply was executed becomes known with the next read of the
+//! object. Writes are conditional on a revision, so a repeated write has no further effect.
 
 use std::time::Duration;
 
@@ -20,37 +20,37 @@
 use crate::pool::Pool;
 use crate::shared::SharedRef;
 
-/// Longest time for the head of a reply, and between parts of its body; the store answers in milliseconds,
-/// and a slow one in some hundred.
+/// Timeout for the head of a reply, and between two parts of its body. The store normally responds
+/// within milliseconds, and within a few hundred when it is slow.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// Unreadable objects of one reply that are logged.
+/// Maximum number of unreadable objects logged per reply.
 const MAX_LOGGED_OBJECTS: usize = 20;
 
-/// Name of the store in the pool of connections.
+/// Key of the store in the connection pool.
 const POOL_KEY: &str = "store";
 
 /// Why the store is called.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallReason {
-    /// This host starts, and was given nothing.
+    /// This host is starting and received no list from another host.
     Start,
-    /// It watches for others.
+    /// This host watches the store for other hosts.
     Watch,
-    /// It proves that the configuration is the newest.
+    /// This host confirms that its configuration is the newest.
     Proof,
-    /// Another host told of a change, or one is wanted, and nobody gave it.
+    /// Another host reported a change, or a change is required, and no host delivered it.
     Reported,
-    /// The store answers again.
+    /// The store is reachable again after an outage.
     Recovery,
-    /// The store has forgotten the changes that were asked for.
+    /// The store does not keep the requested changes any more.
     HistoryGone,
-    /// A roll-out's progress is written.
+    /// The progress of a roll-out is written.
     Write,
 }
 
 impl CallReason {
-    /// Gets the word for it in metrics.
+    /// Returns the name used in metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             CallReason::Start => "start",
@@ -64,14 +64,14 @@
     }
 }
 
-/// What a call is for.
+/// What a call is made for, as counted in metrics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallPurpose {
-    /// The kind it is about.
+    /// Kind of the objects that are read or written.
     pub kind: FeedKind,
-    /// Why it is made.
+    /// Why the call is made.
     pub reason: CallReason,
-    /// How old the reply may be.
+    /// How old the state in the reply may be.
     pub age: ListAge,
 }
 
@@ -82,21 +82,21 @@
     address: String,
 }
 
-/// A kind as it stood at one revision.
+/// All objects of a kind at one revision.
 pub struct Listing {
-    /// The objects.
+    /// The objects that could be decoded.
     pub objects: Vec<DecodedObject>,
-    /// Names of those that could not be read.
+    /// Names of the objects that could not be decoded.
     pub unreadable: Vec<String>,
-    /// The store's replies that told them.
+    /// The encoded replies of the store, one per page.
     pub pages: Vec<Bytes>,
-    /// The revision of the first page: a watch goes on from there.
+    /// Revision of the first page, from which a watch continues.
     pub revision: u64,
-    /// Revision of the newest change of a listed object.
+    /// Revision of the newest change among the listed objects.
     pub newest_change: u64,
-    /// When the read began.
+    /// Time at which the read started, by the host's clock.
     pub started_at: Millis,
-    /// Time in which the bodies of the replies came.
+    /// Total time in which the bodies of the replies were received.
     pub body_time: Duration,
 }
 
@@ -115,13 +115,14 @@
 }
 
 impl StoreClient {
-    /// Makes a client.
+    /// Creates a client for the store address of the settings.
     pub fn new(shared: SharedRef) -> StoreClient {
         let address = shared.settings.store_address.to_string();
         StoreClient { shared, pool: Pool::default(), address }
     }
 
-    /// Makes a call; `wait` is how long the store may hold it back.
+    /// Calls the store and counts the result. `wait` is the time for which the store may hold back
+    /// its reply. Fails if the store is unreachable or returns an error status.
     pub async fn call(
         &self,
         call: &StoreCall,
@@ -167,7 +168,7 @@
         }
     }
 
-    /// Lists a kind, page by page.
+    /// Lists all objects of a kind, page by page.
     pub async fn list(&self, purpose: CallPurpose, gate: &Gate<'_>) -> Result<Listing> {
         let CallPurpose { kind, age, .. } = purpose;
         let dialect = &self.shared.dialect.store;
@@ -194,7 +195,8 @@
         }
     }
 
-    /// Logs objects that could not be read, as many as do not drown other lines.
+    /// Logs objects that could not be decoded, up to a maximum that keeps them from crowding out
+    /// other lines.
     pub fn log_unreadable(&self, unreadable: &[UnreadableObject]) {
         for (i, object) in unreadable.iter().take(MAX_LOGGED_OBJECTS).enumerate() {
             let omitted_count = match i + 1 {
