--- a/crates/tidetrack-plane/src/closed_connections.rs
+++ b/crates/tidetrack-plane/src/closed_connections.rs
@@ -1,8 +1,9 @@
-//! Connections of callers that the host closes: why, and in what state.
+//! Log lines and metrics for callers' connections that the host closes, with the reason and the
+//! state.
 //!
-//! A caller that sees its connection end without an answer may have sent a request that crossed the
-//! close, or one that was left unread. Only a line at the close tells these apart from answers that were
-//! cut.
+//! A caller whose connection ends without a response may have sent a request at the moment of the
+//! close, or one that was left unread. Only a log line at the close distinguishes these cases from
+//! interrupted responses.
 
 use std::cell::Cell;
 use std::fmt;
@@ -15,24 +16,24 @@
 /// Why the host closed a caller's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum CloseReason {
-    /// It had rested for as long as it may.
+    /// The connection reached its maximum idle time.
     IdleTimeout,
-    /// A head was not whole in time.
+    /// The head of a request was not complete in time.
     HeaderTimeout,
-    /// The host stops.
+    /// The host is stopping.
     HostStop,
-    /// It had been answered, and nothing more was to come on it.
+    /// The last response was sent, and no further request was to follow on the connection.
     ResponseComplete,
-    /// What came is no request.
+    /// The received bytes are not a valid request.
     BadRequest,
-    /// An answer was broken off.
+    /// A response was aborted.
     ResponseAborted,
-    /// Otherwise.
+    /// Any other reason.
     Other,
 }
 
 impl CloseReason {
-    /// Gets the word for it in logs and metrics.
+    /// Returns the name used in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             CloseReason::IdleTimeout => "rest",
@@ -49,27 +50,27 @@
 /// A connection that the host closed.
 #[derive(Clone, Copy, Debug)]
 pub struct ClosedConnection {
-    /// Why.
+    /// Why it was closed.
     pub reason: CloseReason,
-    /// Requests that came on it.
+    /// Number of requests received on the connection.
     pub requests: u32,
-    /// Time since the last of them was answered, or since the connection came up.
+    /// Time since the last response, or since the connection was accepted.
     pub idle_time: Duration,
-    /// Whether a request was waiting for its answer, or the answer was being taken.
+    /// Whether a request was waiting for its response, or a response was being sent.
     pub is_serving: bool,
-    /// Whether bytes of the caller's were left unread, which resets the connection.
+    /// Whether received bytes were left unread, which resets the connection.
     pub has_unread: bool,
 }
 
 impl ClosedConnection {
-    /// Tells whether it may have cost the caller an answer, as far as can be seen here.
+    /// Reports whether the close may have cost the caller a response, as far as this host can tell.
     fn may_have_lost_response(&self) -> bool {
         self.is_serving || self.has_unread
     }
 }
 
 impl fmt::Display for ClosedConnection {
-    /// For the log.
+    /// Formats the fields for a log line.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let ClosedConnection { reason, requests, idle_time, is_serving, has_unread } = self;
         write!(
@@ -82,13 +83,14 @@
     }
 }
 
-/// Lines of one kind in a span. Callers close and come by the hundred when a host stops.
+/// Maximum number of log lines per interval. When a host stops, callers' connections close and
+/// reopen by the hundreds.
 const MAX_LINES_PER_INTERVAL: u32 = 20;
 
-/// The span.
+/// Interval over which log lines are counted.
 const LIMIT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Bounds lines of a kind, and counts those that were left out.
+/// Limits the number of log lines and counts the suppressed ones.
 #[derive(Debug)]
 struct LineLimiter {
     interval_started_at: Cell<Instant>,
@@ -105,7 +107,8 @@
         }
     }
 
-    /// Takes a line, and gets how many were left out before it; `None` leaves it out.
+    /// Admits a line and returns the number of lines suppressed before it. Returns `None` if the
+    /// line is to be suppressed.
     fn admit(&self, now: Instant) -> Option<u64> {
         if now.saturating_duration_since(self.interval_started_at.get()) >= LIMIT_INTERVAL {
             self.interval_started_at.set(now);
@@ -120,7 +123,8 @@
     }
 }
 
-/// Bounds the lines about connections that a host closes; those that may have cost an answer by themselves.
+/// Limits the log lines about closed connections. Closes that may have cost a response have a limit
+/// of their own.
 #[derive(Debug)]
 pub struct CloseLog {
     ordinary: LineLimiter,
@@ -135,15 +139,15 @@
 }
 
 impl CloseLog {
-    /// Takes a line for a connection, and gets how many of its kind were left out before it; `None`
-    /// leaves it out.
+    /// Admits a line for a connection and returns the number of suppressed lines of the same
+    /// category before it. Returns `None` if the line is to be suppressed.
     pub fn admit(&self, closed: &ClosedConnection) -> Option<u64> {
         let limiter =
             if closed.may_have_lost_response() { &self.suspicious } else { &self.ordinary };
         limiter.admit(Instant::now())
     }
 
-    /// Logs and counts a connection that was closed.
+    /// Counts a closed connection and logs it within the limits.
     pub fn record(&self, shared: &Shared, closed: &ClosedConnection) {
         shared.metrics.record_closed_connection(closed.reason.as_str(), closed.has_unread);
         let Some(suppressed_count) = self.admit(closed) else { return };
--- a/crates/tidetrack-plane/src/journal.rs
+++ b/crates/tidetrack-plane/src/journal.rs
@@ -1,8 +1,9 @@
-//! Logs: one JSON line for each numbered event, on standard output.
+//! Log output: one JSON line per numbered event, on standard output.
 //!
-//! Lines go to a writer thread over a bounded queue and never wait for it. When the queue is more
-//! than half full, lines about requests that went well are left out, so that those of failed ones
-//! find room; what was left out is counted and told with the next line that is written.
+//! Lines are passed to a writer thread over a bounded queue, and the sender never waits. When the
+//! queue is more than half full, lines about successful requests are dropped, which leaves room for
+//! those about failed ones. The number of dropped lines is included in the next line that is
+//! written.
 
 use std::fmt::Display;
 use std::io::Write;
@@ -13,13 +14,13 @@
 
 use tidetrack_core::events::Event;
 
-/// Lines that may wait for the writer.
+/// Maximum number of lines in the queue.
 const QUEUE_CAPACITY: usize = 2_048;
 
-/// Lines above which those of requests that went well are left out.
+/// Queue length from which lines about successful requests are dropped.
 const ROUTINE_QUEUE_LIMIT: usize = QUEUE_CAPACITY / 2;
 
-/// A value of a line, by name.
+/// Name and value of a field of a line.
 pub type Field<'a> = (&'static str, &'a dyn Display);
 
 /// The log of a process.
@@ -30,7 +31,7 @@
     pending_lines: Arc<AtomicU64>,
 }
 
-/// Turns records into lines and queues them.
+/// Formats records as lines and puts them into the queue.
 struct QueueDrain {
     queue: flume::Sender<Vec<u8>>,
     dropped_count: Arc<AtomicU64>,
@@ -63,7 +64,7 @@
     }
 }
 
-/// The fields of a line, for the logging library.
+/// Adapter that passes the fields of a line to the logging library.
 struct Fields<'a>(&'a [Field<'a>]);
 
 impl KV for Fields<'_> {
@@ -81,7 +82,8 @@
         Journal::start_to(host, std::io::stdout())
     }
 
-    /// Starts the log of a host, with a thread that writes to `out`.
+    /// Starts the log of a host, with a thread that writes to `out`. Fails if the thread cannot be
+    /// started.
     pub fn start_to(host: &str, out: impl Write + Send + 'static) -> std::io::Result<Journal> {
         let (queue, lines) = flume::bounded::<Vec<u8>>(QUEUE_CAPACITY);
         let journal = Journal::to_queue(host, queue);
@@ -91,7 +93,7 @@
         Ok(journal)
     }
 
-    /// Makes a log whose lines go to a queue.
+    /// Creates a log that puts its lines into a queue.
     fn to_queue(host: &str, queue: flume::Sender<Vec<u8>>) -> Journal {
         let dropped_count = Arc::new(AtomicU64::new(0));
         let pending_lines = Arc::new(AtomicU64::new(0));
@@ -111,19 +113,20 @@
         Journal { logger, queue, pending_lines }
     }
 
-    /// Writes an event.
+    /// Logs an event.
     pub fn log(&self, event: Event, fields: &[Field<'_>]) {
         slog::info!(self.logger, "{}", event.text(); "event" => event.to_string(), Fields(fields));
     }
 
-    /// Writes an event of a request that goes well; left out first when lines pile up.
+    /// Logs an event of a successful request. These are the first lines to be dropped when the
+    /// queue fills up.
     pub fn log_routine(&self, event: Event, fields: &[Field<'_>]) {
         if self.queue.len() < ROUTINE_QUEUE_LIMIT {
             self.log(event, fields);
         }
     }
 
-    /// Waits until all lines are written, for as long as `timeout`.
+    /// Waits until all lines are written, or until `timeout` has passed.
     pub fn flush(&self, timeout: std::time::Duration) {
         let deadline = std::time::Instant::now() + timeout;
         while self.pending_lines.load(Ordering::Acquire) > 0 && std::time::Instant::now() < deadline
@@ -133,14 +136,14 @@
     }
 }
 
-/// Gets the time of day in seconds, to the millisecond. It orders lines of several hosts; nothing is
-/// decided by it.
+/// Returns the Unix time in seconds, with millisecond precision. It serves to order the lines of
+/// several hosts and is not used for decisions.
 fn unix_time_seconds() -> f64 {
     let elapsed = std::time::UNIX_EPOCH.elapsed().unwrap_or_default();
     elapsed.as_millis() as f64 / 1_000.0
 }
 
-/// Writes lines until the process ends, several at a time where several wait.
+/// Writes queued lines until the process ends, combining all that are queued into one write.
 fn write_lines(lines: &flume::Receiver<Vec<u8>>, mut out: impl Write, pending_lines: &AtomicU64) {
     while let Ok(mut text) = lines.recv() {
         let mut line_count = 1;
@@ -148,7 +151,7 @@
             text.extend_from_slice(&line);
             line_count += 1;
         }
-        // Without a reader of the log there is nobody left to tell.
+        // If the output is closed, there is no place left to report the error to.
         if out.write_all(&text).and_then(|()| out.flush()).is_err() {
             return;
         }
--- a/crates/tidetrack-plane/src/metrics.rs
+++ b/crates/tidetrack-plane/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and latency histograms of the traffic plane, as Prometheus text.
+//! Counters and latency histograms of the traffic plane, in the Prometheus text format.
 
 use std::time::Duration;
 
@@ -11,12 +11,12 @@
 
 use crate::store::CallPurpose;
 
-/// Bounds of the histograms in milliseconds: around the objectives of desks (100 to 150) and of
-/// streams (1,500 to 3,000).
+/// Bucket bounds of the histograms in milliseconds. They are densest around the objectives of
+/// interactive clients (100 to 150 ms) and of streams (1,500 to 3,000 ms).
 const HISTOGRAM_BOUNDS_MS: [f64; 12] =
     [5.0, 10.0, 25.0, 50.0, 100.0, 150.0, 300.0, 750.0, 1_500.0, 3_000.0, 8_000.0, 25_000.0];
 
-/// Makes a registry and the provider of the instruments that are shown there.
+/// Creates a registry and the meter provider that exports to it.
 pub fn registry() -> anyhow::Result<(Registry, SdkMeterProvider)> {
     let registry = Registry::new();
     let exporter = opentelemetry_prometheus::exporter()
@@ -27,7 +27,7 @@
     Ok((registry, provider))
 }
 
-/// Renders a registry as Prometheus text.
+/// Encodes a registry in the Prometheus text format.
 pub fn render(registry: &Registry) -> anyhow::Result<Vec<u8>> {
     let mut text = Vec::new();
     TextEncoder::new().encode(&registry.gather(), &mut text)?;
@@ -60,7 +60,7 @@
 }
 
 impl Metrics {
-    /// Makes the instruments.
+    /// Creates the instruments.
     pub fn new() -> anyhow::Result<Metrics> {
         let (registry, provider) = registry()?;
         let meter = provider.meter("tidetrack");
@@ -89,51 +89,54 @@
         })
     }
 
-    /// Counts a finished request of a route under its result.
+    /// Counts a finished request by route and result code.
     pub fn record_request(&self, route: &str, result: &str) {
         let labels =
             [KeyValue::new("route", route.to_string()), KeyValue::new("code", result.to_string())];
         self.requests.add(1, &labels);
     }
 
-    /// Counts a request against its route's objective.
+    /// Counts a request by whether it met the objective of its route.
     pub fn record_objective(&self, route: &str, is_met: bool) {
         let labels = [KeyValue::new("route", route.to_string()), KeyValue::new("good", is_met)];
         self.objective.add(1, &labels);
     }
 
-    /// Counts an attempt at an endpoint by how it went.
+    /// Counts an attempt at an endpoint by result.
     pub fn record_attempt(&self, result: &'static str) {
         self.attempts.add(1, &[KeyValue::new("result", result)]);
     }
 
-    /// Counts a connection to an endpoint that broke under an attempt, or did not come up, by how.
+    /// Counts a connection to an endpoint that was lost during an attempt or could not be
+    /// established, by cause.
     pub fn record_disconnect(&self, cause: DisconnectCause) {
         self.disconnects.add(1, &[KeyValue::new("how", cause.as_str())]);
     }
 
-    /// Counts a caller's connection that the host closed, by why and whether bytes were left unread.
+    /// Counts a caller's connection closed by the host, by reason and by whether bytes were left
+    /// unread.
     pub fn record_closed_connection(&self, reason: &'static str, has_unread: bool) {
         self.closed_connections
             .add(1, &[KeyValue::new("why", reason), KeyValue::new("unread", has_unread)]);
     }
 
-    /// Counts a connect that gave no sign of life, by what it speaks against.
+    /// Counts a connection attempt without any response, by suspected cause.
     pub fn record_silent_connect(&self, suspected_cause: &'static str) {
         self.silent_connects.add(1, &[KeyValue::new("blame", suspected_cause)]);
     }
 
-    /// Counts an attempt whose connection broke while it may have run, by whether its endpoint had ended.
+    /// Counts an attempt whose connection was lost while the endpoint may have been executing it,
+    /// by whether the endpoint's process had ended.
     pub fn record_interrupted_attempt(&self, has_ended: bool) {
         self.interrupted_attempts.add(1, &[KeyValue::new("endpoint_ended", has_ended)]);
     }
 
-    /// Counts the time for which the machine was suspended.
+    /// Adds the time for which the machine was suspended.
     pub fn record_suspension(&self, time: Duration) {
         self.suspended_ms.add(time.as_millis() as u64, &[]);
     }
 
-    /// Counts a call to the store by what it was for and how it went.
+    /// Counts a call to the store by purpose and result.
     pub fn record_store_call(&self, purpose: CallPurpose, result: &'static str) {
         let labels = [
             KeyValue::new("kind", purpose.kind.as_str()),
@@ -144,18 +147,18 @@
         self.store_calls.add(1, &labels);
     }
 
-    /// Counts a message between hosts by what became of it.
+    /// Counts a message between hosts by result.
     pub fn record_peer_message(&self, result: &'static str) {
         self.peer_messages.add(1, &[KeyValue::new("result", result)]);
     }
 
-    /// Counts a call for changes of the store by where it went and how.
+    /// Counts a request for store changes by source and result.
     pub fn record_feed_call(&self, result: &'static str) {
         self.feed_calls.add(1, &[KeyValue::new("result", result)]);
     }
 
-    /// Counts bytes of replies with changes of the store, by where they came from and whether any of
-    /// it was new.
+    /// Counts the bytes of replies with store changes, by kind, source and whether they contained
+    /// anything new.
     pub fn record_feed_bytes(
         &self,
         kind: &'static str,
@@ -171,46 +174,48 @@
         self.feed_bytes.add(bytes as u64, &labels);
     }
 
-    /// Counts bytes of changes of the store that other hosts asked for, given to them or declined.
+    /// Counts the bytes of store changes that other hosts requested, by kind and whether they were
+    /// sent or declined.
     pub fn record_feed_reply(&self, kind: &'static str, outcome: &'static str, bytes: u64) {
         let labels = [KeyValue::new("kind", kind), KeyValue::new("outcome", outcome)];
         self.feed_reply_bytes.add(bytes, &labels);
     }
 
-    /// Counts tokens of shared parts of prompts sent to endpoints, by where the part was.
+    /// Counts the tokens of shared prompt prefixes sent to endpoints, by where the prefix was
+    /// cached.
     pub fn record_shared_tokens(&self, prefix: &'static str, tokens: u64) {
         self.shared_tokens.add(tokens, &[KeyValue::new("prefix", prefix)]);
     }
 
-    /// Counts answers that could have been dropped for a larger model's, by why they were kept, or as
-    /// asked again.
+    /// Counts responses eligible for a second opinion by a larger model, by the reason for keeping
+    /// them or as queried again.
     pub fn record_second_run(&self, outcome: &'static str) {
         self.second_runs.add(1, &[KeyValue::new("outcome", outcome)]);
     }
 
-    /// Counts a send to a service under roll-out, by the side it went to.
+    /// Counts an attempt at a service under roll-out, by release track.
     pub fn record_version_send(&self, service: &str, side: &'static str) {
         let labels = [KeyValue::new("service", service.to_string()), KeyValue::new("side", side)];
         self.version_sends.add(1, &labels);
     }
 
-    /// Counts an attempt at a version under roll-out that ended, by how.
+    /// Counts a finished attempt at a version under roll-out, by outcome.
     pub fn record_version_attempt(&self, service: &str, end: &'static str) {
         let labels = [KeyValue::new("service", service.to_string()), KeyValue::new("end", end)];
         self.version_attempts.add(1, &labels);
     }
 
-    /// Counts messages that were sent.
+    /// Counts messages sent to other hosts.
     pub fn record_sent_peer_messages(&self, n: usize) {
         self.peer_messages.add(n as u64, &[KeyValue::new("result", "sent")]);
     }
 
-    /// Records the time to the first byte of an answer.
+    /// Records the time to the first byte of a response, in milliseconds.
     pub fn record_first_byte(&self, route: &str, ms: f64) {
         self.first_byte.record(ms, &[KeyValue::new("route", route.to_string())]);
     }
 
-    /// Renders all metrics as Prometheus text.
+    /// Encodes all metrics in the Prometheus text format.
     pub fn to_text(&self) -> anyhow::Result<Vec<u8>> {
         render(&self.registry)
     }
--- a/crates/tidetrack-plane/src/socket.rs
+++ b/crates/tidetrack-plane/src/socket.rs
@@ -1,10 +1,12 @@
-//! A connection's socket, with limits on how long its other end may be silent.
+//! A TCP socket with limits on how long the other end may be silent.
 //!
-//! The system has one limit for all kinds of silence, and with it even a single probe without an answer
-//! ends a connection. A request that has just been written is to be acknowledged soon. On a quiet
-//! connection a probe or its answer may be lost or held up with nothing wrong; and of more bytes than the
-//! other end has room for, some wait until it reads on. Those get a longer limit, unless a request waits
-//! there that may as well go elsewhere: for that one, to leave an end without power soon is worth more.
+//! The operating system has a single timeout for all kinds of silence, and it also makes a single
+//! unanswered keepalive probe end a connection. A request that has just been written must be
+//! acknowledged soon. On a quiet connection, however, a probe or its response may be lost or
+//! delayed without a fault; and if more bytes are written than the other end can buffer, some stay
+//! unacknowledged until it reads. These cases get a longer timeout, unless a request that can be
+//! retried elsewhere is waiting on the connection: for that one it matters more to leave an end
+//! without power soon.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -19,58 +21,59 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, Sleep};
 
-/// Time after which unacknowledged bytes break a connection to an end that is cut off or without power,
-/// soon enough for another endpoint to answer in time. Three losses of a packet in a row do not last
-/// that long.
+/// Time after which unacknowledged bytes break a connection to an end that is disconnected or
+/// without power. It is short enough for another endpoint to respond in time, and longer than three
+/// consecutive packet losses.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// A connection on which nothing moves is probed this often, so that one whose other end is cut off or
-/// without power is noticed while a request or a watch waits on it.
+/// Interval of the keepalive probes on an idle connection. They detect an end that is disconnected
+/// or without power while a request or a watch waits on it.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Probes that may stay unanswered; on links that lose a few packets in a hundred, three in a row are
-/// not lost by chance.
+/// Number of probes that may stay unanswered. On links that lose a few percent of their packets,
+/// three consecutive losses do not happen by chance.
 const MAX_LOST_PROBES: u32 = 3;
 
-/// Limit that lets all these probes be sent: it ends between the last of them and the next.
+/// Timeout of a quiet connection. It ends between the last permitted probe and the next one.
 const QUIET_TIMEOUT: Duration = Duration::from_millis(3_500);
 
-/// Time after the last write from which a connection counts as quiet. The limit on what was written runs
-/// from its first repetition, 0.2 to 0.4 s after it, and is over by then; the first probe without an answer
-/// would end the connection 2 s after the last sign of life.
+/// Time after the last write from which a connection counts as quiet. The timeout for written bytes
+/// starts with their first retransmission, 0.2 to 0.4 s after the write, and has passed by then.
+/// Otherwise the first unanswered probe would end the connection 2 s after the last packet
+/// received.
 const QUIET_DELAY: Duration = Duration::from_millis(1_800);
 
-/// Most bytes of a request that the other end surely has room for before it reads: a quarter of the
-/// room that systems give to a new connection.
+/// Number of request bytes that the other end can certainly buffer before it reads: a quarter of
+/// the receive buffer that operating systems give a new connection.
 const MIN_RECEIVE_BUFFER_BYTES: usize = 16 << 10;
 
-/// Which ends a connection leads to.
+/// What a connection leads to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum PeerKind {
-    /// The store and other hosts: a lost call is made again at once, elsewhere too, and costs little.
+    /// The store or another host. A lost call is cheap and is retried at once, also elsewhere.
     #[default]
     Internal,
-    /// Endpoints: a connection that is given up may be an answer lost.
+    /// An endpoint. Giving up a connection may lose a response.
     Endpoint,
 }
 
-/// Whether a request waits on a connection that can't go elsewhere if it breaks.
+/// Whether a request that cannot be retried elsewhere is waiting on the connection.
 pub type PinnedRequestFlag = Rc<Cell<bool>>;
 
-/// A socket of a connection.
+/// A connected socket with silence limits.
 pub struct MonitoredSocket {
     stream: TcpStream,
     peer_kind: PeerKind,
     pinned_request: PinnedRequestFlag,
     timeout: Duration,
-    /// Bytes that were written since the other end spoke last.
+    /// Bytes written since the other end last sent any.
     unread_bytes: usize,
-    /// Runs while a write may be unacknowledged.
+    /// Pending while written bytes may still be unacknowledged.
     quiet_timer: Option<Pin<Box<Sleep>>>,
 }
 
 impl MonitoredSocket {
-    /// Sets the limits of a connection that came up.
+    /// Sets up keepalive and the timeout of a new connection.
     pub fn new(
         stream: TcpStream,
         peer_kind: PeerKind,
@@ -103,7 +106,7 @@
         Ok(())
     }
 
-    /// Sets the limit for bytes that are about to be written.
+    /// Sets the timeout for bytes that are about to be written.
     fn before_write(&mut self, cx: &mut Context<'_>, bytes: usize) -> io::Result<()> {
         if self.peer_kind == PeerKind::Internal {
             return Ok(());
@@ -115,11 +118,12 @@
             Some(timer) => timer.as_mut().reset(quiet_at),
             None => self.quiet_timer = Some(Box::pin(tokio::time::sleep_until(quiet_at))),
         }
-        // A connection that waits for its answer is not read until it is woken.
+        // A connection that waits for its response is not polled until it is woken, so the timer is
+        // polled here to register the waker.
         self.poll_quiet_timer(cx)
     }
 
-    /// Sets the limit for a quiet connection when it has become one.
+    /// Sets the timeout of a quiet connection once the timer has expired.
     fn poll_quiet_timer(&mut self, cx: &mut Context<'_>) -> io::Result<()> {
         let timer = self.quiet_timer.as_mut();
         if timer.is_some_and(|timer| timer.as_mut().poll(cx).is_ready()) {
@@ -131,7 +135,7 @@
         Ok(())
     }
 
-    /// Takes note that the other end spoke: it has what was written.
+    /// Records that the other end sent bytes, and has thus received what was written.
     fn record_read(&mut self) -> io::Result<()> {
         self.unread_bytes = 0;
         match (self.peer_kind, &self.quiet_timer) {
