--- a/crates/tidetrack-plane/src/watch/apply.rs
+++ b/crates/tidetrack-plane/src/watch/apply.rs
@@ -1,4 +1,4 @@
-//! Applies what came, and keeps it for other hosts.
+//! Applies received changes and keeps them for other hosts.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,11 +12,11 @@
 
 use super::StoreSync;
 
-/// Time for the body of a reply from which it has a line of its own, like a large one: the store is in
-/// the same region.
+/// Transfer time from which a reply is logged like a large one. The store is in the same region, so
+/// smaller replies are usually faster.
 const SLOW_REPLY_TIME: Duration = Duration::from_millis(300);
 
-/// Where a reply with changes came from, in logs and metrics.
+/// Source of a reply with changes, in logs and metrics.
 pub(super) const SOURCE_STORE: &str = "store";
 pub(super) const SOURCE_HOST: &str = "host";
 
@@ -50,13 +50,14 @@
     /// Applies changes that are new, and keeps them for other hosts.
     pub(super) fn apply_changes(&self, kind: FeedKind, changes: ChangeSet, batch: ChangeBatch) {
         let newest = changes.newest_change.unwrap_or(batch.newest_revision);
-        // A reply may be of a later state than what is known, and yet hold known changes only.
+        // A reply may have a later store revision than the known state and still contain only known
+        // changes.
         if newest <= self.position(kind) || !self.log(kind, |log| log.push(batch)) {
             return;
         }
         self.newest.borrow_mut().raise(kind, newest);
-        // Of several states of one object the last one counts; the others must not be in force, not even
-        // for a moment.
+        // Of several versions of a single object only the last one is applied. The others must not
+        // take effect even for a moment.
         let last = changes.changes.len().saturating_sub(1);
         let skipped = if kind.is_single_object() { last } else { 0 };
         for change in changes.changes.into_iter().skip(skipped) {
@@ -78,8 +79,9 @@
         self.report_position(kind, changes.newest_change);
     }
 
-    /// Takes a whole list, unless newer changes are known already: these must not be undone. `newest` is
-    /// the newest change of a listed object.
+    /// Applies a complete list. Returns false, without applying it, if newer changes are known
+    /// already, since the list would undo them. `newest` is the revision of the newest change of a
+    /// listed object.
     pub(super) fn apply_list(
         &self,
         kind: FeedKind,
@@ -88,9 +90,9 @@
         list: ListSnapshot,
         newest: u64,
     ) -> bool {
-        // What was removed is not listed, so a list is news up to the revision it was taken at. A kind
-        // with one object is only news if that was changed: hosts told otherwise would each get another
-        // copy of a configuration they know.
+        // Removed objects are not listed, so a list may bring changes up to its own revision. For a
+        // kind with a single object it only counts as new if the object changed; otherwise each
+        // host would fetch another copy of a configuration that it already has.
         let newest = if kind.is_single_object() { newest } else { list.revision };
         if !self.log(kind, |log| log.reset_to_list(list)) {
             return false;
@@ -119,17 +121,17 @@
         true
     }
 
-    /// Takes note of a change to a state that cannot be read.
+    /// Reports a change to a state that could not be decoded.
     fn report_unreadable(&self, kind: FeedKind, object: UnreadableObject) {
         self.store.log_unreadable(std::slice::from_ref(&object));
         let input = match kind {
-            // The last good configuration stays in force.
+            // The last valid configuration stays in force.
             FeedKind::Catalog => None,
-            // What it was before says nothing of what it is now.
+            // The previous state of the object does not tell anything about the new one.
             FeedKind::Endpoints => object.name.parse().ok().map(Input::EndpointUnreadable),
             FeedKind::Rollouts => object.name.parse().ok().map(Input::RolloutUnreadable),
         };
-        // A name that is none of ours belongs to nothing that is known.
+        // An invalid name cannot belong to a known object.
         input.into_iter().for_each(|input| self.shared.send_input(input));
     }
 
--- a/crates/tidetrack-plane/src/watch/fetch.rs
+++ b/crates/tidetrack-plane/src/watch/fetch.rs
@@ -1,4 +1,4 @@
-//! Gets changes that another host told of, from it or from the store.
+//! Fetches changes that another host reported, from that host or from the store.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -20,11 +20,13 @@
 use super::StoreSync;
 
 impl StoreSync {
-    /// Gets changes that another host told of.
+    /// Fetches changes that another host reported. Does nothing if a first list of the kind is
+    /// already being read.
     pub async fn fetch(self: Rc<Self>, fetch: Fetch) {
         let (kind, after) = (fetch.kind, fetch.after);
         let is_first_list = after == 0 && fetch.source == FetchSource::Store;
-        // A first list takes seconds on a narrow link, and begun again it would take as long again.
+        // A first list takes seconds on a narrow link, and a second one in parallel would take as
+        // long again.
         if is_first_list
             && std::mem::replace(&mut self.is_listing.borrow_mut()[kind as usize], true)
         {
@@ -38,7 +40,8 @@
 
     async fn fetch_once(&self, fetch: Fetch) {
         let (kind, after) = (fetch.kind, fetch.after);
-        // What is coming in already may bring it, to one that waits as to several.
+        // A reply that is being received may contain the changes, so a single waiting fetch is
+        // enough.
         if std::mem::replace(&mut self.has_waiting_fetch.borrow_mut()[kind as usize], true) {
             return;
         }
@@ -47,7 +50,8 @@
         let result = match fetch.source {
             _ if self.newest(kind) > after => Err(needless()),
             FetchSource::Host(address) => self.fetch_from_host(kind, after, address).await,
-            // Of several versions only the newest is wanted, and who knows nothing wants all.
+            // Of a single object only the newest version is needed, and a host without any state
+            // needs the whole list.
             FetchSource::Store if kind.is_single_object() || after == 0 => {
                 let reason = if after == 0 { CallReason::Start } else { CallReason::Reported };
                 self.read_list(kind, Some(after), reason).await
@@ -56,7 +60,8 @@
                 self.read_changes_or_list(kind, after, Millis(0), CallReason::Reported).await
             }
         };
-        // A slow reply that was given up for another one brought nothing: the next try is elsewhere.
+        // A slow reply that was dropped in favour of another one delivered nothing, so the next
+        // attempt uses another source.
         let is_known = self.newest(kind) > after;
         self.shared.metrics.record_feed_call(match (&result, fetch.source) {
             (Err(e), _) if e.code == Code::ReplyNotNeeded && is_known => "known",
@@ -108,7 +113,8 @@
         self.log(kind, |log| log.advance(feed_reply.complete_to));
         self.report_position(kind, None);
         if let Some(age) = feed_reply.proof_age {
-            // Told after the configuration, which is as new as the teller's: so the proof holds for it.
+            // The proof is sent after the configuration, which is as new as the sender's, so the
+            // proof applies to it.
             self.shared.send_input(Input::ConfigConfirmed(requested_at - age));
         }
         Ok(())
--- a/crates/tidetrack-plane/src/watch/follow.rs
+++ b/crates/tidetrack-plane/src/watch/follow.rs
@@ -1,4 +1,4 @@
-//! Lists each kind and watches its changes, on the hosts that others hear from.
+//! Lists each kind and watches its changes, on the hosts that report changes to others.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,24 +16,26 @@
 use super::read::ignore_unneeded;
 use super::StoreSync;
 
-/// How long the store holds a watch. A dead connection is noticed by its probes.
+/// Time for which the store holds back the reply to a watch, in milliseconds. A dead connection is
+/// detected earlier, by keepalive probes.
 const WATCH_WAIT: Millis = Millis(20_000);
 
-/// Pause after a change of the endpoints, in which others gather for one reply: endpoints start and
-/// leave in groups, and an entry counts within two seconds.
+/// Pause after a change of the endpoints, so that several changes are collected in one reply.
+/// Endpoints start and stop in groups, and a new entry has to take effect within two seconds.
 const ENDPOINTS_SETTLE_TIME: Duration = Duration::from_millis(600);
 
-/// First pause after a failed call; it doubles.
+/// Pause after the first failed call. It doubles with each further failure.
 pub(super) const INITIAL_PAUSE: Duration = Duration::from_millis(60);
 
-/// Longest pause after failed calls of a host that others rely on.
+/// Maximum pause after failed calls on a host that other hosts depend on, or that has no state yet.
 const MAX_PRIORITY_PAUSE: Duration = Duration::from_millis(500);
 
-/// The same for all other hosts: they hear from those that the store is back.
+/// Maximum pause after failed calls on all other hosts, which learn from those that the store is
+/// reachable again.
 pub(super) const MAX_PAUSE: Duration = Duration::from_secs(4);
 
 impl StoreSync {
-    /// Keeps one kind for as long as the process runs.
+    /// Follows one kind for as long as the process runs.
     pub(super) async fn follow_forever(self: Rc<Self>, kind: FeedKind) {
         let mut store_recoveries = self.store_recoveries.subscribe();
         let mut pause = INITIAL_PAUSE;
@@ -44,7 +46,7 @@
                 () = self.wait_for_recovery(&mut store_recoveries), if kind != FeedKind::Catalog => continue,
             };
             if e.code == Code::ReplyNotNeeded {
-                // The store answers; a list of it came too slowly beside another reply.
+                // The store responds, but its list arrived too slowly because of another reply.
                 tokio::time::sleep(jittered(INITIAL_PAUSE)).await;
                 continue;
             }
@@ -60,15 +62,16 @@
         }
     }
 
-    /// Waits until the store is back, on a host that watches it; the others hear from those.
+    /// Waits until the store is reachable again and this host is a watcher. Other hosts receive the
+    /// changes from the watchers.
     async fn wait_for_recovery(&self, store_recoveries: &mut watch::Receiver<u64>) {
-        // Neither sender ends before the process.
+        // Neither sender is dropped before the process ends.
         let _ = store_recoveries.changed().await;
         let _ = self.roles.clone().wait_for(|roles| roles.is_watcher).await;
     }
 
-    /// Gets the longest pause after failed calls: hosts that others rely on, or that know nothing yet,
-    /// try more often.
+    /// Returns the maximum pause after failed calls. Hosts that others depend on, or that have no
+    /// state of the kind yet, retry more often.
     pub(super) fn max_pause(&self, kind: FeedKind) -> Duration {
         let roles = *self.roles.borrow();
         if roles.is_prover || roles.is_watcher || self.position(kind) == 0 {
@@ -78,16 +81,19 @@
         }
     }
 
-    /// Brings a kind to the store's state and follows its changes until a call fails.
+    /// Brings a kind to the state of the store and follows its changes until a call fails. Returns
+    /// the error.
     async fn follow(&self, kind: FeedKind) -> Error {
         let sync_events = match self.position(kind) {
             0 => {
                 self.wait_until_synced(kind).await;
                 Ok(())
             }
-            // The changes since would tell each version, and ten of them are more than a reply may have.
+            // The changes since the last known one would include every version of the object, and
+            // ten of them exceed the size limit of a reply.
             _ if kind.is_single_object() => self.read_list(kind, None, CallReason::Recovery).await,
-            // A list would be hundreds of times as large, for this host and all that hear from it.
+            // A list would be hundreds of times as large, for this host and for all that receive it
+            // from this one.
             after => {
                 let read = self.read_changes_or_list(kind, after, Millis(0), CallReason::Recovery);
                 read.await.or_else(ignore_unneeded)
@@ -114,25 +120,27 @@
         }
     }
 
-    /// Waits until a kind is known at all: a host that starts is given it, or reads it when its time has come.
+    /// Waits until any state of the kind is known. A starting host receives it from another one, or
+    /// reads it from the store after a delay.
     async fn wait_until_synced(&self, kind: FeedKind) {
         let mut sync_events = self.sync_events.subscribe();
-        // The sender lives as long as this does.
+        // The sender belongs to `self`, so it outlives this call.
         let _ = sync_events.wait_for(|()| self.position(kind) > 0).await;
     }
 
-    /// Gets the time after the start in which a host that may have others leaves the watches to them.
+    /// Returns the time after the start during which a host that may have peers leaves watching to
+    /// them.
     fn initial_watch_delay(&self) -> Duration {
         if self.shared.settings.seeds.is_empty() {
             Duration::ZERO
         } else {
-            // By then few think that they are to watch.
+            // By then, only a few of several starting hosts still consider themselves watchers.
             Duration::from_millis(DISCOVERY_TIME.0)
         }
     }
 }
 
-/// Gets how long changes gather before the next watch begins.
+/// Returns the time for which changes are collected before the next watch starts.
 fn settle_time(kind: FeedKind) -> Duration {
     match kind {
         FeedKind::Endpoints => ENDPOINTS_SETTLE_TIME,
@@ -140,7 +148,8 @@
     }
 }
 
-/// Draws a pause around `pause`, so that hosts do not come back in step.
+/// Returns a random duration between 0.5 and 1.5 times `pause`, so that hosts do not retry
+/// simultaneously.
 pub(super) fn jittered(pause: Duration) -> Duration {
     pause.mul_f64(0.5 + rand::random::<f64>())
 }
--- a/crates/tidetrack-plane/src/watch/mod.rs
+++ b/crates/tidetrack-plane/src/watch/mod.rs
@@ -1,14 +1,16 @@
-//! Keeps the beliefs of a host at the store's state: a list of each kind, then changes from there. A
-//! few hosts watch the store for them; the others get them host to host (`feed`). A list follows later
-//! only where the store has forgotten the changes, and for the configuration, whose list is its newest state.
+//! Keeps a host in sync with the store: first a list of each kind, then the changes after it. A few
+//! hosts, the watchers, watch the store for the others, which receive the changes from host to host
+//! (see `feed`). Later lists are read only if the store does not keep the changes any more, and for
+//! the configuration, whose list is its newest state.
 //!
-//! A few hosts also prove that the configuration is the newest, by short reads; the others are reply.
-//! A host whose proof grows old all the same reads for itself, and notices there that it has lost the
-//! store; once the store answers again, all kinds go on from the last change they know.
+//! A few hosts, the provers, also confirm that the configuration is the newest, by short reads, and
+//! report this to the others. A host whose proof becomes too old nevertheless reads the
+//! configuration itself and thereby detects that the store is unreachable. When the store responds
+//! again, all kinds continue from the last known change.
 //!
-//! Here is what the jobs share: `follow` lists and watches the store, `proof` keeps a young proof of the
-//! configuration, `fetch` gets what other hosts told of, `read` makes the calls to the store, and `intake`
-//! applies what came and keeps it for others.
+//! This module contains the shared state: `follow` lists and watches the store, `proof` keeps the
+//! proof of the configuration recent, `fetch` gets changes reported by other hosts, `read` makes
+//! the calls to the store, and `apply` applies received changes and keeps them for other hosts.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -34,34 +36,35 @@
 mod proof;
 mod read;
 
-/// What the watches of a host share.
+/// Synchronization of a host with the store, for all kinds.
 pub struct StoreSync {
     shared: SharedRef,
     store: Rc<StoreClient>,
-    /// Connections to other hosts.
+    /// Pooled connections to other hosts.
     host_pool: Pool,
-    /// The newest changes, by kind.
+    /// The latest changes, by kind.
     logs: RefCell<[FeedLog; 3]>,
-    /// The newest known change, by kind.
+    /// Revision of the newest known change, by kind.
     newest: RefCell<Revisions>,
-    /// By kind, where large replies wait for each other.
+    /// Serializes the large replies of each kind.
     large_replies: [OneAtATime; 3],
-    /// By kind, whether a try waits until no large reply is coming in.
+    /// By kind, whether a fetch is waiting for a large reply to finish.
     has_waiting_fetch: RefCell<[bool; 3]>,
-    /// By kind, whether a host that starts lists it from the store.
+    /// By kind, whether a starting host is reading the first list from the store.
     is_listing: RefCell<[bool; 3]>,
-    /// Tells that a kind was brought to a state of the store.
+    /// Notified whenever a kind has been brought to a state of the store.
     sync_events: watch::Sender<()>,
-    /// Counts the returns of the store, for the other kinds to start again.
+    /// Number of times that the store became reachable again. A change makes the other kinds
+    /// continue.
     store_recoveries: watch::Sender<u64>,
     roles: watch::Receiver<HostRoles>,
-    /// By kind, whether the store did not answer the last read.
+    /// By kind, whether the last read of the store failed.
     is_unreachable: RefCell<[bool; 3]>,
     started_at: Instant,
 }
 
 impl StoreSync {
-    /// Starts the watches of all kinds on the present thread.
+    /// Starts to follow all kinds, on the current thread.
     pub fn start(
         shared: SharedRef,
         store: Rc<StoreClient>,
@@ -101,8 +104,8 @@
         f(&mut self.logs.borrow_mut()[kind as usize])
     }
 
-    /// Gets what brings another host from a revision to the newest one. With the configuration goes the proof of it,
-    /// or a host that starts would have to ask for one next.
+    /// Returns what another host needs to get from a revision to the newest one. The configuration
+    /// is sent with its proof, as a starting host would otherwise have to request one next.
     fn changes_after(&self, kind: FeedKind, after: u64) -> Option<FeedReply> {
         let reply = self.log(kind, |log| log.changes_after(after))?;
         let age = self.shared.freshness.age(self.shared.now());
@@ -113,13 +116,14 @@
         self.log(kind, |log| log.position())
     }
 
-    /// Gets the revision of the newest known change of a kind.
+    /// Returns the revision of the newest known change of a kind.
     fn newest(&self, kind: FeedKind) -> u64 {
         self.newest.borrow().get(kind)
     }
 
-    /// Lets a large reply in that was asked for after a revision, unless the next changes came otherwise
-    /// while it waited; a list is always needed.
+    /// Returns the gate for a reply requested after a revision. A large reply is not read if newer
+    /// changes arrive otherwise while it waits for the gate. A list, for which `after` is `None`,
+    /// is always read.
     fn reply_gate(&self, kind: FeedKind, after: Option<u64>) -> Gate<'_> {
         Gate {
             turns: &self.large_replies[kind as usize],
@@ -132,7 +136,7 @@
         self.is_unreachable.borrow()[kind as usize]
     }
 
-    /// Takes note that a kind could not be read; tells whether that is news.
+    /// Records that a kind could not be read. Returns false if its last read had failed already.
     fn record_failure(&self, kind: FeedKind, e: &Error) -> bool {
         let unreachable_before = *self.is_unreachable.borrow();
         if unreachable_before[kind as usize] {
@@ -147,7 +151,7 @@
         true
     }
 
-    /// Takes note that a kind was read.
+    /// Records that a kind was read.
     fn record_recovery(&self, kind: FeedKind) {
         if !std::mem::take(&mut self.is_unreachable.borrow_mut()[kind as usize]) {
             return;
--- a/crates/tidetrack-plane/src/watch/proof.rs
+++ b/crates/tidetrack-plane/src/watch/proof.rs
@@ -1,4 +1,4 @@
-//! Keeps a young proof that the configuration is the newest.
+//! Keeps the proof that the configuration is the newest one recent.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,19 +14,21 @@
 use super::read::ignore_unneeded;
 use super::StoreSync;
 
-/// Age of its proof at which a host that proves the configuration for others reads it. With the time
-/// until others ask for it, a proof stays within half of the usual bound of 5 s on revocation.
+/// Age of its proof, in milliseconds, at which a prover reads the configuration again. Together
+/// with the time until other hosts request it, a proof stays within half of the usual bound of 5 s
+/// on revocation.
 const PROOF_INTERVAL: Millis = Millis(1_500);
 
-/// Age of the proof at which a host that relies on others' proofs reads the configuration itself.
+/// Age of the proof, in milliseconds, at which a host that depends on the provers reads the
+/// configuration itself.
 const LOCAL_PROOF_AGE: Millis = Millis(2_500);
 
-/// Pause between looks at the proof's age.
+/// Interval at which the age of the proof is checked.
 const PROOF_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 impl StoreSync {
-    /// Reads the configuration at short intervals if others rely on it, and otherwise when no proof has
-    /// come from elsewhere for a while.
+    /// Reads the configuration at short intervals if this host is a prover, and otherwise if no
+    /// proof has arrived from another host for a while.
     pub(super) async fn maintain_proof(self: Rc<Self>) {
         let mut pause = INITIAL_PAUSE;
         let mut hash_fraction = rand::random();
@@ -40,14 +42,16 @@
             let after = self.position(FeedKind::Catalog);
             let age = self.shared.freshness.age(self.shared.now());
             let Some(age) = age.filter(|_| after > 0) else { continue };
-            // After a loss, a young proof of another host says that the store answers again. Whether it answers this
-            // one matters only where others rely on it.
+            // While the store counts as unreachable, a recent proof from another host shows that it
+            // responds again. Whether it responds to this host only matters if others depend on
+            // this host.
             let mut has_recovered = self.is_unreachable(FeedKind::Catalog) && age < PROOF_INTERVAL;
             if has_recovered && !roles.is_prover && !roles.is_watcher {
                 self.record_recovery(FeedKind::Catalog);
                 has_recovered = false;
             }
-            // A configuration that is coming in is not the newest until it has come, and neither is ours.
+            // While a new configuration is being received, the known one is not the newest any
+            // more, and the new one is not applied yet, so neither can be confirmed.
             let is_receiving = self.large_replies[FeedKind::Catalog as usize].is_taken();
             if (age < max_age && !has_recovered) || is_receiving {
                 continue;
@@ -64,7 +68,8 @@
                 Err(e) => {
                     self.record_failure(FeedKind::Catalog, &e);
                     let longest = self.max_pause(FeedKind::Catalog);
-                    // Those that others rely on find out when the store is back, and tell.
+                    // The hosts that others depend on detect that the store is reachable again and
+                    // report it.
                     pause = if longest == MAX_PAUSE { longest } else { pause };
                     tokio::time::sleep(jittered(pause)).await;
                     pause = (pause * 2).min(longest);
@@ -73,10 +78,10 @@
         }
     }
 
-    /// Takes note of a read of the configuration.
+    /// Reports a read of the configuration that started at the given time.
     pub(super) fn record_catalog_read(&self, started_at: Millis) {
-        // Not taken note of here: what was read may wait to be put in force, and a proof that holds
-        // before that would be one of the configuration before.
+        // The control thread records the proof, because the configuration may still be queued
+        // there: a proof recorded here would apply to the previous configuration until then.
         self.shared.send_input(Input::ConfigConfirmed(started_at));
         self.record_recovery(FeedKind::Catalog);
     }
--- a/crates/tidetrack-plane/src/watch/read.rs
+++ b/crates/tidetrack-plane/src/watch/read.rs
@@ -15,8 +15,9 @@
 use super::StoreSync;
 
 impl StoreSync {
-    /// Reads the changes after a revision from the store, which may wait for one, or the whole kind if they
-    /// are forgotten, or more than a reply may have: each try would end there.
+    /// Reads the changes of a kind after a revision, for which the store may wait up to `wait`.
+    /// Reads the whole list if the store does not keep these changes any more or if they exceed the
+    /// size limit of a reply, since every retry would fail in the same way.
     pub(super) async fn read_changes_or_list(
         &self,
         kind: FeedKind,
@@ -34,12 +35,14 @@
         }
     }
 
-    /// Lists a kind. The first list may be a little old, for the changes since follow; a later one is
-    /// news to other hosts, for it may hold changes that were not told one by one. So may a first one of
-    /// endpoints or roll-outs: changes made while all hosts that watch started anew are told by nobody
-    /// else. Only the newest listed change is told of it, which all know otherwise, or each start would
-    /// cost every host a list. `after` is the revision whose next change is wanted, where anything but
-    /// that is not.
+    /// Lists a kind. The first list may be slightly old, since the changes after it are read next.
+    /// A later list is reported to other hosts, because it may contain changes that were not
+    /// reported individually. The same applies to a first list of endpoints or roll-outs: if all
+    /// watchers restarted at the same time, no other host reports the changes made meanwhile. For a
+    /// first list only the newest listed change is reported. Other hosts usually know it, whereas
+    /// the revision of the list would make every host fetch a list at each start. `after` is the
+    /// revision after which a change is needed; the read is dropped if one arrives otherwise. If it
+    /// is `None`, the list is always read.
     pub(super) async fn read_list(
         &self,
         kind: FeedKind,
@@ -64,7 +67,8 @@
             if kind == FeedKind::Catalog {
                 self.record_catalog_read(listing.started_at);
             }
-            // A list that is older than what is known has nothing new; of one object nothing is missing.
+            // A list older than the known state contains nothing new and is read again. A kind with
+            // a single object needs no further list.
             if is_applied || kind.is_single_object() {
                 break newest;
             }
@@ -79,7 +83,7 @@
         Ok(())
     }
 
-    /// Reads the changes of a kind after a revision; the store may wait for one.
+    /// Reads the changes of a kind after a revision, for which the store may wait up to `wait`.
     pub(super) async fn read_changes(
         &self,
         kind: FeedKind,
@@ -96,10 +100,12 @@
         let reply = self.store.call(&call, purpose, wait, Some(&gate)).await?;
         let changes = (dialect.read_changes)(kind, &reply.body)?;
         let newest_revision = changes.revision;
-        // The store's revision rises with changes of other kinds too, so it does not tell.
+        // The store's revision also rises with changes of other kinds, so it does not show whether
+        // this kind changed.
         let is_new = changes.newest_change.is_some_and(|newest| newest > self.position(kind));
         if is_new {
-            // Other hosts have no use for the states before the newest, each of which may be a megabyte.
+            // Other hosts do not need the versions before the newest one, each of which may take a
+            // megabyte.
             let keeps_only_last = kind.is_single_object() && changes.changes.len() > 1;
             let bytes = match keeps_only_last {
                 true => (dialect.last_change)(&reply.body)?,
@@ -117,7 +123,7 @@
     }
 }
 
-/// Takes a reply that was not needed any more for one that came.
+/// Treats a reply that was dropped as unneeded like a successful one.
 pub(super) fn ignore_unneeded(e: Error) -> Result<()> {
     match e.code {
         Code::ReplyNotNeeded => Ok(()),
