--- a/crates/tidetrack-plane/src/attempt.rs
+++ b/crates/tidetrack-plane/src/attempt.rs
@@ -132,7 +132,7 @@
     if head.status != StatusCode::MISDIRECTED_REQUEST {
         (attempt.seen)(&facts);
     }
-    if facts.did_not_run || head.status == StatusCode::MISDIRECTED_REQUEST {
+    if facts.has_not_executed || head.status == StatusCode::MISDIRECTED_REQUEST {
         let text = format!("the endpoint refused with {}", head.status);
         let code = match head.status {
             StatusCode::MISDIRECTED_REQUEST => Code::EndpointMoved,
@@ -144,7 +144,7 @@
         return Err(refused);
     }
     let is_success = head.status.is_success();
-    if !facts.is_sealed || (is_success && facts.is_encoded) {
+    if !facts.has_response_seal || (is_success && facts.is_encoded) {
         let text = format!("an answer with {} that nobody vouches for", head.status);
         return Err(failed(Code::EndpointFailed, text, Executed::Unknown));
     }
--- a/crates/tidetrack-plane/src/dialect.rs
+++ b/crates/tidetrack-plane/src/dialect.rs
@@ -58,7 +58,7 @@
     /// Id of the last event relayed to the caller, if a stream is to be resumed.
     pub last_event: Option<u64>,
     /// Address of another endpoint that has the shared prefix cached.
-    pub prefix_from: Option<&'a str>,
+    pub prefix_cache_address: Option<&'a str>,
 }
 
 /// Load reported by an endpoint.
@@ -77,9 +77,9 @@
     pub attempt_id: Option<String>,
     /// Whether the endpoint marks the response as its own, so that it does not come from an
     /// intermediary.
-    pub is_sealed: bool,
+    pub has_response_seal: bool,
     /// Whether the endpoint reports that it did not execute the request.
-    pub did_not_run: bool,
+    pub has_not_executed: bool,
     /// The endpoint's load, if reported.
     pub load: Option<ReportedLoad>,
     /// Requests per second that the endpoint accepts from all hosts together, if reported.
@@ -227,16 +227,16 @@
 #[derive(Clone, Copy)]
 pub struct Dialect {
     /// Decodes the head of a caller's request.
-    pub read_request: fn(&HeaderMap) -> Result<RequestFacts>,
+    pub parse_request_head: fn(&HeaderMap) -> Result<RequestFacts>,
     /// Builds the head sent to the endpoint from the caller's.
-    pub endpoint_head: fn(&HeaderMap, &EndpointRequestInfo<'_>) -> HeaderMap,
+    pub build_endpoint_head: fn(&HeaderMap, &EndpointRequestInfo<'_>) -> HeaderMap,
     /// Decodes the head of an endpoint's response.
-    pub read_answer: fn(&HeaderMap) -> ResponseFacts,
+    pub parse_response_head: fn(&HeaderMap) -> ResponseFacts,
     /// Builds the head sent to the caller from the endpoint's.
-    pub caller_head: fn(HeaderMap) -> HeaderMap,
+    pub build_caller_head: fn(HeaderMap) -> HeaderMap,
     /// Builds the error response for a request that was not served, with the id of the attempt if
     /// it is known.
-    pub refusal: fn(&Error, Option<&str>) -> Response<Bytes>,
+    pub build_error_response: fn(&Error, Option<&str>) -> Response<Bytes>,
     /// Path of the readiness check.
     pub readiness_path: &'static str,
     /// Encoding used with the store.
--- a/crates/tidetrack-plane/src/exchange.rs
+++ b/crates/tidetrack-plane/src/exchange.rs
@@ -47,7 +47,7 @@
 pub async fn serve(traffic: Rc<Traffic>, req: Request<Incoming>) -> Response<AnswerBody> {
     let began = Instant::now();
     let in_flight = InFlight::new(&traffic);
-    let facts = (traffic.shared.dialect.read_request)(req.headers());
+    let facts = (traffic.shared.dialect.parse_request_head)(req.headers());
     let attempt_id = facts.as_ref().ok().and_then(|f| f.attempt_id.clone());
     let guard = LeaveGuard::new(&traffic, attempt_id.clone().unwrap_or_default());
     let resp = match prepare(&traffic, facts, req, began).await {
@@ -121,7 +121,7 @@
         ],
     );
     shared.metrics.record_request(route, &e.code.to_string());
-    let resp = (shared.dialect.refusal)(e, attempt_id);
+    let resp = (shared.dialect.build_error_response)(e, attempt_id);
     resp.map(AnswerBody::whole)
 }
 
@@ -416,6 +416,6 @@
     answered_line(traffic, job, chosen, model, head.status.as_u16());
     let mut resp = Response::new(AnswerBody::whole(body));
     *resp.status_mut() = head.status;
-    *resp.headers_mut() = (traffic.shared.dialect.caller_head)(head.headers);
+    *resp.headers_mut() = (traffic.shared.dialect.build_caller_head)(head.headers);
     Ok(resp)
 }
--- a/crates/tidetrack-plane/src/relay.rs
+++ b/crates/tidetrack-plane/src/relay.rs
@@ -131,7 +131,7 @@
         answered_line(&self.traffic, &self.job, chosen, model, status.as_u16());
         let mut resp = Response::new(body);
         *resp.status_mut() = status;
-        *resp.headers_mut() = (self.traffic.shared.dialect.caller_head)(head.headers);
+        *resp.headers_mut() = (self.traffic.shared.dialect.build_caller_head)(head.headers);
         tokio::task::spawn_local(self.run(tx, first, tries.clone()));
         Ok(resp)
     }
--- a/crates/tidetrack-plane/src/send.rs
+++ b/crates/tidetrack-plane/src/send.rs
@@ -88,7 +88,7 @@
     };
     let attempt = Attempt {
         pool: &traffic.pool,
-        read_answer: shared.dialect.read_answer,
+        read_answer: shared.dialect.parse_response_head,
         seen: &|facts| note_limit(traffic, chosen, facts),
         endpoint: chosen.id.as_str(),
         address: &chosen.address,
@@ -167,12 +167,12 @@
         rank: job.is_engine().then(|| job.admitted.rank()),
         model,
         last_event: last_event.or(job.facts.last_event),
-        prefix_from: chosen.prefix.source(),
+        prefix_cache_address: chosen.prefix.source(),
     };
     let mut req = Request::new(Full::new(job.body.clone()));
     *req.method_mut() = job.method.clone();
     *req.uri_mut() = job.uri.clone();
-    *req.headers_mut() = (traffic.shared.dialect.endpoint_head)(&job.head, &handover);
+    *req.headers_mut() = (traffic.shared.dialect.build_endpoint_head)(&job.head, &handover);
     req
 }
 
@@ -207,7 +207,7 @@
 /// Takes the limit that an endpoint names with an answer, or that it names none. A refusal may come from a part of it
 /// that knows of no limit, so one that names none says nothing.
 fn note_limit(traffic: &Traffic, chosen: &Chosen, facts: &ResponseFacts) {
-    if facts.did_not_run && facts.limit.is_none() {
+    if facts.has_not_executed && facts.limit.is_none() {
         return;
     }
     if chosen.live.update_reported_limit(facts.limit) {
--- a/crates/tidetrack-plane/src/socket.rs
+++ b/crates/tidetrack-plane/src/socket.rs
@@ -64,10 +64,10 @@
 pub struct MonitoredSocket {
     stream: TcpStream,
     peer_kind: PeerKind,
-    pinned_request: PinnedRequestFlag,
+    has_pinned_request: PinnedRequestFlag,
     timeout: Duration,
     /// Bytes written since the other end last sent any.
-    unread_bytes: usize,
+    unanswered_bytes: usize,
     /// Pending while written bytes may still be unacknowledged.
     quiet_timer: Option<Pin<Box<Sleep>>>,
 }
@@ -77,7 +77,7 @@
     pub fn new(
         stream: TcpStream,
         peer_kind: PeerKind,
-        pinned_request: PinnedRequestFlag,
+        has_pinned_request: PinnedRequestFlag,
     ) -> io::Result<MonitoredSocket> {
         stream.set_nodelay(true)?;
         let probes = TcpKeepalive::new()
@@ -85,13 +85,13 @@
             .with_interval(PROBE_INTERVAL)
             .with_retries(MAX_LOST_PROBES);
         SockRef::from(&stream).set_tcp_keepalive(&probes)?;
-        let (timeout, unread_bytes, quiet_timer) = (Duration::ZERO, 0, None);
+        let (timeout, unanswered_bytes, quiet_timer) = (Duration::ZERO, 0, None);
         let mut socket = MonitoredSocket {
             stream,
             peer_kind,
-            pinned_request,
+            has_pinned_request,
             timeout,
-            unread_bytes,
+            unanswered_bytes,
             quiet_timer,
         };
         socket.set_timeout(UNACKNOWLEDGED_TIMEOUT)?;
@@ -111,7 +111,7 @@
         if self.peer_kind == PeerKind::Internal {
             return Ok(());
         }
-        let fits_buffer = self.unread_bytes.saturating_add(bytes) <= MIN_RECEIVE_BUFFER_BYTES;
+        let fits_buffer = self.unanswered_bytes.saturating_add(bytes) <= MIN_RECEIVE_BUFFER_BYTES;
         self.set_timeout(if fits_buffer { UNACKNOWLEDGED_TIMEOUT } else { QUIET_TIMEOUT })?;
         let quiet_at = Instant::now() + QUIET_DELAY;
         match &mut self.quiet_timer {
@@ -128,7 +128,7 @@
         let timer = self.quiet_timer.as_mut();
         if timer.is_some_and(|timer| timer.as_mut().poll(cx).is_ready()) {
             self.quiet_timer = None;
-            if self.unread_bytes == 0 || self.pinned_request.get() {
+            if self.unanswered_bytes == 0 || self.has_pinned_request.get() {
                 self.set_timeout(QUIET_TIMEOUT)?;
             }
         }
@@ -137,7 +137,7 @@
 
     /// Records that the other end sent bytes, and has thus received what was written.
     fn record_read(&mut self) -> io::Result<()> {
-        self.unread_bytes = 0;
+        self.unanswered_bytes = 0;
         match (self.peer_kind, &self.quiet_timer) {
             (PeerKind::Endpoint, None) => self.set_timeout(QUIET_TIMEOUT),
             _ => Ok(()),
@@ -146,7 +146,7 @@
 
     fn record_write(&mut self, polled: &Poll<io::Result<usize>>) {
         if let Poll::Ready(Ok(bytes)) = polled {
-            self.unread_bytes = self.unread_bytes.saturating_add(*bytes);
+            self.unanswered_bytes = self.unanswered_bytes.saturating_add(*bytes);
         }
     }
 }
--- a/crates/tidetrack-plane/src/watch/mod.rs
+++ b/crates/tidetrack-plane/src/watch/mod.rs
@@ -95,8 +95,8 @@
         let lookup = move |kind, after| reply_source.changes_after(kind, after);
         let address = shared.settings.peer_address;
         tokio::task::spawn_local(feed::serve(shared, address, lookup));
-        let pool_owner = store_sync.clone();
-        tokio::task::spawn_local(async move { pool_owner.host_pool.keep_swept(|_| true).await });
+        let sync_for_pool = store_sync.clone();
+        tokio::task::spawn_local(async move { sync_for_pool.host_pool.keep_swept(|_| true).await });
         store_sync
     }
 
--- a/crates/tidetrack-plane/src/watch/proof.rs
+++ b/crates/tidetrack-plane/src/watch/proof.rs
@@ -31,13 +31,13 @@
     /// proof has arrived from another host for a while.
     pub(super) async fn maintain_proof(self: Rc<Self>) {
         let mut pause = INITIAL_PAUSE;
-        let mut hash_fraction = rand::random();
+        let mut random_fraction = rand::random();
         loop {
             tokio::time::sleep(PROOF_POLL_INTERVAL).await;
             let roles = *self.roles.borrow();
             let max_age = match roles.is_prover {
                 true => PROOF_INTERVAL,
-                false => LOCAL_PROOF_AGE + stagger_delay(hash_fraction, roles.host_count),
+                false => LOCAL_PROOF_AGE + stagger_delay(random_fraction, roles.host_count),
             };
             let after = self.position(FeedKind::Catalog);
             let age = self.shared.freshness.age(self.shared.now());
@@ -56,7 +56,7 @@
             if (age < max_age && !has_recovered) || is_receiving {
                 continue;
             }
-            hash_fraction = rand::random();
+            random_fraction = rand::random();
             let read =
                 self.read_changes_or_list(FeedKind::Catalog, after, Millis(0), CallReason::Proof);
             match read.await.or_else(ignore_unneeded) {
--- a/crates/tidetrack-router/src/errands.rs
+++ b/crates/tidetrack-router/src/errands.rs
@@ -145,7 +145,7 @@
     let attempt_id = head.get(headers::ATTEMPT).and_then(|v| v.to_str().ok());
     ResponseFacts {
         attempt_id: attempt_id.map(str::to_string),
-        is_sealed: true,
+        has_response_seal: true,
         ..ResponseFacts::default()
     }
 }
