--- a/crates/tidetrack-plane/src/feed.rs
+++ b/crates/tidetrack-plane/src/feed.rs
@@ -175,15 +175,18 @@
 ) -> Result<(FeedReply, Reply)> {
     let mut req = Request::new(Full::new(Bytes::new()));
     let path = format!("/changes/{kind:?}/{after}");
-    *req.uri_mut() = path.parse().map_err(|e| down(format!("{path}: {e}")))?;
+    *req.uri_mut() = path.parse().map_err(|e| down(format!("invalid path {path}: {e}")))?;
     let address = address.to_string();
     let patience = Patience { head: REPLY_STALL_TIMEOUT, part: REPLY_STALL_TIMEOUT };
     let response = call(pool, &address, &address, req, patience, Some(gate)).await?;
     if response.status != StatusCode::OK {
-        return Err(down(format!("the host answered {}", response.status)));
+        return Err(down(format!("the host returned status {}", response.status)));
     }
     let reply = postcard::from_bytes(&response.body);
-    Ok((reply.map_err(|e| down(format!("changes that cannot be read: {e}")))?, response))
+    Ok((
+        reply.map_err(|e| down(format!("the changes from the host cannot be decoded: {e}")))?,
+        response,
+    ))
 }
 
 /// Serves this host's changes to other hosts until the process ends. `lookup` returns the changes
--- a/crates/tidetrack-plane/src/host.rs
+++ b/crates/tidetrack-plane/src/host.rs
@@ -134,8 +134,10 @@
     fn log_reload(&self, settings: Result<HostSettings>) {
         let outcome = match settings {
             Ok(new) if new == self.shared.settings => "unchanged".to_string(),
-            Ok(_) => "changed; in force from the next start".to_string(),
-            Err(e) => format!("not readable, the old ones stay: {e:#}"),
+            Ok(_) => "changed; the new settings apply from the next start".to_string(),
+            Err(e) => {
+                format!("the settings cannot be read, the previous ones stay in force: {e:#}")
+            }
         };
         self.shared.journal.log(Event::SettingsReloaded, &[("outcome", &outcome)]);
     }
--- a/crates/tidetrack-plane/src/peers.rs
+++ b/crates/tidetrack-plane/src/peers.rs
@@ -45,7 +45,10 @@
             let result =
                 postcard::to_allocvec(message).map_err(|e| e.to_string()).and_then(|bytes| {
                     if bytes.len() > MAX_MESSAGE_BYTES {
-                        return Err(format!("{} bytes", bytes.len()));
+                        return Err(format!(
+                            "the message of {} bytes exceeds the size limit",
+                            bytes.len()
+                        ));
                     }
                     self.socket.try_send_to(&bytes, *address).map_err(|e| e.to_string())
                 });
--- a/crates/tidetrack-plane/src/store.rs
+++ b/crates/tidetrack-plane/src/store.rs
@@ -150,7 +150,8 @@
         let patience = Patience { head: wait + CALL_TIMEOUT, part: CALL_TIMEOUT };
         let mut req = Request::new(Full::new(call.body.clone()));
         *req.method_mut() = call.method.clone();
-        *req.uri_mut() = call.path.parse().map_err(|e| down(format!("{}: {e}", call.path)))?;
+        *req.uri_mut() =
+            call.path.parse().map_err(|e| down(format!("invalid path {}: {e}", call.path)))?;
         if !call.body.is_empty() {
             let json_type = http::HeaderValue::from_static("application/json");
             req.headers_mut().insert(http::header::CONTENT_TYPE, json_type);
@@ -158,13 +159,20 @@
         let reply = call::call(&self.pool, POOL_KEY, &self.address, req, patience, gate).await?;
         match reply.status {
             StatusCode::OK | StatusCode::CREATED => Ok(reply),
-            StatusCode::NOT_FOUND => Err(Error::new(Code::ObjectGone, "no such object")),
-            StatusCode::CONFLICT => Err(Error::new(Code::Conflict, "it was changed meanwhile")),
-            StatusCode::GONE => Err(Error::new(Code::HistoryGone, "the history is gone")),
+            StatusCode::NOT_FOUND => {
+                Err(Error::new(Code::ObjectGone, "the object does not exist in the store"))
+            }
+            StatusCode::CONFLICT => {
+                Err(Error::new(Code::Conflict, "the object was changed by another writer"))
+            }
+            StatusCode::GONE => Err(Error::new(
+                Code::HistoryGone,
+                "the store does not keep the requested changes any more",
+            )),
             StatusCode::TOO_MANY_REQUESTS => {
-                Err(Error::new(Code::PlatformBusy, "the store is over its rate"))
+                Err(Error::new(Code::PlatformBusy, "the rate limit of the store is exceeded"))
             }
-            status => Err(down(format!("the store answered {status}"))),
+            status => Err(down(format!("the store returned status {status}"))),
         }
     }
 
--- a/crates/tidetrack-plane/src/watch/fetch.rs
+++ b/crates/tidetrack-plane/src/watch/fetch.rs
@@ -20,8 +20,8 @@
 use super::StoreSync;
 
 impl StoreSync {
-    /// Fetches changes that another host reported. Does nothing if a first list of the kind is
-    /// already being read.
+    /// Fetches changes that another host reported. Does not read a first list of a kind from the
+    /// store while another such read is in progress.
     pub async fn fetch(self: Rc<Self>, fetch: Fetch) {
         let (kind, after) = (fetch.kind, fetch.after);
         let is_first_list = after == 0 && fetch.source == FetchSource::Store;
--- a/crates/tidetrack-plane/src/watch/follow.rs
+++ b/crates/tidetrack-plane/src/watch/follow.rs
@@ -107,7 +107,7 @@
         tokio::time::sleep_until((self.started_at + self.initial_watch_delay()).into()).await;
         loop {
             if roles.wait_for(|roles| roles.is_watcher).await.is_err() {
-                return Error::new(Code::Internal, "the control thread ends");
+                return Error::new(Code::Internal, "the control thread has ended");
             }
             let before = self.position(kind);
             let read = self.read_changes_or_list(kind, before, WATCH_WAIT, CallReason::Watch);
