--- a/crates/tidetrack-plane/src/watch/apply.rs
+++ b/crates/tidetrack-plane/src/watch/apply.rs
@@ -12,8 +12,8 @@
 
 use super::StoreSync;
 
-/// Transfer time from which a reply is logged like a large one. The store is in the same region, so
-/// smaller replies are usually faster.
+/// Transfer time of a body from which its reply is logged individually, like a large one. The store
+/// is in the same region, so replies normally take less.
 const SLOW_REPLY_TIME: Duration = Duration::from_millis(300);
 
 /// Source of a reply with changes, in logs and metrics.
--- a/crates/tidetrack-plane/src/watch/follow.rs
+++ b/crates/tidetrack-plane/src/watch/follow.rs
@@ -84,7 +84,7 @@
     /// Brings a kind to the state of the store and follows its changes until a call fails. Returns
     /// the error.
     async fn follow(&self, kind: FeedKind) -> Error {
-        let sync_events = match self.position(kind) {
+        let sync_result = match self.position(kind) {
             0 => {
                 self.wait_until_synced(kind).await;
                 Ok(())
@@ -99,7 +99,7 @@
                 read.await.or_else(ignore_unneeded)
             }
         };
-        if let Err(e) = sync_events {
+        if let Err(e) = sync_result {
             return e;
         }
         self.record_recovery(kind);
