--- a/crates/tidetrack-plane/src/feed.rs
+++ b/crates/tidetrack-plane/src/feed.rs
@@ -71,7 +71,7 @@
     /// Revision up to which all changes are known.
     newest_revision: u64,
     batches: VecDeque<ChangeBatch>,
-    bytes: usize,
+    total_bytes: usize,
 }
 
 impl FeedLog {
@@ -120,11 +120,11 @@
             *self = FeedLog { is_single_object: true, ..FeedLog::default() };
         }
         self.newest_revision = batch.newest_revision;
-        self.bytes += batch.bytes.len();
+        self.total_bytes += batch.bytes.len();
         self.batches.push_back(batch);
-        while self.bytes > MAX_LOG_BYTES && self.batches.len() > 1 {
+        while self.total_bytes > MAX_LOG_BYTES && self.batches.len() > 1 {
             if let Some(oldest) = self.batches.pop_front() {
-                self.bytes -= oldest.bytes.len();
+                self.total_bytes -= oldest.bytes.len();
                 self.base_revision = oldest.newest_revision;
                 self.list = None;
             }
--- a/crates/tidetrack-plane/src/journal.rs
+++ b/crates/tidetrack-plane/src/journal.rs
@@ -50,10 +50,10 @@
             "level" => slog::FnValue(|r: &Record<'_>| r.level().as_short_str()),
             "msg" => slog::PushFnValue(|r: &Record<'_>, ser| ser.emit(r.msg())),
         ));
-        let written = json.build().log(record, values);
+        let serialize_result = json.build().log(record, values);
         self.pending_lines.fetch_add(1, Ordering::AcqRel);
-        let queued = written.is_ok() && self.queue.try_send(line).is_ok();
-        match queued {
+        let is_queued = serialize_result.is_ok() && self.queue.try_send(line).is_ok();
+        match is_queued {
             true => drop(self.dropped_count.fetch_sub(dropped_count, Ordering::Relaxed)),
             false => {
                 self.pending_lines.fetch_sub(1, Ordering::AcqRel);
--- a/crates/tidetrack-plane/src/watch/apply.rs
+++ b/crates/tidetrack-plane/src/watch/apply.rs
@@ -52,10 +52,10 @@
         let newest = changes.newest_change.unwrap_or(batch.newest_revision);
         // A reply may have a later store revision than the known state and still contain only known
         // changes.
-        if newest <= self.position(kind) || !self.log(kind, |log| log.push(batch)) {
+        if newest <= self.position(kind) || !self.with_log(kind, |log| log.push(batch)) {
             return;
         }
-        self.newest.borrow_mut().raise(kind, newest);
+        self.newest_changes.borrow_mut().raise(kind, newest);
         // Of several versions of a single object only the last one is applied. The others must not
         // take effect even for a moment.
         let last = changes.changes.len().saturating_sub(1);
@@ -94,10 +94,10 @@
         // kind with a single object it only counts as new if the object changed; otherwise each
         // host would fetch another copy of a configuration that it already has.
         let newest = if kind.is_single_object() { newest } else { list.revision };
-        if !self.log(kind, |log| log.reset_to_list(list)) {
+        if !self.with_log(kind, |log| log.reset_to_list(list)) {
             return false;
         }
-        self.newest.borrow_mut().raise(kind, newest);
+        self.newest_changes.borrow_mut().raise(kind, newest);
         let mut endpoints = Vec::new();
         let mut rollouts = Vec::new();
         for object in objects {
--- a/crates/tidetrack-plane/src/watch/fetch.rs
+++ b/crates/tidetrack-plane/src/watch/fetch.rs
@@ -48,7 +48,7 @@
         self.large_replies[kind as usize].is_free().await;
         self.has_waiting_fetch.borrow_mut()[kind as usize] = false;
         let result = match fetch.source {
-            _ if self.newest(kind) > after => Err(needless()),
+            _ if self.newest_change(kind) > after => Err(needless()),
             FetchSource::Host(address) => self.fetch_from_host(kind, after, address).await,
             // Of a single object only the newest version is needed, and a host without any state
             // needs the whole list.
@@ -62,7 +62,7 @@
         };
         // A slow reply that was dropped in favour of another one delivered nothing, so the next
         // attempt uses another source.
-        let is_known = self.newest(kind) > after;
+        let is_known = self.newest_change(kind) > after;
         self.shared.metrics.record_feed_call(match (&result, fetch.source) {
             (Err(e), _) if e.code == Code::ReplyNotNeeded && is_known => "known",
             (Ok(()), FetchSource::Host(_)) => "host",
@@ -92,7 +92,7 @@
         let requested_at = self.shared.now();
         let (feed_reply, response) =
             feed::fetch_changes(&self.host_pool, address, kind, after, &gate).await?;
-        let before = self.newest(kind);
+        let before = self.newest_change(kind);
         if let Some(list) = feed_reply.list {
             let (mut objects, mut unreadable, mut newest) = (Vec::new(), Vec::new(), 0);
             for page in &list.pages {
@@ -108,9 +108,9 @@
             let changes = (self.shared.dialect.store.read_changes)(kind, &batch.bytes)?;
             self.apply_changes(kind, changes, batch);
         }
-        let is_new = self.newest(kind) > before;
+        let is_new = self.newest_change(kind) > before;
         self.record_reply(kind, SOURCE_HOST, response.body.len(), response.body_time, is_new);
-        self.log(kind, |log| log.advance(feed_reply.complete_to));
+        self.with_log(kind, |log| log.advance(feed_reply.complete_to));
         self.report_position(kind, None);
         if let Some(age) = feed_reply.proof_age {
             // The proof is sent after the configuration, which is as new as the sender's, so the
--- a/crates/tidetrack-plane/src/watch/mod.rs
+++ b/crates/tidetrack-plane/src/watch/mod.rs
@@ -45,7 +45,7 @@
     /// The latest changes, by kind.
     logs: RefCell<[FeedLog; 3]>,
     /// Revision of the newest known change, by kind.
-    newest: RefCell<Revisions>,
+    newest_changes: RefCell<Revisions>,
     /// Serializes the large replies of each kind.
     large_replies: [OneAtATime; 3],
     /// By kind, whether a fetch is waiting for a large reply to finish.
@@ -77,7 +77,7 @@
             store,
             host_pool: Pool::default(),
             logs: RefCell::new(FeedKind::ALL.map(FeedLog::new)),
-            newest: RefCell::default(),
+            newest_changes: RefCell::default(),
             large_replies: Default::default(),
             has_waiting_fetch: RefCell::default(),
             is_listing: RefCell::default(),
@@ -100,25 +100,25 @@
         store_sync
     }
 
-    fn log<T>(&self, kind: FeedKind, f: impl FnOnce(&mut FeedLog) -> T) -> T {
+    fn with_log<T>(&self, kind: FeedKind, f: impl FnOnce(&mut FeedLog) -> T) -> T {
         f(&mut self.logs.borrow_mut()[kind as usize])
     }
 
     /// Returns what another host needs to get from a revision to the newest one. The configuration
     /// is sent with its proof, as a starting host would otherwise have to request one next.
     fn changes_after(&self, kind: FeedKind, after: u64) -> Option<FeedReply> {
-        let reply = self.log(kind, |log| log.changes_after(after))?;
+        let reply = self.with_log(kind, |log| log.changes_after(after))?;
         let age = self.shared.freshness.age(self.shared.now());
         Some(FeedReply { proof_age: age.filter(|_| kind == FeedKind::Catalog), ..reply })
     }
 
     fn position(&self, kind: FeedKind) -> u64 {
-        self.log(kind, |log| log.position())
+        self.with_log(kind, |log| log.position())
     }
 
     /// Returns the revision of the newest known change of a kind.
-    fn newest(&self, kind: FeedKind) -> u64 {
-        self.newest.borrow().get(kind)
+    fn newest_change(&self, kind: FeedKind) -> u64 {
+        self.newest_changes.borrow().get(kind)
     }
 
     /// Returns the gate for a reply requested after a revision. A large reply is not read if newer
@@ -127,7 +127,9 @@
     fn reply_gate(&self, kind: FeedKind, after: Option<u64>) -> Gate<'_> {
         Gate {
             turns: &self.large_replies[kind as usize],
-            is_needless: Box::new(move || after.is_some_and(|after| self.newest(kind) > after)),
+            is_needless: Box::new(move || {
+                after.is_some_and(|after| self.newest_change(kind) > after)
+            }),
             is_coming: Box::new(move || self.shared.send_input(Input::ReplyStarted(kind))),
         }
     }
--- a/crates/tidetrack-plane/src/watch/read.rs
+++ b/crates/tidetrack-plane/src/watch/read.rs
@@ -58,11 +58,11 @@
             let (revision, newest) = (listing.revision, listing.newest_change);
             let pages: Vec<Vec<u8>> = listing.pages.iter().map(|page| page.to_vec()).collect();
             let bytes = pages.iter().map(Vec::len).sum();
-            let before = self.newest(kind);
+            let before = self.newest_change(kind);
             let list = ListSnapshot { revision, pages };
             let is_applied =
                 self.apply_list(kind, listing.objects, &listing.unreadable, list, newest);
-            let is_new = is_applied && self.newest(kind) > before;
+            let is_new = is_applied && self.newest_change(kind) > before;
             self.record_reply(kind, SOURCE_STORE, bytes, listing.body_time, is_new);
             if kind == FeedKind::Catalog {
                 self.record_catalog_read(listing.started_at);
@@ -78,7 +78,7 @@
             let since = self.read_changes(kind, self.position(kind), Millis(0), reason).await;
             since.or_else(ignore_unneeded)?;
         } else if !is_first {
-            self.report_position(kind, Some(self.newest(kind)));
+            self.report_position(kind, Some(self.newest_change(kind)));
         }
         Ok(())
     }
@@ -114,7 +114,7 @@
             self.apply_changes(kind, changes, ChangeBatch { newest_revision, bytes });
         }
         self.record_reply(kind, SOURCE_STORE, reply.body.len(), reply.body_time, is_new);
-        self.log(kind, |log| log.advance(newest_revision));
+        self.with_log(kind, |log| log.advance(newest_revision));
         self.report_position(kind, None);
         if kind == FeedKind::Catalog {
             self.record_catalog_read(started_at);
