--- a/crates/tidetrack-plane/src/attempt.rs
+++ b/crates/tidetrack-plane/src/attempt.rs
@@ -12,7 +12,7 @@
 use tidetrack_core::disconnect::{format_error_chain, DisconnectCause};
 use tidetrack_core::errors::{Error, Result};
 
-use crate::dialect::AnswerFacts;
+use crate::dialect::ResponseFacts;
 use crate::pool::{disconnect_cause, Lease, Pool};
 
 /// Maximum size in bytes of a response body that is buffered before it is forwarded.
@@ -23,7 +23,7 @@
     /// Status and headers.
     pub head: http::response::Parts,
     /// Information parsed from the headers.
-    pub facts: AnswerFacts,
+    pub facts: ResponseFacts,
     /// Body, of which nothing has been read yet.
     pub body: Incoming,
     /// Connection that the body arrives on.
@@ -57,10 +57,10 @@
     /// Pool that the connection is taken from and returned to.
     pub pool: &'a Pool,
     /// Parses the head of a response.
-    pub read_answer: fn(&HeaderMap) -> AnswerFacts,
+    pub read_answer: fn(&HeaderMap) -> ResponseFacts,
     /// Called with the parsed head of each response of the endpoint, including refusals, but not
     /// with responses of status 421.
-    pub on_head: &'a dyn Fn(&AnswerFacts),
+    pub on_head: &'a dyn Fn(&ResponseFacts),
     /// Name of the endpoint, which is the key of its connections in the pool.
     pub endpoint: &'a str,
     /// IP address and port of the endpoint.
@@ -146,7 +146,7 @@
     if head.status != StatusCode::MISDIRECTED_REQUEST {
         (attempt.on_head)(&facts);
     }
-    if facts.did_not_run || head.status == StatusCode::MISDIRECTED_REQUEST {
+    if facts.has_not_executed || head.status == StatusCode::MISDIRECTED_REQUEST {
         let text = format!("the endpoint refused the request with status {}", head.status);
         let code = match head.status {
             StatusCode::MISDIRECTED_REQUEST => Code::EndpointMoved,
@@ -158,7 +158,7 @@
         return Err(refusal);
     }
     let is_success = head.status.is_success();
-    if !facts.is_sealed || (is_success && facts.is_encoded) {
+    if !facts.has_response_seal || (is_success && facts.is_encoded) {
         let text = format!(
             "the response with status {} has no seal of the endpoint or its body is encoded",
             head.status
--- a/crates/tidetrack-plane/src/choose.rs
+++ b/crates/tidetrack-plane/src/choose.rs
@@ -46,11 +46,11 @@
         return Ok(());
     }
     shared.suspects.check(now, job.fingerprint)?;
-    let revocation_bound = shared.settings.bounds.revoke_within;
+    let revocation_bound = shared.settings.bounds.revocation_bound;
     let needs_config_proof = attempts.sent_count == 0 && job.admitted.holder.is_some();
     if needs_config_proof
         && revocation_bound.is_some_and(|revocation_bound| {
-            !shared.fresh.permits_keyed_requests(now, revocation_bound)
+            !shared.freshness.permits_keyed_requests(now, revocation_bound)
         })
     {
         return Err(admission::stale_config_error());
@@ -83,7 +83,7 @@
         .ok_or_else(|| overloaded_error("no endpoint of the service is known"))?;
     let session_hash = job.session_hash();
     let now = traffic.shared.now();
-    let hold_for = traffic.shared.settings.bounds.session_time + TYPICAL_MAX_ATTEMPT_TIME;
+    let hold_for = traffic.shared.settings.bounds.session_timeout + TYPICAL_MAX_ATTEMPT_TIME;
     let chosen_track = service.side(now, session_hash, hold_for);
     let prompt = PromptPlacement::new(traffic, job, service, model);
     let mut last_error = overloaded_error("no endpoint of the service is usable");
@@ -94,7 +94,10 @@
                     service.prefixes.record_use(now, prefix_key, EndpointKey::from(&chosen.id));
                 }
                 if service.canary.is_some() {
-                    traffic.shared.metrics.version_send(job.service.as_str(), track.as_str());
+                    traffic
+                        .shared
+                        .metrics
+                        .record_version_send(job.service.as_str(), track.as_str());
                 }
                 match track {
                     ReleaseTrack::Stable => service.exposure.hold(now, session_hash, hold_for),
--- a/crates/tidetrack-plane/src/crash.rs
+++ b/crates/tidetrack-plane/src/crash.rs
@@ -118,7 +118,7 @@
             tokio::time::sleep(SECOND_PROBE_DELAY).await;
             is_ended = *probe.second_result.get_or_init(|| has_ended(Duration::MAX)).await;
         }
-        traffic.shared.metrics.cut(is_ended);
+        traffic.shared.metrics.record_interrupted_attempt(is_ended);
         if is_ended {
             probe.end_detected_at.set(probe.end_detected_at.get().or_else(|| Some(Instant::now())));
             self.record_crash(&traffic);
@@ -135,8 +135,8 @@
         let crashes =
             shared.suspects.record_crash(now, self.fingerprint, id, failure_domain, sent_at);
         // Makes the control thread report the crash to other hosts, within 100 ms.
-        shared.tell(Input::Tick);
-        shared.journal.line(
+        shared.send_input(Input::Tick);
+        shared.journal.log(
             Event::EndpointCrashed,
             &[
                 ("request", &self.request),
--- a/crates/tidetrack-plane/src/exchange.rs
+++ b/crates/tidetrack-plane/src/exchange.rs
@@ -30,7 +30,7 @@
 use crate::choose::{
     check_before_send, choose, model_weight, overloaded_error, RETRY_OVERLOADED_MS,
 };
-use crate::clock::Moment;
+use crate::clock::BootInstant;
 use crate::crash::detect_crash;
 use crate::dialect::RequestFacts;
 use crate::job::{AttemptHistory, ChosenEndpoint, InFlight, Job, PendingWork, Traffic};
@@ -50,7 +50,7 @@
 pub async fn serve(traffic: Rc<Traffic>, req: Request<Incoming>) -> Response<ResponseBody> {
     let started_at = Instant::now();
     let in_flight = InFlight::new(&traffic);
-    let facts = (traffic.shared.dialect.read_request)(req.headers());
+    let facts = (traffic.shared.dialect.parse_request_head)(req.headers());
     let attempt_id = facts.as_ref().ok().and_then(|f| f.attempt_id.clone());
     let guard = DisconnectGuard::new(&traffic, attempt_id.clone().unwrap_or_default());
     let resp = match prepare(&traffic, facts, req, started_at).await {
@@ -94,7 +94,7 @@
 impl Drop for DisconnectGuard {
     fn drop(&mut self) {
         if self.is_armed {
-            self.traffic.shared.journal.line(Event::CallerLeft, &[("request", &self.id)]);
+            self.traffic.shared.journal.log(Event::CallerLeft, &[("request", &self.id)]);
         }
     }
 }
@@ -111,7 +111,7 @@
     let executed = format!("{:?}", e.executed);
     let elapsed_ms = started_at.elapsed().as_millis();
     let retry_after_ms = e.retry_after_ms.unwrap_or(0);
-    shared.journal.line(
+    shared.journal.log(
         Event::RequestRefused,
         &[
             ("request", &attempt_id.unwrap_or("-")),
@@ -123,8 +123,8 @@
             ("ms", &elapsed_ms),
         ],
     );
-    shared.metrics.request(route, &e.code.to_string());
-    let resp = (shared.dialect.refusal)(e, attempt_id);
+    shared.metrics.record_request(route, &e.code.to_string());
+    let resp = (shared.dialect.build_error_response)(e, attempt_id);
     resp.map(ResponseBody::from_bytes)
 }
 
@@ -152,11 +152,11 @@
     };
     wait_until_ready(traffic, facts.time_left).await;
     let view = shared.view.load_full();
-    let revocation_bound = shared.settings.bounds.revoke_within;
+    let revocation_bound = shared.settings.bounds.revocation_bound;
     let catalog = view.catalog.as_deref();
     let admitted = admission::admit(
         catalog,
-        &shared.fresh,
+        &shared.freshness,
         shared.now(),
         revocation_bound,
         admission_request,
@@ -166,8 +166,10 @@
     let route_timeout = Duration::from_millis(route.timeout.0);
     let timeout =
         facts.time_left.map_or(route_timeout, |t| route_timeout.min(Duration::from_millis(t.0)));
-    let (deadline, suspend_aware_deadline) =
-        (started_at + timeout, Moment::now().after(timeout.saturating_sub(started_at.elapsed())));
+    let (deadline, suspend_aware_deadline) = (
+        started_at + timeout,
+        BootInstant::now().saturating_add(timeout.saturating_sub(started_at.elapsed())),
+    );
     let body = read_body(body, limits.max_body_bytes, deadline).await?;
     let fingerprint = Fingerprint::of(&RequestIdentity {
         workspace: admitted.holder.as_ref().map(|h| &h.workspace),
@@ -182,8 +184,8 @@
     let target = route.pick_target(hash_fraction("target", &id)).cloned();
     let service =
         target.ok_or_else(|| Error::new(Code::UnknownRoute, "the route has no target service"))?;
-    let config_age_ms = shared.fresh.age(shared.now()).map_or(-1, |a| a.0 as i64);
-    shared.journal.routine(
+    let config_age_ms = shared.freshness.age(shared.now()).map_or(-1, |a| a.0 as i64);
+    shared.journal.log_routine(
         Event::RequestAdmitted,
         &[
             ("request", &id),
@@ -463,6 +465,6 @@
     record_response(traffic, job, chosen, model, head.status.as_u16());
     let mut resp = Response::new(ResponseBody::from_bytes(body));
     *resp.status_mut() = head.status;
-    *resp.headers_mut() = (traffic.shared.dialect.caller_head)(head.headers);
+    *resp.headers_mut() = (traffic.shared.dialect.build_caller_head)(head.headers);
     Ok(resp)
 }
--- a/crates/tidetrack-plane/src/feed.rs
+++ b/crates/tidetrack-plane/src/feed.rs
@@ -1,8 +1,9 @@
-//! Changes of the store, passed from host to host.
+//! Relays store changes between hosts.
 //!
-//! Each host keeps the newest changes it got, as the store told them, and gives them to hosts that
-//! ask. The question is a plain HTTP request on a kept connection: the reply is bytes of the store,
-//! which a remote procedure call would only wrap once more.
+//! Each host keeps the latest changes it received, as the encoded replies of the store, and serves
+//! them to other hosts on request. The protocol is plain HTTP on persistent connections: the
+//! payload consists of bytes of the store, to which a remote procedure call would only add another
+//! envelope.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -29,206 +30,236 @@
 use crate::server::{listen, serve_pages};
 use crate::shared::{Shared, SharedRef};
 
-/// Bytes of changes kept of a kind. A configuration of some hundred routes is about 100 KB; the memory
-/// of a host is priced.
-const MOST_KEPT: usize = 256 << 10;
+/// Maximum bytes of changes kept per kind. A configuration with a few hundred routes takes about
+/// 100 KB; the limit is low because the memory of a host has a cost.
+const MAX_LOG_BYTES: usize = 256 << 10;
 
-/// Longest time that an answer of another host stands still, in which the change can still be got elsewhere.
-const ANSWER_WITHIN: Duration = Duration::from_millis(350);
+/// Time without data after which a reply of another host is given up. It leaves enough time to
+/// fetch the change from another source.
+const REPLY_STALL_TIMEOUT: Duration = Duration::from_millis(350);
 
-/// Bytes of a reply that go out at a time.
-const PIECE: usize = 32 << 10;
+/// Maximum size of one body frame, in bytes.
+const MAX_FRAME_BYTES: usize = 32 << 10;
 
-/// Some changes, as the store told them at one time.
+/// Changes that the store returned in one reply.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Chunk {
-    /// All changes up to this revision are told with it and those before it.
-    pub to: u64,
-    /// The store's reply.
+pub struct ChangeBatch {
+    /// Revision up to which this batch, together with all earlier ones, contains every change.
+    pub newest_revision: u64,
+    /// The encoded reply of the store.
     pub bytes: Vec<u8>,
 }
 
-/// A list of a kind, as the store told it.
+/// All objects of a kind at one revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ListChunk {
-    /// The revision it was taken at.
-    pub at: u64,
-    /// The store's replies, page by page.
+pub struct ListSnapshot {
+    /// The store revision of the list.
+    pub revision: u64,
+    /// The encoded replies of the store, one per page.
     pub pages: Vec<Vec<u8>>,
 }
 
-/// The newest changes of a kind.
+/// The latest changes of a kind, with the list that they follow if it is still kept.
 #[derive(Clone, Debug, Default)]
 pub struct FeedLog {
-    /// Whether the newest change tells all of the kind.
-    is_one_object: bool,
-    /// The list that the changes follow, until the oldest of them have been dropped.
-    list: Option<ListChunk>,
-    /// Changes after this revision are kept.
-    base: u64,
-    /// All changes up to this revision are known.
-    to: u64,
-    chunks: VecDeque<Chunk>,
-    bytes: usize,
+    /// Whether the kind has a single object, so that its newest change replaces all earlier ones.
+    is_single_object: bool,
+    /// The list that the batches follow. `None` once the oldest batch has been dropped.
+    list: Option<ListSnapshot>,
+    /// Revision after which all changes are kept.
+    base_revision: u64,
+    /// Revision up to which all changes are known.
+    newest_revision: u64,
+    batches: VecDeque<ChangeBatch>,
+    total_bytes: usize,
 }
 
 impl FeedLog {
-    /// Makes the log of a kind of which nothing is known.
-    pub fn of(kind: FeedKind) -> FeedLog {
-        FeedLog { is_one_object: kind.is_single_object(), ..FeedLog::default() }
+    /// Creates an empty log for a kind.
+    pub fn new(kind: FeedKind) -> FeedLog {
+        FeedLog { is_single_object: kind.is_single_object(), ..FeedLog::default() }
     }
 
-    /// Gets the revision up to which all changes are known; 0 if the kind was never listed.
+    /// Returns the revision up to which all changes are known, or 0 if nothing of the kind has been
+    /// received.
     pub fn position(&self) -> u64 {
-        self.to
+        self.newest_revision
     }
 
-    /// Begins anew after a list; tells whether it is as new as what is known.
-    pub fn listed(&mut self, list: ListChunk) -> bool {
-        if list.at < self.to {
+    /// Replaces the log by a list. Returns false, without replacing it, if the list is older than
+    /// the log.
+    pub fn reset_to_list(&mut self, list: ListSnapshot) -> bool {
+        if list.revision < self.newest_revision {
             return false;
         }
-        let (at, is_one_object) = (list.at, self.is_one_object);
-        *self = FeedLog { is_one_object, base: at, to: at, list: Some(list), ..FeedLog::default() };
+        let (revision, is_single_object) = (list.revision, self.is_single_object);
+        *self = FeedLog {
+            is_single_object,
+            base_revision: revision,
+            newest_revision: revision,
+            list: Some(list),
+            ..FeedLog::default()
+        };
         true
     }
 
-    /// Takes note that nothing else changed up to `to`.
-    pub fn advance(&mut self, to: u64) {
-        self.to = self.to.max(to);
+    /// Records that there are no further changes up to `newest_revision`.
+    pub fn advance(&mut self, newest_revision: u64) {
+        self.newest_revision = self.newest_revision.max(newest_revision);
     }
 
-    /// Keeps changes; tells whether they are new. Old ones must not be applied, for they would undo
-    /// later ones.
-    pub fn push(&mut self, chunk: Chunk) -> bool {
-        if chunk.to <= self.to {
+    /// Appends a batch. Returns false if its changes are known already; the caller must not apply
+    /// them then, since they would undo later ones.
+    pub fn push(&mut self, batch: ChangeBatch) -> bool {
+        if batch.newest_revision <= self.newest_revision {
             return false;
         }
-        if self.is_one_object {
-            // What came before is of no use to anybody, and may be a megabyte.
-            *self = FeedLog { is_one_object: true, ..FeedLog::default() };
+        if self.is_single_object {
+            // Earlier versions of the single object are not needed any more, and may take a
+            // megabyte.
+            *self = FeedLog { is_single_object: true, ..FeedLog::default() };
         }
-        self.to = chunk.to;
-        self.bytes += chunk.bytes.len();
-        self.chunks.push_back(chunk);
-        while self.bytes > MOST_KEPT && self.chunks.len() > 1 {
-            if let Some(oldest) = self.chunks.pop_front() {
-                self.bytes -= oldest.bytes.len();
-                self.base = oldest.to;
+        self.newest_revision = batch.newest_revision;
+        self.total_bytes += batch.bytes.len();
+        self.batches.push_back(batch);
+        while self.total_bytes > MAX_LOG_BYTES && self.batches.len() > 1 {
+            if let Some(oldest) = self.batches.pop_front() {
+                self.total_bytes -= oldest.bytes.len();
+                self.base_revision = oldest.newest_revision;
                 self.list = None;
             }
         }
         true
     }
 
-    /// Gets what brings another host from a revision to the newest one, or `None` if that is not kept.
-    pub fn after(&self, revision: u64) -> Option<Told> {
-        let list = self.list.as_ref().filter(|_| revision < self.base);
-        if revision < self.base && list.is_none() {
+    /// Returns what another host needs to get from `revision` to the newest one, or `None` if the
+    /// log does not reach back that far.
+    pub fn changes_after(&self, revision: u64) -> Option<FeedReply> {
+        let list = self.list.as_ref().filter(|_| revision < self.base_revision);
+        if revision < self.base_revision && list.is_none() {
             return None;
         }
-        let chunks = self.chunks.iter().filter(|c| c.to > revision).cloned().collect();
-        Some(Told { complete: self.to, list: list.cloned(), chunks, proof_age: None })
+        let batches =
+            self.batches.iter().filter(|c| c.newest_revision > revision).cloned().collect();
+        Some(FeedReply {
+            complete_to: self.newest_revision,
+            list: list.cloned(),
+            batches,
+            proof_age: None,
+        })
     }
 }
 
-/// What one host tells another.
+/// Reply of one host to another host's request for changes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
-    /// All changes up to this revision are told.
-    pub complete: u64,
-    /// A list that comes first, where the changes alone are not enough.
-    pub list: Option<ListChunk>,
-    /// The changes, in order.
-    pub chunks: Vec<Chunk>,
-    /// Age of the teller's proof that it knows the newest configuration, where that is asked for.
+pub struct FeedReply {
+    /// Revision up to which the reply contains all changes.
+    pub complete_to: u64,
+    /// List to apply before the batches, if the log does not reach back to the requested revision.
+    pub list: Option<ListSnapshot>,
+    /// The batches, in order of revision.
+    pub batches: Vec<ChangeBatch>,
+    /// Age of the sender's proof that it knows the newest configuration, in milliseconds. `None`
+    /// for other kinds, or if the sender has no proof.
     pub proof_age: Option<Millis>,
 }
 
-/// Gets the changes of a kind after a revision that another host knows.
-pub async fn ask(
+/// Fetches the changes of a kind after revision `after` from another host. Fails if the host does
+/// not answer in time, declines or sends an unreadable reply.
+pub async fn fetch_changes(
     pool: &Pool,
     address: SocketAddr,
     kind: FeedKind,
     after: u64,
     gate: &LargeReplyControl<'_>,
-) -> Result<(Told, Reply)> {
+) -> Result<(FeedReply, Reply)> {
     let mut req = Request::new(Full::new(Bytes::new()));
     let path = format!("/changes/{kind:?}/{after}");
-    *req.uri_mut() = path.parse().map_err(|e| unavailable_error(format!("{path}: {e}")))?;
+    *req.uri_mut() =
+        path.parse().map_err(|e| unavailable_error(format!("invalid path {path}: {e}")))?;
     let address = address.to_string();
-    let patience = CallTimeouts { head: ANSWER_WITHIN, part: ANSWER_WITHIN };
-    let reply = call(pool, &address, &address, req, patience, Some(gate)).await?;
-    if reply.status != StatusCode::OK {
-        return Err(unavailable_error(format!("the host answered {}", reply.status)));
+    let patience = CallTimeouts { head: REPLY_STALL_TIMEOUT, part: REPLY_STALL_TIMEOUT };
+    let response = call(pool, &address, &address, req, patience, Some(gate)).await?;
+    if response.status != StatusCode::OK {
+        return Err(unavailable_error(format!("the host returned status {}", response.status)));
     }
-    let told = postcard::from_bytes(&reply.body);
-    Ok((told.map_err(|e| unavailable_error(format!("changes that cannot be read: {e}")))?, reply))
+    let reply = postcard::from_bytes(&response.body);
+    Ok((
+        reply.map_err(|e| {
+            unavailable_error(format!("the changes from the host cannot be decoded: {e}"))
+        })?,
+        response,
+    ))
 }
 
-/// Gives this host's changes to others, until the process ends; `told` looks them up.
+/// Serves this host's changes to other hosts until the process ends. `lookup` returns the changes
+/// of a kind after a revision.
 pub async fn serve(
     shared: SharedRef,
     address: SocketAddr,
-    told: impl Fn(FeedKind, u64) -> Option<Told> + 'static,
+    lookup: impl Fn(FeedKind, u64) -> Option<FeedReply> + 'static,
 ) {
     let listener = match listen(address) {
         Ok(listener) => listener,
         Err(e) => {
-            shared.journal.line(Event::PeerSocketFailed, &[("why", &e)]);
+            shared.journal.log(Event::PeerSocketFailed, &[("why", &e)]);
             return;
         }
     };
-    let giving = Rc::new(RefCell::new(ReplyLimiter::new(shared.settings.link)));
-    let answering = shared.clone();
-    serve_pages(shared, listener, move |req| answer(&answering, &giving, req, &told)).await;
+    let reply_limiter = Rc::new(RefCell::new(ReplyLimiter::new(shared.settings.link)));
+    let shared_for_replies = shared.clone();
+    serve_pages(shared, listener, move |req| {
+        respond(&shared_for_replies, &reply_limiter, req, &lookup)
+    })
+    .await;
 }
 
-fn answer(
+fn respond(
     shared: &Shared,
-    giving: &Rc<RefCell<ReplyLimiter>>,
+    reply_limiter: &Rc<RefCell<ReplyLimiter>>,
     req: &Request<Incoming>,
-    told: &impl Fn(FeedKind, u64) -> Option<Told>,
-) -> Response<GivenBody> {
-    let asked = question(req.uri().path());
-    let found = asked.and_then(|(kind, after)| Some((kind, told(kind, after)?)));
-    let bytes = found.and_then(|(kind, told)| Some((kind, postcard::to_allocvec(&told).ok()?)));
-    let Some((kind, bytes)) = bytes else { return refusal(StatusCode::NOT_FOUND) };
+    lookup: &impl Fn(FeedKind, u64) -> Option<FeedReply>,
+) -> Response<ReplyBody> {
+    let requested = parse_changes_path(req.uri().path());
+    let changes = requested.and_then(|(kind, after)| Some((kind, lookup(kind, after)?)));
+    let bytes = changes.and_then(|(kind, reply)| Some((kind, postcard::to_allocvec(&reply).ok()?)));
+    let Some((kind, bytes)) = bytes else { return empty_response(StatusCode::NOT_FOUND) };
     let len = bytes.len() as u64;
-    if !giving.borrow_mut().try_begin(len) {
-        shared.metrics.feed_given(kind.as_str(), "declined", len);
-        return refusal(StatusCode::SERVICE_UNAVAILABLE);
+    if !reply_limiter.borrow_mut().try_begin(len) {
+        shared.metrics.record_feed_reply(kind.as_str(), "declined", len);
+        return empty_response(StatusCode::SERVICE_UNAVAILABLE);
     }
-    shared.metrics.feed_given(kind.as_str(), "given", len);
-    let share = Share { giving: giving.clone(), bytes: len };
-    Response::new(GivenBody { left: Bytes::from(bytes), _share: Some(share) })
+    shared.metrics.record_feed_reply(kind.as_str(), "given", len);
+    let permit = ReplyPermit { reply_limiter: reply_limiter.clone(), bytes: len };
+    Response::new(ReplyBody { remaining: Bytes::from(bytes), _permit: Some(permit) })
 }
 
-fn refusal(status: StatusCode) -> Response<GivenBody> {
-    let mut resp = Response::new(GivenBody { left: Bytes::new(), _share: None });
+fn empty_response(status: StatusCode) -> Response<ReplyBody> {
+    let mut resp = Response::new(ReplyBody { remaining: Bytes::new(), _permit: None });
     *resp.status_mut() = status;
     resp
 }
 
-/// A reply's part in what the host gives, until dropped.
-struct Share {
-    giving: Rc<RefCell<ReplyLimiter>>,
+/// A reply's entry in the limiter, removed on drop.
+struct ReplyPermit {
+    reply_limiter: Rc<RefCell<ReplyLimiter>>,
     bytes: u64,
 }
 
-impl Drop for Share {
+impl Drop for ReplyPermit {
     fn drop(&mut self) {
-        self.giving.borrow_mut().end(self.bytes);
+        self.reply_limiter.borrow_mut().end(self.bytes);
     }
 }
 
-/// A body that goes out in pieces, so that it lives about as long as its reply is under way.
-struct GivenBody {
-    left: Bytes,
-    _share: Option<Share>,
+/// A response body sent in frames of limited size, so that it, and with it the permit, exists for
+/// about as long as the reply is being sent.
+struct ReplyBody {
+    remaining: Bytes,
+    _permit: Option<ReplyPermit>,
 }
 
-impl Body for GivenBody {
+impl Body for ReplyBody {
     type Data = Bytes;
     type Error = Infallible;
 
@@ -236,22 +267,22 @@
         mut self: Pin<&mut Self>,
         _cx: &mut Context<'_>,
     ) -> Poll<Option<std::result::Result<Frame<Bytes>, Infallible>>> {
-        let len = self.left.len().min(PIECE);
-        let piece = self.left.split_to(len);
-        Poll::Ready((len > 0).then(|| Ok(Frame::data(piece))))
+        let len = self.remaining.len().min(MAX_FRAME_BYTES);
+        let frame = self.remaining.split_to(len);
+        Poll::Ready((len > 0).then(|| Ok(Frame::data(frame))))
     }
 
     fn is_end_stream(&self) -> bool {
-        self.left.is_empty()
+        self.remaining.is_empty()
     }
 
     fn size_hint(&self) -> SizeHint {
-        SizeHint::with_exact(self.left.len() as u64)
+        SizeHint::with_exact(self.remaining.len() as u64)
     }
 }
 
-/// Reads which changes are asked for.
-pub fn question(path: &str) -> Option<(FeedKind, u64)> {
+/// Parses the path of a request for changes. Returns `None` if it is invalid.
+pub fn parse_changes_path(path: &str) -> Option<(FeedKind, u64)> {
     let (kind, after) = path.strip_prefix("/changes/")?.split_once('/')?;
     let kind = FeedKind::ALL.into_iter().find(|k| format!("{k:?}") == kind)?;
     Some((kind, after.parse().ok()?))
--- a/crates/tidetrack-plane/src/job.rs
+++ b/crates/tidetrack-plane/src/job.rs
@@ -25,7 +25,7 @@
 use tidetrack_core::traffic::suspects::RunningRequest;
 use tidetrack_core::units::{Millis, Tokens};
 
-use crate::clock::Moment;
+use crate::clock::BootInstant;
 use crate::crash::EndpointProbes;
 use crate::dialect::RequestFacts;
 use crate::pool::Pool;
@@ -93,7 +93,7 @@
     ) -> T {
         let bounds = &self.shared.settings.bounds;
         let mut budgets = self.budgets.borrow_mut();
-        let new_budget = || AttemptBudget::new(bounds.resend_ratio, bounds.resend_window);
+        let new_budget = || AttemptBudget::new(bounds.retry_ratio, bounds.retry_window);
         f(budgets.entry(service.clone()).or_insert_with(new_budget))
     }
 }
@@ -142,7 +142,7 @@
     /// When the request times out, on the clock of the timers, which stops while the machine is suspended.
     pub deadline: Instant,
     /// The same deadline on a clock that includes time in which the machine is suspended.
-    pub suspend_aware_deadline: Moment,
+    pub suspend_aware_deadline: BootInstant,
     /// Service that was selected from the targets of the route.
     pub service: ServiceId,
 }
@@ -156,7 +156,7 @@
     /// Returns the time until the earlier of the two deadlines, or zero after it.
     pub fn time_left(&self) -> Duration {
         self.suspend_aware_deadline
-            .left()
+            .remaining()
             .min(self.deadline.saturating_duration_since(Instant::now()))
     }
 
--- a/crates/tidetrack-plane/src/journal.rs
+++ b/crates/tidetrack-plane/src/journal.rs
@@ -1,8 +1,9 @@
-//! Logs: one JSON line for each numbered event, on standard output.
+//! Log output: one JSON line per numbered event, on standard output.
 //!
-//! Lines go to a writer thread over a bounded queue and never wait for it. When the queue is more
-//! than half full, lines about requests that went well are left out, so that those of failed ones
-//! find room; what was left out is counted and told with the next line that is written.
+//! Lines are passed to a writer thread over a bounded queue, and the sender never waits. When the
+//! queue is more than half full, lines about successful requests are dropped, which leaves room for
+//! those about failed ones. The number of dropped lines is included in the next line that is
+//! written.
 
 use std::fmt::Display;
 use std::io::Write;
@@ -13,13 +14,13 @@
 
 use tidetrack_core::events::Event;
 
-/// Lines that may wait for the writer.
-const WAITING: usize = 2_048;
+/// Maximum number of lines in the queue.
+const QUEUE_CAPACITY: usize = 2_048;
 
-/// Lines above which those of requests that went well are left out.
-const WAITING_ROUTINE: usize = WAITING / 2;
+/// Queue length from which lines about successful requests are dropped.
+const ROUTINE_QUEUE_LIMIT: usize = QUEUE_CAPACITY / 2;
 
-/// A value of a line, by name.
+/// Name and value of a field of a line.
 pub type Field<'a> = (&'static str, &'a dyn Display);
 
 /// The log of a process.
@@ -27,14 +28,14 @@
 pub struct Journal {
     logger: slog::Logger,
     queue: flume::Sender<Vec<u8>>,
-    unwritten: Arc<AtomicU64>,
+    pending_lines: Arc<AtomicU64>,
 }
 
-/// Turns records into lines and queues them.
+/// Formats records as lines and puts them into the queue.
 struct QueueDrain {
     queue: flume::Sender<Vec<u8>>,
-    left_out: Arc<AtomicU64>,
-    unwritten: Arc<AtomicU64>,
+    dropped_count: Arc<AtomicU64>,
+    pending_lines: Arc<AtomicU64>,
 }
 
 impl Drain for QueueDrain {
@@ -43,27 +44,27 @@
 
     fn log(&self, record: &Record<'_>, values: &OwnedKVList) -> Result<(), slog::Never> {
         let mut line = Vec::with_capacity(256);
-        let left_out = self.left_out.load(Ordering::Relaxed);
+        let dropped_count = self.dropped_count.load(Ordering::Relaxed);
         let json = slog_json::Json::new(&mut line);
         let json = json.add_key_value(slog::o!(
             "level" => slog::FnValue(|r: &Record<'_>| r.level().as_short_str()),
             "msg" => slog::PushFnValue(|r: &Record<'_>, ser| ser.emit(r.msg())),
         ));
-        let written = json.build().log(record, values);
-        self.unwritten.fetch_add(1, Ordering::AcqRel);
-        let queued = written.is_ok() && self.queue.try_send(line).is_ok();
-        match queued {
-            true => drop(self.left_out.fetch_sub(left_out, Ordering::Relaxed)),
+        let serialize_result = json.build().log(record, values);
+        self.pending_lines.fetch_add(1, Ordering::AcqRel);
+        let is_queued = serialize_result.is_ok() && self.queue.try_send(line).is_ok();
+        match is_queued {
+            true => drop(self.dropped_count.fetch_sub(dropped_count, Ordering::Relaxed)),
             false => {
-                self.unwritten.fetch_sub(1, Ordering::AcqRel);
-                self.left_out.fetch_add(1, Ordering::Relaxed);
+                self.pending_lines.fetch_sub(1, Ordering::AcqRel);
+                self.dropped_count.fetch_add(1, Ordering::Relaxed);
             }
         }
         Ok(())
     }
 }
 
-/// The fields of a line, for the logging library.
+/// Adapter that passes the fields of a line to the logging library.
 struct Fields<'a>(&'a [Field<'a>]);
 
 impl KV for Fields<'_> {
@@ -81,76 +82,79 @@
         Journal::start_to(host, std::io::stdout())
     }
 
-    /// Starts the log of a host, with a thread that writes to `out`.
+    /// Starts the log of a host, with a thread that writes to `out`. Fails if the thread cannot be
+    /// started.
     pub fn start_to(host: &str, out: impl Write + Send + 'static) -> std::io::Result<Journal> {
-        let (queue, lines) = flume::bounded::<Vec<u8>>(WAITING);
+        let (queue, lines) = flume::bounded::<Vec<u8>>(QUEUE_CAPACITY);
         let journal = Journal::to_queue(host, queue);
-        let unwritten = journal.unwritten.clone();
+        let pending_lines = journal.pending_lines.clone();
         let thread = std::thread::Builder::new().name("journal".into()).stack_size(64 * 1024);
-        thread.spawn(move || write_lines(&lines, out, &unwritten))?;
+        thread.spawn(move || write_lines(&lines, out, &pending_lines))?;
         Ok(journal)
     }
 
-    /// Makes a log whose lines go to a queue.
+    /// Creates a log that puts its lines into a queue.
     fn to_queue(host: &str, queue: flume::Sender<Vec<u8>>) -> Journal {
-        let left_out = Arc::new(AtomicU64::new(0));
-        let unwritten = Arc::new(AtomicU64::new(0));
+        let dropped_count = Arc::new(AtomicU64::new(0));
+        let pending_lines = Arc::new(AtomicU64::new(0));
         let drain = QueueDrain {
             queue: queue.clone(),
-            left_out: left_out.clone(),
-            unwritten: unwritten.clone(),
+            dropped_count: dropped_count.clone(),
+            pending_lines: pending_lines.clone(),
         };
         let logger = slog::Logger::root(
             drain.fuse(),
             slog::o!(
-                "time" => slog::FnValue(|_: &Record<'_>| seconds_now()),
+                "time" => slog::FnValue(|_: &Record<'_>| unix_time_seconds()),
                 "host" => host.to_string(),
-                "left_out" => slog::FnValue(move |_: &Record<'_>| left_out.load(Ordering::Relaxed)),
+                "left_out" => slog::FnValue(move |_: &Record<'_>| dropped_count.load(Ordering::Relaxed)),
             ),
         );
-        Journal { logger, queue, unwritten }
+        Journal { logger, queue, pending_lines }
     }
 
-    /// Writes an event.
-    pub fn line(&self, event: Event, fields: &[Field<'_>]) {
+    /// Logs an event.
+    pub fn log(&self, event: Event, fields: &[Field<'_>]) {
         slog::info!(self.logger, "{}", event.text(); "event" => event.to_string(), Fields(fields));
     }
 
-    /// Writes an event of a request that goes well; left out first when lines pile up.
-    pub fn routine(&self, event: Event, fields: &[Field<'_>]) {
-        if self.queue.len() < WAITING_ROUTINE {
-            self.line(event, fields);
+    /// Logs an event of a successful request. These are the first lines to be dropped when the
+    /// queue fills up.
+    pub fn log_routine(&self, event: Event, fields: &[Field<'_>]) {
+        if self.queue.len() < ROUTINE_QUEUE_LIMIT {
+            self.log(event, fields);
         }
     }
 
-    /// Waits until all lines are written, for as long as `most`.
-    pub fn flush(&self, most: std::time::Duration) {
-        let until = std::time::Instant::now() + most;
-        while self.unwritten.load(Ordering::Acquire) > 0 && std::time::Instant::now() < until {
+    /// Waits until all lines are written, or until `timeout` has passed.
+    pub fn flush(&self, timeout: std::time::Duration) {
+        let deadline = std::time::Instant::now() + timeout;
+        while self.pending_lines.load(Ordering::Acquire) > 0 && std::time::Instant::now() < deadline
+        {
             std::thread::sleep(std::time::Duration::from_millis(2));
         }
     }
 }
 
-/// Gets the time of day in seconds, to the millisecond. It orders lines of several hosts; nothing is
-/// decided by it.
-fn seconds_now() -> f64 {
-    let since = std::time::UNIX_EPOCH.elapsed().unwrap_or_default();
-    since.as_millis() as f64 / 1_000.0
+/// Returns the Unix time in seconds, with millisecond precision. It serves to order the lines of
+/// several hosts and is not used for decisions.
+fn unix_time_seconds() -> f64 {
+    let elapsed = std::time::UNIX_EPOCH.elapsed().unwrap_or_default();
+    elapsed.as_millis() as f64 / 1_000.0
 }
 
-/// Writes lines until the process ends, several at a time where several wait.
-fn write_lines(lines: &flume::Receiver<Vec<u8>>, mut out: impl Write, unwritten: &AtomicU64) {
+/// Writes queued lines until the process ends, combining all that are queued into one write.
+fn write_lines(lines: &flume::Receiver<Vec<u8>>, mut out: impl Write, pending_lines: &AtomicU64) {
     while let Ok(mut text) = lines.recv() {
-        let mut taken = 1;
+        let mut line_count = 1;
         for line in lines.drain() {
             text.extend_from_slice(&line);
-            taken += 1;
+            line_count += 1;
         }
-        // Without a reader of the log there is nobody left to tell.
+        // If the output is closed, there is no place left to report the error to.
         if out.write_all(&text).and_then(|()| out.flush()).is_err() {
             return;
         }
-        unwritten.fetch_sub(taken, Ordering::AcqRel);
+        pending_lines.fetch_sub(line_count, Ordering::AcqRel);
     }
 }
--- a/crates/tidetrack-plane/src/peers.rs
+++ b/crates/tidetrack-plane/src/peers.rs
@@ -1,7 +1,7 @@
 //! Messages between hosts, over UDP.
 //!
-//! Each message tells the present state, so lost and late ones need no care; that is why these are
-//! datagrams and not calls.
+//! Each message contains the current state of its sender, so lost and late messages need no special
+//! handling. Datagrams are used instead of calls for this reason.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -14,58 +14,64 @@
 
 use crate::shared::SharedRef;
 
-/// Largest message, in bytes; larger ones are not sent.
-const MOST_BYTES: usize = 8 << 10;
+/// Maximum size of a message, in bytes. Larger messages are not sent.
+const MAX_MESSAGE_BYTES: usize = 8 << 10;
 
 /// The socket for messages between hosts.
-pub struct Peers {
+pub struct PeerSocket {
     shared: SharedRef,
     socket: Rc<UdpSocket>,
 }
 
-impl Peers {
-    /// Begins to hear messages; without a socket the host goes on alone.
-    pub async fn start(shared: SharedRef) -> Option<Peers> {
+impl PeerSocket {
+    /// Binds the socket and starts to receive messages. Returns `None` if the socket cannot be
+    /// bound; the host then runs without contact to others.
+    pub async fn start(shared: SharedRef) -> Option<PeerSocket> {
         let socket = match UdpSocket::bind(shared.settings.peer_address).await {
             Ok(socket) => Rc::new(socket),
             Err(e) => {
-                shared.journal.line(Event::PeerSocketFailed, &[("why", &e)]);
+                shared.journal.log(Event::PeerSocketFailed, &[("why", &e)]);
                 return None;
             }
         };
-        tokio::task::spawn_local(hear(shared.clone(), socket.clone()));
-        Some(Peers { shared, socket })
+        tokio::task::spawn_local(receive_messages(shared.clone(), socket.clone()));
+        Some(PeerSocket { shared, socket })
     }
 
-    /// Sends messages; one that can't be sent now is as good as lost.
+    /// Sends messages without waiting. A message that cannot be sent now is counted and dropped,
+    /// like one that is lost on the network.
     pub fn send(&self, messages: &[(SocketAddr, PeerMessage)]) {
         for (address, message) in messages {
-            let sent =
+            let result =
                 postcard::to_allocvec(message).map_err(|e| e.to_string()).and_then(|bytes| {
-                    if bytes.len() > MOST_BYTES {
-                        return Err(format!("{} bytes", bytes.len()));
+                    if bytes.len() > MAX_MESSAGE_BYTES {
+                        return Err(format!(
+                            "the message of {} bytes exceeds the size limit",
+                            bytes.len()
+                        ));
                     }
                     self.socket.try_send_to(&bytes, *address).map_err(|e| e.to_string())
                 });
-            if sent.is_err() {
-                self.shared.metrics.peer_message("not_sent");
+            if result.is_err() {
+                self.shared.metrics.record_peer_message("not_sent");
             }
         }
-        self.shared.metrics.peer_messages_sent(messages.len());
+        self.shared.metrics.record_sent_peer_messages(messages.len());
     }
 }
 
-async fn hear(shared: SharedRef, socket: Rc<UdpSocket>) {
-    let mut buf = vec![0; MOST_BYTES];
+async fn receive_messages(shared: SharedRef, socket: Rc<UdpSocket>) {
+    let mut buf = vec![0; MAX_MESSAGE_BYTES];
     loop {
         let len = match socket.recv_from(&mut buf).await {
             Ok((len, _)) => len,
-            // On a datagram socket this is news of an earlier message that found nobody.
+            // On a datagram socket this error reports that an earlier message did not reach its
+            // destination.
             Err(_) => continue,
         };
         match postcard::from_bytes::<PeerMessage>(&buf[..len]) {
-            Ok(message) => shared.tell(Input::PeerMessageReceived(Box::new(message))),
-            Err(_) => shared.metrics.peer_message("unreadable"),
+            Ok(message) => shared.send_input(Input::PeerMessageReceived(Box::new(message))),
+            Err(_) => shared.metrics.record_peer_message("unreadable"),
         }
     }
 }
--- a/crates/tidetrack-plane/src/pool.rs
+++ b/crates/tidetrack-plane/src/pool.rs
@@ -21,8 +21,8 @@
 use tidetrack_core::errors::{Error, Result};
 use tidetrack_core::traffic::reachability::MAX_PROMPT_LATENCY;
 
-use crate::clock::Moment;
-use crate::way::{Ends, Waits, Way};
+use crate::clock::BootInstant;
+use crate::socket::{MonitoredSocket, PeerKind, PinnedRequestFlag};
 
 /// Maximum time for a connection to be established. Within a region this takes a few milliseconds;
 /// the rest allows for the loss of a packet.
@@ -63,7 +63,7 @@
     /// Sends the request.
     pub sender: SendRequest<Full<Bytes>>,
     task: JoinHandle<()>,
-    is_unrepeatable: Waits,
+    is_unrepeatable: PinnedRequestFlag,
     /// Whether the connection carried an earlier request.
     pub is_reused: bool,
 }
@@ -88,15 +88,15 @@
 
 struct IdleConnection {
     lease: Lease,
-    idle_since: Moment,
-    expires_at: Moment,
+    idle_since: BootInstant,
+    expires_at: BootInstant,
 }
 
 /// Connections, by the name of the peer.
 #[derive(Default)]
 pub struct Pool {
     idle: RefCell<HashMap<String, Vec<IdleConnection>>>,
-    peer_kind: Ends,
+    peer_kind: PeerKind,
     /// Start of the latest connect or request that succeeded within `MAX_PROMPT_LATENCY`.
     last_prompt_at: Cell<Option<Instant>>,
 }
@@ -104,13 +104,13 @@
 impl Pool {
     /// Creates a pool of connections to endpoints.
     pub fn for_endpoints() -> Pool {
-        Pool { peer_kind: Ends::Endpoints, ..Pool::default() }
+        Pool { peer_kind: PeerKind::Endpoint, ..Pool::default() }
     }
 
     /// Returns a pooled connection that was idle for at most `max_idle`, or opens one.
     pub async fn acquire(&self, name: &str, address: &str, max_idle: Duration) -> Result<Lease> {
         while let Some(mut idle) = self.pop_newest(name, max_idle) {
-            let is_usable = Moment::now() < idle.expires_at && !idle.lease.sender.is_closed();
+            let is_usable = BootInstant::now() < idle.expires_at && !idle.lease.sender.is_closed();
             if is_usable && idle.lease.sender.ready().await.is_ok() {
                 idle.lease.is_reused = true;
                 return Ok(idle.lease);
@@ -126,7 +126,7 @@
         address: &str,
         max_idle: Duration,
     ) -> Result<()> {
-        let now = Moment::now();
+        let now = BootInstant::now();
         let is_usable = |newest: &IdleConnection| {
             newest.idle_since.elapsed() <= max_idle
                 && now < newest.expires_at
@@ -175,11 +175,11 @@
         let mut idle = self.idle.borrow_mut();
         let connections = idle.entry(name.to_string()).or_default();
         if connections.len() < MAX_IDLE_CONNECTIONS {
-            let now = Moment::now();
+            let now = BootInstant::now();
             connections.push(IdleConnection {
                 lease,
                 idle_since: now,
-                expires_at: now.after(usable_time),
+                expires_at: now.saturating_add(usable_time),
             });
         }
     }
@@ -192,7 +192,7 @@
     /// Closes connections that have expired, and those to peers for which `is_wanted` returns
     /// false.
     fn remove_expired(&self, is_wanted: impl Fn(&str) -> bool) {
-        let now = Moment::now();
+        let now = BootInstant::now();
         self.idle.borrow_mut().retain(|name, connections| {
             connections.retain(|i| now < i.expires_at && !i.lease.sender.is_closed());
             !connections.is_empty() && is_wanted(name)
@@ -234,7 +234,7 @@
 }
 
 /// Opens a connection.
-async fn open(address: &str, peer_kind: Ends) -> Result<Lease> {
+async fn open(address: &str, peer_kind: PeerKind) -> Result<Lease> {
     let to_connect_error = |e: std::io::Error| {
         unreachable_error(address, &e.to_string(), DisconnectCause::from_error(&e))
     };
@@ -245,8 +245,9 @@
         .await
         .map_err(|_| unreachable_error(address, "timed out", DisconnectCause::TimedOut))?
         .map_err(to_connect_error)?;
-    let is_unrepeatable = Waits::default();
-    let socket = Way::new(stream, peer_kind, is_unrepeatable.clone()).map_err(to_connect_error)?;
+    let is_unrepeatable = PinnedRequestFlag::default();
+    let socket = MonitoredSocket::new(stream, peer_kind, is_unrepeatable.clone())
+        .map_err(to_connect_error)?;
     let (sender, conn) =
         Builder::new().max_buf_size(MAX_HEAD_BYTES).handshake(TokioIo::new(socket)).await.map_err(
             |e| unreachable_error(address, &format_error_chain(&e), disconnect_cause(&e)),
--- a/crates/tidetrack-plane/src/relay.rs
+++ b/crates/tidetrack-plane/src/relay.rs
@@ -138,7 +138,7 @@
         record_response(&self.traffic, &self.job, chosen, model, status.as_u16());
         let mut resp = Response::new(body);
         *resp.status_mut() = status;
-        *resp.headers_mut() = (self.traffic.shared.dialect.caller_head)(head.headers);
+        *resp.headers_mut() = (self.traffic.shared.dialect.build_caller_head)(head.headers);
         tokio::task::spawn_local(self.relay_items(tx, first_item, tries.clone()));
         Ok(resp)
     }
@@ -302,7 +302,7 @@
 
     /// Logs that the stream stays with its silent endpoint.
     fn log_source_kept(&self, reason: &str) {
-        self.traffic.shared.journal.line(
+        self.traffic.shared.journal.log(
             Event::StreamStayed,
             &[
                 ("request", &self.job.id),
@@ -325,7 +325,7 @@
     /// Continues with another endpoint's response. If the caller has not received a head yet, it
     /// gets the head of that response.
     fn switch_source(&mut self, (head, source): (http::response::Parts, Source), reason: &Error) {
-        self.traffic.shared.journal.line(
+        self.traffic.shared.journal.log(
             Event::StreamResumed,
             &[
                 ("request", &self.job.id),
@@ -387,13 +387,13 @@
         self.report_progress(AttemptOutcome::CallerLeft);
         let fields: [(&'static str, &dyn std::fmt::Display); 2] =
             [("request", &self.job.id), ("events", &self.event_count)];
-        self.traffic.shared.journal.line(Event::CallerLeft, &fields);
+        self.traffic.shared.journal.log(Event::CallerLeft, &fields);
     }
 
     /// Aborts the caller's connection, so that the stream does not look complete.
     async fn abort_response(mut self, tx: &mpsc::Sender<BodyChunk>, reason: &Error) {
         self.report_progress(AttemptOutcome::Interrupted);
-        self.traffic.shared.journal.line(
+        self.traffic.shared.journal.log(
             Event::AnswerCut,
             &[
                 ("request", &self.job.id),
--- a/crates/tidetrack-plane/src/report.rs
+++ b/crates/tidetrack-plane/src/report.rs
@@ -26,7 +26,7 @@
 ) {
     let shared = &traffic.shared;
     let executed = format!("{:?}", e.executed);
-    shared.journal.line(
+    shared.journal.log(
         Event::AttemptFailed,
         &[
             ("request", &job.id),
@@ -38,9 +38,9 @@
             ("ms", &elapsed.as_millis()),
         ],
     );
-    shared.metrics.attempt("failed");
+    shared.metrics.record_attempt("failed");
     if let Some(cause) = e.disconnect_cause {
-        shared.metrics.broke(cause);
+        shared.metrics.record_disconnect(cause);
     }
     match e.code {
         // A refusal for lack of capacity says nothing about the endpoint's health.
@@ -90,7 +90,7 @@
         ended: now,
     };
     let cause = traffic.reachability.borrow_mut().record_failed_connect(connect, last_prompt_at);
-    traffic.shared.metrics.no_sign(cause.as_str());
+    traffic.shared.metrics.record_silent_connect(cause.as_str());
     if cause == FailureCause::Endpoint {
         traffic.pool.close_idle(chosen.id.as_str());
     }
@@ -116,13 +116,13 @@
         ("ms", &elapsed.as_millis()),
     ];
     match status < 500 {
-        true => shared.journal.routine(Event::RequestDone, &fields),
-        false => shared.journal.line(Event::RequestDone, &fields),
+        true => shared.journal.log_routine(Event::RequestDone, &fields),
+        false => shared.journal.log(Event::RequestDone, &fields),
     }
-    shared.metrics.request(route, &status.to_string());
-    shared.metrics.objective(route, status < 400 && elapsed <= job.objective());
-    shared.metrics.first_byte(route, elapsed.as_secs_f64() * 1_000.0);
-    shared.metrics.attempt("answered");
+    shared.metrics.record_request(route, &status.to_string());
+    shared.metrics.record_objective(route, status < 400 && elapsed <= job.objective());
+    shared.metrics.record_first_byte(route, elapsed.as_secs_f64() * 1_000.0);
+    shared.metrics.record_attempt("answered");
 }
 
 /// What was observed of an attempt.
@@ -165,8 +165,8 @@
         .has_failed
         .replace(job.has_failed.get() || observation.outcome == AttemptOutcome::Failed);
     if let Some(version) = &chosen.canary_version {
-        shared.metrics.version_attempt(job.service.as_str(), observation.outcome.as_str());
-        shared.journal.routine(
+        shared.metrics.record_version_attempt(job.service.as_str(), observation.outcome.as_str());
+        shared.journal.log_routine(
             Event::VersionSeen,
             &[
                 ("request", &job.id),
@@ -186,7 +186,7 @@
     if observation.is_pace_reported {
         return;
     }
-    shared.tell(Input::ResponseObserved(ObservedResponse {
+    shared.send_input(Input::ResponseObserved(ObservedResponse {
         service: job.service.clone(),
         canary_version: chosen.canary_version.clone(),
         endpoint: chosen.id.clone(),
--- a/crates/tidetrack-plane/src/second_opinion.rs
+++ b/crates/tidetrack-plane/src/second_opinion.rs
@@ -58,8 +58,8 @@
         true => None,
     };
     let event = if keep_reason.is_some() { Event::AnswerKept } else { Event::AnswerDropped };
-    traffic.shared.metrics.second_run(keep_reason.unwrap_or("asked"));
-    traffic.shared.journal.routine(
+    traffic.shared.metrics.record_second_run(keep_reason.unwrap_or("asked"));
+    traffic.shared.journal.log_routine(
         event,
         &[
             ("request", &job.id),
--- a/crates/tidetrack-plane/src/send.rs
+++ b/crates/tidetrack-plane/src/send.rs
@@ -15,7 +15,7 @@
 
 use crate::attempt::{self, Attempt, EndpointResponse, IdEcho};
 use crate::choose::reserve_next_attempt;
-use crate::dialect::{AnswerFacts, Handover};
+use crate::dialect::{EndpointRequestInfo, ResponseFacts};
 use crate::job::{AttemptHistory, ChosenEndpoint, Job, SilentEndpoint, Traffic};
 use crate::pool::max_idle_time;
 use crate::stall_aware_sleep::stall_aware_sleep;
@@ -71,9 +71,9 @@
     };
     let shared_tokens = job.facts.shared_tokens.map_or(0, |t| t.0);
     if shared_tokens > 0 {
-        shared.metrics.shared_tokens(chosen.prefix.as_str(), shared_tokens);
+        shared.metrics.record_shared_tokens(chosen.prefix.as_str(), shared_tokens);
     }
-    shared.journal.routine(
+    shared.journal.log_routine(
         Event::AttemptSent,
         &[
             ("request", &job.id),
@@ -97,7 +97,7 @@
     };
     let attempt = Attempt {
         pool: &traffic.pool,
-        read_answer: shared.dialect.read_answer,
+        read_answer: shared.dialect.parse_response_head,
         on_head: &|facts| record_reported_limit(traffic, chosen, facts),
         endpoint: chosen.id.as_str(),
         address: &chosen.address,
@@ -177,19 +177,19 @@
     resume_after: Option<u64>,
 ) -> Request<Full<Bytes>> {
     let remaining = job.time_left();
-    let handover = Handover {
+    let handover = EndpointRequestInfo {
         time_left: Millis(remaining.as_millis() as u64),
         endpoint: &chosen.id,
         workspace: job.admitted.holder.as_ref().map(|h| &h.workspace),
         rank: job.is_generation().then(|| job.admitted.rank()),
         model,
         last_event: resume_after.or(job.facts.last_event),
-        prefix_from: chosen.prefix.source_address(),
+        prefix_cache_address: chosen.prefix.source_address(),
     };
     let mut req = Request::new(Full::new(job.body.clone()));
     *req.method_mut() = job.method.clone();
     *req.uri_mut() = job.uri.clone();
-    *req.headers_mut() = (traffic.shared.dialect.endpoint_head)(&job.headers, &handover);
+    *req.headers_mut() = (traffic.shared.dialect.build_endpoint_head)(&job.headers, &handover);
     req
 }
 
@@ -224,12 +224,12 @@
 /// Records the request rate limit that an endpoint reports in the head of a response, or that it
 /// reports none. A refusal may come from a component of the endpoint that does not know the limit,
 /// so a refusal without a limit is ignored.
-fn record_reported_limit(traffic: &Traffic, chosen: &ChosenEndpoint, facts: &AnswerFacts) {
-    if facts.did_not_run && facts.limit.is_none() {
+fn record_reported_limit(traffic: &Traffic, chosen: &ChosenEndpoint, facts: &ResponseFacts) {
+    if facts.has_not_executed && facts.limit.is_none() {
         return;
     }
     if chosen.state.update_reported_limit(facts.limit) {
-        traffic.shared.tell(Input::LimitReported(chosen.id.clone(), facts.limit));
+        traffic.shared.send_input(Input::LimitReported(chosen.id.clone(), facts.limit));
     }
 }
 
--- a/crates/tidetrack-plane/src/server.rs
+++ b/crates/tidetrack-plane/src/server.rs
@@ -25,7 +25,7 @@
 use tidetrack_core::traffic::catalog::CallerLimits;
 
 use crate::body::ResponseBody;
-use crate::closes::{CloseReason, Closed};
+use crate::closed_connections::{CloseReason, ClosedConnection};
 use crate::shared::{Shared, SharedRef};
 
 /// Length of the queue of connections that wait to be accepted.
@@ -298,7 +298,7 @@
     /// Called with the error when a connection could not be accepted or set up.
     pub on_accept_error: Rc<dyn Fn(&io::Error)>,
     /// Called after the host has closed a connection.
-    pub on_closed: Rc<dyn Fn(&Closed)>,
+    pub on_closed: Rc<dyn Fn(&ClosedConnection)>,
 }
 
 /// Accepts connections of callers until the process ends. Waits while the maximum number is open.
@@ -338,13 +338,13 @@
     }
     let state = Rc::new(ConnectionState::new());
     // The socket is closed when this call returns, which sets `has_unread`.
-    let why = serve_until_end(&opts, stream, stage, &state).await;
-    let Some(why) = why else { return };
-    (opts.on_closed)(&Closed {
-        why,
+    let reason = serve_until_end(&opts, stream, stage, &state).await;
+    let Some(reason) = reason else { return };
+    (opts.on_closed)(&ClosedConnection {
+        reason,
         requests: state.requests.get(),
-        rested: state.idle_since.get().elapsed(),
-        is_served: state.phase.get() == ConnectionPhase::HandlingRequest,
+        idle_time: state.idle_since.get().elapsed(),
+        is_serving: state.phase.get() == ConnectionPhase::HandlingRequest,
         has_unread: state.has_unread.get(),
     });
 }
@@ -375,13 +375,13 @@
             }
             () = state.wait_for_timeout(&*opts.limits), if shutdown_reason.is_none() => {
                 if !matches!(state.phase.get(), ConnectionPhase::Idle(_)) {
-                    return Some(CloseReason::SlowHead);
+                    return Some(CloseReason::HeaderTimeout);
                 }
-                shutdown_reason = Some(CloseReason::Rest);
+                shutdown_reason = Some(CloseReason::IdleTimeout);
                 conn.as_mut().graceful_shutdown();
             }
             () = wait_for_closing(&mut stage), if shutdown_reason.is_none() => {
-                shutdown_reason = Some(CloseReason::Stop);
+                shutdown_reason = Some(CloseReason::HostStop);
                 conn.as_mut().graceful_shutdown();
             }
         }
@@ -391,10 +391,10 @@
 /// Derives the reason for the end of a connection that was not asked to shut down.
 fn close_reason(result: &hyper::Result<()>) -> CloseReason {
     match result {
-        Ok(()) => CloseReason::Answer,
+        Ok(()) => CloseReason::ResponseComplete,
         Err(e) if e.is_parse() => CloseReason::BadRequest,
-        Err(e) if e.is_user() => CloseReason::BrokenOff,
-        Err(_) => CloseReason::Otherwise,
+        Err(e) if e.is_user() => CloseReason::ResponseAborted,
+        Err(_) => CloseReason::Other,
     }
 }
 
@@ -436,7 +436,7 @@
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(e) => {
-                shared.journal.line(Event::AcceptFailed, &[("why", &e)]);
+                shared.journal.log(Event::AcceptFailed, &[("why", &e)]);
                 tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
@@ -445,10 +445,10 @@
         let socket = socket2::SockRef::from(&stream);
         if let Err(e) = socket.set_tcp_notsent_lowat(PAGE_MAX_UNSENT_BYTES) {
             // The page is served without this bound on unsent bytes.
-            shared.journal.line(Event::AcceptFailed, &[("why", &e)]);
+            shared.journal.log(Event::AcceptFailed, &[("why", &e)]);
         }
         if let Err(e) = socket.set_tcp_user_timeout(Some(PAGE_UNACKED_TIMEOUT)) {
-            shared.journal.line(Event::AcceptFailed, &[("why", &e)]);
+            shared.journal.log(Event::AcceptFailed, &[("why", &e)]);
             continue;
         }
         tokio::task::spawn_local(async move {
@@ -477,7 +477,7 @@
             true => text_response(StatusCode::OK, "ready\n"),
             false => text_response(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
         },
-        METRICS_PATH => match shared.metrics.text() {
+        METRICS_PATH => match shared.metrics.to_text() {
             Ok(text) => text_response(StatusCode::OK, text),
             Err(e) => text_response(StatusCode::INTERNAL_SERVER_ERROR, e.to_string()),
         },
--- a/crates/tidetrack-plane/src/store.rs
+++ b/crates/tidetrack-plane/src/store.rs
@@ -1,8 +1,8 @@
-//! The client of the platform's store: one call at a time on a kept connection.
+//! Client of the platform's store, with one call at a time per persistent connection.
 //!
-//! A call that fails or takes too long closes its connection, for nothing more can be expected on
-//! it. Whether a write whose reply was lost was done is found out by whoever reads the object next;
-//! writes are made under a revision, so one that is made again changes nothing twice.
+//! A call that fails or times out closes its connection, since the state of that connection is
+//! unknown. Whether a write with a lost reply was executed becomes known with the next read of the
+//! object. Writes are conditional on a revision, so a repeated write has no further effect.
 
 use std::time::Duration;
 
@@ -16,116 +16,117 @@
 use tidetrack_core::units::Millis;
 
 use crate::call::{self, unavailable_error, CallTimeouts, LargeReplyControl, Reply};
-use crate::dialect::{Age, FeedKind, Page, StoreCall, Stored, Unreadable};
+use crate::dialect::{DecodedObject, FeedKind, ListAge, Page, StoreCall, UnreadableObject};
 use crate::pool::Pool;
 use crate::shared::SharedRef;
 
-/// Longest time for the head of a reply, and between parts of its body; the store answers in milliseconds,
-/// and a slow one in some hundred.
-const CALL_WITHIN: Duration = Duration::from_millis(1_200);
+/// Timeout for the head of a reply, and between two parts of its body. The store normally responds
+/// within milliseconds, and within a few hundred when it is slow.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// Unreadable objects of one reply that are logged.
-const MOST_LOGGED: usize = 20;
+/// Maximum number of unreadable objects logged per reply.
+const MAX_LOGGED_OBJECTS: usize = 20;
 
-/// Name of the store in the pool of connections.
-const STORE: &str = "store";
+/// Key of the store in the connection pool.
+const POOL_KEY: &str = "store";
 
 /// Why the store is called.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cause {
-    /// This host starts, and was given nothing.
+pub enum CallReason {
+    /// This host is starting and received no list from another host.
     Start,
-    /// It watches for others.
+    /// This host watches the store for other hosts.
     Watch,
-    /// It proves that the configuration is the newest.
+    /// This host confirms that its configuration is the newest.
     Proof,
-    /// Another host told of a change, or one is wanted, and nobody gave it.
-    Told,
-    /// The store answers again.
-    Return,
-    /// The store has forgotten the changes that were asked for.
+    /// Another host reported a change, or a change is required, and no host delivered it.
+    Reported,
+    /// The store is reachable again after an outage.
+    Recovery,
+    /// The store does not keep the requested changes any more.
     HistoryGone,
-    /// A roll-out's progress is written.
+    /// The progress of a roll-out is written.
     Write,
 }
 
-impl Cause {
-    /// Gets the word for it in metrics.
+impl CallReason {
+    /// Returns the name used in metrics.
     pub fn as_str(self) -> &'static str {
         match self {
-            Cause::Start => "start",
-            Cause::Watch => "watch",
-            Cause::Proof => "proof",
-            Cause::Told => "told",
-            Cause::Return => "return",
-            Cause::HistoryGone => "history_gone",
-            Cause::Write => "write",
+            CallReason::Start => "start",
+            CallReason::Watch => "watch",
+            CallReason::Proof => "proof",
+            CallReason::Reported => "told",
+            CallReason::Recovery => "return",
+            CallReason::HistoryGone => "history_gone",
+            CallReason::Write => "write",
         }
     }
 }
 
-/// What a call is for.
+/// What a call is made for, as counted in metrics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Purpose {
-    /// The kind it is about.
+pub struct CallPurpose {
+    /// Kind of the objects that are read or written.
     pub kind: FeedKind,
-    /// Why it is made.
-    pub cause: Cause,
-    /// How old the reply may be.
-    pub age: Age,
+    /// Why the call is made.
+    pub reason: CallReason,
+    /// How old the state in the reply may be.
+    pub age: ListAge,
 }
 
 /// A client of the store.
-pub struct Store {
+pub struct StoreClient {
     shared: SharedRef,
     pool: Pool,
     address: String,
 }
 
-/// A kind as it stood at one revision.
-pub struct Listed {
-    /// The objects.
-    pub objects: Vec<Stored>,
-    /// Names of those that could not be read.
+/// All objects of a kind at one revision.
+pub struct Listing {
+    /// The objects that could be decoded.
+    pub objects: Vec<DecodedObject>,
+    /// Names of the objects that could not be decoded.
     pub unreadable: Vec<String>,
-    /// The store's replies that told them.
+    /// The encoded replies of the store, one per page.
     pub pages: Vec<Bytes>,
-    /// The revision of the first page: a watch goes on from there.
+    /// Revision of the first page, from which a watch continues.
     pub revision: u64,
-    /// Revision of the newest change of a listed object.
-    pub newest: u64,
-    /// When the read began.
-    pub began: Millis,
-    /// Time in which the bodies of the replies came.
+    /// Revision of the newest change among the listed objects.
+    pub newest_change: u64,
+    /// Time at which the read started, by the host's clock.
+    pub started_at: Millis,
+    /// Total time in which the bodies of the replies were received.
     pub body_time: Duration,
 }
 
-impl Listed {
-    fn new(began: Millis) -> Listed {
-        Listed {
+impl Listing {
+    fn new(started_at: Millis) -> Listing {
+        Listing {
             objects: Vec::new(),
             unreadable: Vec::new(),
             pages: Vec::new(),
             revision: 0,
-            newest: 0,
-            began,
+            newest_change: 0,
+            started_at,
             body_time: Duration::ZERO,
         }
     }
 }
 
-impl Store {
-    /// Makes a client.
-    pub fn new(shared: SharedRef) -> Store {
+impl StoreClient {
+    /// Creates a client for the store address of the settings.
+    pub fn new(shared: SharedRef) -> StoreClient {
         let address = shared.settings.store_address.to_string();
-        Store { shared, pool: Pool::default(), address }
+        StoreClient { shared, pool: Pool::default(), address }
     }
 
-    /// Makes a call; `wait` is how long the store may hold it back.
+    /// Calls the store and counts the result. `wait` is the time for which the store may hold back
+    /// its reply. Fails if the store is unreachable or returns an error status.
     pub async fn call(
         &self,
         call: &StoreCall,
-        purpose: Purpose,
+        purpose: CallPurpose,
         wait: Duration,
         gate: Option<&LargeReplyControl<'_>>,
     ) -> Result<Reply> {
@@ -136,7 +137,7 @@
             Err(e) if e.code == Code::ReplyNotNeeded => "dropped",
             Err(_) => "refused",
         };
-        self.shared.metrics.store_call(purpose, outcome);
+        self.shared.metrics.record_store_call(purpose, outcome);
         result
     }
 
@@ -146,65 +147,79 @@
         wait: Duration,
         gate: Option<&LargeReplyControl<'_>>,
     ) -> Result<Reply> {
-        let patience = CallTimeouts { head: wait + CALL_WITHIN, part: CALL_WITHIN };
+        let patience = CallTimeouts { head: wait + CALL_TIMEOUT, part: CALL_TIMEOUT };
         let mut req = Request::new(Full::new(call.body.clone()));
         *req.method_mut() = call.method.clone();
-        *req.uri_mut() =
-            call.path.parse().map_err(|e| unavailable_error(format!("{}: {e}", call.path)))?;
+        *req.uri_mut() = call
+            .path
+            .parse()
+            .map_err(|e| unavailable_error(format!("invalid path {}: {e}", call.path)))?;
         if !call.body.is_empty() {
-            let json = http::HeaderValue::from_static("application/json");
-            req.headers_mut().insert(http::header::CONTENT_TYPE, json);
+            let json_type = http::HeaderValue::from_static("application/json");
+            req.headers_mut().insert(http::header::CONTENT_TYPE, json_type);
         }
-        let reply = call::call(&self.pool, STORE, &self.address, req, patience, gate).await?;
+        let reply = call::call(&self.pool, POOL_KEY, &self.address, req, patience, gate).await?;
         match reply.status {
             StatusCode::OK | StatusCode::CREATED => Ok(reply),
-            StatusCode::NOT_FOUND => Err(Error::new(Code::ObjectGone, "no such object")),
-            StatusCode::CONFLICT => Err(Error::new(Code::Conflict, "it was changed meanwhile")),
-            StatusCode::GONE => Err(Error::new(Code::HistoryGone, "the history is gone")),
+            StatusCode::NOT_FOUND => {
+                Err(Error::new(Code::ObjectGone, "the object does not exist in the store"))
+            }
+            StatusCode::CONFLICT => {
+                Err(Error::new(Code::Conflict, "the object was changed by another writer"))
+            }
+            StatusCode::GONE => Err(Error::new(
+                Code::HistoryGone,
+                "the store does not keep the requested changes any more",
+            )),
             StatusCode::TOO_MANY_REQUESTS => {
-                Err(Error::new(Code::PlatformBusy, "the store is over its rate"))
+                Err(Error::new(Code::PlatformBusy, "the rate limit of the store is exceeded"))
             }
-            status => Err(unavailable_error(format!("the store answered {status}"))),
+            status => Err(unavailable_error(format!("the store returned status {status}"))),
         }
     }
 
-    /// Lists a kind, page by page.
-    pub async fn list(&self, purpose: Purpose, gate: &LargeReplyControl<'_>) -> Result<Listed> {
-        let Purpose { kind, age, .. } = purpose;
+    /// Lists all objects of a kind, page by page.
+    pub async fn list(
+        &self,
+        purpose: CallPurpose,
+        gate: &LargeReplyControl<'_>,
+    ) -> Result<Listing> {
+        let CallPurpose { kind, age, .. } = purpose;
         let dialect = &self.shared.dialect.store;
-        let began = self.shared.now();
-        let mut listed = Listed::new(began);
+        let started_at = self.shared.now();
+        let mut listing = Listing::new(started_at);
         let mut after: Option<String> = None;
         loop {
             let call = (dialect.list)(kind, after.as_deref(), age);
             let reply = self.call(&call, purpose, Duration::ZERO, Some(gate)).await?;
             let page: Page = (dialect.read_page)(kind, &reply.body)?;
-            self.note_unreadable(&page.unreadable);
-            listed.objects.extend(page.objects);
-            listed.unreadable.extend(page.unreadable.into_iter().map(|object| object.name));
-            listed.newest = listed.newest.max(page.newest);
-            listed.pages.push(reply.body);
-            listed.body_time += reply.body_time;
+            self.log_unreadable(&page.unreadable);
+            listing.objects.extend(page.objects);
+            listing.unreadable.extend(page.unreadable.into_iter().map(|object| object.name));
+            listing.newest_change = listing.newest_change.max(page.newest_change);
+            listing.pages.push(reply.body);
+            listing.body_time += reply.body_time;
             if after.is_none() {
-                listed.revision = page.revision;
+                listing.revision = page.revision;
             }
-            match page.continues_after {
+            match page.next_after {
                 Some(name) => after = Some(name),
-                None => return Ok(listed),
+                None => return Ok(listing),
             }
         }
     }
 
-    /// Logs objects that could not be read, as many as do not drown other lines.
-    pub fn note_unreadable(&self, unreadable: &[Unreadable]) {
-        for (i, object) in unreadable.iter().take(MOST_LOGGED).enumerate() {
-            let others = match i + 1 {
-                MOST_LOGGED => unreadable.len() - MOST_LOGGED,
+    /// Logs objects that could not be decoded, up to a maximum that keeps them from crowding out
+    /// other lines.
+    pub fn log_unreadable(&self, unreadable: &[UnreadableObject]) {
+        for (i, object) in unreadable.iter().take(MAX_LOGGED_OBJECTS).enumerate() {
+            let omitted_count = match i + 1 {
+                MAX_LOGGED_OBJECTS => unreadable.len() - MAX_LOGGED_OBJECTS,
                 _ => 0,
             };
             let fields: [(&'static str, &dyn std::fmt::Display); 3] =
-                [("name", &object.name), ("why", &object.why), ("others", &others)];
-            self.shared.journal.line(Event::ConfigRejected, &fields);
+                [("name", &object.name), ("why", &object.reason), ("others", &omitted_count)];
+            self.shared.journal.log(Event::ConfigRejected, &fields);
         }
     }
 }
--- a/crates/tidetrack-router/src/errands.rs
+++ b/crates/tidetrack-router/src/errands.rs
@@ -19,7 +19,7 @@
 use tidetrack_core::ids::EndpointId;
 use tidetrack_plane::attempt::{self, Attempt, EndpointResponse, IdEcho};
 use tidetrack_plane::body::MAX_QUEUED_CHUNKS;
-use tidetrack_plane::dialect::AnswerFacts;
+use tidetrack_plane::dialect::ResponseFacts;
 use tidetrack_plane::pool::{disconnect_cause, max_idle_time, Pool};
 use tidetrack_wire::headers;
 
@@ -140,11 +140,11 @@
 
 /// Reads what the plane's client has to know of an answer. Refusals and load are read by whoever
 /// asked, for the product's endpoints tell them in words of their own.
-fn read_answer(head: &HeaderMap) -> AnswerFacts {
+fn read_answer(head: &HeaderMap) -> ResponseFacts {
     let attempt_id = head.get(headers::ATTEMPT).and_then(|v| v.to_str().ok());
-    AnswerFacts {
+    ResponseFacts {
         attempt_id: attempt_id.map(str::to_string),
-        is_sealed: true,
-        ..AnswerFacts::default()
+        has_response_seal: true,
+        ..ResponseFacts::default()
     }
 }
