--- a/crates/tidetrack-router/src/admin.rs
+++ b/crates/tidetrack-router/src/admin.rs
@@ -11,7 +11,7 @@
 
 use crate::callers::Request;
 use crate::control::{Msg, Status};
-use crate::outcome::{self, header_of, AnswerHeaders};
+use crate::outcome::{self, header_value, ResponseHeaders};
 use crate::shared::Shared;
 
 /// A page of plain text: status and body.
@@ -45,9 +45,9 @@
 
 /// Sends a page.
 pub fn send(request: Request, page: Page) {
-    let headers = AnswerHeaders::default();
+    let headers = ResponseHeaders::default();
     // Whoever asked and left will ask again.
-    drop(outcome::send_whole(request, &headers, page.0, "text/plain; version=0.0.4", page.1));
+    drop(outcome::send_response(request, &headers, page.0, "text/plain; version=0.0.4", page.1));
 }
 
 /// Checks that a request carries the operators' key.
@@ -61,7 +61,7 @@
 
 /// Gets the key that a request carries.
 pub fn bearer(request: &Request) -> Option<&str> {
-    let value = header_of(request, "Authorization")?;
+    let value = header_value(request, "Authorization")?;
     let (scheme, key) = value.split_once(' ')?;
     scheme.eq_ignore_ascii_case("bearer").then_some(key.trim())
 }
--- a/crates/tidetrack-router/src/billing.rs
+++ b/crates/tidetrack-router/src/billing.rs
@@ -21,10 +21,10 @@
 use crate::shared::Clock;
 
 /// Pause of the loop when nothing comes.
-const IDLE: Duration = Duration::from_millis(200);
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// When to come back while no bill can be kept safe, in milliseconds.
-const RETRY_UNSAFE_MS: u64 = 1_000;
+const STORAGE_RETRY_AFTER_MS: u64 = 1_000;
 
 /// Pause of the writer after a failed write.
 const WRITE_RETRY_INTERVAL: Duration = Duration::from_millis(300);
@@ -32,11 +32,11 @@
 /// Messages for the keeper of the bills.
 pub enum BillMsg {
     /// Keep a bill safe.
-    Keep {
+    Store {
         /// The bill.
         bill: Bill,
         /// Told once it is safe.
-        safe: Sender<()>,
+        replicated: Sender<()>,
     },
     /// Hold bills for another host.
     Hold {
@@ -50,20 +50,20 @@
         /// Which call.
         batch: u64,
         /// Whether all its bills are held.
-        held: bool,
+        is_held: bool,
     },
     /// A write of a segment ended.
     WriteDone {
         /// Whose segment.
         origin: Incarnation,
-        /// What stands under its number, if that is known.
-        stands: Option<Segment>,
+        /// What stored under its number, if that is known.
+        stored: Option<Segment>,
     },
     /// Who may hold this host's bills from now on, best first.
     Holders(Vec<Holder>),
     /// Incarnations that are gone.
-    Gone(Vec<Incarnation>),
-    /// Write everything now and tell when it stands or is held.
+    IncarnationsGone(Vec<Incarnation>),
+    /// Write everything now and tell when it stored or is held.
     Flush(Sender<bool>),
     /// Ends the thread.
     Stop,
@@ -74,20 +74,20 @@
 pub struct Billing {
     sender: Sender<BillMsg>,
     state: Arc<BillState>,
-    patience: Duration,
+    store_timeout: Duration,
 }
 
 #[derive(Default)]
 struct BillState {
     pending: AtomicU64,
-    unsafe_now: AtomicBool,
+    is_storage_unavailable: AtomicBool,
 }
 
 impl Billing {
     /// Makes a handle; the thread takes the other end.
-    pub fn new(patience: Duration) -> (Billing, Receiver<BillMsg>) {
+    pub fn new(store_timeout: Duration) -> (Billing, Receiver<BillMsg>) {
         let (sender, receiver) = flume::unbounded();
-        (Billing { sender, state: Arc::default(), patience }, receiver)
+        (Billing { sender, state: Arc::default(), store_timeout }, receiver)
     }
 
     /// Gets the sender of messages.
@@ -102,38 +102,39 @@
 
     /// Refuses new work while no place for a bill can be reached.
     pub fn check(&self) -> Result<()> {
-        match self.state.unsafe_now.load(Ordering::Acquire) {
+        match self.state.is_storage_unavailable.load(Ordering::Acquire) {
             false => Ok(()),
             true => {
                 let message = "no place to keep the bill can be reached";
-                Err(Error::new(Code::BillUnsafe, message).with_retry_after(RETRY_UNSAFE_MS))
+                Err(Error::new(Code::BillUnsafe, message).with_retry_after(STORAGE_RETRY_AFTER_MS))
             }
         }
     }
 
     /// Keeps a bill safe; gives up waiting after a while, the bill stays due.
-    pub fn keep(&self, bill: Bill) -> Result<()> {
-        let (tx, rx) = flume::bounded(1);
-        let sent = self.sender.send(BillMsg::Keep { bill, safe: tx });
-        let lost = || {
+    pub fn store(&self, bill: Bill) -> Result<()> {
+        let (reply_sender, reply_receiver) = flume::bounded(1);
+        let send_result = self.sender.send(BillMsg::Store { bill, replicated: reply_sender });
+        let storage_failed = || {
             let message = "the bill could not be made safe; the answer is not finished";
             Error::new(Code::BillUnsafe, message).with_executed(Executed::Yes)
         };
-        sent.map_err(|_| lost())?;
-        rx.recv_timeout(self.patience).map_err(|_| lost())
+        send_result.map_err(|_| storage_failed())?;
+        reply_receiver.recv_timeout(self.store_timeout).map_err(|_| storage_failed())
     }
 
-    /// Writes everything; tells whether it stands or is held by another host.
+    /// Writes everything; tells whether it stored or is held by another host.
     pub fn flush(&self) -> bool {
-        let (tx, rx) = flume::bounded(1);
-        self.sender.send(BillMsg::Flush(tx)).is_ok() && rx.recv().unwrap_or(false)
+        let (reply_sender, reply_receiver) = flume::bounded(1);
+        self.sender.send(BillMsg::Flush(reply_sender)).is_ok()
+            && reply_receiver.recv().unwrap_or(false)
     }
 }
 
 /// The thread round the keeper.
-pub struct KeeperThread {
+pub struct ReplicatorThread {
     /// The keeper.
-    pub keeper: BillReplicator,
+    pub replicator: BillReplicator,
     /// The clock.
     pub clock: Clock,
     /// Calls to other hosts.
@@ -146,64 +147,66 @@
 
 #[derive(Default)]
 struct Waiters {
-    safe: BTreeMap<u64, Sender<()>>,
+    replicated: BTreeMap<u64, Sender<()>>,
     flushes: Vec<Sender<bool>>,
 }
 
-impl KeeperThread {
+impl ReplicatorThread {
     /// Takes messages until told to stop.
     pub fn run(mut self, billing: &Billing, messages: Receiver<BillMsg>) {
         let mut waiters = Waiters::default();
         loop {
-            match messages.recv_timeout(IDLE) {
+            match messages.recv_timeout(POLL_INTERVAL) {
                 Ok(BillMsg::Stop) | Err(RecvTimeoutError::Disconnected) => return,
-                Ok(msg) => self.take(msg, &mut waiters),
+                Ok(msg) => self.handle_message(msg, &mut waiters),
                 Err(RecvTimeoutError::Timeout) => {}
             }
             // What came meanwhile goes into the same call to the holder.
             while let Ok(msg) = messages.try_recv() {
                 match msg {
                     BillMsg::Stop => return,
-                    other => self.take(other, &mut waiters),
+                    other => self.handle_message(other, &mut waiters),
                 }
             }
             let now = self.clock.now();
-            for action in self.keeper.poll_actions(now) {
-                self.act(action, &mut waiters);
+            for action in self.replicator.poll_actions(now) {
+                self.execute(action, &mut waiters);
             }
             billing
                 .state
-                .unsafe_now
-                .store(self.keeper.is_storage_unavailable(now), Ordering::Release);
-            billing.state.pending.store(self.keeper.pending() as u64, Ordering::Relaxed);
+                .is_storage_unavailable
+                .store(self.replicator.is_storage_unavailable(now), Ordering::Release);
+            billing.state.pending.store(self.replicator.pending() as u64, Ordering::Relaxed);
         }
     }
 
-    fn take(&mut self, msg: BillMsg, waiters: &mut Waiters) {
+    fn handle_message(&mut self, msg: BillMsg, waiters: &mut Waiters) {
         let now = self.clock.now();
         match msg {
-            BillMsg::Keep { bill, safe } => {
-                waiters.safe.insert(bill.number(), safe);
-                self.keeper.add_bill(bill);
+            BillMsg::Store { bill, replicated } => {
+                waiters.replicated.insert(bill.number(), replicated);
+                self.replicator.add_bill(bill);
             }
             BillMsg::Hold { call, reply } => {
                 // A host that no longer waits calls again.
-                let _ = reply.send(self.keeper.hold_for(call));
+                let _ = reply.send(self.replicator.hold_for(call));
             }
-            BillMsg::HoldDone { batch, held } => self.keeper.hold_done(now, batch, held),
-            BillMsg::WriteDone { origin, stands } => self.keeper.write_done(now, &origin, stands),
-            BillMsg::Holders(holders) => self.keeper.set_holders(holders),
-            BillMsg::Gone(gone) => self.keeper.take_over(&gone),
+            BillMsg::HoldDone { batch, is_held } => self.replicator.hold_done(now, batch, is_held),
+            BillMsg::WriteDone { origin, stored } => {
+                self.replicator.write_done(now, &origin, stored)
+            }
+            BillMsg::Holders(holders) => self.replicator.set_holders(holders),
+            BillMsg::IncarnationsGone(gone) => self.replicator.take_over(&gone),
             BillMsg::Flush(reply) => {
                 waiters.flushes.push(reply);
-                self.keeper.flush();
+                self.replicator.flush();
             }
             BillMsg::Stop => {}
         }
     }
 
     /// Carries out an action. The other threads are gone only when the process ends.
-    fn act(&self, action: ReplicatorAction, waiters: &mut Waiters) {
+    fn execute(&self, action: ReplicatorAction, waiters: &mut Waiters) {
         match action {
             ReplicatorAction::Hold { holder, batch, call } => {
                 let _ = self.jobs.send(Job::Hold { address: holder, batch, call });
@@ -212,17 +215,17 @@
                 let _ = self.segments.send(segment);
             }
             ReplicatorAction::ReleaseResponse(number) => {
-                if let Some(safe) = waiters.safe.remove(&number) {
+                if let Some(replicated) = waiters.replicated.remove(&number) {
                     // A request that stopped waiting is told in vain.
-                    let _ = safe.send(());
+                    let _ = replicated.send(());
                 }
             }
             ReplicatorAction::CheckGone(of) => {
                 let _ = self.control.send(Msg::Gone { of });
             }
-            ReplicatorAction::Flushed(safe) => {
+            ReplicatorAction::Flushed(is_safe) => {
                 for flush in waiters.flushes.drain(..) {
-                    let _ = flush.send(safe);
+                    let _ = flush.send(is_safe);
                 }
             }
         }
@@ -233,23 +236,23 @@
 pub fn write_loop(
     platform: PlatformClient,
     segments: Receiver<Segment>,
-    done: Sender<BillMsg>,
+    write_results: Sender<BillMsg>,
     logger: slog::Logger,
 ) {
     for segment in segments {
         let origin = segment.origin.clone();
-        let stands = write_segment(&platform, &segment, &logger);
-        if let Err(e) = &stands {
-            logging::log(&logger, Event::SegmentFailed, &e.to_string());
+        let stored = write_segment(&platform, &segment, &logger);
+        if let Err(err) = &stored {
+            logging::log(&logger, Event::SegmentFailed, &err.to_string());
             std::thread::sleep(WRITE_RETRY_INTERVAL);
         }
-        if done.send(BillMsg::WriteDone { origin, stands: stands.ok() }).is_err() {
+        if write_results.send(BillMsg::WriteDone { origin, stored: stored.ok() }).is_err() {
             return;
         }
     }
 }
 
-/// Creates a segment if absent; gets what stands under its number.
+/// Creates a segment if absent; gets what stored under its number.
 fn write_segment(
     platform: &PlatformClient,
     segment: &Segment,
@@ -263,13 +266,13 @@
             logging::log(logger, Event::SegmentWritten, &text);
             Ok(segment.clone())
         }
-        Err(e) if e.code == Code::Conflict => {
-            let stands = platform.fetch(&name)?;
-            let body = stands.body.unwrap_or_default();
+        Err(err) if err.code == Code::Conflict => {
+            let stored = platform.fetch(&name)?;
+            let body = stored.body.unwrap_or_default();
             logging::log(logger, Event::SegmentTaken, &name);
-            serde_json::from_str(&body).map_err(|e| Error::new(Code::Internal, e.to_string()))
+            serde_json::from_str(&body).map_err(|err| Error::new(Code::Internal, err.to_string()))
         }
-        Err(e) => Err(e),
+        Err(err) => Err(err),
     }
 }
 
@@ -280,7 +283,7 @@
     for object in list.objects {
         let body = object.body.unwrap_or_default();
         let segment = serde_json::from_str(&body)
-            .map_err(|e| Error::new(Code::Internal, format!("{}: {e}", object.name)))?;
+            .map_err(|err| Error::new(Code::Internal, format!("{}: {err}", object.name)))?;
         segments.insert(object.name, segment);
     }
     Ok(segments)
--- a/crates/tidetrack-router/src/callers.rs
+++ b/crates/tidetrack-router/src/callers.rs
@@ -16,16 +16,16 @@
 /// The body of an answer, on its way to the event loop.
 pub enum ReplyBody {
     /// All of it.
-    Whole(Bytes),
+    Complete(Bytes),
     /// Pieces as they come.
-    Pieces(mpsc::Receiver<Piece>),
+    Streamed(mpsc::Receiver<Piece>),
 }
 
 impl From<ReplyBody> for AnswerBody {
     fn from(body: ReplyBody) -> AnswerBody {
         match body {
-            ReplyBody::Whole(bytes) => AnswerBody::whole(bytes),
-            ReplyBody::Pieces(rx) => AnswerBody::from_pieces(rx),
+            ReplyBody::Complete(bytes) => AnswerBody::whole(bytes),
+            ReplyBody::Streamed(piece_receiver) => AnswerBody::from_pieces(piece_receiver),
         }
     }
 }
@@ -39,7 +39,7 @@
     reply: oneshot::Sender<Response<ReplyBody>>,
 }
 
-fn has_left() -> io::Error {
+fn caller_disconnected() -> io::Error {
     io::Error::new(io::ErrorKind::BrokenPipe, "the caller has left")
 }
 
@@ -76,31 +76,31 @@
 
     /// Sends a whole answer.
     pub fn respond(self, head: Response<()>, body: Vec<u8>) -> io::Result<()> {
-        let resp = head.map(|()| ReplyBody::Whole(body.into()));
-        self.reply.send(resp).map_err(|_| has_left())
+        let response = head.map(|()| ReplyBody::Complete(body.into()));
+        self.reply.send(response).map_err(|_| caller_disconnected())
     }
 
     /// Sends the head of an answer whose pieces follow.
-    pub fn begin(self, head: Response<()>) -> io::Result<Pieces> {
-        let (tx, rx) = mpsc::channel(WAITING);
-        let resp = head.map(|()| ReplyBody::Pieces(rx));
-        self.reply.send(resp).map_err(|_| has_left())?;
-        Ok(Pieces(tx))
+    pub fn start_response(self, head: Response<()>) -> io::Result<BodySender> {
+        let (piece_sender, piece_receiver) = mpsc::channel(WAITING);
+        let response = head.map(|()| ReplyBody::Streamed(piece_receiver));
+        self.reply.send(response).map_err(|_| caller_disconnected())?;
+        Ok(BodySender(piece_sender))
     }
 }
 
 /// Sends the pieces of an answer. Dropping it ends the body properly.
-pub struct Pieces(mpsc::Sender<Piece>);
+pub struct BodySender(mpsc::Sender<Piece>);
 
-impl Pieces {
+impl BodySender {
     /// Sends a piece, waiting for a slow caller.
     pub fn send(&self, bytes: Vec<u8>) -> io::Result<()> {
-        self.0.blocking_send(Ok(bytes.into())).map_err(|_| has_left())
+        self.0.blocking_send(Ok(bytes.into())).map_err(|_| caller_disconnected())
     }
 }
 
 /// Makes the head of an answer.
-pub fn head(status: u16) -> Response<()> {
+pub fn response_head(status: u16) -> Response<()> {
     let mut head = Response::new(());
     *head.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     head
--- a/crates/tidetrack-router/src/chat/attempts.rs
+++ b/crates/tidetrack-router/src/chat/attempts.rs
@@ -18,131 +18,136 @@
 use tidetrack_wire::caller::{ResponsePart, StreamOptions, Usage};
 use tidetrack_wire::headers;
 
-use crate::upstream::{Attempt, Begin, Events};
+use crate::upstream::{Attempt, AttemptParams, EventReader};
 
-use super::flow::{Flow, Out};
-use super::{Answer, Call};
+use super::stream_relay::{ResponseSink, StreamRelay};
+use super::{Call, RungResponse};
 
 /// Most attempts at one rung.
-const MOST_ATTEMPTS: usize = 3;
+const MAX_ATTEMPTS: usize = 3;
 
 /// Answer tokens assumed where a request does not say.
-const ASSUMED_ANSWER: u64 = 256;
+const DEFAULT_RESPONSE_TOKENS: u64 = 256;
 
 /// Characters of a prompt that decide its place on the ring.
 const PREFIX_CHARS: usize = 512;
 
 /// Largest whole answer, in bytes: some hundred thousand tokens.
-const LARGEST_ANSWER: usize = 4 << 20;
+const MAX_RESPONSE_BYTES: usize = 4 << 20;
 
 impl<'a> Call<'a> {
     /// Runs one rung; tells whether its answer was given to the caller.
-    pub(super) fn rung(
+    pub(super) fn run_rung(
         &mut self,
         model: &ModelId,
-        judged: Option<f64>,
-        out: &mut Out,
+        min_score: Option<f64>,
+        sink: &mut ResponseSink,
     ) -> Result<bool> {
         let mut tried: Vec<EndpointId> = Vec::new();
         let mut chosen: Option<ChosenVersion> = None;
-        let mut first: Option<Error> = None;
+        let mut first_error: Option<Error> = None;
         loop {
             let tried_before = tried.len();
-            let result = self.attempt(model, &mut chosen, &mut tried, judged, out);
+            let result = self.run_attempt(model, &mut chosen, &mut tried, min_score, sink);
             let e = match result {
-                Ok(given) => {
+                Ok(is_sent) => {
                     self.may_have_run = true;
-                    return Ok(given);
+                    return Ok(is_sent);
                 }
                 Err(e) => e,
             };
             self.may_have_run |= e.executed != Executed::No;
             // That no other endpoint is left says less than why one is looked for.
-            let e = match first.take() {
-                Some(first) if e.code == Code::Overloaded => first,
+            let e = match first_error.take() {
+                Some(first_error) if e.code == Code::Overloaded => first_error,
                 _ => e,
             };
-            first = Some(e.clone());
-            let failed = FailedAttempt {
+            first_error = Some(e.clone());
+            let failed_attempt = FailedAttempt {
                 ran: e.executed,
                 is_repeatable: true,
-                has_partial_response: out.has_begun(),
+                has_partial_response: sink.has_started(),
             };
-            let again = tried.len() > tried_before
-                && tried.len() < MOST_ATTEMPTS
-                && is_attempts_fault(e.code)
-                && may_retry(failed)
+            let should_retry = tried.len() > tried_before
+                && tried.len() < MAX_ATTEMPTS
+                && is_endpoint_specific(e.code)
+                && may_retry(failed_attempt)
                 && Instant::now() < self.deadline;
-            if !again || !self.take_retry() {
-                self.give_back(&chosen);
+            if !should_retry || !self.acquire_retry() {
+                self.refund_credit(&chosen);
                 return Err(e);
             }
         }
     }
 
     /// Gives the credit back if no attempt of the request can have run.
-    fn give_back(&self, chosen: &Option<ChosenVersion>) {
+    fn refund_credit(&self, chosen: &Option<ChosenVersion>) {
         let credit = chosen.as_ref().and_then(|c| c.credit.as_ref());
         if let Some(credit) = credit.filter(|_| !self.may_have_run) {
             credit.refund();
         }
     }
 
-    fn take_retry(&self) -> bool {
+    fn acquire_retry(&self) -> bool {
         let mut retries = self.shared().retries.lock().expect("no holder of the lock panics");
         retries.try_acquire()
     }
 
-    fn attempt(
+    fn run_attempt(
         &mut self,
         model: &ModelId,
         chosen: &mut Option<ChosenVersion>,
         tried: &mut Vec<EndpointId>,
-        judged: Option<f64>,
-        out: &mut Out,
+        min_score: Option<f64>,
+        sink: &mut ResponseSink,
     ) -> Result<bool> {
-        let fresh = self.shared().confirm();
+        let freshness = self.shared().confirm();
         self.shared().suspects.check(self.shared().now(), self.fingerprint)?;
         let view = self.shared().view.load_full();
         let workspace = self.workspace(&view)?;
         if chosen.is_none() {
             *chosen = Some(match &self.session {
                 Some(s) => {
-                    view.choose_session_version(workspace, &s.version, s.generation, fresh)?
+                    view.choose_session_version(workspace, &s.version, s.generation, freshness)?
                 }
-                None => view.choose_version(workspace, model, self.draw, fresh)?,
+                None => view.choose_version(workspace, model, self.version_fraction, freshness)?,
             });
         }
         let chosen = chosen.as_ref().expect("a version was chosen").clone();
-        let endpoint = self.pick(&view, &chosen, tried)?;
+        let endpoint = self.pick_endpoint(&view, &chosen, tried)?;
         tried.push(endpoint.id.clone());
         self.labels.version = chosen.version.to_string();
         self.labels.failure_domain = endpoint.failure_domain.to_string();
-        let attempt = format!("{}/{}-{}", self.caller.id, chosen.version.model, tried.len());
+        let attempt_id = format!("{}/{}-{}", self.context.id, chosen.version.model, tried.len());
         // The last look before work leaves: a withdrawal that came meanwhile counts.
         let view = self.shared().view.load_full();
         view.check_still_valid(self.workspace(&view)?, &chosen)?;
-        let begin = Begin {
+        let params = AttemptParams {
             shared: self.shared(),
-            upstream: self.caller.upstream,
+            upstream: self.context.upstream,
             endpoint,
-            work: request_work(Tokens(self.chat.prompt_tokens()), Tokens(self.answer_tokens())),
-            id: attempt,
+            work: request_work(
+                Tokens(self.chat.prompt_tokens()),
+                Tokens(self.max_response_tokens()),
+            ),
+            id: attempt_id,
             fingerprint: self.fingerprint,
             deadline: self.deadline,
-            any_status: false,
+            accepts_any_status: false,
             is_repeatable: true,
         };
-        let result = match judged {
-            None if self.chat.stream => self.streamed(begin, &view, &chosen, out),
-            _ => self.whole(begin, &chosen).and_then(|a| self.judge(a, &view, judged, out)),
+        let result = match min_score {
+            None if self.chat.stream => self.relay_stream(params, &view, &chosen, sink),
+            _ => self
+                .fetch_complete(params, &chosen)
+                .and_then(|response| self.judge_and_send(response, &view, min_score, sink)),
         };
-        self.count(&chosen, &result);
+        self.record_outcome(&chosen, &result);
         result
     }
 
     /// Counts the end of an attempt as evidence about the version.
-    fn count(&self, chosen: &ChosenVersion, result: &Result<bool>) {
+    fn record_outcome(&self, chosen: &ChosenVersion, result: &Result<bool>) {
         let counts = match result {
             Ok(_) => VersionCounts { answered: 1, ..VersionCounts::default() },
             Err(e) if e.executed != Executed::No && e.code == Code::EndpointFailed => {
@@ -150,51 +155,54 @@
             }
             Err(_) => return,
         };
-        let unproven = chosen.credit.is_some();
-        self.shared().count(&chosen.version, chosen.generation, unproven, counts);
+        let is_canary = chosen.credit.is_some();
+        self.shared().count(&chosen.version, chosen.generation, is_canary, counts);
     }
 
     fn workspace<'v>(&self, view: &'v View) -> Result<&'v Workspace> {
-        let gone = || Error::new(Code::NoKey, "the workspace is gone");
-        view.workspaces.get(&self.caller.workspace).ok_or_else(gone)
+        let workspace_deleted = || Error::new(Code::NoKey, "the workspace is gone");
+        view.workspaces.get(&self.context.workspace).ok_or_else(workspace_deleted)
     }
 
-    fn answer_tokens(&self) -> u64 {
-        self.chat.max_tokens.unwrap_or(ASSUMED_ANSWER)
+    fn max_response_tokens(&self) -> u64 {
+        self.chat.max_tokens.unwrap_or(DEFAULT_RESPONSE_TOKENS)
     }
 
-    fn pick(
+    fn pick_endpoint(
         &self,
         view: &View,
         chosen: &ChosenVersion,
         tried: &[EndpointId],
     ) -> Result<PoolEndpoint> {
-        let need = self.chat.prompt_tokens() + self.answer_tokens();
-        let context = view.versions.get(&chosen.version).map_or(0, |v| v.spec.context_tokens);
-        if need > context {
-            let message = format!("{need} tokens; {} takes {context}", chosen.version);
+        let required_tokens = self.chat.prompt_tokens() + self.max_response_tokens();
+        let context_tokens =
+            view.versions.get(&chosen.version).map_or(0, |v| v.spec.context_tokens);
+        if required_tokens > context_tokens {
+            let message =
+                format!("{required_tokens} tokens; {} takes {context_tokens}", chosen.version);
             return Err(Error::new(Code::TooLong, message));
         }
         let pool = view.pools.get(&chosen.pool);
         let no_pool = || Error::new(Code::NoVersion, format!("no pool named {}", chosen.pool));
-        let ask = PlacementRequest {
-            ring_position: self.place(),
-            salt: rendezvous("endpoint", &self.caller.id.to_string()),
-            required_tokens: Tokens(need),
+        let placement_request = PlacementRequest {
+            ring_position: self.ring_position(),
+            salt: rendezvous("endpoint", &self.context.id.to_string()),
+            required_tokens: Tokens(required_tokens),
             tried,
             priority: self.priority,
             ..PlacementRequest::default()
         };
-        pool.ok_or_else(no_pool)?.pick(self.shared().now(), &ask).cloned()
+        pool.ok_or_else(no_pool)?.pick(self.shared().now(), &placement_request).cloned()
     }
 
     /// Gets the place on the ring: the session's, or that of the prompt's beginning.
-    pub(super) fn place(&self) -> u64 {
+    pub(super) fn ring_position(&self) -> u64 {
         if let Some(session) = &self.session {
             return ring_position_of(&session.nonce.to_le_bytes());
         }
-        let first = self.chat.messages.first().and_then(|m| m.content.as_str()).unwrap_or_default();
-        let prefix: String = first.chars().take(PREFIX_CHARS).collect();
+        let first_message =
+            self.chat.messages.first().and_then(|m| m.content.as_str()).unwrap_or_default();
+        let prefix: String = first_message.chars().take(PREFIX_CHARS).collect();
         ring_position_of(prefix.as_bytes())
     }
 
@@ -217,29 +225,33 @@
     }
 
     /// Gets a whole answer.
-    fn whole(&self, begin: Begin<'_>, chosen: &ChosenVersion) -> Result<Answer> {
+    fn fetch_complete(
+        &self,
+        params: AttemptParams<'_>,
+        chosen: &ChosenVersion,
+    ) -> Result<RungResponse> {
         let (request, body) = self.upstream_request(chosen, false);
-        let (mut attempt, mut reply) = Attempt::send(begin, request, body)?;
-        let parsed = attempt.read_body(&mut reply, LARGEST_ANSWER).and_then(|body| {
+        let (mut attempt, mut reply) = Attempt::send(params, request, body)?;
+        let parsed = attempt.read_body(&mut reply, MAX_RESPONSE_BYTES).and_then(|body| {
             let part = serde_json::from_slice::<ResponsePart>(&body);
-            part.map(|part| (part, body)).map_err(|e| attempt.cut(&e.to_string()))
+            part.map(|part| (part, body)).map_err(|e| attempt.interrupted_error(&e.to_string()))
         });
         match parsed {
             Ok((part, body)) => {
-                attempt.succeeded();
+                attempt.record_success();
                 let text = part.text().to_string();
-                let usage = part.usage.unwrap_or_else(|| self.assumed_usage(&text));
+                let usage = part.usage.unwrap_or_else(|| self.estimate_usage(&text));
                 let endpoint = attempt.endpoint().clone();
-                Ok(Answer { chosen: chosen.clone(), endpoint, text, usage, body })
+                Ok(RungResponse { chosen: chosen.clone(), endpoint, text, usage, body })
             }
             Err(e) => {
-                attempt.failed(&e);
+                attempt.record_failure(&e);
                 Err(e)
             }
         }
     }
 
-    fn assumed_usage(&self, text: &str) -> Usage {
+    fn estimate_usage(&self, text: &str) -> Usage {
         let completion_tokens = (text.chars().count() as u64).div_ceil(4);
         let prompt_tokens = self.chat.prompt_tokens();
         let total_tokens = prompt_tokens + completion_tokens;
@@ -247,50 +259,50 @@
     }
 
     /// Passes a stream on event by event.
-    fn streamed(
+    fn relay_stream(
         &mut self,
-        begin: Begin<'_>,
+        params: AttemptParams<'_>,
         view: &View,
         chosen: &ChosenVersion,
-        out: &mut Out,
+        sink: &mut ResponseSink,
     ) -> Result<bool> {
         let (request, body) = self.upstream_request(chosen, true);
-        let (mut attempt, reply) = Attempt::send(begin, request, body)?;
-        let mut flow = Flow::default();
-        self.set_headers(view, chosen, attempt.endpoint(), out);
-        let passed = flow.pass(&mut Events::new(reply), &attempt, self, out);
-        let passed = match passed {
-            Err(e) if e.code == Code::EndpointFailed && out.has_begun() => {
-                flow.resume(&attempt, out).map_err(|_| e)
+        let (mut attempt, reply) = Attempt::send(params, request, body)?;
+        let mut relay = StreamRelay::default();
+        self.set_headers(view, chosen, attempt.endpoint(), sink);
+        let relay_result = relay.relay_events(&mut EventReader::new(reply), &attempt, self, sink);
+        let relay_result = match relay_result {
+            Err(e) if e.code == Code::EndpointFailed && sink.has_started() => {
+                relay.resume(&attempt, sink).map_err(|_| e)
             }
             other => other,
         };
-        let usage = flow.usage.unwrap_or_else(|| Usage {
+        let usage = relay.usage.unwrap_or_else(|| Usage {
             prompt_tokens: self.chat.prompt_tokens(),
-            completion_tokens: flow.chunks,
-            total_tokens: self.chat.prompt_tokens() + flow.chunks,
+            completion_tokens: relay.chunks,
+            total_tokens: self.chat.prompt_tokens() + relay.chunks,
         });
-        if let Err(e) = passed {
-            attempt.failed(&e);
-            if out.has_begun() {
-                self.add_part(view, chosen, usage);
-                self.bill(BillOutcome::Truncated)?;
+        if let Err(e) = relay_result {
+            attempt.record_failure(&e);
+            if sink.has_started() {
+                self.add_line_item(view, chosen, usage);
+                self.store_bill(BillOutcome::Truncated)?;
             }
             return Err(e);
         }
-        attempt.succeeded();
-        self.add_part(view, chosen, usage);
-        self.bill(BillOutcome::Complete)?;
-        self.offer_rating(chosen, &flow.text);
-        if flow.finish(self.wants_usage, out).is_err() {
-            self.shared().log(Event::CallerLeft, &self.caller.id.to_string());
+        attempt.record_success();
+        self.add_line_item(view, chosen, usage);
+        self.store_bill(BillOutcome::Complete)?;
+        self.submit_for_rating(chosen, &relay.text);
+        if relay.finish(self.wants_usage, sink).is_err() {
+            self.shared().log(Event::CallerLeft, &self.context.id.to_string());
         }
         Ok(true)
     }
 }
 
 /// Tells whether an error is one that another endpoint may not have.
-fn is_attempts_fault(code: Code) -> bool {
+fn is_endpoint_specific(code: Code) -> bool {
     matches!(
         code,
         Code::EndpointFailed
--- a/crates/tidetrack-router/src/chat/mod.rs
+++ b/crates/tidetrack-router/src/chat/mod.rs
@@ -22,18 +22,18 @@
 
 use crate::callers::Request;
 use crate::metrics::Labels;
-use crate::outcome::{self, header_of, AnswerHeaders};
+use crate::outcome::{self, header_value, ResponseHeaders};
 use crate::shared::Shared;
 use crate::upstream::Upstream;
 
 mod attempts;
-mod flow;
-mod judged;
+mod buffered;
+mod stream_relay;
 
-use flow::Out;
+use stream_relay::ResponseSink;
 
 /// What is known of a caller before its body is looked at.
-pub struct Caller<'a> {
+pub struct RequestContext<'a> {
     /// The router's shared state.
     pub shared: &'a Shared,
     /// The way to endpoints.
@@ -43,28 +43,28 @@
     /// The workspace.
     pub workspace: WorkspaceId,
     /// When the request came.
-    pub began: Instant,
+    pub received_at: Instant,
 }
 
 /// A chat request on its way.
 struct Call<'a> {
-    caller: &'a Caller<'a>,
+    context: &'a RequestContext<'a>,
     chat: ChatRequest,
     fingerprint: Fingerprint,
     route: RouteId,
     session: Option<Session>,
-    draw: f64,
+    version_fraction: f64,
     deadline: Instant,
     wants_usage: bool,
     priority: i64,
     labels: Labels,
-    parts: Vec<LineItem>,
+    line_items: Vec<LineItem>,
     first_token_ms: Cell<Option<f64>>,
     may_have_run: bool,
 }
 
 /// What one rung gave.
-struct Answer {
+struct RungResponse {
     chosen: ChosenVersion,
     endpoint: PoolEndpoint,
     text: String,
@@ -73,41 +73,41 @@
 }
 
 /// Runs a chat request and answers it.
-pub fn run(caller: &Caller<'_>, request: Request, body: &[u8]) -> (Labels, Result<()>) {
-    let headers = AnswerHeaders::new(&caller.id, &request);
-    let mut labels = Labels { workspace: caller.workspace.to_string(), ..Labels::default() };
-    let view = caller.shared.view.load_full();
-    let call = Call::read(caller, &view, &request, body);
-    let mut out = Out { request: Some(request), headers, stream: None };
+pub fn run(context: &RequestContext<'_>, request: Request, body: &[u8]) -> (Labels, Result<()>) {
+    let headers = ResponseHeaders::new(&context.id, &request);
+    let mut labels = Labels { workspace: context.workspace.to_string(), ..Labels::default() };
+    let view = context.shared.view.load_full();
+    let call = Call::parse(context, &view, &request, body);
+    let mut sink = ResponseSink { request: Some(request), headers, stream: None };
     let result = call.and_then(|mut call| {
-        let result = call.answer(&view, &mut out);
-        call.note_objectives(&view, result.is_ok());
+        let result = call.respond(&view, &mut sink);
+        call.record_objectives(&view, result.is_ok());
         labels = call.labels;
         result
     });
-    if let Err(e) = &result {
-        refuse(&mut out, e);
+    if let Err(err) = &result {
+        send_error(&mut sink, err);
     }
     (labels, result)
 }
 
-fn refuse(out: &mut Out, e: &Error) {
+fn send_error(sink: &mut ResponseSink, err: &Error) {
     // A caller that has left misses nothing.
-    match (out.request.take(), out.stream.as_mut()) {
-        (Some(request), _) => drop(outcome::send_refusal(request, &out.headers, e)),
-        (None, Some(stream)) => stream.fail(e),
+    match (sink.request.take(), sink.stream.as_mut()) {
+        (Some(request), _) => drop(outcome::send_error_response(request, &sink.headers, err)),
+        (None, Some(stream)) => stream.end_with_error(err),
         (None, None) => {}
     }
 }
 
 /// Reads the number of a header.
-fn number_of(request: &Request, name: &str) -> Option<i64> {
-    header_of(request, name)?.trim().parse().ok()
+fn parse_number_header(request: &Request, name: &str) -> Option<i64> {
+    header_value(request, name)?.trim().parse().ok()
 }
 
 impl<'a> Call<'a> {
-    fn read(
-        caller: &'a Caller<'a>,
+    fn parse(
+        context: &'a RequestContext<'a>,
         view: &View,
         request: &Request,
         body: &[u8],
@@ -117,12 +117,12 @@
             return Err(outcome::bad_body("`messages` is empty"));
         }
         let route: RouteId = chat.model.parse().map_err(|_| {
-            let shown: String = chat.model.chars().take(80).collect();
-            Error::new(Code::UnknownRoute, format!("no route named {shown:?}"))
+            let truncated_name: String = chat.model.chars().take(80).collect();
+            Error::new(Code::UnknownRoute, format!("no route named {truncated_name:?}"))
         })?;
-        let session = match (header_of(request, headers::SESSION), &view.key_ring) {
+        let session = match (header_value(request, headers::SESSION), &view.key_ring) {
             (Some(token), Some(ring)) => {
-                Some(Session::from_token(token.trim(), &caller.workspace, ring)?)
+                Some(Session::from_token(token.trim(), &context.workspace, ring)?)
             }
             (Some(_), None) => return Err(Error::new(Code::NotReady, "no key ring yet")),
             (None, _) => None,
@@ -130,71 +130,75 @@
         if session.as_ref().is_some_and(|s| s.route != route) {
             return Err(Error::new(Code::BadToken, "the session is of another route"));
         }
-        let most = view.policies.get(&route).map_or(30_000, |p| p.spec.deadline_ms);
-        let asked = number_of(request, headers::DEADLINE).map(|ms| ms.max(1) as u64);
-        let deadline = caller.began + Duration::from_millis(asked.map_or(most, |a| a.min(most)));
-        let draw = hash_fraction("version", &caller.id.to_string());
+        let max_deadline_ms = view.policies.get(&route).map_or(30_000, |p| p.spec.deadline_ms);
+        let requested_ms =
+            parse_number_header(request, headers::DEADLINE).map(|ms| ms.max(1) as u64);
+        let deadline = context.received_at
+            + Duration::from_millis(
+                requested_ms.map_or(max_deadline_ms, |a| a.min(max_deadline_ms)),
+            );
+        let version_fraction = hash_fraction("version", &context.id.to_string());
         Ok(Call {
             route: route.clone(),
             wants_usage: chat.stream_options.as_ref().is_some_and(|o| o.include_usage),
-            priority: number_of(request, headers::PRIORITY).unwrap_or(0),
-            draw,
+            priority: parse_number_header(request, headers::PRIORITY).unwrap_or(0),
+            version_fraction,
             labels: Labels {
-                workspace: caller.workspace.to_string(),
+                workspace: context.workspace.to_string(),
                 route: route.to_string(),
                 ..Labels::default()
             },
             fingerprint: Fingerprint::of(&RequestIdentity {
-                workspace: Some(&caller.workspace),
+                workspace: Some(&context.workspace),
                 hostname: "",
                 method: request.method().as_str(),
                 path: request.url(),
                 body,
             }),
-            caller,
+            context,
             chat,
             session,
             deadline,
-            parts: Vec::new(),
+            line_items: Vec::new(),
             first_token_ms: Cell::new(None),
             may_have_run: false,
         })
     }
 
     fn shared(&self) -> &'a Shared {
-        self.caller.shared
+        self.context.shared
     }
 
-    fn answer(&mut self, view: &View, out: &mut Out) -> Result<()> {
-        let result = self.answer_by_plan(view, out);
+    fn respond(&mut self, view: &View, sink: &mut ResponseSink) -> Result<()> {
+        let result = self.run_plan(view, sink);
         // A refusal after an attempt that may have run must not say that nothing was.
         match result {
-            Err(e) if e.executed == Executed::No && self.may_have_run => {
-                Err(e.with_executed(Executed::Unknown))
+            Err(err) if err.executed == Executed::No && self.may_have_run => {
+                Err(err.with_executed(Executed::Unknown))
             }
             other => other,
         }
     }
 
-    fn answer_by_plan(&mut self, view: &View, out: &mut Out) -> Result<()> {
-        let request = out.request.as_ref().expect("the answer has not begun");
+    fn run_plan(&mut self, view: &View, sink: &mut ResponseSink) -> Result<()> {
+        let request = sink.request.as_ref().expect("the answer has not begun");
         let plan = self.plan(view, request)?;
         let rungs = plan.rungs.len();
-        let mut last = Error::new(Code::NoVersion, "the plan has no rung");
-        for (i, model) in plan.rungs.iter().enumerate() {
-            let judged = plan.accept.filter(|_| i + 1 < rungs);
-            match self.rung(model, judged, out) {
+        let mut last_error = Error::new(Code::NoVersion, "the plan has no rung");
+        for (index, model) in plan.rungs.iter().enumerate() {
+            let min_score = plan.accept.filter(|_| index + 1 < rungs);
+            match self.run_rung(model, min_score, sink) {
                 Ok(true) => return Ok(()),
                 Ok(false) => {}
-                Err(e) if out.has_begun() || e.code == Code::Deadline => return Err(e),
-                Err(e) => last = e,
+                Err(err) if sink.has_started() || err.code == Code::Deadline => return Err(err),
+                Err(err) => last_error = err,
             }
         }
         // Work that was judged and put aside was done all the same.
-        if !self.parts.is_empty() {
-            self.bill(BillOutcome::Truncated)?;
+        if !self.line_items.is_empty() {
+            self.store_bill(BillOutcome::Truncated)?;
         }
-        Err(last)
+        Err(last_error)
     }
 
     /// Plans the rungs: the session's version, the policy's choice, or the caller's own.
@@ -203,61 +207,64 @@
             return Ok(Plan { rungs: vec![session.version.model.clone()], accept: None });
         }
         let Ok(policy) = view.policy(&self.route) else {
-            return self.callers_choice(view, self.route.as_str());
+            return self.plan_single_model(view, self.route.as_str());
         };
         let features = Features {
-            workspace: self.caller.workspace.to_string(),
+            workspace: self.context.workspace.to_string(),
             route: self.route.to_string(),
-            tags: tags_of(request),
+            tags: parse_tags(request),
             prompt_chars: self.chat.prompt_chars() as i64,
             priority: self.priority,
         };
-        let (plan, failed) =
-            policy.decide(&features, &load_of(view, &policy.spec.fallback, self.shared()));
-        if let Some(e) = failed {
+        let (plan, policy_error) =
+            policy.decide(&features, &fallback_loads(view, &policy.spec.fallback, self.shared()));
+        if let Some(err) = policy_error {
             self.shared().metrics.event("policy_failed");
-            self.shared().log(Event::PolicyFailed, &format!("{}: {e}", self.route));
+            self.shared().log(Event::PolicyFailed, &format!("{}: {err}", self.route));
         }
-        let script = header_of(request, headers::SCRIPT_CHOICE);
-        match script {
-            Some(choice) if !policy.spec.mode.is_enforced(self.draw) => {
+        let script_choice = header_value(request, headers::SCRIPT_CHOICE);
+        match script_choice {
+            Some(choice) if !policy.spec.mode.is_enforced(self.version_fraction) => {
                 let text = format!(
                     "{} {}: policy {:?}, script {choice}",
-                    self.caller.id, self.route, plan.rungs
+                    self.context.id, self.route, plan.rungs
                 );
                 self.shared().log(Event::PolicyObserved, &text);
-                self.callers_choice(view, choice)
+                self.plan_single_model(view, choice)
             }
             _ => Ok(plan),
         }
     }
 
-    fn callers_choice(&self, view: &View, name: &str) -> Result<Plan> {
-        let unknown = || Error::new(Code::UnknownRoute, format!("no route or model named {name}"));
-        let model: ModelId = name.parse().map_err(|_| unknown())?;
+    fn plan_single_model(&self, view: &View, name: &str) -> Result<Plan> {
+        let unknown_name =
+            || Error::new(Code::UnknownRoute, format!("no route or model named {name}"));
+        let model: ModelId = name.parse().map_err(|_| unknown_name())?;
         match view.models.contains_key(&model) {
             true => Ok(Plan { rungs: vec![model], accept: None }),
-            false => Err(unknown()),
+            false => Err(unknown_name()),
         }
     }
 
-    fn add_part(&mut self, view: &View, chosen: &ChosenVersion, usage: Usage) {
-        let Some(v) = view.versions.get(&chosen.version) else { return };
+    fn add_line_item(&mut self, view: &View, chosen: &ChosenVersion, usage: Usage) {
+        let Some(version) = view.versions.get(&chosen.version) else { return };
         let (tokens_in, tokens_out) =
             (Tokens(usage.prompt_tokens), Tokens(usage.completion_tokens));
-        let cost = v.spec.price_in.cost_of(tokens_in) + v.spec.price_out.cost_of(tokens_out);
+        let cost =
+            version.spec.price_in.cost_of(tokens_in) + version.spec.price_out.cost_of(tokens_out);
         self.shared().metrics.usage(&self.labels, usage.total_tokens, cost.0);
-        self.parts.push(LineItem(chosen.version.clone(), tokens_in, tokens_out, cost));
+        self.line_items.push(LineItem(chosen.version.clone(), tokens_in, tokens_out, cost));
     }
 
     /// Makes the bill safe. Must come before the answer's last byte.
-    fn bill(&mut self, ended: BillOutcome) -> Result<()> {
-        let parts = std::mem::take(&mut self.parts);
-        let bill = Bill(self.caller.id.number, self.caller.workspace.clone(), parts, ended);
-        let from = Instant::now();
-        let kept = self.shared().billing.keep(bill);
-        self.shared().metrics.bill_wait(from.elapsed().as_secs_f64() * 1_000.0);
-        kept
+    fn store_bill(&mut self, outcome: BillOutcome) -> Result<()> {
+        let line_items = std::mem::take(&mut self.line_items);
+        let bill =
+            Bill(self.context.id.number, self.context.workspace.clone(), line_items, outcome);
+        let store_started_at = Instant::now();
+        let result = self.shared().billing.store(bill);
+        self.shared().metrics.bill_wait(store_started_at.elapsed().as_secs_f64() * 1_000.0);
+        result
     }
 
     fn set_headers(
@@ -265,68 +272,68 @@
         view: &View,
         chosen: &ChosenVersion,
         endpoint: &PoolEndpoint,
-        out: &mut Out,
+        sink: &mut ResponseSink,
     ) {
-        if out.has_begun() {
+        if sink.has_started() {
             return;
         }
-        let Some(request) = &out.request else { return };
-        let mut headers = AnswerHeaders::new(&self.caller.id, request);
+        let Some(request) = &sink.request else { return };
+        let mut headers = ResponseHeaders::new(&self.context.id, request);
         headers.add(headers::VERSION, chosen.version.to_string());
         headers.add(headers::ENDPOINT, endpoint.id.to_string());
         if let Some(ring) = &view.key_ring {
             let session = self.session.clone().unwrap_or_else(|| Session {
-                workspace: self.caller.workspace.clone(),
+                workspace: self.context.workspace.clone(),
                 route: self.route.clone(),
                 version: chosen.version.clone(),
                 generation: chosen.generation,
-                nonce: self.place(),
+                nonce: self.ring_position(),
             });
             headers.add(headers::SESSION, session.to_token(ring));
         }
-        out.headers = headers;
+        sink.headers = headers;
     }
 
-    fn note_first_token(&self) {
-        let ms = self.caller.began.elapsed().as_secs_f64() * 1_000.0;
+    fn record_first_token(&self) {
+        let ms = self.context.received_at.elapsed().as_secs_f64() * 1_000.0;
         self.first_token_ms.set(Some(ms));
         self.shared().metrics.first_token(&self.labels, ms);
     }
 
     /// Counts the request against its objectives. The caller's own faults do not count.
-    fn note_objectives(&self, view: &View, good: bool) {
+    fn record_objectives(&self, view: &View, succeeded: bool) {
         for objective in &view.objectives {
-            if objective.workspace == self.caller.workspace && objective.route == self.route {
+            if objective.workspace == self.context.workspace && objective.route == self.route {
                 let name = format!("{}/{}", objective.workspace, objective.route);
                 let limit = objective.first_token_ms as f64;
                 let in_time = self.first_token_ms.get().is_some_and(|ms| ms <= limit);
-                self.shared().metrics.objective(&self.labels, &name, good && in_time);
+                self.shared().metrics.objective(&self.labels, &name, succeeded && in_time);
             }
         }
     }
 }
 
-fn tags_of(request: &Request) -> Vec<String> {
-    let tags = header_of(request, headers::TAGS).unwrap_or_default();
+fn parse_tags(request: &Request) -> Vec<String> {
+    let tags = header_value(request, headers::TAGS).unwrap_or_default();
     tags.split(',').map(str::trim).filter(|t| !t.is_empty()).map(str::to_string).collect()
 }
 
 /// Endpoints of a pool that are looked at for a policy's `load`.
-const LOADS_SAMPLED: usize = 4;
+const MAX_SAMPLED_ENDPOINTS: usize = 4;
 
 /// Work of one busy slot, in answer tokens.
-const SLOT_WORK: f64 = 256.0;
+const WORK_PER_SLOT: f64 = 256.0;
 
 /// Gets the share of busy slots of the models that a policy falls back on, from a few endpoints.
-fn load_of(view: &View, models: &[ModelId], shared: &Shared) -> Vec<(ModelId, f64)> {
+fn fallback_loads(view: &View, models: &[ModelId], shared: &Shared) -> Vec<(ModelId, f64)> {
     let now = shared.now();
-    let load = |model: &ModelId| {
+    let mean_load = |model: &ModelId| {
         let serving = &view.models.get(model)?.serving;
         let pool = view.pools.get(&view.versions.get(serving)?.spec.pool)?;
-        let some = pool.endpoints().iter().take(LOADS_SAMPLED);
-        let loads: Vec<f64> = some.map(|e| e.state.load(now)).collect();
+        let sampled = pool.endpoints().iter().take(MAX_SAMPLED_ENDPOINTS);
+        let loads: Vec<f64> = sampled.map(|err| err.state.load(now)).collect();
         let mean = loads.iter().sum::<f64>() / loads.len().max(1) as f64;
-        Some((model.clone(), mean / SLOT_WORK))
+        Some((model.clone(), mean / WORK_PER_SLOT))
     };
-    models.iter().filter_map(load).collect()
+    models.iter().filter_map(mean_load).collect()
 }
--- a/crates/tidetrack-router/src/control.rs
+++ b/crates/tidetrack-router/src/control.rs
@@ -273,7 +273,7 @@
             }
             Msg::Gone { of } => {
                 let gone = of.into_iter().filter(|i| self.node.members.is_gone(i)).collect();
-                let _ = self.bills.send(BillMsg::Gone(gone));
+                let _ = self.bills.send(BillMsg::IncarnationsGone(gone));
             }
             Msg::Locate { incarnation, reply } => {
                 let _ = reply.send(self.locate(&incarnation));
--- a/crates/tidetrack-router/src/errands.rs
+++ b/crates/tidetrack-router/src/endpoint_client.rs
@@ -24,7 +24,7 @@
 use tidetrack_wire::headers;
 
 /// A request to an endpoint.
-pub struct Errand {
+pub struct EndpointRequest {
     /// The endpoint.
     pub endpoint: EndpointId,
     /// Its address.
@@ -36,7 +36,7 @@
     /// Whether it may run twice.
     pub is_repeatable: bool,
     /// When to give up.
-    pub until: Instant,
+    pub deadline: Instant,
     /// Takes the answer.
     pub reply: oneshot::Sender<Result<Reply>>,
 }
@@ -58,17 +58,17 @@
 }
 
 /// Carries errands out until the other end is gone.
-pub async fn run(errands: flume::Receiver<Errand>) {
+pub async fn run(requests: flume::Receiver<EndpointRequest>) {
     let pool = Rc::new(Pool::to_endpoints());
-    let swept = pool.clone();
-    tokio::task::spawn_local(async move { swept.keep_swept(|_| true).await });
-    while let Ok(errand) = errands.recv_async().await {
-        tokio::task::spawn_local(errand.carry_out(pool.clone()));
+    let idle_sweeper = pool.clone();
+    tokio::task::spawn_local(async move { idle_sweeper.keep_swept(|_| true).await });
+    while let Ok(request) = requests.recv_async().await {
+        tokio::task::spawn_local(request.execute(pool.clone()));
     }
 }
 
-impl Errand {
-    async fn carry_out(mut self, pool: Rc<Pool>) {
+impl EndpointRequest {
+    async fn execute(mut self, pool: Rc<Pool>) {
         let attempt = Attempt {
             pool: &pool,
             read_answer,
@@ -79,42 +79,42 @@
             echo: Echo::IfKnown,
             is_repeatable: self.is_repeatable,
             most_rest: most_rest(self.is_repeatable),
-            until: self.until,
+            until: self.deadline,
         };
-        let sent = tokio::select! {
-            sent = attempt::send(&attempt, || self.request.clone()) => sent,
+        let result = tokio::select! {
+            result = attempt::send(&attempt, || self.request.clone()) => result,
             () = self.reply.closed() => return,
         };
-        let answered = match sent {
-            Ok(answered) => answered,
-            Err(e) => {
+        let response = match result {
+            Ok(response) => response,
+            Err(err) => {
                 // A thread that left does not ask why.
-                drop(self.reply.send(Err(e)));
+                drop(self.reply.send(Err(err)));
                 return;
             }
         };
-        let Answered { head, body, lease, .. } = answered;
-        let (parts, taken) = mpsc::channel(WAITING);
-        if self.reply.send(Ok(Reply { head, body: taken })).is_err() {
+        let Answered { head, body, lease, .. } = response;
+        let (part_sender, part_receiver) = mpsc::channel(WAITING);
+        if self.reply.send(Ok(Reply { head, body: part_receiver })).is_err() {
             return;
         }
-        if pass_on(body, &parts, self.until).await {
+        if forward_body(body, &part_sender, self.deadline).await {
             pool.keep(self.endpoint.as_str(), lease, None);
-            drop(parts.send(Ok(BodyPart::End)).await);
+            drop(part_sender.send(Ok(BodyPart::End)).await);
         }
     }
 }
 
 /// Passes a body on; tells whether it came to its end.
-async fn pass_on(
+async fn forward_body(
     mut body: hyper::body::Incoming,
-    parts: &mpsc::Sender<Result<BodyPart>>,
-    until: Instant,
+    part_sender: &mpsc::Sender<Result<BodyPart>>,
+    deadline: Instant,
 ) -> bool {
     loop {
         let frame = tokio::select! {
-            frame = tokio::time::timeout_at(until.into(), body.frame()) => frame,
-            () = parts.closed() => return false,
+            frame = tokio::time::timeout_at(deadline.into(), body.frame()) => frame,
+            () = part_sender.closed() => return false,
         };
         let part = match frame {
             Ok(Some(Ok(frame))) => match frame.into_data() {
@@ -123,20 +123,19 @@
                 Err(_) => continue,
             },
             Ok(None) => return true,
-            Ok(Some(Err(e))) => {
-                Err(broken(Code::EndpointFailed, &e.to_string()).with_disconnect_cause(broke(&e)))
-            }
-            Err(_) => Err(broken(Code::Deadline, "the answer was not whole in time")),
+            Ok(Some(Err(err))) => Err(interrupted_error(Code::EndpointFailed, &err.to_string())
+                .with_disconnect_cause(broke(&err))),
+            Err(_) => Err(interrupted_error(Code::Deadline, "the answer was not whole in time")),
         };
-        let is_over = part.is_err();
-        if parts.send(part).await.is_err() || is_over {
+        let is_error = part.is_err();
+        if part_sender.send(part).await.is_err() || is_error {
             return false;
         }
     }
 }
 
-fn broken(code: Code, why: &str) -> Error {
-    Error::new(code, why).with_executed(Executed::Unknown)
+fn interrupted_error(code: Code, message: &str) -> Error {
+    Error::new(code, message).with_executed(Executed::Unknown)
 }
 
 /// Reads what the plane's client has to know of an answer. Refusals and load are read by whoever
--- a/crates/tidetrack-router/src/lib.rs
+++ b/crates/tidetrack-router/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! One thread owns the control state (`control`); a pool of threads carries traffic (`server`,
 //! `chat`, `services`), and one event loop serves callers' connections (`server`) and asks endpoints for
-//! them (`errands`); one thread runs the calls between hosts (`peers`); one keeps the bills
+//! them (`endpoint_client`); one thread runs the calls between hosts (`peers`); one keeps the bills
 //! (`billing`). They meet in `shared` and by `flume` channels.
 
 #![forbid(unsafe_code)]
@@ -14,7 +14,7 @@
 pub mod callers;
 pub mod chat;
 pub mod control;
-pub mod errands;
+pub mod endpoint_client;
 pub mod loads;
 pub mod logging;
 pub mod metrics;
--- a/crates/tidetrack-router/src/loads.rs
+++ b/crates/tidetrack-router/src/loads.rs
@@ -16,34 +16,34 @@
 use crate::shared::Shared;
 
 /// Seconds that a read may take.
-const READ_SECONDS: u64 = 1;
+const READ_TIMEOUT_SECONDS: u64 = 1;
 
 /// A report younger than this is not asked for again.
-const YOUNG: Millis = Millis(5_000);
+const MIN_REPORT_AGE: Millis = Millis(5_000);
 
 /// Reads loads until `stop` is closed.
 pub fn run(shared: Arc<Shared>, stop: Receiver<()>) {
-    let every = Duration::from_millis(shared.settings.times.load_ms.max(1));
-    let mut turn = 0usize;
-    while stop.recv_timeout(every) != Err(RecvTimeoutError::Disconnected) {
+    let interval = Duration::from_millis(shared.settings.times.load_ms.max(1));
+    let mut next_index = 0usize;
+    while stop.recv_timeout(interval) != Err(RecvTimeoutError::Disconnected) {
         let view = shared.view.load();
         let endpoints: Vec<&PoolEndpoint> = view.pool_endpoints().collect();
         if endpoints.is_empty() {
             continue;
         }
-        turn = (turn + 1) % endpoints.len();
-        let endpoint = endpoints[turn];
+        next_index = (next_index + 1) % endpoints.len();
+        let endpoint = endpoints[next_index];
         let now = shared.now();
-        let young = now - endpoint.state.reported_at() < YOUNG;
-        if !young && !endpoint.state.is_leaving() {
-            read(&shared, endpoint);
+        let is_recent = now - endpoint.state.reported_at() < MIN_REPORT_AGE;
+        if !is_recent && !endpoint.state.is_leaving() {
+            read_load(&shared, endpoint);
         }
     }
 }
 
-fn read(shared: &Shared, endpoint: &PoolEndpoint) {
+fn read_load(shared: &Shared, endpoint: &PoolEndpoint) {
     let url = format!("http://{}/v1/load", endpoint.address);
-    let Ok(response) = minreq::get(url).with_timeout(READ_SECONDS).send() else { return };
+    let Ok(response) = minreq::get(url).with_timeout(READ_TIMEOUT_SECONDS).send() else { return };
     let Ok(report) = serde_json::from_slice::<LoadReport>(response.as_bytes()) else { return };
     let capacity = Tokens(report.capacity_tokens);
     endpoint.state.record_load_report(shared.now(), report.work, capacity);
--- a/crates/tidetrack-router/src/peers.rs
+++ b/crates/tidetrack-router/src/peers.rs
@@ -227,8 +227,8 @@
             }
             Job::Hold { address, batch, call } => {
                 let held = self.call::<_, HoldReply>(&address, METHOD_HOLD, &call).await;
-                let held = held.is_ok_and(|r| r.held);
-                let _ = self.bills.send(BillMsg::HoldDone { batch, held });
+                let is_held = held.is_ok_and(|r| r.held);
+                let _ = self.bills.send(BillMsg::HoldDone { batch, is_held });
             }
             Job::Probe { via, call } => {
                 let target = call.target.clone();
--- a/crates/tidetrack-router/src/router.rs
+++ b/crates/tidetrack-router/src/router.rs
@@ -21,7 +21,7 @@
 use tidetrack_core::view::View;
 use tidetrack_wire::platform::PlatformClient;
 
-use crate::billing::{self, BillMsg, Billing, KeeperThread};
+use crate::billing::{self, BillMsg, Billing, ReplicatorThread};
 use crate::control::{Control, Msg, Outlets};
 use crate::metrics::Metrics;
 use crate::peers::{self, Peers};
@@ -100,7 +100,7 @@
         let (control_tx, control_rx) = flume::unbounded();
         let (jobs_tx, jobs_rx) = flume::unbounded();
         let (states_tx, states_rx) = flume::unbounded();
-        let (ratings_tx, ratings_rx) = flume::bounded(rating::WAITING);
+        let (ratings_tx, ratings_rx) = flume::bounded(rating::QUEUE_CAPACITY);
         let (segments_tx, segments_rx) = flume::unbounded();
         let (cancels_tx, cancels_rx) = flume::unbounded();
         let (stop_tx, stop_rx) = flume::bounded::<()>(0);
@@ -143,8 +143,8 @@
             others,
         )?;
         let flush_every = Millis(settings.times.flush_ms);
-        let keeper = KeeperThread {
-            keeper: BillReplicator::new(shared.now(), own.clone(), flush_every),
+        let keeper = ReplicatorThread {
+            replicator: BillReplicator::new(shared.now(), own.clone(), flush_every),
             clock: shared.clock,
             jobs: jobs_tx.clone(),
             control: control_tx.clone(),
@@ -176,7 +176,7 @@
             spawn("cancels", SMALL_STACK, move || upstream::cancel_loop(cancels))?;
         }
         let (errands_tx, errands_rx) = flume::unbounded();
-        let upstream = Upstream { errands: errands_tx, cancels: cancels_tx };
+        let upstream = Upstream { requests: errands_tx, cancels: cancels_tx };
         let (taken_tx, taken_rx) = flume::bounded(settings.limits.waiting);
         for _ in 0..settings.limits.threads {
             let (s, taken, upstream) = (shared.clone(), taken_rx.clone(), upstream.clone());
--- a/crates/tidetrack-router/src/server.rs
+++ b/crates/tidetrack-router/src/server.rs
@@ -40,10 +40,10 @@
 
 use crate::admin;
 use crate::callers::{self, ReplyBody, Request};
-use crate::chat::{self, Caller};
-use crate::errands::{self, Errand};
+use crate::chat::{self, RequestContext};
+use crate::endpoint_client::{self, EndpointRequest};
 use crate::metrics::Labels;
-use crate::outcome::{self, AnswerHeaders};
+use crate::outcome::{self, ResponseHeaders};
 use crate::services::{self, SERVICES_PATH};
 use crate::shared::Shared;
 use crate::upstream::Upstream;
@@ -107,7 +107,7 @@
     listener: TcpListener,
     end: ListeningEnd,
     threads: Sender<Taken>,
-    errands: Receiver<Errand>,
+    errands: Receiver<EndpointRequest>,
 ) -> std::io::Result<()> {
     let runtime = Builder::new_current_thread().enable_io().enable_time().build()?;
     listener.set_nonblocking(true)?;
@@ -116,7 +116,7 @@
         let listener = tokio::net::TcpListener::from_std(listener)?;
         let (_stage, stage_seen) = watch::channel(StopStage::Serving);
         let opts = server_options(shared, threads);
-        tokio::task::spawn_local(errands::run(errands));
+        tokio::task::spawn_local(endpoint_client::run(errands));
         tokio::task::spawn_local(accept_loop(listener, opts, Rc::default(), stage_seen));
         // The other end is gone when the process ends.
         let _ = end.asked.recv_async().await;
@@ -186,7 +186,7 @@
     }
     let resp = answer.await.unwrap_or_else(|_| {
         // The thread panicked, or the process ends.
-        callers::head(500).map(|()| ReplyBody::Whole(Bytes::new()))
+        callers::response_head(500).map(|()| ReplyBody::Complete(Bytes::new()))
     });
     resp.map(|body| AnswerBody::from(body).on_end(move || drop(under_way)))
 }
@@ -270,9 +270,9 @@
 
 fn refuse(shared: &Shared, request: Request, e: &Error) {
     let id = shared.next_id();
-    outcome::note(shared, &id, &Labels::default(), &Err(e.clone()));
-    let headers = AnswerHeaders::new(&id, &request);
-    drop(outcome::send_refusal(request, &headers, e));
+    outcome::record_outcome(shared, &id, &Labels::default(), &Err(e.clone()));
+    let headers = ResponseHeaders::new(&id, &request);
+    drop(outcome::send_error_response(request, &headers, e));
 }
 
 /// What a path is.
@@ -336,14 +336,14 @@
         }
         _ => Ok(serde_json::to_vec(&admin::status(shared)?)),
     });
-    let headers = AnswerHeaders::default();
+    let headers = ResponseHeaders::default();
     let sent = match answer {
-        Ok(Ok(body)) => outcome::send_whole(request, &headers, 200, "application/json", body),
+        Ok(Ok(body)) => outcome::send_response(request, &headers, 200, "application/json", body),
         Ok(Err(e)) => {
             let e = Error::new(Code::Internal, e.to_string());
-            outcome::send_refusal(request, &headers, &e)
+            outcome::send_error_response(request, &headers, &e)
         }
-        Err(e) => outcome::send_refusal(request, &headers, &e),
+        Err(e) => outcome::send_error_response(request, &headers, &e),
     };
     // An operator that has left asks again.
     drop(sent);
@@ -361,12 +361,18 @@
     let admitted = admit(shared, &mut taken.request, page);
     let (labels, result) = match admitted {
         Err(e) => {
-            let headers = AnswerHeaders::new(&id, &taken.request);
-            drop(outcome::send_refusal(taken.request, &headers, &e));
+            let headers = ResponseHeaders::new(&id, &taken.request);
+            drop(outcome::send_error_response(taken.request, &headers, &e));
             (Labels::default(), Err(e))
         }
         Ok(Admitted { workspace, body, room }) => {
-            let caller = Caller { shared, upstream, id: id.clone(), workspace, began: taken.began };
+            let caller = RequestContext {
+                shared,
+                upstream,
+                id: id.clone(),
+                workspace,
+                received_at: taken.began,
+            };
             let done = match page {
                 Page::Chat => chat::run(&caller, taken.request, &body),
                 Page::Service => services::run(&caller, taken.request, body),
@@ -376,7 +382,7 @@
             done
         }
     };
-    outcome::note(shared, &id, &labels, &result);
+    outcome::record_outcome(shared, &id, &labels, &result);
 }
 
 struct Admitted<'a> {
@@ -412,9 +418,14 @@
 }
 
 /// Answers the small calls: models, sessions and tickets.
-fn small(caller: &Caller<'_>, request: Request, body: &[u8], page: &Page) -> (Labels, Result<()>) {
+fn small(
+    caller: &RequestContext<'_>,
+    request: Request,
+    body: &[u8],
+    page: &Page,
+) -> (Labels, Result<()>) {
     let view = caller.shared.view.load_full();
-    let headers = AnswerHeaders::new(&caller.id, &request);
+    let headers = ResponseHeaders::new(&caller.id, &request);
     let labels = Labels { workspace: caller.workspace.to_string(), ..Labels::default() };
     let answer = match page {
         Page::Models => Ok(models(caller, &view)),
@@ -423,7 +434,7 @@
     };
     let sent = match &answer {
         Ok(value) => outcome::send_json(request, &headers, 200, value),
-        Err(e) => outcome::send_refusal(request, &headers, e),
+        Err(e) => outcome::send_error_response(request, &headers, e),
     };
     // A caller that has left asks again.
     drop(sent);
@@ -431,7 +442,7 @@
 }
 
 /// Lists what a workspace may name as `model`: routes, and models with an allowed version.
-fn models(caller: &Caller<'_>, view: &View) -> serde_json::Value {
+fn models(caller: &RequestContext<'_>, view: &View) -> serde_json::Value {
     let allowed = |m: &tidetrack_core::config::Model| {
         let workspace = view.workspaces.get(&caller.workspace);
         workspace.is_some_and(|w| w.allow.contains(&m.serving))
@@ -447,7 +458,7 @@
 }
 
 /// Starts a session before its first request, so that two first requests meet one version.
-fn make_session(caller: &Caller<'_>, view: &View, body: &[u8]) -> Result<SessionResponse> {
+fn make_session(caller: &RequestContext<'_>, view: &View, body: &[u8]) -> Result<SessionResponse> {
     let ask: SessionRequest = serde_json::from_slice(body).map_err(outcome::bad_body)?;
     let route: RouteId = ask.model.parse()?;
     let no_ring = || Error::new(Code::NotReady, "no key ring yet");
@@ -476,7 +487,7 @@
     Ok(SessionResponse { session: session.to_token(ring), version: chosen.version.to_string() })
 }
 
-fn make_ticket(caller: &Caller<'_>, view: &View) -> Result<TicketResponse> {
+fn make_ticket(caller: &RequestContext<'_>, view: &View) -> Result<TicketResponse> {
     if caller.shared.leaving.load(Ordering::Acquire) {
         return Err(Error::new(Code::Draining, "the host is leaving; ask another"));
     }
--- a/crates/tidetrack-router/src/services.rs
+++ b/crates/tidetrack-router/src/services.rs
@@ -18,32 +18,32 @@
 use tidetrack_wire::platform::CLAIM_PREFIX;
 
 use crate::callers::Request;
-use crate::chat::Caller;
+use crate::chat::RequestContext;
 use crate::control::Msg;
 use crate::metrics::Labels;
-use crate::outcome::{self, header_of, AnswerHeaders};
-use crate::upstream::{Attempt, Begin};
+use crate::outcome::{self, header_value, ResponseHeaders};
+use crate::upstream::{Attempt, AttemptParams};
 
 /// Path under which services are called.
 pub const SERVICES_PATH: &str = "/v1/services/";
 
 /// Most attempts at one call.
-const MOST_ATTEMPTS: usize = 3;
+const MAX_ATTEMPTS: usize = 3;
 
 /// When to come back after a claim could not be written, in milliseconds.
-const RETRY_CLAIM_MS: u64 = 2_000;
+const CLAIM_RETRY_AFTER_MS: u64 = 2_000;
 
 /// Work that a call counts as, in answer tokens.
-const CALL_WORK: u64 = 50;
+const WORK_PER_CALL: u64 = 50;
 
 /// Seconds that a call passed on to another host may take.
-const FORWARD_SECONDS: u64 = 15;
+const FORWARD_TIMEOUT_SECONDS: u64 = 15;
 
 /// Largest answer of a service, in bytes.
-const LARGEST_ANSWER: usize = 16 << 20;
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
 /// An answer of a service.
-struct ServiceAnswer {
+struct ServiceResponse {
     status: u16,
     content_type: String,
     endpoint: String,
@@ -51,11 +51,11 @@
 }
 
 /// What keeps a call that must not be repeated to one run.
-enum Once {
+enum ExecutionGuard {
     /// The call may be repeated.
-    Free,
+    Repeatable,
     /// It may not, and the caller gave nothing to tell a repeat by.
-    Bare,
+    Unguarded,
     /// It has a ticket of this incarnation.
     Ticket(Ticket),
     /// It has a key that is claimed in the object API, at the version given.
@@ -63,9 +63,9 @@
 }
 
 /// A call on its way.
-struct Call<'a, 'c> {
-    caller: &'a Caller<'c>,
-    service: &'a ServiceView,
+struct Call<'response, 'c> {
+    context: &'response RequestContext<'c>,
+    service: &'response ServiceView,
     name: ServiceId,
     method: Method,
     path: String,
@@ -77,61 +77,62 @@
 }
 
 /// Runs a call to a service and answers it.
-pub fn run(caller: &Caller<'_>, request: Request, body: Vec<u8>) -> (Labels, Result<()>) {
-    let view = caller.shared.view.load_full();
-    let mut headers = AnswerHeaders::new(&caller.id, &request);
-    let mut labels = Labels { workspace: caller.workspace.to_string(), ..Labels::default() };
-    let result = find(caller, &view, &request).and_then(|(name, service, path)| {
+pub fn run(context: &RequestContext<'_>, request: Request, body: Vec<u8>) -> (Labels, Result<()>) {
+    let view = context.shared.view.load_full();
+    let mut headers = ResponseHeaders::new(&context.id, &request);
+    let mut labels = Labels { workspace: context.workspace.to_string(), ..Labels::default() };
+    let result = resolve_service(context, &view, &request).and_then(|(name, service, path)| {
         labels.route = name.to_string();
         let fingerprint = Fingerprint::of(&RequestIdentity {
-            workspace: Some(&caller.workspace),
+            workspace: Some(&context.workspace),
             hostname: "",
             method: request.method().as_str(),
             path: request.url(),
             body: &body,
         });
         let mut call = Call {
-            caller,
+            context,
             service,
             fingerprint,
             name,
             method: request.method().clone(),
             path,
-            content_type: header_of(&request, "Content-Type").unwrap_or_default().to_string(),
+            content_type: header_value(&request, "Content-Type").unwrap_or_default().to_string(),
             body,
             labels: labels.clone(),
-            deadline: caller.began + Duration::from_millis(service.spec.deadline_ms),
+            deadline: context.received_at + Duration::from_millis(service.spec.deadline_ms),
         };
-        let answer = call.answer(&view, &request);
+        let response = call.respond(&view, &request);
         labels = call.labels;
-        answer
+        response
     });
-    let sent = match &result {
-        Ok(answer) => {
-            headers.add(headers::ENDPOINT, answer.endpoint.clone());
-            let body = answer.body.clone();
-            outcome::send_whole(request, &headers, answer.status, &answer.content_type, body)
+    let send_result = match &result {
+        Ok(response) => {
+            headers.add(headers::ENDPOINT, response.endpoint.clone());
+            let body = response.body.clone();
+            outcome::send_response(request, &headers, response.status, &response.content_type, body)
         }
-        Err(e) => outcome::send_refusal(request, &headers, e),
+        Err(err) => outcome::send_error_response(request, &headers, err),
     };
     // A caller that has left misses nothing; the call's end is recorded all the same.
-    drop(sent);
+    drop(send_result);
     (labels, result.map(|_| ()))
 }
 
 /// Finds the service that a request names, and the path within it.
-fn find<'v>(
-    caller: &Caller<'_>,
+fn resolve_service<'v>(
+    context: &RequestContext<'_>,
     view: &'v View,
     request: &Request,
 ) -> Result<(ServiceId, &'v ServiceView, String)> {
-    let rest = request.url().strip_prefix(SERVICES_PATH).unwrap_or_default();
-    let (name, path) = rest.split_at(rest.find(['/', '?']).unwrap_or(rest.len()));
+    let relative_url = request.url().strip_prefix(SERVICES_PATH).unwrap_or_default();
+    let (name, path) =
+        relative_url.split_at(relative_url.find(['/', '?']).unwrap_or(relative_url.len()));
     let no_service =
         || unknown_name(Code::UnknownRoute, "service", &name.chars().take(64).collect::<String>());
     let id: ServiceId = name.parse().map_err(|_| no_service())?;
     let service = view.services.get(&id).ok_or_else(no_service)?;
-    if !service.spec.workspaces.contains(&caller.workspace) {
+    if !service.spec.workspaces.contains(&context.workspace) {
         let message = format!("the workspace may not call {id}");
         return Err(Error::new(Code::NotAllowed, message));
     }
@@ -140,116 +141,123 @@
 }
 
 impl Call<'_, '_> {
-    fn answer(&mut self, view: &View, request: &Request) -> Result<ServiceAnswer> {
-        let once = match self.service.spec.is_non_repeatable(self.method.as_str(), &self.path) {
-            false => Once::Free,
-            true => match self.admit_once(view, request)? {
-                Some(once) => once,
+    fn respond(&mut self, view: &View, request: &Request) -> Result<ServiceResponse> {
+        let guard = match self.service.spec.is_non_repeatable(self.method.as_str(), &self.path) {
+            false => ExecutionGuard::Repeatable,
+            true => match self.acquire_guard(view, request)? {
+                Some(guard) => guard,
                 None => return self.forward(request),
             },
         };
-        if let Once::Ticket(ticket) = &once {
-            let admitted = self.caller.shared.tickets().admit(self.caller.shared.now(), ticket)?;
-            if let TicketAdmission::Replay(kept) = admitted {
-                return repeat(kept);
+        if let ExecutionGuard::Ticket(ticket) = &guard {
+            let admitted =
+                self.context.shared.tickets().admit(self.context.shared.now(), ticket)?;
+            if let TicketAdmission::Replay(stored) = admitted {
+                return replay_response(stored);
             }
         }
-        let result = self.attempts(matches!(once, Once::Free));
-        self.settle(&once, &result);
+        let result = self.run_attempts(matches!(guard, ExecutionGuard::Repeatable));
+        self.settle_guard(&guard, &result);
         result
     }
 
     /// Finds what keeps the call to one run; `None` if another host must run it.
-    fn admit_once(&self, view: &View, request: &Request) -> Result<Option<Once>> {
-        if let Some(token) = header_of(request, headers::TICKET) {
-            let no_ring = || Error::new(Code::NotReady, "no key ring yet");
-            let ring = view.key_ring.as_ref().ok_or_else(no_ring)?;
-            let ticket = Ticket::from_token(token.trim(), &self.caller.workspace, ring)?;
-            let ours = ticket.issued_by == self.caller.shared.own;
-            return Ok(ours.then_some(Once::Ticket(ticket)));
+    fn acquire_guard(&self, view: &View, request: &Request) -> Result<Option<ExecutionGuard>> {
+        if let Some(token) = header_value(request, headers::TICKET) {
+            let no_key_ring = || Error::new(Code::NotReady, "no key ring yet");
+            let ring = view.key_ring.as_ref().ok_or_else(no_key_ring)?;
+            let ticket = Ticket::from_token(token.trim(), &self.context.workspace, ring)?;
+            let is_issued_here = ticket.issued_by == self.context.shared.own;
+            return Ok(is_issued_here.then_some(ExecutionGuard::Ticket(ticket)));
         }
-        match header_of(request, headers::IDEMPOTENCY_KEY) {
+        match header_value(request, headers::IDEMPOTENCY_KEY) {
             Some(key) => self.claim(key).map(Some),
-            None => Ok(Some(Once::Bare)),
+            None => Ok(Some(ExecutionGuard::Unguarded)),
         }
     }
 
     /// Claims a caller's key in the object API: whoever creates the object may run the call.
-    fn claim(&self, key: &str) -> Result<Once> {
-        let Caller { workspace, id, shared, .. } = self.caller;
+    fn claim(&self, key: &str) -> Result<ExecutionGuard> {
+        let RequestContext { workspace, id, shared, .. } = self.context;
         let digest = digest(format!("{}\n{key}", self.name).as_bytes());
         let name = format!("{CLAIM_PREFIX}{workspace}/{digest}");
         let body = serde_json::json!({"request": id.to_string()}).to_string();
         match shared.platform.write_confirmed(&name, 0, &body) {
-            Ok(written) => Ok(Once::Claim { name, version: written.version }),
-            Err(e) if e.code == Code::Conflict => {
+            Ok(claim_object) => Ok(ExecutionGuard::Claim { name, version: claim_object.version }),
+            Err(err) if err.code == Code::Conflict => {
                 let message = "a call with this key was handed on before";
                 Err(Error::new(Code::KeyReused, message))
             }
             // Nothing was handed on, whatever became of the claim.
-            Err(e) => Err(e.with_executed(Executed::No).with_retry_after(RETRY_CLAIM_MS)),
+            Err(err) => Err(err.with_executed(Executed::No).with_retry_after(CLAIM_RETRY_AFTER_MS)),
         }
     }
 
     /// Records the end of a call that must not be repeated.
-    fn settle(&self, once: &Once, result: &Result<ServiceAnswer>) {
-        let shared = self.caller.shared;
-        let not_run = matches!(result, Err(e) if e.executed == Executed::No);
-        match once {
-            Once::Ticket(ticket) if not_run => shared.tickets().reset_unused(shared.now(), ticket),
-            Once::Ticket(ticket) => {
-                let kept = result.as_ref().ok();
-                let kept =
-                    kept.map(|a| StoredResponse { status: a.status, body: Some(a.body.clone()) });
-                shared.tickets().record_outcome(shared.now(), ticket, kept);
+    fn settle_guard(&self, guard: &ExecutionGuard, result: &Result<ServiceResponse>) {
+        let shared = self.context.shared;
+        let was_not_executed = matches!(result, Err(err) if err.executed == Executed::No);
+        match guard {
+            ExecutionGuard::Ticket(ticket) if was_not_executed => {
+                shared.tickets().reset_unused(shared.now(), ticket)
+            }
+            ExecutionGuard::Ticket(ticket) => {
+                let stored = result.as_ref().ok();
+                let stored = stored.map(|response| StoredResponse {
+                    status: response.status,
+                    body: Some(response.body.clone()),
+                });
+                shared.tickets().record_outcome(shared.now(), ticket, stored);
             }
             // A claim that cannot be taken back only refuses a repeat that would have been right.
-            Once::Claim { name, version } if not_run => {
+            ExecutionGuard::Claim { name, version } if was_not_executed => {
                 drop(shared.platform.delete(name, *version));
             }
-            Once::Claim { .. } | Once::Free | Once::Bare => {}
+            ExecutionGuard::Claim { .. }
+            | ExecutionGuard::Repeatable
+            | ExecutionGuard::Unguarded => {}
         }
     }
 
-    fn attempts(&mut self, is_repeatable: bool) -> Result<ServiceAnswer> {
+    fn run_attempts(&mut self, is_repeatable: bool) -> Result<ServiceResponse> {
         let mut tried = Vec::new();
         let mut may_have_run = false;
         loop {
-            let e = match self.attempt(&mut tried, is_repeatable) {
-                Ok(answer) => return Ok(answer),
-                Err(e) => e,
+            let err = match self.run_attempt(&mut tried, is_repeatable) {
+                Ok(response) => return Ok(response),
+                Err(err) => err,
             };
-            may_have_run |= e.executed != Executed::No;
-            let failed =
-                FailedAttempt { ran: e.executed, is_repeatable, has_partial_response: false };
-            let again = tried.len() < MOST_ATTEMPTS
-                && may_retry(failed)
-                && !matches!(e.code, Code::Overloaded | Code::CrashesEndpoints)
+            may_have_run |= err.executed != Executed::No;
+            let failed_attempt =
+                FailedAttempt { ran: err.executed, is_repeatable, has_partial_response: false };
+            let should_retry = tried.len() < MAX_ATTEMPTS
+                && may_retry(failed_attempt)
+                && !matches!(err.code, Code::Overloaded | Code::CrashesEndpoints)
                 && Instant::now() < self.deadline;
-            let again = again && {
-                let retries = self.caller.shared.retries.lock();
+            let should_retry = should_retry && {
+                let retries = self.context.shared.retries.lock();
                 retries.expect("no holder of the lock panics").try_acquire()
             };
-            if !again {
-                return Err(if may_have_run && e.executed == Executed::No {
-                    e.with_executed(Executed::Unknown)
+            if !should_retry {
+                return Err(if may_have_run && err.executed == Executed::No {
+                    err.with_executed(Executed::Unknown)
                 } else {
-                    e
+                    err
                 });
             }
         }
     }
 
-    fn attempt(
+    fn run_attempt(
         &mut self,
         tried: &mut Vec<EndpointId>,
         is_repeatable: bool,
-    ) -> Result<ServiceAnswer> {
-        let shared = self.caller.shared;
+    ) -> Result<ServiceResponse> {
+        let shared = self.context.shared;
         shared.confirm();
         shared.suspects.check(shared.now(), self.fingerprint)?;
-        let salt = rendezvous("endpoint", &self.caller.id.to_string());
-        let ask = PlacementRequest {
+        let salt = rendezvous("endpoint", &self.context.id.to_string());
+        let placement_request = PlacementRequest {
             ring_position: salt,
             salt,
             required_tokens: Tokens(0),
@@ -257,67 +265,71 @@
             priority: 0,
             ..PlacementRequest::default()
         };
-        let endpoint = self.service.pool.pick(shared.now(), &ask)?.clone();
+        let endpoint = self.service.pool.pick(shared.now(), &placement_request)?.clone();
         tried.push(endpoint.id.clone());
         self.labels.failure_domain = endpoint.failure_domain.to_string();
         let request = http::Request::builder()
             .method(self.method.clone())
             .uri(&self.path)
             .header(http::header::CONTENT_TYPE, &self.content_type)
-            .header(headers::REQUEST_ID, self.caller.id.to_string());
-        let begin = Begin {
+            .header(headers::REQUEST_ID, self.context.id.to_string());
+        let params = AttemptParams {
             shared,
-            upstream: self.caller.upstream,
+            upstream: self.context.upstream,
             endpoint,
-            work: CALL_WORK,
-            id: format!("{}/{}-{}", self.caller.id, self.name, tried.len()),
+            work: WORK_PER_CALL,
+            id: format!("{}/{}-{}", self.context.id, self.name, tried.len()),
             fingerprint: self.fingerprint,
             deadline: self.deadline,
-            any_status: true,
+            accepts_any_status: true,
             is_repeatable,
         };
-        let (mut attempt, mut reply) = Attempt::send(begin, request, self.body.clone())?;
+        let (mut attempt, mut reply) = Attempt::send(params, request, self.body.clone())?;
         let content_type = reply.head.headers.get(http::header::CONTENT_TYPE);
         let content_type = content_type.and_then(|v| v.to_str().ok());
         let content_type = content_type.unwrap_or("application/octet-stream").to_string();
-        match attempt.read_body(&mut reply, LARGEST_ANSWER) {
+        match attempt.read_body(&mut reply, MAX_RESPONSE_BYTES) {
             Ok(body) => {
-                attempt.succeeded();
+                attempt.record_success();
                 let endpoint = attempt.endpoint().id.to_string();
                 let status = reply.head.status.as_u16();
-                Ok(ServiceAnswer { status, content_type, endpoint, body })
+                Ok(ServiceResponse { status, content_type, endpoint, body })
             }
-            Err(e) => {
-                attempt.failed(&e);
-                Err(e)
+            Err(err) => {
+                attempt.record_failure(&err);
+                Err(err)
             }
         }
     }
 
     /// Passes a call on to the host that made its ticket.
-    fn forward(&self, request: &Request) -> Result<ServiceAnswer> {
-        let shared = self.caller.shared;
-        let gone = |why: &str| Error::new(Code::TicketGone, format!("{why}; not repeated"));
-        if header_of(request, headers::FORWARDED).is_some() {
-            return Err(gone("the call was passed on to the wrong life of a host"));
+    fn forward(&self, request: &Request) -> Result<ServiceResponse> {
+        let shared = self.context.shared;
+        let ticket_gone =
+            |reason: &str| Error::new(Code::TicketGone, format!("{reason}; not repeated"));
+        if header_value(request, headers::FORWARDED).is_some() {
+            return Err(ticket_gone("the call was passed on to the wrong life of a host"));
         }
-        let address = self.locate(request)?.ok_or_else(|| gone("the ticket's host is gone"))?;
+        let address = self
+            .locate_ticket_host(request)?
+            .ok_or_else(|| ticket_gone("the ticket's host is gone"))?;
         let method = minreq::Method::Custom(self.method.as_str().to_string());
-        let mut passed = minreq::Request::new(method, format!("http://{address}{}", request.url()))
-            .with_body(self.body.clone())
-            .with_header(headers::FORWARDED, shared.own.to_string());
+        let mut forwarded_request =
+            minreq::Request::new(method, format!("http://{address}{}", request.url()))
+                .with_body(self.body.clone())
+                .with_header(headers::FORWARDED, shared.own.to_string());
         for name in ["Authorization", "Content-Type", headers::TICKET, headers::CALLER_REQUEST_ID] {
-            if let Some(value) = header_of(request, name) {
-                passed = passed.with_header(name, value);
+            if let Some(value) = header_value(request, name) {
+                forwarded_request = forwarded_request.with_header(name, value);
             }
         }
-        let response = passed.with_timeout(FORWARD_SECONDS).send();
-        let response = response.map_err(|e| gone(&e.to_string()))?;
+        let response = forwarded_request.with_timeout(FORWARD_TIMEOUT_SECONDS).send();
+        let response = response.map_err(|err| ticket_gone(&err.to_string()))?;
         if headers::is_missing_response(response.status_code, &response.headers) {
-            return Err(gone("the ticket's host gave no answer"));
+            return Err(ticket_gone("the ticket's host gave no answer"));
         }
         let content_type = headers::find(&response.headers, "Content-Type");
-        Ok(ServiceAnswer {
+        Ok(ServiceResponse {
             status: response.status_code,
             content_type: content_type.unwrap_or("application/json").to_string(),
             endpoint: headers::find(&response.headers, headers::ENDPOINT)
@@ -327,28 +339,28 @@
         })
     }
 
-    fn locate(&self, request: &Request) -> Result<Option<String>> {
-        let shared = self.caller.shared;
+    fn locate_ticket_host(&self, request: &Request) -> Result<Option<String>> {
+        let shared = self.context.shared;
         let view = shared.view.load();
-        let token = header_of(request, headers::TICKET).unwrap_or_default();
-        let no_ring = || Error::new(Code::NotReady, "no key ring yet");
-        let ring = view.key_ring.as_ref().ok_or_else(no_ring)?;
-        let ticket = Ticket::from_token(token.trim(), &self.caller.workspace, ring)?;
-        let (tx, rx) = flume::bounded(1);
-        let msg = Msg::Locate { incarnation: ticket.issued_by, reply: tx };
-        let ends = || Error::new(Code::Draining, "the host ends");
-        shared.control.send(msg).map_err(|_| ends())?;
-        rx.recv().map_err(|_| ends())
+        let token = header_value(request, headers::TICKET).unwrap_or_default();
+        let no_key_ring = || Error::new(Code::NotReady, "no key ring yet");
+        let ring = view.key_ring.as_ref().ok_or_else(no_key_ring)?;
+        let ticket = Ticket::from_token(token.trim(), &self.context.workspace, ring)?;
+        let (reply_sender, reply_receiver) = flume::bounded(1);
+        let msg = Msg::Locate { incarnation: ticket.issued_by, reply: reply_sender };
+        let host_stopping = || Error::new(Code::Draining, "the host ends");
+        shared.control.send(msg).map_err(|_| host_stopping())?;
+        reply_receiver.recv().map_err(|_| host_stopping())
     }
 }
 
-fn repeat(kept: StoredResponse) -> Result<ServiceAnswer> {
-    let body = kept.body.ok_or_else(|| {
+fn replay_response(stored: StoredResponse) -> Result<ServiceResponse> {
+    let body = stored.body.ok_or_else(|| {
         let message = "the call ran; its answer was too large to keep";
         Error::new(Code::TicketSpent, message).with_executed(Executed::Yes)
     })?;
-    Ok(ServiceAnswer {
-        status: kept.status,
+    Ok(ServiceResponse {
+        status: stored.status,
         content_type: "application/json".into(),
         endpoint: String::new(),
         body,
--- a/crates/tidetrack-router/src/shared.rs
+++ b/crates/tidetrack-router/src/shared.rs
@@ -26,7 +26,7 @@
 use crate::control::Msg;
 use crate::logging;
 use crate::metrics::Metrics;
-use crate::rating::RateJob;
+use crate::rating::RatingJob;
 use crate::settings::Settings;
 use crate::timers::Timers;
 
@@ -176,7 +176,7 @@
     /// The keeper of the bills.
     pub billing: Billing,
     /// The raters.
-    pub ratings: Sender<RateJob>,
+    pub ratings: Sender<RatingJob>,
     /// The timer service.
     pub timers: Timers,
     /// The platform.
--- a/crates/tidetrack-router/src/upstream.rs
+++ b/crates/tidetrack-router/src/upstream.rs
@@ -27,41 +27,41 @@
 use tidetrack_wire::headers;
 
 use crate::control::Msg;
-use crate::errands::{BodyPart, Errand, Reply};
+use crate::endpoint_client::{BodyPart, EndpointRequest, Reply};
 use crate::shared::Shared;
 
 /// Seconds that a call to cancel may take.
-const CANCEL_SECONDS: u64 = 1;
+const CANCEL_TIMEOUT_SECONDS: u64 = 1;
 
 /// Longest wait for the outcome of a new connection to an endpoint that broke one off.
-const LOOK_WITHIN: Duration = Duration::from_millis(150);
+const PROBE_CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// Pause before the second look at an endpoint that took the new connection.
-const LOOK_AGAIN_AFTER: Duration = Duration::from_millis(30);
+const SECOND_PROBE_DELAY: Duration = Duration::from_millis(30);
 
 /// When to come back to a pool whose endpoint refused, in milliseconds.
-const RETRY_REFUSED_MS: u64 = 1_000;
+const REFUSED_RETRY_AFTER_MS: u64 = 1_000;
 
 /// An attempt to cancel: the endpoint's address and the attempt's id.
-pub type Cancel = (String, String);
+pub type CancelRequest = (String, String);
 
 /// What the threads of requests reach endpoints through.
 #[derive(Clone)]
 pub struct Upstream {
     /// Takes requests to endpoints.
-    pub errands: Sender<Errand>,
+    pub requests: Sender<EndpointRequest>,
     /// Takes attempts to cancel.
-    pub cancels: Sender<Cancel>,
+    pub cancels: Sender<CancelRequest>,
 }
 
 /// Cancels attempts until all senders are gone.
-pub fn cancel_loop(cancels: Receiver<Cancel>) {
+pub fn cancel_loop(cancels: Receiver<CancelRequest>) {
     for (address, attempt) in cancels {
-        let ask = AttemptRequest { attempt, from_token: 0 };
-        let body = serde_json::to_string(&ask).expect("an ask is plain text");
+        let cancel_request = AttemptRequest { attempt, from_token: 0 };
+        let body = serde_json::to_string(&cancel_request).expect("an ask is plain text");
         let request = minreq::post(format!("http://{address}/v1/cancel")).with_body(body);
         // An endpoint that cannot be reached has no work to cancel, or drops it with its connection.
-        let _ = request.with_timeout(CANCEL_SECONDS).send();
+        let _ = request.with_timeout(CANCEL_TIMEOUT_SECONDS).send();
     }
 }
 
@@ -71,16 +71,16 @@
     upstream: &'a Upstream,
     endpoint: PoolEndpoint,
     work: u64,
-    began: Instant,
+    started_at: Instant,
     id: String,
     fingerprint: Fingerprint,
     /// Whether the answer tells a failure of the endpoint's.
-    is_failure: bool,
-    finished: bool,
+    has_error_status: bool,
+    is_finished: bool,
 }
 
 /// What an attempt needs to begin.
-pub struct Begin<'a> {
+pub struct AttemptParams<'a> {
     /// The router's shared state.
     pub shared: &'a Shared,
     /// The way to endpoints.
@@ -96,7 +96,7 @@
     /// When the request must have ended.
     pub deadline: Instant,
     /// Whether any status is an answer, as with plain services.
-    pub any_status: bool,
+    pub accepts_any_status: bool,
     /// Whether the request may run twice.
     pub is_repeatable: bool,
 }
@@ -104,12 +104,12 @@
 impl<'a> Attempt<'a> {
     /// Sends a request to the endpoint and reads the head of the answer.
     pub fn send(
-        begin: Begin<'a>,
+        params: AttemptParams<'a>,
         request: http::request::Builder,
         body: impl Into<Bytes>,
     ) -> Result<(Attempt<'a>, Reply)> {
-        let Begin { any_status, is_repeatable, deadline, .. } = begin;
-        let mut attempt = Attempt::start(begin);
+        let AttemptParams { accepts_any_status, is_repeatable, deadline, .. } = params;
+        let mut attempt = Attempt::start(params);
         let host = &attempt.endpoint.address;
         // An endpoint that breaks off closes the connection only if it was told not to keep it.
         let request = request
@@ -117,34 +117,34 @@
             .header(http::header::CONNECTION, "close")
             .header(headers::ATTEMPT, &attempt.id)
             .body(Full::new(body.into()));
-        let sent = request
-            .map_err(|e| Error::new(Code::BadBody, e.to_string()))
+        let result = request
+            .map_err(|err| Error::new(Code::BadBody, err.to_string()))
             .and_then(|request| attempt.exchange(request, is_repeatable, deadline))
-            .and_then(|reply| attempt.read_head(&reply, any_status).map(|()| reply));
-        match sent {
+            .and_then(|reply| attempt.read_head(&reply, accepts_any_status).map(|()| reply));
+        match result {
             Ok(reply) => {
-                attempt.is_failure = reply.head.status.is_server_error();
+                attempt.has_error_status = reply.head.status.is_server_error();
                 Ok((attempt, reply))
             }
-            Err(e) => {
-                attempt.failed(&e);
-                Err(e)
+            Err(err) => {
+                attempt.record_failure(&err);
+                Err(err)
             }
         }
     }
 
-    fn start(begin: Begin<'a>) -> Attempt<'a> {
-        begin.endpoint.state.begin_work(begin.work);
+    fn start(params: AttemptParams<'a>) -> Attempt<'a> {
+        params.endpoint.state.begin_work(params.work);
         Attempt {
-            shared: begin.shared,
-            upstream: begin.upstream,
-            endpoint: begin.endpoint,
-            work: begin.work,
-            began: Instant::now(),
-            id: begin.id,
-            fingerprint: begin.fingerprint,
-            is_failure: false,
-            finished: false,
+            shared: params.shared,
+            upstream: params.upstream,
+            endpoint: params.endpoint,
+            work: params.work,
+            started_at: Instant::now(),
+            id: params.id,
+            fingerprint: params.fingerprint,
+            has_error_status: false,
+            is_finished: false,
         }
     }
 
@@ -153,22 +153,24 @@
         &self,
         request: Request<Full<Bytes>>,
         is_repeatable: bool,
-        until: Instant,
+        deadline: Instant,
     ) -> Result<Reply> {
-        let (reply, answer) = oneshot::channel();
-        let errand = Errand {
+        let (reply, reply_receiver) = oneshot::channel();
+        let endpoint_request = EndpointRequest {
             endpoint: self.endpoint.id.clone(),
             address: self.endpoint.address.clone(),
             attempt_id: self.id.clone(),
             request,
             is_repeatable,
-            until,
+            deadline,
             reply,
         };
-        let ends = || Error::new(Code::Draining, "the host ends");
-        self.upstream.errands.send(errand).map_err(|_| ends())?;
-        let answer = answer.blocking_recv().map_err(|_| ends().with_executed(Executed::Unknown))?;
-        answer.map_err(|e| self.named(e))
+        let host_stopping = || Error::new(Code::Draining, "the host ends");
+        self.upstream.requests.send(endpoint_request).map_err(|_| host_stopping())?;
+        let result = reply_receiver
+            .blocking_recv()
+            .map_err(|_| host_stopping().with_executed(Executed::Unknown))?;
+        result.map_err(|err| self.with_endpoint_name(err))
     }
 
     /// Gets the endpoint.
@@ -182,87 +184,96 @@
     }
 
     /// Adds the endpoint's name to an error.
-    fn named(&self, e: Error) -> Error {
-        Error { message: format!("{}: {}", self.endpoint.id, e.message), ..e }
+    fn with_endpoint_name(&self, err: Error) -> Error {
+        Error { message: format!("{}: {}", self.endpoint.id, err.message), ..err }
     }
 
     /// Makes the error of an answer that broke off.
-    pub fn cut(&self, why: &str) -> Error {
-        let message = format!("{}: {why}", self.endpoint.id);
+    pub fn interrupted_error(&self, reason: &str) -> Error {
+        let message = format!("{}: {reason}", self.endpoint.id);
         Error::new(Code::EndpointFailed, message).with_executed(Executed::Unknown)
     }
 
     /// Gets the next part of a body; `None` at its end.
-    pub fn next_part(&self, reply: &mut Reply) -> Result<Option<Bytes>> {
+    pub fn next_body_part(&self, reply: &mut Reply) -> Result<Option<Bytes>> {
         match reply.body.blocking_recv() {
             Some(Ok(BodyPart::Bytes(bytes))) => Ok(Some(bytes)),
             Some(Ok(BodyPart::End)) => Ok(None),
-            Some(Err(e)) => Err(self.named(e)),
-            None => Err(self.cut("the answer broke off")),
+            Some(Err(err)) => Err(self.with_endpoint_name(err)),
+            None => Err(self.interrupted_error("the answer broke off")),
         }
     }
 
     /// Reads a whole body of at most so many bytes.
-    pub fn read_body(&self, reply: &mut Reply, most: usize) -> Result<Vec<u8>> {
+    pub fn read_body(&self, reply: &mut Reply, max_bytes: usize) -> Result<Vec<u8>> {
         let mut body = Vec::new();
-        while let Some(part) = self.next_part(reply)? {
+        while let Some(part) = self.next_body_part(reply)? {
             body.extend_from_slice(&part);
-            if body.len() > most {
-                return Err(self.cut(&format!("the answer is larger than {most} bytes")));
+            if body.len() > max_bytes {
+                return Err(
+                    self.interrupted_error(&format!("the answer is larger than {max_bytes} bytes"))
+                );
             }
         }
         Ok(body)
     }
 
-    fn read_head(&self, reply: &Reply, any_status: bool) -> Result<()> {
-        let find = |name| reply.head.headers.get(name).and_then(|v| v.to_str().ok());
-        if let Some((work, capacity)) = find(headers::LOAD).and_then(parse_load_header) {
+    fn read_head(&self, reply: &Reply, accepts_any_status: bool) -> Result<()> {
+        let header = |name| reply.head.headers.get(name).and_then(|v| v.to_str().ok());
+        if let Some((work, capacity)) = header(headers::LOAD).and_then(parse_load_header) {
             self.endpoint.state.record_load_report(self.shared.now(), work, capacity);
         }
-        if find(headers::LEAVING).is_some() {
+        if header(headers::LEAVING).is_some() {
             self.endpoint.state.set_leaving(true);
             let _ = self.shared.control.send(Msg::EndpointLeaving(self.endpoint.id.to_string()));
         }
-        let is_own = find(headers::ATTEMPT).is_some();
+        let is_from_endpoint = header(headers::ATTEMPT).is_some();
         match reply.head.status {
             status if status.is_success() => Ok(()),
-            StatusCode::SERVICE_UNAVAILABLE if is_own && find(headers::NOT_RUN).is_some() => {
+            StatusCode::SERVICE_UNAVAILABLE
+                if is_from_endpoint && header(headers::NOT_RUN).is_some() =>
+            {
                 let message = format!("{} refused", self.endpoint.id);
-                Err(Error::new(Code::EndpointRefused, message).with_retry_after(RETRY_REFUSED_MS))
+                Err(Error::new(Code::EndpointRefused, message)
+                    .with_retry_after(REFUSED_RETRY_AFTER_MS))
             }
-            _ if any_status => Ok(()),
-            status => Err(self.cut(&format!("answered {}", status.as_u16()))),
+            _ if accepts_any_status => Ok(()),
+            status => Err(self.interrupted_error(&format!("answered {}", status.as_u16()))),
         }
     }
 
     /// Takes note that the attempt failed; cancels what may still run.
-    pub fn failed(&mut self, e: &Error) {
-        if e.code == Code::WrongAnswer {
+    pub fn record_failure(&mut self, err: &Error) {
+        if err.code == Code::WrongAnswer {
             self.shared.metrics.event("answer_mismatch");
             self.shared.log(Event::AnswerMismatch, &self.id);
         }
         // A refusal is no sign of ill health, and a deadline may be the caller's own.
-        let ill = !matches!(e.code, Code::EndpointRefused | Code::Deadline | Code::CallerLeft);
-        if ill {
+        let is_endpoint_fault =
+            !matches!(err.code, Code::EndpointRefused | Code::Deadline | Code::CallerLeft);
+        if is_endpoint_fault {
             self.endpoint.state.record_outcome(self.shared.now(), false);
         }
-        if e.executed != Executed::No
-            && matches!(e.disconnect_cause, Some(DisconnectCause::Closed | DisconnectCause::Reset))
+        if err.executed != Executed::No
+            && matches!(
+                err.disconnect_cause,
+                Some(DisconnectCause::Closed | DisconnectCause::Reset)
+            )
         {
-            self.note_crash();
+            self.record_crash();
         }
         self.shared.metrics.event("attempt_failed");
-        self.shared.log(Event::AttemptFailed, &format!("{} {e}", self.id));
-        self.finish(e.executed != Executed::No);
+        self.shared.log(Event::AttemptFailed, &format!("{} {err}", self.id));
+        self.finish(err.executed != Executed::No);
     }
 
     /// Takes note of the crash of an endpoint at whose address nobody listens any more.
-    fn note_crash(&self) {
-        if !has_ended(&self.endpoint.address) {
+    fn record_crash(&self) {
+        if !refuses_connections(&self.endpoint.address) {
             return;
         }
         let now = self.shared.now();
-        let sent_at = Millis(now.0.saturating_sub(self.began.elapsed().as_millis() as u64));
+        let sent_at = Millis(now.0.saturating_sub(self.started_at.elapsed().as_millis() as u64));
         let PoolEndpoint { id, failure_domain, state, .. } = &self.endpoint;
         state.record_unreachable(now);
         let suspects = &self.shared.suspects;
@@ -273,23 +284,25 @@
     }
 
     /// Takes note that the whole answer was read.
-    pub fn succeeded(&mut self) {
+    pub fn record_success(&mut self) {
         // An endpoint may fail a request before running it.
-        if !self.is_failure {
+        if !self.has_error_status {
             self.shared.suspects.record_completion(self.shared.now(), self.fingerprint);
         }
         self.endpoint.state.record_outcome(self.shared.now(), true);
-        self.endpoint.state.record_duration(self.work, self.began.elapsed().as_micros() as u64);
+        self.endpoint
+            .state
+            .record_duration(self.work, self.started_at.elapsed().as_micros() as u64);
         self.finish(false);
     }
 
-    fn finish(&mut self, cancel: bool) {
-        if self.finished {
+    fn finish(&mut self, should_cancel: bool) {
+        if self.is_finished {
             return;
         }
-        self.finished = true;
+        self.is_finished = true;
         self.endpoint.state.end_work(self.work);
-        if cancel {
+        if should_cancel {
             let _ = self.upstream.cancels.send((self.endpoint.address.clone(), self.id.clone()));
         }
     }
@@ -303,41 +316,42 @@
 
 /// Tells whether nobody listens at an address any more. A process that ends may do so for a moment after its connections
 /// have been closed, so one that takes a connection is looked at once more.
-fn has_ended(address: &str) -> bool {
+fn refuses_connections(address: &str) -> bool {
     let Ok(address) = address.parse::<SocketAddr>() else { return false };
-    let connect = || TcpStream::connect_timeout(&address, LOOK_WITHIN).map_err(|e| e.kind());
-    let last = connect().and_then(|_| {
-        std::thread::sleep(LOOK_AGAIN_AFTER);
+    let connect =
+        || TcpStream::connect_timeout(&address, PROBE_CONNECT_TIMEOUT).map_err(|err| err.kind());
+    let last_result = connect().and_then(|_| {
+        std::thread::sleep(SECOND_PROBE_DELAY);
         connect()
     });
-    last.is_err_and(|kind| kind == ErrorKind::ConnectionRefused)
+    last_result.is_err_and(|kind| kind == ErrorKind::ConnectionRefused)
 }
 
 /// Reads the data of a stream's events, one by one.
-pub struct Events {
+pub struct EventReader {
     reply: Reply,
     splitter: EventSplitter,
-    waiting: VecDeque<String>,
+    pending_data: VecDeque<String>,
 }
 
-impl Events {
+impl EventReader {
     /// Begins to read.
-    pub fn new(reply: Reply) -> Events {
-        Events { reply, splitter: EventSplitter::default(), waiting: VecDeque::new() }
+    pub fn new(reply: Reply) -> EventReader {
+        EventReader { reply, splitter: EventSplitter::default(), pending_data: VecDeque::new() }
     }
 
     /// Gets the next event's data; `None` at the end of the body.
     pub fn next_data(&mut self, attempt: &Attempt<'_>) -> Result<Option<String>> {
         loop {
-            if let Some(data) = self.waiting.pop_front() {
+            if let Some(data) = self.pending_data.pop_front() {
                 return Ok(Some(data));
             }
             if let Some(event) = self.splitter.next_event() {
-                self.waiting.extend(data_of(&event.bytes));
+                self.pending_data.extend(data_lines(&event.bytes));
             } else if self.splitter.is_overlong() {
-                return Err(attempt.cut("an event without an end"));
+                return Err(attempt.interrupted_error("an event without an end"));
             } else {
-                match attempt.next_part(&mut self.reply)? {
+                match attempt.next_body_part(&mut self.reply)? {
                     Some(part) => self.splitter.push(&part),
                     None => return Ok(None),
                 }
@@ -347,7 +361,7 @@
 }
 
 /// Gets the data lines of an event.
-fn data_of(event: &[u8]) -> Vec<String> {
+fn data_lines(event: &[u8]) -> Vec<String> {
     let text = String::from_utf8_lossy(event);
     let lines = text.lines().filter_map(|line| line.trim_end().strip_prefix("data:"));
     lines.map(|data| data.trim_start().to_string()).collect()
