--- a/crates/tidetrack-router/src/chat/mod.rs
+++ b/crates/tidetrack-router/src/chat/mod.rs
@@ -331,7 +331,7 @@
         let serving = &view.models.get(model)?.serving;
         let pool = view.pools.get(&view.versions.get(serving)?.spec.pool)?;
         let sampled = pool.endpoints().iter().take(MAX_SAMPLED_ENDPOINTS);
-        let loads: Vec<f64> = sampled.map(|err| err.state.load(now)).collect();
+        let loads: Vec<f64> = sampled.map(|endpoint| endpoint.state.load(now)).collect();
         let mean = loads.iter().sum::<f64>() / loads.len().max(1) as f64;
         Some((model.clone(), mean / WORK_PER_SLOT))
     };
--- a/crates/tidetrack-router/src/services.rs
+++ b/crates/tidetrack-router/src/services.rs
@@ -63,9 +63,9 @@
 }
 
 /// A call on its way.
-struct Call<'response, 'c> {
-    context: &'response RequestContext<'c>,
-    service: &'response ServiceView,
+struct Call<'a, 'c> {
+    context: &'a RequestContext<'c>,
+    service: &'a ServiceView,
     name: ServiceId,
     method: Method,
     path: String,
