--- a/crates/tidetrack-router/src/callers.rs
+++ b/crates/tidetrack-router/src/callers.rs
@@ -1,8 +1,8 @@
 //! Callers' requests, as the traffic threads see them.
 //!
 //! The traffic plane's server reads a request on its event loop, body and all, and hands it to a
-//! thread; what the thread answers goes back over a channel. A caller that leaves closes that channel,
-//! so the thread learns of it with the next piece it sends.
+//! thread; what the thread answers goes back over a channel. A caller that leaves closes that
+//! channel, so the thread learns of it with the next piece it sends.
 
 use std::io;
 
--- a/crates/tidetrack-router/src/chat/attempts.rs
+++ b/crates/tidetrack-router/src/chat/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts at one rung of a chat request's plan: choice of version and endpoint, sending, retries.
+//! Attempts for one rung of a chat request: choice of version and endpoint, sending and retries.
 
 use std::time::Instant;
 
@@ -23,20 +23,23 @@
 use super::stream_relay::{ResponseSink, StreamRelay};
 use super::{Call, RungResponse};
 
-/// Most attempts at one rung.
+/// Maximum number of attempts per rung.
 const MAX_ATTEMPTS: usize = 3;
 
-/// Answer tokens assumed where a request does not say.
+/// Response length in tokens that is assumed if a request sets no `max_tokens`.
 const DEFAULT_RESPONSE_TOKENS: u64 = 256;
 
-/// Characters of a prompt that decide its place on the ring.
+/// Number of characters at the start of a prompt that determine its position on the hash ring.
 const PREFIX_CHARS: usize = 512;
 
-/// Largest whole answer, in bytes: some hundred thousand tokens.
+/// Maximum size in bytes of a response that is buffered completely: several hundred thousand
+/// tokens.
 const MAX_RESPONSE_BYTES: usize = 4 << 20;
 
 impl<'a> Call<'a> {
-    /// Runs one rung; tells whether its answer was given to the caller.
+    /// Runs one rung, with retries. Returns true if its response was accepted, and false if it was
+    /// judged and rejected. `min_score` is the score that the response needs; `None` if it is not
+    /// judged.
     pub(super) fn run_rung(
         &mut self,
         model: &ModelId,
@@ -45,7 +48,7 @@
     ) -> Result<bool> {
         let mut tried: Vec<EndpointId> = Vec::new();
         let mut chosen: Option<ChosenVersion> = None;
-        let mut first_error: Option<Error> = None;
+        let mut previous_error: Option<Error> = None;
         loop {
             let tried_before = tried.len();
             let result = self.run_attempt(model, &mut chosen, &mut tried, min_score, sink);
@@ -57,12 +60,13 @@
                 Err(e) => e,
             };
             self.may_have_run |= e.executed != Executed::No;
-            // That no other endpoint is left says less than why one is looked for.
-            let e = match first_error.take() {
-                Some(first_error) if e.code == Code::Overloaded => first_error,
+            // `Overloaded` means that no untried endpoint is available. The error of the previous
+            // attempt, which caused the retry, says more.
+            let e = match previous_error.take() {
+                Some(previous_error) if e.code == Code::Overloaded => previous_error,
                 _ => e,
             };
-            first_error = Some(e.clone());
+            previous_error = Some(e.clone());
             let failed_attempt = FailedAttempt {
                 ran: e.executed,
                 is_repeatable: true,
@@ -80,7 +84,8 @@
         }
     }
 
-    /// Gives the credit back if no attempt of the request can have run.
+    /// Returns the credit for the canary version if no attempt of the request can have been
+    /// executed.
     fn refund_credit(&self, chosen: &Option<ChosenVersion>) {
         let credit = chosen.as_ref().and_then(|c| c.credit.as_ref());
         if let Some(credit) = credit.filter(|_| !self.may_have_run) {
@@ -88,11 +93,14 @@
         }
     }
 
+    /// Takes one retry from the host's retry budget. Returns false if the budget is exhausted.
     fn acquire_retry(&self) -> bool {
         let mut retries = self.shared().retries.lock().expect("no holder of the lock panics");
         retries.try_acquire()
     }
 
+    /// Sends the request to one endpoint. The first attempt chooses the version, and later attempts
+    /// reuse it. The chosen endpoint is added to `tried`. Returns what [`Call::run_rung`] returns.
     fn run_attempt(
         &mut self,
         model: &ModelId,
@@ -119,7 +127,8 @@
         self.labels.version = chosen.version.to_string();
         self.labels.failure_domain = endpoint.failure_domain.to_string();
         let attempt_id = format!("{}/{}-{}", self.context.id, chosen.version.model, tried.len());
-        // The last look before work leaves: a withdrawal that came meanwhile counts.
+        // The newest configuration is checked immediately before sending, so that a withdrawal that
+        // arrived in the meantime takes effect.
         let view = self.shared().view.load_full();
         view.check_still_valid(self.workspace(&view)?, &chosen)?;
         let params = AttemptParams {
@@ -146,7 +155,8 @@
         result
     }
 
-    /// Counts the end of an attempt as evidence about the version.
+    /// Counts the outcome of an attempt as evidence about the version. Errors count only if the
+    /// endpoint failed and the attempt may have been executed.
     fn record_outcome(&self, chosen: &ChosenVersion, result: &Result<bool>) {
         let counts = match result {
             Ok(_) => VersionCounts { answered: 1, ..VersionCounts::default() },
@@ -159,15 +169,20 @@
         self.shared().count(&chosen.version, chosen.generation, is_canary, counts);
     }
 
+    /// Returns the caller's workspace, or an error if it has been deleted since authentication.
     fn workspace<'v>(&self, view: &'v View) -> Result<&'v Workspace> {
-        let workspace_deleted = || Error::new(Code::NoKey, "the workspace is gone");
+        let workspace_deleted = || Error::new(Code::NoKey, "the workspace no longer exists");
         view.workspaces.get(&self.context.workspace).ok_or_else(workspace_deleted)
     }
 
+    /// Returns the maximum length of the response in tokens, or the assumed length if the request
+    /// sets none.
     fn max_response_tokens(&self) -> u64 {
         self.chat.max_tokens.unwrap_or(DEFAULT_RESPONSE_TOKENS)
     }
 
+    /// Picks an endpoint of the version's pool that has not been tried yet. Fails if the request
+    /// does not fit the version's context window or no endpoint is available.
     fn pick_endpoint(
         &self,
         view: &View,
@@ -178,8 +193,10 @@
         let context_tokens =
             view.versions.get(&chosen.version).map_or(0, |v| v.spec.context_tokens);
         if required_tokens > context_tokens {
-            let message =
-                format!("{required_tokens} tokens; {} takes {context_tokens}", chosen.version);
+            let message = format!(
+                "{required_tokens} tokens exceed the context of {} ({context_tokens} tokens)",
+                chosen.version
+            );
             return Err(Error::new(Code::TooLong, message));
         }
         let pool = view.pools.get(&chosen.pool);
@@ -195,7 +212,9 @@
         pool.ok_or_else(no_pool)?.pick(self.shared().now(), &placement_request).cloned()
     }
 
-    /// Gets the place on the ring: the session's, or that of the prompt's beginning.
+    /// Returns the position on the hash ring, derived from the session's nonce or, without a
+    /// session, from the start of the prompt. Requests with the same position prefer the same
+    /// endpoint.
     pub(super) fn ring_position(&self) -> u64 {
         if let Some(session) = &self.session {
             return ring_position_of(&session.nonce.to_le_bytes());
@@ -206,7 +225,7 @@
         ring_position_of(prefix.as_bytes())
     }
 
-    /// Makes the request that an endpoint gets.
+    /// Returns the HTTP request and the body to send to an endpoint.
     fn upstream_request(
         &self,
         chosen: &ChosenVersion,
@@ -216,7 +235,7 @@
         chat.model = chosen.version.model.to_string();
         chat.stream = stream;
         chat.stream_options = stream.then_some(StreamOptions { include_usage: true });
-        let body = serde_json::to_vec(&chat).expect("a request that was read can be written");
+        let body = serde_json::to_vec(&chat).expect("a parsed request can be serialized");
         let request = http::Request::post("/v1/chat/completions")
             .header(http::header::CONTENT_TYPE, "application/json")
             .header(headers::PRIORITY, self.priority)
@@ -224,7 +243,7 @@
         (request, body)
     }
 
-    /// Gets a whole answer.
+    /// Sends the request without streaming and buffers the complete response.
     fn fetch_complete(
         &self,
         params: AttemptParams<'_>,
@@ -234,7 +253,7 @@
         let (mut attempt, mut reply) = Attempt::send(params, request, body)?;
         let parsed = attempt.read_body(&mut reply, MAX_RESPONSE_BYTES).and_then(|body| {
             let part = serde_json::from_slice::<ResponsePart>(&body);
-            part.map(|part| (part, body)).map_err(|e| attempt.interrupted_error(&e.to_string()))
+            part.map(|part| (part, body)).map_err(|e| attempt.endpoint_error(&e.to_string()))
         });
         match parsed {
             Ok((part, body)) => {
@@ -251,6 +270,7 @@
         }
     }
 
+    /// Estimates the token usage of a response that reports none, at four characters per token.
     fn estimate_usage(&self, text: &str) -> Usage {
         let completion_tokens = (text.chars().count() as u64).div_ceil(4);
         let prompt_tokens = self.chat.prompt_tokens();
@@ -258,7 +278,9 @@
         Usage { prompt_tokens, completion_tokens, total_tokens }
     }
 
-    /// Passes a stream on event by event.
+    /// Streams the response to the caller event by event and stores the bill before the end marker
+    /// is sent. If the endpoint's stream is interrupted after the response has started, the rest is
+    /// requested from the same endpoint once.
     fn relay_stream(
         &mut self,
         params: AttemptParams<'_>,
@@ -301,7 +323,7 @@
     }
 }
 
-/// Tells whether an error is one that another endpoint may not have.
+/// Reports whether an error concerns the endpoint, so that another endpoint may succeed.
 fn is_endpoint_specific(code: Code) -> bool {
     matches!(
         code,
--- a/crates/tidetrack-router/src/chat/buffered.rs
+++ b/crates/tidetrack-router/src/chat/buffered.rs
@@ -1,4 +1,4 @@
-//! Answers that are whole before the caller sees them: judged, rated and then given.
+//! Responses that are buffered completely, judged if the plan requires it, and then sent.
 
 use tidetrack_core::errors::Result;
 use tidetrack_core::events::Event;
@@ -14,11 +14,12 @@
 use super::stream_relay::ResponseSink;
 use super::{Call, RungResponse};
 
-/// Seconds that a judgement inside a cascade may take.
+/// Timeout in seconds of a rating request inside a cascade.
 const JUDGE_TIMEOUT_SECONDS: u64 = 1;
 
 impl Call<'_> {
-    /// Judges a whole answer if need be, and gives it to the caller if it is good enough.
+    /// Sends a buffered response to the caller. With a `min_score`, the response is judged first;
+    /// returns false if it is rejected. The response is billed in both cases.
     pub(super) fn judge_and_send(
         &mut self,
         response: RungResponse,
@@ -57,7 +58,8 @@
         Ok(true)
     }
 
-    /// Checks an answer of a rung that is not the last: it says something and is rated well.
+    /// Reports whether the response is not empty and the rating service gives it at least
+    /// `min_score`. A response that cannot be rated is rejected.
     fn is_acceptable(&self, response: &RungResponse, min_score: f64) -> bool {
         if response.text.trim().is_empty() {
             return false;
@@ -75,6 +77,7 @@
         score >= min_score
     }
 
+    /// Returns the rating request for a response, with the last message of the chat as the prompt.
     fn rating_request(&self, chosen: &ChosenVersion, text: &str) -> RatingRequest {
         let last_message =
             self.chat.messages.last().and_then(|m| m.content.as_str()).unwrap_or_default();
@@ -86,6 +89,7 @@
         }
     }
 
+    /// Queues a response for rating.
     pub(super) fn submit_for_rating(&self, chosen: &ChosenVersion, text: &str) {
         let job = RatingJob {
             rating_request: self.rating_request(chosen, text),
@@ -96,6 +100,7 @@
         rating::submit(self.shared(), job);
     }
 
+    /// Sends a buffered response as a stream with a single chunk.
     fn send_as_stream(
         &self,
         response: &RungResponse,
--- a/crates/tidetrack-router/src/chat/mod.rs
+++ b/crates/tidetrack-router/src/chat/mod.rs
@@ -1,7 +1,9 @@
-//! Chat requests: from the caller's body to the answer's end marker.
+//! Processing of chat requests, from the parsed body to the end marker of the response.
 //!
-//! A request runs through the rungs that its policy plans. A rung before the last is judged and only
-//! then shown; the last one is streamed as it comes. The bill is safe before the end marker leaves.
+//! The policy of a route plans a cascade: a list of models, called rungs, that are tried in order.
+//! The response of a rung before the last is buffered and judged, and is sent to the caller only if
+//! it is accepted. The response of the last rung is streamed to the caller as it arrives. The bill
+//! is stored in a second place before the end marker is sent.
 
 use std::cell::Cell;
 use std::time::{Duration, Instant};
@@ -32,47 +34,56 @@
 
 use stream_relay::ResponseSink;
 
-/// What is known of a caller before its body is looked at.
+/// Properties of a request that are known before its body is parsed.
 pub struct RequestContext<'a> {
-    /// The router's shared state.
+    /// State shared by all threads of the router.
     pub shared: &'a Shared,
-    /// The way to endpoints.
+    /// Channels through which requests are sent to endpoints.
     pub upstream: &'a Upstream,
-    /// The request's id.
+    /// Id that the router assigned to the request.
     pub id: RequestId,
-    /// The workspace.
+    /// Workspace of the caller's key.
     pub workspace: WorkspaceId,
-    /// When the request came.
+    /// Time at which the host started to receive the request.
     pub received_at: Instant,
 }
 
-/// A chat request on its way.
+/// A chat request that is being processed.
 struct Call<'a> {
     context: &'a RequestContext<'a>,
     chat: ChatRequest,
     fingerprint: Fingerprint,
     route: RouteId,
     session: Option<Session>,
+    /// Uniform hash value in [0, 1) of the request id. It decides between stable and canary version
+    /// and whether the policy is enforced.
     version_fraction: f64,
     deadline: Instant,
+    /// Whether the caller asked for an event with the token usage at the end of the stream.
     wants_usage: bool,
     priority: i64,
     labels: Labels,
+    /// Line items of the bill for the responses received so far, including rejected ones.
     line_items: Vec<LineItem>,
+    /// Time from receipt of the request to the first token sent, in milliseconds; `None` until
+    /// then.
     first_token_ms: Cell<Option<f64>>,
+    /// Whether an endpoint may have executed any of the attempts.
     may_have_run: bool,
 }
 
-/// What one rung gave.
+/// The complete response of one rung.
 struct RungResponse {
     chosen: ChosenVersion,
     endpoint: PoolEndpoint,
     text: String,
     usage: Usage,
+    /// Body as received from the endpoint.
     body: Vec<u8>,
 }
 
-/// Runs a chat request and answers it.
+/// Processes a chat request and sends the response. Returns the labels under which its metrics are
+/// recorded, and the error that was sent, if any.
 pub fn run(context: &RequestContext<'_>, request: Request, body: &[u8]) -> (Labels, Result<()>) {
     let headers = ResponseHeaders::new(&context.id, &request);
     let mut labels = Labels { workspace: context.workspace.to_string(), ..Labels::default() };
@@ -91,8 +102,9 @@
     (labels, result)
 }
 
+/// Sends an error as the response, or as the last event if the stream has already started.
 fn send_error(sink: &mut ResponseSink, err: &Error) {
-    // A caller that has left misses nothing.
+    // A failed send means that the caller has disconnected and needs no response.
     match (sink.request.take(), sink.stream.as_mut()) {
         (Some(request), _) => drop(outcome::send_error_response(request, &sink.headers, err)),
         (None, Some(stream)) => stream.end_with_error(err),
@@ -100,12 +112,14 @@
     }
 }
 
-/// Reads the number of a header.
+/// Returns the integer value of a header, or `None` if it is absent or not an integer.
 fn parse_number_header(request: &Request, name: &str) -> Option<i64> {
     header_value(request, name)?.trim().parse().ok()
 }
 
 impl<'a> Call<'a> {
+    /// Parses and validates a request. Fails if the body, the route or the session token is
+    /// invalid, or if there is a session token but no key ring to verify it.
     fn parse(
         context: &'a RequestContext<'a>,
         view: &View,
@@ -124,11 +138,13 @@
             (Some(token), Some(ring)) => {
                 Some(Session::from_token(token.trim(), &context.workspace, ring)?)
             }
-            (Some(_), None) => return Err(Error::new(Code::NotReady, "no key ring yet")),
+            (Some(_), None) => {
+                return Err(Error::new(Code::NotReady, "the key ring has not been loaded yet"))
+            }
             (None, _) => None,
         };
         if session.as_ref().is_some_and(|s| s.route != route) {
-            return Err(Error::new(Code::BadToken, "the session is of another route"));
+            return Err(Error::new(Code::BadToken, "the session token belongs to another route"));
         }
         let max_deadline_ms = view.policies.get(&route).map_or(30_000, |p| p.spec.deadline_ms);
         let requested_ms =
@@ -169,9 +185,10 @@
         self.context.shared
     }
 
+    /// Runs the plan and sends the response.
     fn respond(&mut self, view: &View, sink: &mut ResponseSink) -> Result<()> {
         let result = self.run_plan(view, sink);
-        // A refusal after an attempt that may have run must not say that nothing was.
+        // If an earlier attempt may have been executed, the error must not claim that nothing was.
         match result {
             Err(err) if err.executed == Executed::No && self.may_have_run => {
                 Err(err.with_executed(Executed::Unknown))
@@ -180,11 +197,13 @@
         }
     }
 
+    /// Runs the rungs in order until the response of one has been sent. Returns the error of the
+    /// last rung that failed.
     fn run_plan(&mut self, view: &View, sink: &mut ResponseSink) -> Result<()> {
-        let request = sink.request.as_ref().expect("the answer has not begun");
+        let request = sink.request.as_ref().expect("the response has not started");
         let plan = self.plan(view, request)?;
         let rungs = plan.rungs.len();
-        let mut last_error = Error::new(Code::NoVersion, "the plan has no rung");
+        let mut last_error = Error::new(Code::NoVersion, "the policy's plan contains no model");
         for (index, model) in plan.rungs.iter().enumerate() {
             let min_score = plan.accept.filter(|_| index + 1 < rungs);
             match self.run_rung(model, min_score, sink) {
@@ -194,14 +213,16 @@
                 Err(err) => last_error = err,
             }
         }
-        // Work that was judged and put aside was done all the same.
+        // Responses that were judged and rejected are billed too, since the work was done.
         if !self.line_items.is_empty() {
             self.store_bill(BillOutcome::Truncated)?;
         }
         Err(last_error)
     }
 
-    /// Plans the rungs: the session's version, the policy's choice, or the caller's own.
+    /// Returns the models to try. A session keeps the model of its version. Otherwise the route's
+    /// policy decides; a route without a policy names a model. If the policy is not enforced for
+    /// this request and the caller's script made a choice, that choice is used and both are logged.
     fn plan(&self, view: &View, request: &Request) -> Result<Plan> {
         if let Some(session) = &self.session {
             return Ok(Plan { rungs: vec![session.version.model.clone()], accept: None });
@@ -236,6 +257,7 @@
         }
     }
 
+    /// Returns a plan with one model, or an error if no model has this name.
     fn plan_single_model(&self, view: &View, name: &str) -> Result<Plan> {
         let unknown_name =
             || Error::new(Code::UnknownRoute, format!("no route or model named {name}"));
@@ -246,6 +268,7 @@
         }
     }
 
+    /// Adds the cost of a response to the bill and to the metrics.
     fn add_line_item(&mut self, view: &View, chosen: &ChosenVersion, usage: Usage) {
         let Some(version) = view.versions.get(&chosen.version) else { return };
         let (tokens_in, tokens_out) =
@@ -256,7 +279,8 @@
         self.line_items.push(LineItem(chosen.version.clone(), tokens_in, tokens_out, cost));
     }
 
-    /// Makes the bill safe. Must come before the answer's last byte.
+    /// Stores the bill in a second place. Must be called before the last byte of the response is
+    /// sent. Fails if the bill is not stored in time.
     fn store_bill(&mut self, outcome: BillOutcome) -> Result<()> {
         let line_items = std::mem::take(&mut self.line_items);
         let bill =
@@ -267,6 +291,8 @@
         result
     }
 
+    /// Sets the response headers that name the version, the endpoint and the session. Does nothing
+    /// if the headers have already been sent.
     fn set_headers(
         &self,
         view: &View,
@@ -294,13 +320,16 @@
         sink.headers = headers;
     }
 
+    /// Records the time to the first token.
     fn record_first_token(&self) {
         let ms = self.context.received_at.elapsed().as_secs_f64() * 1_000.0;
         self.first_token_ms.set(Some(ms));
         self.shared().metrics.first_token(&self.labels, ms);
     }
 
-    /// Counts the request against its objectives. The caller's own faults do not count.
+    /// Counts the request for each objective of its workspace and route. It meets an objective if
+    /// it succeeded and its first token was sent within the objective's time. Requests that fail to
+    /// parse are not counted, since that is the caller's fault.
     fn record_objectives(&self, view: &View, succeeded: bool) {
         for objective in &view.objectives {
             if objective.workspace == self.context.workspace && objective.route == self.route {
@@ -313,18 +342,20 @@
     }
 }
 
+/// Returns the tags of the comma-separated tags header.
 fn parse_tags(request: &Request) -> Vec<String> {
     let tags = header_value(request, headers::TAGS).unwrap_or_default();
     tags.split(',').map(str::trim).filter(|t| !t.is_empty()).map(str::to_string).collect()
 }
 
-/// Endpoints of a pool that are looked at for a policy's `load`.
+/// Maximum number of endpoints of a pool whose load is averaged for a policy's `load`.
 const MAX_SAMPLED_ENDPOINTS: usize = 4;
 
-/// Work of one busy slot, in answer tokens.
+/// Work of one busy slot, in response tokens.
 const WORK_PER_SLOT: f64 = 256.0;
 
-/// Gets the share of busy slots of the models that a policy falls back on, from a few endpoints.
+/// Returns the share of busy slots of each of a policy's fallback models, estimated from a few
+/// endpoints of its pool. Models without a pool are omitted.
 fn fallback_loads(view: &View, models: &[ModelId], shared: &Shared) -> Vec<(ModelId, f64)> {
     let now = shared.now();
     let mean_load = |model: &ModelId| {
--- a/crates/tidetrack-router/src/chat/stream_relay.rs
+++ b/crates/tidetrack-router/src/chat/stream_relay.rs
@@ -1,4 +1,4 @@
-//! A streamed answer on its way from the endpoint to the caller.
+//! Relay of a streamed response from the endpoint to the caller.
 
 use tidetrack_core::codes::Code;
 use tidetrack_core::errors::{Error, Result};
@@ -11,10 +11,10 @@
 
 use super::Call;
 
-/// Seconds that resuming a cut stream may take.
+/// Timeout in seconds of the request that resumes an interrupted stream.
 const RESUME_TIMEOUT_SECONDS: u64 = 5;
 
-/// Where an answer goes.
+/// The caller's side of a response. The request is present until the response starts.
 pub(super) struct ResponseSink {
     pub(super) request: Option<Request>,
     pub(super) headers: ResponseHeaders,
@@ -22,31 +22,36 @@
 }
 
 impl ResponseSink {
-    /// Begins the answer's stream if it has not begun.
+    /// Returns the stream to the caller and starts the response if it has not started. Fails if the
+    /// caller has disconnected.
     pub(super) fn open_stream(&mut self) -> std::io::Result<&mut EventStream> {
         if let Some(request) = self.request.take() {
             self.stream = Some(EventStream::start(request, &self.headers)?);
         }
-        self.stream.as_mut().ok_or_else(|| std::io::Error::other("the caller has left"))
+        self.stream.as_mut().ok_or_else(|| std::io::Error::other("the caller has disconnected"))
     }
 
+    /// Reports whether the response to the caller has started.
     pub(super) fn has_started(&self) -> bool {
         self.request.is_none()
     }
 }
 
-/// What came of a stream so far.
+/// State of a stream that is relayed to the caller.
 #[derive(Default)]
 pub(super) struct StreamRelay {
+    /// Number of chunks with text received so far.
     pub(super) chunks: u64,
     pub(super) text: String,
     pub(super) usage: Option<Usage>,
+    /// Event with the token usage, which is sent only if the caller asked for it.
     usage_event: Option<String>,
     last_chunk: Option<String>,
 }
 
 impl StreamRelay {
-    /// Passes events on until the end marker. The end marker itself is held back.
+    /// Relays events until the end marker. The end marker and the event with the token usage are
+    /// not relayed; [`StreamRelay::finish`] sends them.
     pub(super) fn relay_events(
         &mut self,
         events: &mut EventReader,
@@ -57,13 +62,13 @@
         loop {
             let data = events.next_data(attempt)?;
             let Some(data) = data else {
-                return Err(attempt.interrupted_error("the stream was cut"));
+                return Err(attempt.endpoint_error("stream ended early"));
             };
             if data == STREAM_END {
                 return Ok(());
             }
             let part: ResponsePart = serde_json::from_str(&data)
-                .map_err(|err| attempt.interrupted_error(&err.to_string()))?;
+                .map_err(|err| attempt.endpoint_error(&err.to_string()))?;
             if part.choices.is_empty() {
                 self.usage = part.usage;
                 self.usage_event = Some(data);
@@ -82,26 +87,26 @@
         }
     }
 
-    /// Asks the endpoint for the rest of an answer that was cut, and passes it on.
+    /// Requests the rest of an interrupted response from the endpoint and relays it.
     pub(super) fn resume(&mut self, attempt: &Attempt<'_>, sink: &mut ResponseSink) -> Result<()> {
         let resume_request =
             AttemptRequest { attempt: attempt.id().to_string(), from_token: self.chunks };
-        let body = serde_json::to_string(&resume_request).expect("an ask is plain text");
+        let body =
+            serde_json::to_string(&resume_request).expect("the resume request can be serialized");
         let url = format!("http://{}/v1/resume", attempt.endpoint().address);
         let response =
             minreq::post(url).with_body(body).with_timeout(RESUME_TIMEOUT_SECONDS).send();
-        let response = response.map_err(|err| attempt.interrupted_error(&err.to_string()))?;
+        let response = response.map_err(|err| attempt.endpoint_error(&err.to_string()))?;
         if response.status_code != 200 {
-            return Err(attempt.interrupted_error("the answer cannot be resumed"));
+            return Err(attempt.endpoint_error("the endpoint cannot resume the response"));
         }
         let tokens: Vec<String> = serde_json::from_slice(response.as_bytes())
-            .map_err(|err| attempt.interrupted_error(&err.to_string()))?;
+            .map_err(|err| attempt.endpoint_error(&err.to_string()))?;
         let count = tokens.len();
         for (index, token) in tokens.into_iter().enumerate() {
-            let finish_reason =
-                if index + 1 == count { "stop".into() } else { serde_json::Value::Null };
+            let reason = if index + 1 == count { "stop".into() } else { serde_json::Value::Null };
             let chunk = serde_json::json!({"id": attempt.id(), "object": "chat.completion.chunk",
-                "choices": [{"index": 0, "delta": {"content": token}, "finish_reason": finish_reason}]});
+                "choices": [{"index": 0, "delta": {"content": token}, "finish_reason": reason}]});
             sink.open_stream()
                 .and_then(|s| s.send_event(&chunk.to_string()))
                 .map_err(|err| caller_disconnected(&err))?;
@@ -111,7 +116,7 @@
         Ok(())
     }
 
-    /// Sends what was held back: the usage, if it was asked for, and the end marker.
+    /// Sends the event with the token usage, if the caller asked for it, and the end marker.
     pub(super) fn finish(&self, wants_usage: bool, sink: &mut ResponseSink) -> std::io::Result<()> {
         let stream = sink.open_stream()?;
         if let Some(event) = self.usage_event.as_ref().filter(|_| wants_usage) {
@@ -122,5 +127,5 @@
 }
 
 fn caller_disconnected(err: &std::io::Error) -> Error {
-    Error::new(Code::CallerLeft, format!("the caller left: {err}"))
+    Error::new(Code::CallerLeft, format!("the caller disconnected: {err}"))
 }
--- a/crates/tidetrack-router/src/outcome.rs
+++ b/crates/tidetrack-router/src/outcome.rs
@@ -110,7 +110,8 @@
         self.body_sender.send(format!("data: {data}\n\n").into_bytes())
     }
 
-    /// Ends the body with an error in the place of the end marker, so that the caller need not wait.
+    /// Ends the body with an error in the place of the end marker, so that the caller need not
+    /// wait.
     pub fn end_with_error(&mut self, err: &Error) {
         let error_event =
             serde_json::to_string(&ErrorResponse::from_error(err)).unwrap_or_default();
--- a/crates/tidetrack-router/src/rating.rs
+++ b/crates/tidetrack-router/src/rating.rs
@@ -1,7 +1,7 @@
 //! Ratings of answers, asked for off the path of the request.
 //!
-//! Every answer of a version under roll-out is rated; of a proven version one in a few. The jobs wait
-//! in a bounded queue: when the rating service is slow, ratings are left out, never requests.
+//! Every answer of a version under roll-out is rated; of a proven version one in a few. The jobs
+//! wait in a bounded queue: when the rating service is slow, ratings are left out, never requests.
 
 use std::sync::Arc;
 
--- a/crates/tidetrack-router/src/upstream.rs
+++ b/crates/tidetrack-router/src/upstream.rs
@@ -1,8 +1,8 @@
 //! Attempts at endpoints: what a thread holds of one, and what its end means.
 //!
-//! The request itself is carried out on the event loop (`errands`), by the same client as on the users'
-//! platform: it checks the attempt's id, keeps connections and holds the deadline. What is known of a
-//! failed attempt, above all whether it ran, is told by its error.
+//! The request itself is carried out on the event loop (`errands`), by the same client as on the
+//! users' platform: it checks the attempt's id, keeps connections and holds the deadline. What is
+//! known of a failed attempt, above all whether it ran, is told by its error.
 
 use std::collections::VecDeque;
 use std::io::ErrorKind;
@@ -60,7 +60,8 @@
         let cancel_request = AttemptRequest { attempt, from_token: 0 };
         let body = serde_json::to_string(&cancel_request).expect("an ask is plain text");
         let request = minreq::post(format!("http://{address}/v1/cancel")).with_body(body);
-        // An endpoint that cannot be reached has no work to cancel, or drops it with its connection.
+        // An endpoint that cannot be reached has no work to cancel, or drops it with its
+        // connection.
         let _ = request.with_timeout(CANCEL_TIMEOUT_SECONDS).send();
     }
 }
@@ -189,7 +190,7 @@
     }
 
     /// Makes the error of an answer that broke off.
-    pub fn interrupted_error(&self, reason: &str) -> Error {
+    pub fn endpoint_error(&self, reason: &str) -> Error {
         let message = format!("{}: {reason}", self.endpoint.id);
         Error::new(Code::EndpointFailed, message).with_executed(Executed::Unknown)
     }
@@ -200,7 +201,7 @@
             Some(Ok(BodyPart::Bytes(bytes))) => Ok(Some(bytes)),
             Some(Ok(BodyPart::End)) => Ok(None),
             Some(Err(err)) => Err(self.with_endpoint_name(err)),
-            None => Err(self.interrupted_error("the answer broke off")),
+            None => Err(self.endpoint_error("the answer broke off")),
         }
     }
 
@@ -211,7 +212,7 @@
             body.extend_from_slice(&part);
             if body.len() > max_bytes {
                 return Err(
-                    self.interrupted_error(&format!("the answer is larger than {max_bytes} bytes"))
+                    self.endpoint_error(&format!("the answer is larger than {max_bytes} bytes"))
                 );
             }
         }
@@ -238,7 +239,7 @@
                     .with_retry_after(REFUSED_RETRY_AFTER_MS))
             }
             _ if accepts_any_status => Ok(()),
-            status => Err(self.interrupted_error(&format!("answered {}", status.as_u16()))),
+            status => Err(self.endpoint_error(&format!("answered {}", status.as_u16()))),
         }
     }
 
@@ -314,8 +315,8 @@
     }
 }
 
-/// Tells whether nobody listens at an address any more. A process that ends may do so for a moment after its connections
-/// have been closed, so one that takes a connection is looked at once more.
+/// Tells whether nobody listens at an address any more. A process that ends may do so for a moment
+/// after its connections have been closed, so one that takes a connection is looked at once more.
 fn refuses_connections(address: &str) -> bool {
     let Ok(address) = address.parse::<SocketAddr>() else { return false };
     let connect =
@@ -349,7 +350,7 @@
             if let Some(event) = self.splitter.next_event() {
                 self.pending_data.extend(data_lines(&event.bytes));
             } else if self.splitter.is_overlong() {
-                return Err(attempt.interrupted_error("an event without an end"));
+                return Err(attempt.endpoint_error("an event without an end"));
             } else {
                 match attempt.next_body_part(&mut self.reply)? {
                     Some(part) => self.splitter.push(&part),
