--- a/crates/tidetrack-router/src/services.rs
+++ b/crates/tidetrack-router/src/services.rs
@@ -1,4 +1,5 @@
-//! Calls to plain services, and the tickets and claims that keep some of them to one run.
+//! Calls to plain services, with the tickets and claims that prevent a second execution of calls
+//! that must not be repeated.
 
 use std::time::{Duration, Instant};
 
@@ -24,45 +25,48 @@
 use crate::outcome::{self, header_value, ResponseHeaders};
 use crate::upstream::{Attempt, AttemptParams};
 
-/// Path under which services are called.
+/// Path prefix of service calls.
 pub const SERVICES_PATH: &str = "/v1/services/";
 
-/// Most attempts at one call.
+/// Maximum number of attempts per call.
 const MAX_ATTEMPTS: usize = 3;
 
-/// When to come back after a claim could not be written, in milliseconds.
+/// Time after which a caller may retry when its claim could not be written, in milliseconds.
 const CLAIM_RETRY_AFTER_MS: u64 = 2_000;
 
-/// Work that a call counts as, in answer tokens.
+/// Work that a call adds to the load of an endpoint, in response tokens.
 const WORK_PER_CALL: u64 = 50;
 
-/// Seconds that a call passed on to another host may take.
+/// Timeout in seconds of a call that is forwarded to another host.
 const FORWARD_TIMEOUT_SECONDS: u64 = 15;
 
-/// Largest answer of a service, in bytes.
+/// Maximum size of a service's response, in bytes.
 const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
-/// An answer of a service.
+/// A complete response of a service.
 struct ServiceResponse {
     status: u16,
     content_type: String,
+    /// Id of the endpoint that responded; empty for a replayed response.
     endpoint: String,
     body: Vec<u8>,
 }
 
-/// What keeps a call that must not be repeated to one run.
+/// How a call is protected against a second execution.
 enum ExecutionGuard {
     /// The call may be repeated.
     Repeatable,
-    /// It may not, and the caller gave nothing to tell a repeat by.
+    /// The call must not be repeated, but has neither a ticket nor an idempotency key by which a
+    /// repetition could be recognized.
     Unguarded,
-    /// It has a ticket of this incarnation.
+    /// The call has a ticket that this incarnation issued.
     Ticket(Ticket),
-    /// It has a key that is claimed in the object API, at the version given.
+    /// The call's idempotency key is claimed by an object in the object API. `name` and `version`
+    /// identify that object.
     Claim { name: String, version: u64 },
 }
 
-/// A call on its way.
+/// A service call that is being processed.
 struct Call<'a, 'c> {
     context: &'a RequestContext<'c>,
     service: &'a ServiceView,
@@ -76,7 +80,8 @@
     deadline: Instant,
 }
 
-/// Runs a call to a service and answers it.
+/// Processes a service call and sends the response. Returns the labels under which its metrics are
+/// recorded, and the error that was sent, if any.
 pub fn run(context: &RequestContext<'_>, request: Request, body: Vec<u8>) -> (Labels, Result<()>) {
     let view = context.shared.view.load_full();
     let mut headers = ResponseHeaders::new(&context.id, &request);
@@ -114,12 +119,14 @@
         }
         Err(err) => outcome::send_error_response(request, &headers, err),
     };
-    // A caller that has left misses nothing; the call's end is recorded all the same.
+    // A failed send means that the caller has disconnected. The outcome of the call is recorded
+    // anyway.
     drop(send_result);
     (labels, result.map(|_| ()))
 }
 
-/// Finds the service that a request names, and the path within it.
+/// Returns the id and the configuration of the service that a request names, and the path within
+/// it. Fails if the service is unknown or the workspace is not allowed to call it.
 fn resolve_service<'v>(
     context: &RequestContext<'_>,
     view: &'v View,
@@ -133,7 +140,7 @@
     let id: ServiceId = name.parse().map_err(|_| no_service())?;
     let service = view.services.get(&id).ok_or_else(no_service)?;
     if !service.spec.workspaces.contains(&context.workspace) {
-        let message = format!("the workspace may not call {id}");
+        let message = format!("the workspace is not allowed to call service {id}");
         return Err(Error::new(Code::NotAllowed, message));
     }
     let path = if path.starts_with('/') { path.to_string() } else { format!("/{path}") };
@@ -141,6 +148,8 @@
 }
 
 impl Call<'_, '_> {
+    /// Executes the call, replays the stored response of its ticket, or forwards it to the host
+    /// that issued its ticket.
     fn respond(&mut self, view: &View, request: &Request) -> Result<ServiceResponse> {
         let guard = match self.service.spec.is_non_repeatable(self.method.as_str(), &self.path) {
             false => ExecutionGuard::Repeatable,
@@ -161,10 +170,11 @@
         result
     }
 
-    /// Finds what keeps the call to one run; `None` if another host must run it.
+    /// Returns the protection of a call that must not be repeated, or `None` if another host issued
+    /// its ticket and has to execute it.
     fn acquire_guard(&self, view: &View, request: &Request) -> Result<Option<ExecutionGuard>> {
         if let Some(token) = header_value(request, headers::TICKET) {
-            let no_key_ring = || Error::new(Code::NotReady, "no key ring yet");
+            let no_key_ring = || Error::new(Code::NotReady, "the key ring has not been loaded yet");
             let ring = view.key_ring.as_ref().ok_or_else(no_key_ring)?;
             let ticket = Ticket::from_token(token.trim(), &self.context.workspace, ring)?;
             let is_issued_here = ticket.issued_by == self.context.shared.own;
@@ -176,7 +186,8 @@
         }
     }
 
-    /// Claims a caller's key in the object API: whoever creates the object may run the call.
+    /// Claims an idempotency key by creating an object in the object API. Only the host that
+    /// creates the object may execute the call.
     fn claim(&self, key: &str) -> Result<ExecutionGuard> {
         let RequestContext { workspace, id, shared, .. } = self.context;
         let digest = digest(format!("{}\n{key}", self.name).as_bytes());
@@ -185,15 +196,16 @@
         match shared.platform.write_confirmed(&name, 0, &body) {
             Ok(claim_object) => Ok(ExecutionGuard::Claim { name, version: claim_object.version }),
             Err(err) if err.code == Code::Conflict => {
-                let message = "a call with this key was handed on before";
+                let message = "a call with this idempotency key was already forwarded";
                 Err(Error::new(Code::KeyReused, message))
             }
-            // Nothing was handed on, whatever became of the claim.
+            // The call was not sent to an endpoint, even if the claim was written after all.
             Err(err) => Err(err.with_executed(Executed::No).with_retry_after(CLAIM_RETRY_AFTER_MS)),
         }
     }
 
-    /// Records the end of a call that must not be repeated.
+    /// Records the outcome of a call that must not be repeated. If the call was not executed, its
+    /// ticket becomes usable again and its claim is deleted.
     fn settle_guard(&self, guard: &ExecutionGuard, result: &Result<ServiceResponse>) {
         let shared = self.context.shared;
         let was_not_executed = matches!(result, Err(err) if err.executed == Executed::No);
@@ -209,7 +221,7 @@
                 });
                 shared.tickets().record_outcome(shared.now(), ticket, stored);
             }
-            // A claim that cannot be taken back only refuses a repeat that would have been right.
+            // If the deletion fails, the only effect is that a permissible repetition is refused.
             ExecutionGuard::Claim { name, version } if was_not_executed => {
                 drop(shared.platform.delete(name, *version));
             }
@@ -219,6 +231,7 @@
         }
     }
 
+    /// Runs attempts until one succeeds or the call may not be retried.
     fn run_attempts(&mut self, is_repeatable: bool) -> Result<ServiceResponse> {
         let mut tried = Vec::new();
         let mut may_have_run = false;
@@ -248,6 +261,7 @@
         }
     }
 
+    /// Sends the call to one endpoint, which is added to `tried`.
     fn run_attempt(
         &mut self,
         tried: &mut Vec<EndpointId>,
@@ -302,17 +316,20 @@
         }
     }
 
-    /// Passes a call on to the host that made its ticket.
+    /// Forwards a call to the host that issued its ticket.
     fn forward(&self, request: &Request) -> Result<ServiceResponse> {
         let shared = self.context.shared;
-        let ticket_gone =
-            |reason: &str| Error::new(Code::TicketGone, format!("{reason}; not repeated"));
+        let ticket_gone = |reason: &str| {
+            Error::new(Code::TicketGone, format!("{reason}; the call is not repeated"))
+        };
         if header_value(request, headers::FORWARDED).is_some() {
-            return Err(ticket_gone("the call was passed on to the wrong life of a host"));
+            return Err(ticket_gone(
+                "the call was forwarded to an incarnation that did not issue its ticket",
+            ));
         }
         let address = self
             .locate_ticket_host(request)?
-            .ok_or_else(|| ticket_gone("the ticket's host is gone"))?;
+            .ok_or_else(|| ticket_gone("the host that issued the ticket is gone"))?;
         let method = minreq::Method::Custom(self.method.as_str().to_string());
         let mut forwarded_request =
             minreq::Request::new(method, format!("http://{address}{}", request.url()))
@@ -326,7 +343,7 @@
         let response = forwarded_request.with_timeout(FORWARD_TIMEOUT_SECONDS).send();
         let response = response.map_err(|err| ticket_gone(&err.to_string()))?;
         if headers::is_missing_response(response.status_code, &response.headers) {
-            return Err(ticket_gone("the ticket's host gave no answer"));
+            return Err(ticket_gone("the host that issued the ticket sent no response"));
         }
         let content_type = headers::find(&response.headers, "Content-Type");
         Ok(ServiceResponse {
@@ -339,24 +356,28 @@
         })
     }
 
+    /// Returns the address of the host that issued the call's ticket, or `None` if that incarnation
+    /// is gone.
     fn locate_ticket_host(&self, request: &Request) -> Result<Option<String>> {
         let shared = self.context.shared;
         let view = shared.view.load();
         let token = header_value(request, headers::TICKET).unwrap_or_default();
-        let no_key_ring = || Error::new(Code::NotReady, "no key ring yet");
+        let no_key_ring = || Error::new(Code::NotReady, "the key ring has not been loaded yet");
         let ring = view.key_ring.as_ref().ok_or_else(no_key_ring)?;
         let ticket = Ticket::from_token(token.trim(), &self.context.workspace, ring)?;
         let (reply_sender, reply_receiver) = flume::bounded(1);
         let msg = Msg::Locate { incarnation: ticket.issued_by, reply: reply_sender };
-        let host_stopping = || Error::new(Code::Draining, "the host ends");
+        let host_stopping = || Error::new(Code::Draining, "the host is shutting down");
         shared.control.send(msg).map_err(|_| host_stopping())?;
         reply_receiver.recv().map_err(|_| host_stopping())
     }
 }
 
+/// Returns the stored response of a call that was already executed, or an error if the body was too
+/// large to store.
 fn replay_response(stored: StoredResponse) -> Result<ServiceResponse> {
     let body = stored.body.ok_or_else(|| {
-        let message = "the call ran; its answer was too large to keep";
+        let message = "the call was executed, but its response was too large to store";
         Error::new(Code::TicketSpent, message).with_executed(Executed::Yes)
     })?;
     Ok(ServiceResponse {
--- a/crates/tidetrack-router/src/upstream.rs
+++ b/crates/tidetrack-router/src/upstream.rs
@@ -1,8 +1,8 @@
-//! Attempts at endpoints: what a thread holds of one, and what its end means.
+//! Attempts: requests to one endpoint, as the thread of a caller's request sees them.
 //!
-//! The request itself is carried out on the event loop (`errands`), by the same client as on the
-//! users' platform: it checks the attempt's id, keeps connections and holds the deadline. What is
-//! known of a failed attempt, above all whether it ran, is told by its error.
+//! The event loop (`endpoint_client`) sends the request with the HTTP client of the traffic plane,
+//! which verifies the attempt id in the response, reuses connections and enforces the deadline. The
+//! error of a failed attempt says whether the request may have been executed.
 
 use std::collections::VecDeque;
 use std::io::ErrorKind;
@@ -30,43 +30,44 @@
 use crate::endpoint_client::{BodyPart, EndpointRequest, Reply};
 use crate::shared::Shared;
 
-/// Seconds that a call to cancel may take.
+/// Timeout in seconds of a cancel request.
 const CANCEL_TIMEOUT_SECONDS: u64 = 1;
 
-/// Longest wait for the outcome of a new connection to an endpoint that broke one off.
+/// Timeout of the connection that probes an endpoint after it closed a connection early.
 const PROBE_CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Pause before the second look at an endpoint that took the new connection.
+/// Delay before the second probe of an endpoint that accepted the first.
 const SECOND_PROBE_DELAY: Duration = Duration::from_millis(30);
 
-/// When to come back to a pool whose endpoint refused, in milliseconds.
+/// Time after which a caller may retry when an endpoint refused its request, in milliseconds.
 const REFUSED_RETRY_AFTER_MS: u64 = 1_000;
 
-/// An attempt to cancel: the endpoint's address and the attempt's id.
+/// A request to cancel an attempt: the endpoint's address and the attempt id.
 pub type CancelRequest = (String, String);
 
-/// What the threads of requests reach endpoints through.
+/// Channels through which request threads reach endpoints.
 #[derive(Clone)]
 pub struct Upstream {
-    /// Takes requests to endpoints.
+    /// Requests for the event loop to send to endpoints.
     pub requests: Sender<EndpointRequest>,
-    /// Takes attempts to cancel.
+    /// Attempts to cancel.
     pub cancels: Sender<CancelRequest>,
 }
 
-/// Cancels attempts until all senders are gone.
+/// Cancels attempts until all senders have been dropped.
 pub fn cancel_loop(cancels: Receiver<CancelRequest>) {
     for (address, attempt) in cancels {
         let cancel_request = AttemptRequest { attempt, from_token: 0 };
-        let body = serde_json::to_string(&cancel_request).expect("an ask is plain text");
+        let body =
+            serde_json::to_string(&cancel_request).expect("a cancel request can be serialized");
         let request = minreq::post(format!("http://{address}/v1/cancel")).with_body(body);
-        // An endpoint that cannot be reached has no work to cancel, or drops it with its
-        // connection.
+        // An endpoint that cannot be reached has nothing to cancel, or stops the work when its
+        // connection closes.
         let _ = request.with_timeout(CANCEL_TIMEOUT_SECONDS).send();
     }
 }
 
-/// One attempt under way; it cancels itself when dropped unfinished.
+/// An attempt in progress. If it is dropped before it is finished, it is cancelled at the endpoint.
 pub struct Attempt<'a> {
     shared: &'a Shared,
     upstream: &'a Upstream,
@@ -75,35 +76,36 @@
     started_at: Instant,
     id: String,
     fingerprint: Fingerprint,
-    /// Whether the answer tells a failure of the endpoint's.
+    /// Whether the response has a 5xx status.
     has_error_status: bool,
     is_finished: bool,
 }
 
-/// What an attempt needs to begin.
+/// Parameters of an attempt.
 pub struct AttemptParams<'a> {
-    /// The router's shared state.
+    /// State shared by all threads of the router.
     pub shared: &'a Shared,
-    /// The way to endpoints.
+    /// Channels to the event loop.
     pub upstream: &'a Upstream,
-    /// The endpoint.
+    /// Endpoint to send the request to.
     pub endpoint: PoolEndpoint,
-    /// Work of the request in answer tokens.
+    /// Work that the request adds to the endpoint's load, in response tokens.
     pub work: u64,
-    /// The attempt's id.
+    /// Attempt id, which the endpoint returns in its response.
     pub id: String,
-    /// What stays the same when the caller sends the request again.
+    /// Fingerprint of the caller's request, which is the same when the caller sends it again.
     pub fingerprint: Fingerprint,
-    /// When the request must have ended.
+    /// Time by which the response must be complete.
     pub deadline: Instant,
-    /// Whether any status is an answer, as with plain services.
+    /// Whether a response counts as such whatever its status, as for plain services.
     pub accepts_any_status: bool,
-    /// Whether the request may run twice.
+    /// Whether the request may be executed twice.
     pub is_repeatable: bool,
 }
 
 impl<'a> Attempt<'a> {
-    /// Sends a request to the endpoint and reads the head of the answer.
+    /// Sends a request to the endpoint and waits for the head of the response. Failures are
+    /// recorded as by [`Attempt::record_failure`].
     pub fn send(
         params: AttemptParams<'a>,
         request: http::request::Builder,
@@ -112,7 +114,8 @@
         let AttemptParams { accepts_any_status, is_repeatable, deadline, .. } = params;
         let mut attempt = Attempt::start(params);
         let host = &attempt.endpoint.address;
-        // An endpoint that breaks off closes the connection only if it was told not to keep it.
+        // An endpoint that aborts a response closes the connection only if the request forbids
+        // keep-alive.
         let request = request
             .header(http::header::HOST, host)
             .header(http::header::CONNECTION, "close")
@@ -134,6 +137,7 @@
         }
     }
 
+    /// Adds the request's work to the endpoint's load.
     fn start(params: AttemptParams<'a>) -> Attempt<'a> {
         params.endpoint.state.begin_work(params.work);
         Attempt {
@@ -149,7 +153,7 @@
         }
     }
 
-    /// Has the request carried out on the event loop.
+    /// Passes the request to the event loop and waits for the head of the response.
     fn exchange(
         &self,
         request: Request<Full<Bytes>>,
@@ -166,7 +170,7 @@
             deadline,
             reply,
         };
-        let host_stopping = || Error::new(Code::Draining, "the host ends");
+        let host_stopping = || Error::new(Code::Draining, "the host is shutting down");
         self.upstream.requests.send(endpoint_request).map_err(|_| host_stopping())?;
         let result = reply_receiver
             .blocking_recv()
@@ -174,51 +178,54 @@
         result.map_err(|err| self.with_endpoint_name(err))
     }
 
-    /// Gets the endpoint.
+    /// Returns the endpoint that the request was sent to.
     pub fn endpoint(&self) -> &PoolEndpoint {
         &self.endpoint
     }
 
-    /// Gets the attempt's id.
+    /// Returns the attempt id.
     pub fn id(&self) -> &str {
         &self.id
     }
 
-    /// Adds the endpoint's name to an error.
+    /// Prefixes the message of an error with the endpoint id.
     fn with_endpoint_name(&self, err: Error) -> Error {
         Error { message: format!("{}: {}", self.endpoint.id, err.message), ..err }
     }
 
-    /// Makes the error of an answer that broke off.
+    /// Returns the error for an incomplete or invalid response. The request may have been executed.
     pub fn endpoint_error(&self, reason: &str) -> Error {
         let message = format!("{}: {reason}", self.endpoint.id);
         Error::new(Code::EndpointFailed, message).with_executed(Executed::Unknown)
     }
 
-    /// Gets the next part of a body; `None` at its end.
+    /// Waits for the next part of a body. Returns `None` at its end, and an error if the connection
+    /// was lost before.
     pub fn next_body_part(&self, reply: &mut Reply) -> Result<Option<Bytes>> {
         match reply.body.blocking_recv() {
             Some(Ok(BodyPart::Bytes(bytes))) => Ok(Some(bytes)),
             Some(Ok(BodyPart::End)) => Ok(None),
             Some(Err(err)) => Err(self.with_endpoint_name(err)),
-            None => Err(self.endpoint_error("the answer broke off")),
+            None => Err(self.endpoint_error("the response ended early")),
         }
     }
 
-    /// Reads a whole body of at most so many bytes.
+    /// Reads a complete body. Fails if it is larger than `max_bytes`.
     pub fn read_body(&self, reply: &mut Reply, max_bytes: usize) -> Result<Vec<u8>> {
         let mut body = Vec::new();
         while let Some(part) = self.next_body_part(reply)? {
             body.extend_from_slice(&part);
             if body.len() > max_bytes {
                 return Err(
-                    self.endpoint_error(&format!("the answer is larger than {max_bytes} bytes"))
+                    self.endpoint_error(&format!("the response is larger than {max_bytes} bytes"))
                 );
             }
         }
         Ok(body)
     }
 
+    /// Records the load and the shutdown notice in the head of a response. Returns an error if the
+    /// endpoint refused the request, or if the status is not 2xx and only a 2xx status is accepted.
     fn read_head(&self, reply: &Reply, accepts_any_status: bool) -> Result<()> {
         let header = |name| reply.head.headers.get(name).and_then(|v| v.to_str().ok());
         if let Some((work, capacity)) = header(headers::LOAD).and_then(parse_load_header) {
@@ -234,22 +241,25 @@
             StatusCode::SERVICE_UNAVAILABLE
                 if is_from_endpoint && header(headers::NOT_RUN).is_some() =>
             {
-                let message = format!("{} refused", self.endpoint.id);
+                let message = format!("{} refused the request", self.endpoint.id);
                 Err(Error::new(Code::EndpointRefused, message)
                     .with_retry_after(REFUSED_RETRY_AFTER_MS))
             }
             _ if accepts_any_status => Ok(()),
-            status => Err(self.endpoint_error(&format!("answered {}", status.as_u16()))),
+            status => {
+                Err(self.endpoint_error(&format!("responded with status {}", status.as_u16())))
+            }
         }
     }
 
-    /// Takes note that the attempt failed; cancels what may still run.
+    /// Records a failed attempt and cancels it at the endpoint if it may still be running.
     pub fn record_failure(&mut self, err: &Error) {
         if err.code == Code::WrongAnswer {
             self.shared.metrics.event("answer_mismatch");
             self.shared.log(Event::AnswerMismatch, &self.id);
         }
-        // A refusal is no sign of ill health, and a deadline may be the caller's own.
+        // A refusal does not mean that the endpoint is unhealthy, and the caller may have set the
+        // deadline that was missed.
         let is_endpoint_fault =
             !matches!(err.code, Code::EndpointRefused | Code::Deadline | Code::CallerLeft);
         if is_endpoint_fault {
@@ -268,7 +278,8 @@
         self.finish(err.executed != Executed::No);
     }
 
-    /// Takes note of the crash of an endpoint at whose address nobody listens any more.
+    /// Records a crash of the endpoint if its address refuses connections, with the request as a
+    /// suspect.
     fn record_crash(&self) {
         if !refuses_connections(&self.endpoint.address) {
             return;
@@ -284,9 +295,10 @@
         self.shared.log(Event::EndpointCrashed, &text);
     }
 
-    /// Takes note that the whole answer was read.
+    /// Records that the complete response was read.
     pub fn record_success(&mut self) {
-        // An endpoint may fail a request before running it.
+        // A 5xx status does not prove that the endpoint survives the request: it may have failed
+        // before executing it.
         if !self.has_error_status {
             self.shared.suspects.record_completion(self.shared.now(), self.fingerprint);
         }
@@ -297,6 +309,8 @@
         self.finish(false);
     }
 
+    /// Removes the request's work from the endpoint's load and, if asked to, cancels the attempt.
+    /// Only the first call has an effect.
     fn finish(&mut self, should_cancel: bool) {
         if self.is_finished {
             return;
@@ -315,8 +329,9 @@
     }
 }
 
-/// Tells whether nobody listens at an address any more. A process that ends may do so for a moment
-/// after its connections have been closed, so one that takes a connection is looked at once more.
+/// Reports whether an address refuses connections. A process that is exiting may still accept
+/// connections for a moment after its existing ones have been closed, so an address that accepts the
+/// first probe is probed again.
 fn refuses_connections(address: &str) -> bool {
     let Ok(address) = address.parse::<SocketAddr>() else { return false };
     let connect =
@@ -328,7 +343,7 @@
     last_result.is_err_and(|kind| kind == ErrorKind::ConnectionRefused)
 }
 
-/// Reads the data of a stream's events, one by one.
+/// Reads the data of server-sent events one by one.
 pub struct EventReader {
     reply: Reply,
     splitter: EventSplitter,
@@ -336,12 +351,13 @@
 }
 
 impl EventReader {
-    /// Begins to read.
+    /// Creates a reader of the body of a response.
     pub fn new(reply: Reply) -> EventReader {
         EventReader { reply, splitter: EventSplitter::default(), pending_data: VecDeque::new() }
     }
 
-    /// Gets the next event's data; `None` at the end of the body.
+    /// Waits for the next data line. Returns `None` at the end of the body, and an error if the
+    /// body is interrupted or an event is too long.
     pub fn next_data(&mut self, attempt: &Attempt<'_>) -> Result<Option<String>> {
         loop {
             if let Some(data) = self.pending_data.pop_front() {
@@ -350,7 +366,7 @@
             if let Some(event) = self.splitter.next_event() {
                 self.pending_data.extend(data_lines(&event.bytes));
             } else if self.splitter.is_overlong() {
-                return Err(attempt.endpoint_error("an event without an end"));
+                return Err(attempt.endpoint_error("an event of the stream is too long"));
             } else {
                 match attempt.next_body_part(&mut self.reply)? {
                     Some(part) => self.splitter.push(&part),
@@ -361,7 +377,7 @@
     }
 }
 
-/// Gets the data lines of an event.
+/// Returns the data lines of an event without the `data:` prefix.
 fn data_lines(event: &[u8]) -> Vec<String> {
     let text = String::from_utf8_lossy(event);
     let lines = text.lines().filter_map(|line| line.trim_end().strip_prefix("data:"));
