--- a/crates/tidetrack-router/src/billing.rs
+++ b/crates/tidetrack-router/src/billing.rs
@@ -1,4 +1,5 @@
-//! The thread round the keeper of the bills, and the handle that requests keep theirs with.
+//! The thread that runs the [`BillReplicator`], and the handle through which requests store their
+//! bills.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -20,56 +21,57 @@
 use crate::peers::Job;
 use crate::shared::Clock;
 
-/// Pause of the loop when nothing comes.
+/// Maximum time between two polls of the replicator's actions when no message arrives.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// When to come back while no bill can be kept safe, in milliseconds.
+/// Time after which a caller may retry while bills cannot be stored, in milliseconds.
 const STORAGE_RETRY_AFTER_MS: u64 = 1_000;
 
-/// Pause of the writer after a failed write.
+/// Delay of the segment writer after a failed write.
 const WRITE_RETRY_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Messages for the keeper of the bills.
+/// Messages to the replicator thread.
 pub enum BillMsg {
-    /// Keep a bill safe.
+    /// Store a bill in a second place.
     Store {
-        /// The bill.
+        /// Bill to store.
         bill: Bill,
-        /// Told once it is safe.
+        /// Notified once the bill is held by another host or written to the object API.
         replicated: Sender<()>,
     },
     /// Hold bills for another host.
     Hold {
-        /// The bills.
+        /// Bills to hold, and those that need not be held any longer.
         call: HoldCall,
-        /// Told whether they are held.
+        /// Receives whether all of the bills are held.
         reply: Sender<bool>,
     },
-    /// A call to the holder ended.
+    /// A call to the holder returned or failed.
     HoldDone {
-        /// Which call.
+        /// Number of the call.
         batch: u64,
-        /// Whether all its bills are held.
+        /// Whether the holder holds all bills of the call.
         is_held: bool,
     },
-    /// A write of a segment ended.
+    /// A write of a segment returned or failed.
     WriteDone {
-        /// Whose segment.
+        /// Incarnation that created the bills of the segment.
         origin: Incarnation,
-        /// What stored under its number, if that is known.
+        /// Segment that the object API has under this number; `None` if that is unknown.
         stored: Option<Segment>,
     },
-    /// Who may hold this host's bills from now on, best first.
+    /// Sets the hosts that can hold this host's bills, best first.
     Holders(Vec<Holder>),
-    /// Incarnations that are gone.
+    /// Incarnations that are gone; the bills held for them are written.
     IncarnationsGone(Vec<Incarnation>),
-    /// Write everything now and tell when it stored or is held.
+    /// Write all bills now. The sender receives whether each bill was written or is held by another
+    /// host.
     Flush(Sender<bool>),
-    /// Ends the thread.
+    /// Stop the thread.
     Stop,
 }
 
-/// A handle on the keeper of the bills.
+/// A handle to the replicator thread.
 #[derive(Clone)]
 pub struct Billing {
     sender: Sender<BillMsg>,
@@ -77,53 +79,60 @@
     store_timeout: Duration,
 }
 
+/// State that the replicator thread publishes after each poll.
 #[derive(Default)]
 struct BillState {
+    /// Number of bills that have not been written to the object API yet.
     pending: AtomicU64,
+    /// Whether bills can currently be stored neither at a holder nor in the object API.
     is_storage_unavailable: AtomicBool,
 }
 
 impl Billing {
-    /// Makes a handle; the thread takes the other end.
+    /// Creates a handle and the receiver for the replicator thread. [`Billing::store`] waits at
+    /// most `store_timeout`.
     pub fn new(store_timeout: Duration) -> (Billing, Receiver<BillMsg>) {
         let (sender, receiver) = flume::unbounded();
         (Billing { sender, state: Arc::default(), store_timeout }, receiver)
     }
 
-    /// Gets the sender of messages.
+    /// Returns a sender of messages to the replicator thread.
     pub fn sender(&self) -> Sender<BillMsg> {
         self.sender.clone()
     }
 
-    /// Gets the number of bills that are not in the object API yet.
+    /// Returns the number of bills that have not been written to the object API yet.
     pub fn pending(&self) -> u64 {
         self.state.pending.load(Ordering::Relaxed)
     }
 
-    /// Refuses new work while no place for a bill can be reached.
+    /// Returns an error while neither a holder nor the object API accepts bills, so that new
+    /// requests are refused.
     pub fn check(&self) -> Result<()> {
         match self.state.is_storage_unavailable.load(Ordering::Acquire) {
             false => Ok(()),
             true => {
-                let message = "no place to keep the bill can be reached";
+                let message = "neither a holder nor the object API accepts bills";
                 Err(Error::new(Code::BillUnsafe, message).with_retry_after(STORAGE_RETRY_AFTER_MS))
             }
         }
     }
 
-    /// Keeps a bill safe; gives up waiting after a while, the bill stays due.
+    /// Waits until a bill is stored in a second place. Fails after `store_timeout`; the replicator
+    /// continues to store the bill after that.
     pub fn store(&self, bill: Bill) -> Result<()> {
         let (reply_sender, reply_receiver) = flume::bounded(1);
         let send_result = self.sender.send(BillMsg::Store { bill, replicated: reply_sender });
         let storage_failed = || {
-            let message = "the bill could not be made safe; the answer is not finished";
+            let message = "the bill could not be stored; the response is incomplete";
             Error::new(Code::BillUnsafe, message).with_executed(Executed::Yes)
         };
         send_result.map_err(|_| storage_failed())?;
         reply_receiver.recv_timeout(self.store_timeout).map_err(|_| storage_failed())
     }
 
-    /// Writes everything; tells whether it stored or is held by another host.
+    /// Writes all bills and waits. Returns whether each bill was written or is held by another
+    /// host.
     pub fn flush(&self) -> bool {
         let (reply_sender, reply_receiver) = flume::bounded(1);
         self.sender.send(BillMsg::Flush(reply_sender)).is_ok()
@@ -131,28 +140,31 @@
     }
 }
 
-/// The thread round the keeper.
+/// The thread that passes messages to the replicator and executes its actions.
 pub struct ReplicatorThread {
-    /// The keeper.
+    /// Replicator that decides when bills are sent to a holder or written.
     pub replicator: BillReplicator,
-    /// The clock.
+    /// Clock whose time is passed to the replicator.
     pub clock: Clock,
-    /// Calls to other hosts.
+    /// Jobs for the thread that calls other hosts.
     pub jobs: Sender<Job>,
-    /// The control thread.
+    /// Messages to the control thread.
     pub control: Sender<Msg>,
-    /// The writer of segments.
+    /// Segments for the writer thread.
     pub segments: Sender<Segment>,
 }
 
+/// Senders through which waiting threads are notified.
 #[derive(Default)]
 struct Waiters {
+    /// Requests that wait until their bill is stored in a second place, by bill number.
     replicated: BTreeMap<u64, Sender<()>>,
+    /// Threads that wait for the end of a flush.
     flushes: Vec<Sender<bool>>,
 }
 
 impl ReplicatorThread {
-    /// Takes messages until told to stop.
+    /// Handles messages until `Stop` is received or all senders have been dropped.
     pub fn run(mut self, billing: &Billing, messages: Receiver<BillMsg>) {
         let mut waiters = Waiters::default();
         loop {
@@ -161,7 +173,8 @@
                 Ok(msg) => self.handle_message(msg, &mut waiters),
                 Err(RecvTimeoutError::Timeout) => {}
             }
-            // What came meanwhile goes into the same call to the holder.
+            // Messages that arrived in the meantime are handled first, so that their bills are sent
+            // to the holder in the same call.
             while let Ok(msg) = messages.try_recv() {
                 match msg {
                     BillMsg::Stop => return,
@@ -180,6 +193,7 @@
         }
     }
 
+    /// Passes a message to the replicator and registers who waits for its result.
     fn handle_message(&mut self, msg: BillMsg, waiters: &mut Waiters) {
         let now = self.clock.now();
         match msg {
@@ -188,7 +202,7 @@
                 self.replicator.add_bill(bill);
             }
             BillMsg::Hold { call, reply } => {
-                // A host that no longer waits calls again.
+                // If the calling host no longer waits for the reply, it repeats the call.
                 let _ = reply.send(self.replicator.hold_for(call));
             }
             BillMsg::HoldDone { batch, is_held } => self.replicator.hold_done(now, batch, is_held),
@@ -205,7 +219,8 @@
         }
     }
 
-    /// Carries out an action. The other threads are gone only when the process ends.
+    /// Executes an action. Sending to another thread fails only when the process is exiting, so
+    /// such errors are ignored.
     fn execute(&self, action: ReplicatorAction, waiters: &mut Waiters) {
         match action {
             ReplicatorAction::Hold { holder, batch, call } => {
@@ -216,7 +231,7 @@
             }
             ReplicatorAction::ReleaseResponse(number) => {
                 if let Some(replicated) = waiters.replicated.remove(&number) {
-                    // A request that stopped waiting is told in vain.
+                    // The request may have stopped waiting.
                     let _ = replicated.send(());
                 }
             }
@@ -232,7 +247,7 @@
     }
 }
 
-/// Writes segments until all senders are gone.
+/// Writes segments until all senders have been dropped.
 pub fn write_loop(
     platform: PlatformClient,
     segments: Receiver<Segment>,
@@ -252,14 +267,15 @@
     }
 }
 
-/// Creates a segment if absent; gets what stored under its number.
+/// Writes a segment unless its number is taken. Returns the segment that the object API has under
+/// this number.
 fn write_segment(
     platform: &PlatformClient,
     segment: &Segment,
     logger: &slog::Logger,
 ) -> Result<Segment> {
     let name = segment.object_name();
-    let body = serde_json::to_string(segment).expect("a segment is a plain list");
+    let body = serde_json::to_string(segment).expect("a segment can be serialized");
     match platform.write_confirmed(&name, 0, &body) {
         Ok(_) => {
             let text = format!("{name} with {} bills", segment.bills.len());
@@ -276,7 +292,7 @@
     }
 }
 
-/// Reads all segments of the ledger, by name.
+/// Reads all segments of the ledger. Returns them by object name.
 pub fn read_ledger(platform: &PlatformClient) -> Result<BTreeMap<String, Segment>> {
     let list = platform.list(LEDGER_PREFIX)?;
     let mut segments = BTreeMap::new();
--- a/crates/tidetrack-router/src/callers.rs
+++ b/crates/tidetrack-router/src/callers.rs
@@ -1,8 +1,8 @@
 //! Callers' requests, as the traffic threads see them.
 //!
-//! The traffic plane's server reads a request on its event loop, body and all, and hands it to a
-//! thread; what the thread answers goes back over a channel. A caller that leaves closes that
-//! channel, so the thread learns of it with the next piece it sends.
+//! The server reads the head and the body of a request on its event loop and passes the request to
+//! a thread. The thread sends the response back over a channel. When a caller disconnects, that
+//! channel is closed and the thread's next send fails.
 
 use std::io;
 
@@ -13,11 +13,11 @@
 use tidetrack_core::errors::Result;
 use tidetrack_plane::body::{AnswerBody, Piece, WAITING};
 
-/// The body of an answer, on its way to the event loop.
+/// A response body that a thread sends to the event loop.
 pub enum ReplyBody {
-    /// All of it.
+    /// The complete body.
     Complete(Bytes),
-    /// Pieces as they come.
+    /// The pieces of a body that is streamed.
     Streamed(mpsc::Receiver<Piece>),
 }
 
@@ -30,7 +30,7 @@
     }
 }
 
-/// A request that was read.
+/// A request whose body has been read, or failed to be read.
 pub struct Request {
     method: Method,
     url: String,
@@ -39,12 +39,14 @@
     reply: oneshot::Sender<Response<ReplyBody>>,
 }
 
+/// Returns the error for a response that cannot be sent because the caller has disconnected.
 fn caller_disconnected() -> io::Error {
-    io::Error::new(io::ErrorKind::BrokenPipe, "the caller has left")
+    io::Error::new(io::ErrorKind::BrokenPipe, "the caller has disconnected")
 }
 
 impl Request {
-    /// Makes a request of its head and what reading its body gave.
+    /// Creates a request from its head and the result of reading its body. The response is sent to
+    /// `reply`.
     pub fn new(
         head: http::request::Parts,
         body: Result<Bytes>,
@@ -54,33 +56,34 @@
         Request { method: head.method, url, headers: head.headers, body, reply }
     }
 
-    /// Gets the method.
+    /// Returns the method.
     pub fn method(&self) -> &Method {
         &self.method
     }
 
-    /// Gets path and query.
+    /// Returns the path and the query.
     pub fn url(&self) -> &str {
         &self.url
     }
 
-    /// Gets the headers.
+    /// Returns the headers.
     pub fn headers(&self) -> &HeaderMap {
         &self.headers
     }
 
-    /// Takes the body, or the reason why it could not be read.
+    /// Takes the body out of the request, or returns the error with which reading it failed. Later
+    /// calls return an empty body.
     pub fn take_body(&mut self) -> Result<Vec<u8>> {
         std::mem::replace(&mut self.body, Ok(Bytes::new())).map(Vec::from)
     }
 
-    /// Sends a whole answer.
+    /// Sends a complete response.
     pub fn respond(self, head: Response<()>, body: Vec<u8>) -> io::Result<()> {
         let response = head.map(|()| ReplyBody::Complete(body.into()));
         self.reply.send(response).map_err(|_| caller_disconnected())
     }
 
-    /// Sends the head of an answer whose pieces follow.
+    /// Sends the head of a streamed response and returns the sender of its body.
     pub fn start_response(self, head: Response<()>) -> io::Result<BodySender> {
         let (piece_sender, piece_receiver) = mpsc::channel(WAITING);
         let response = head.map(|()| ReplyBody::Streamed(piece_receiver));
@@ -89,17 +92,18 @@
     }
 }
 
-/// Sends the pieces of an answer. Dropping it ends the body properly.
+/// Sends the pieces of a response body. Dropping it ends the body normally.
 pub struct BodySender(mpsc::Sender<Piece>);
 
 impl BodySender {
-    /// Sends a piece, waiting for a slow caller.
+    /// Sends a piece. Blocks while the channel to a slow caller is full; fails if the caller has
+    /// disconnected.
     pub fn send(&self, bytes: Vec<u8>) -> io::Result<()> {
         self.0.blocking_send(Ok(bytes.into())).map_err(|_| caller_disconnected())
     }
 }
 
-/// Makes the head of an answer.
+/// Returns a response head with the given status, or with status 500 if that is not a valid status.
 pub fn response_head(status: u16) -> Response<()> {
     let mut head = Response::new(());
     *head.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
--- a/crates/tidetrack-router/src/endpoint_client.rs
+++ b/crates/tidetrack-router/src/endpoint_client.rs
@@ -1,9 +1,9 @@
-//! Requests to endpoints, carried out on the event loop that serves callers.
+//! Requests to endpoints, sent from the event loop that serves callers.
 //!
-//! The thread of a request hands an errand over and waits for the head of the answer, then for each
-//! part of its body. The plane's client does the rest: kept connections, the check of the attempt's
-//! id, the deadline. A thread that no longer wants the answer drops its end, and the connection is
-//! closed.
+//! The thread of a caller's request sends an [`EndpointRequest`] over a channel and waits for the
+//! head of the response, then for each part of its body. The HTTP client of the traffic plane
+//! reuses connections, verifies the attempt id and enforces the deadline. A thread that no longer
+//! needs the response drops its receiver, and the connection is closed.
 
 use std::rc::Rc;
 use std::time::Instant;
@@ -23,41 +23,41 @@
 use tidetrack_plane::pool::{broke, most_rest, Pool};
 use tidetrack_wire::headers;
 
-/// A request to an endpoint.
+/// A request to send to an endpoint.
 pub struct EndpointRequest {
-    /// The endpoint.
+    /// Endpoint to send the request to.
     pub endpoint: EndpointId,
-    /// Its address.
+    /// Address of the endpoint as `ip:port`.
     pub address: String,
-    /// The attempt's id.
+    /// Attempt id that the response has to contain if it contains one.
     pub attempt_id: String,
-    /// The request.
+    /// Request with its complete body.
     pub request: Request<Full<Bytes>>,
-    /// Whether it may run twice.
+    /// Whether the request may be executed twice.
     pub is_repeatable: bool,
-    /// When to give up.
+    /// Time by which the response must be complete.
     pub deadline: Instant,
-    /// Takes the answer.
+    /// Receives the head of the response, or the error.
     pub reply: oneshot::Sender<Result<Reply>>,
 }
 
-/// A part of an answer's body.
+/// A part of a response body.
 pub enum BodyPart {
-    /// Some bytes.
+    /// The next bytes of the body.
     Bytes(Bytes),
-    /// The body has come to its end.
+    /// The body is complete.
     End,
 }
 
-/// The head of an answer, and its body as it comes.
+/// The head of a response and a receiver for its body.
 pub struct Reply {
-    /// The head.
+    /// Status and headers.
     pub head: Parts,
-    /// The body; ends without `BodyPart::End` where it broke off.
+    /// Parts of the body. Without a final [`BodyPart::End`], the body is incomplete.
     pub body: mpsc::Receiver<Result<BodyPart>>,
 }
 
-/// Carries errands out until the other end is gone.
+/// Sends requests until all senders have been dropped.
 pub async fn run(requests: flume::Receiver<EndpointRequest>) {
     let pool = Rc::new(Pool::to_endpoints());
     let idle_sweeper = pool.clone();
@@ -68,6 +68,8 @@
 }
 
 impl EndpointRequest {
+    /// Sends the request and forwards the response to the waiting thread. The connection is kept
+    /// for reuse only if the body was complete.
     async fn execute(mut self, pool: Rc<Pool>) {
         let attempt = Attempt {
             pool: &pool,
@@ -88,7 +90,7 @@
         let response = match result {
             Ok(response) => response,
             Err(err) => {
-                // A thread that left does not ask why.
+                // The thread may have stopped waiting; the error is dropped then.
                 drop(self.reply.send(Err(err)));
                 return;
             }
@@ -105,7 +107,7 @@
     }
 }
 
-/// Passes a body on; tells whether it came to its end.
+/// Forwards a body to the waiting thread. Returns true if it was forwarded completely.
 async fn forward_body(
     mut body: hyper::body::Incoming,
     part_sender: &mpsc::Sender<Result<BodyPart>>,
@@ -119,13 +121,16 @@
         let part = match frame {
             Ok(Some(Ok(frame))) => match frame.into_data() {
                 Ok(bytes) => Ok(BodyPart::Bytes(bytes)),
-                // Trailers say nothing that is passed on.
+                // Trailers are not forwarded.
                 Err(_) => continue,
             },
             Ok(None) => return true,
             Ok(Some(Err(err))) => Err(interrupted_error(Code::EndpointFailed, &err.to_string())
                 .with_disconnect_cause(broke(&err))),
-            Err(_) => Err(interrupted_error(Code::Deadline, "the answer was not whole in time")),
+            Err(_) => Err(interrupted_error(
+                Code::Deadline,
+                "the response was not complete by the deadline",
+            )),
         };
         let is_error = part.is_err();
         if part_sender.send(part).await.is_err() || is_error {
@@ -134,12 +139,14 @@
     }
 }
 
+/// Returns the error for a response that is incomplete. The request may have been executed.
 fn interrupted_error(code: Code, message: &str) -> Error {
     Error::new(code, message).with_executed(Executed::Unknown)
 }
 
-/// Reads what the plane's client has to know of an answer. Refusals and load are read by whoever
-/// asked, for the product's endpoints tell them in words of their own.
+/// Returns the header values that the HTTP client of the traffic plane needs. Refusals and load are
+/// not among them: this product's endpoints report them in headers of their own, which the thread
+/// of the request parses.
 fn read_answer(head: &HeaderMap) -> AnswerFacts {
     let attempt_id = head.get(headers::ATTEMPT).and_then(|v| v.to_str().ok());
     AnswerFacts {
--- a/crates/tidetrack-router/src/loads.rs
+++ b/crates/tidetrack-router/src/loads.rs
@@ -1,7 +1,7 @@
-//! Reads of endpoints' loads, one endpoint at a time at a bounded rate.
+//! Requests the loads of endpoints, one endpoint at a time at a bounded rate.
 //!
-//! Answers carry a load of their own; a read is for endpoints that have not answered of late. The
-//! rate of reads does not depend on the number of endpoints.
+//! Responses report the load of their endpoint too, so only endpoints without a recent report are
+//! queried. The request rate does not depend on the number of endpoints.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,13 +15,13 @@
 use crate::control::Msg;
 use crate::shared::Shared;
 
-/// Seconds that a read may take.
+/// Timeout in seconds of a load request.
 const READ_TIMEOUT_SECONDS: u64 = 1;
 
-/// A report younger than this is not asked for again.
+/// Minimum age of an endpoint's last load report before its load is requested.
 const MIN_REPORT_AGE: Millis = Millis(5_000);
 
-/// Reads loads until `stop` is closed.
+/// Requests the load of one endpoint per interval, in rotation, until `stop` is closed.
 pub fn run(shared: Arc<Shared>, stop: Receiver<()>) {
     let interval = Duration::from_millis(shared.settings.times.load_ms.max(1));
     let mut next_index = 0usize;
@@ -41,6 +41,8 @@
     }
 }
 
+/// Requests the load of an endpoint and records it. A failed request is ignored; the endpoint is
+/// tried again in the next rotation.
 fn read_load(shared: &Shared, endpoint: &PoolEndpoint) {
     let url = format!("http://{}/v1/load", endpoint.address);
     let Ok(response) = minreq::get(url).with_timeout(READ_TIMEOUT_SECONDS).send() else { return };
--- a/crates/tidetrack-router/src/outcome.rs
+++ b/crates/tidetrack-router/src/outcome.rs
@@ -1,4 +1,4 @@
-//! How a request ends: what the caller gets, and what is counted and logged of it.
+//! Responses to callers, and the metrics and log lines about the outcome of a request.
 
 use http::{HeaderName, HeaderValue, Response};
 use serde::Serialize;
@@ -14,7 +14,7 @@
 use crate::metrics::Labels;
 use crate::shared::Shared;
 
-/// Sets a header; a value that cannot be one is left empty.
+/// Appends a header. A value that is not a valid header value is replaced by an empty one.
 fn append_header(head: &mut Response<()>, name: &str, value: &str) {
     let value = HeaderValue::from_str(value).unwrap_or_else(|_| HeaderValue::from_static(""));
     if let Ok(name) = HeaderName::from_bytes(name.as_bytes()) {
@@ -22,17 +22,19 @@
     }
 }
 
-/// Gets a header of a caller's request.
+/// Returns the value of a header of a caller's request, or `None` if it is absent or not ASCII
+/// text.
 pub fn header_value<'a>(request: &'a Request, name: &str) -> Option<&'a str> {
     request.headers().get(name).and_then(|value| value.to_str().ok())
 }
 
-/// Headers of an answer.
+/// Headers of a response.
 #[derive(Clone, Debug, Default)]
 pub struct ResponseHeaders(Vec<(String, String)>);
 
 impl ResponseHeaders {
-    /// Starts with the request's id and the caller's own, if it gave one.
+    /// Creates headers with the request id and, if the caller sent one, the caller's own request
+    /// id.
     pub fn new(id: &RequestId, request: &Request) -> ResponseHeaders {
         let mut response_headers = ResponseHeaders::default();
         response_headers.add(headers::REQUEST_ID, id.to_string());
@@ -47,13 +49,14 @@
         self.0.push((name.to_string(), value.into()));
     }
 
+    /// Appends the headers to a response head.
     fn apply_to(&self, mut head: Response<()>) -> Response<()> {
         self.0.iter().for_each(|(name, value)| append_header(&mut head, name, value));
         head
     }
 }
 
-/// Sends a whole answer.
+/// Sends a complete response. Fails if the caller has disconnected.
 pub fn send_response(
     request: Request,
     headers: &ResponseHeaders,
@@ -66,7 +69,7 @@
     request.respond(headers.apply_to(head), body)
 }
 
-/// Sends a whole answer in JSON.
+/// Sends a complete response with a JSON body.
 pub fn send_json<T: Serialize>(
     request: Request,
     headers: &ResponseHeaders,
@@ -77,7 +80,7 @@
     send_response(request, headers, status, "application/json", body)
 }
 
-/// Sends a refusal.
+/// Sends an error response, with `Retry-After` headers if the error has a time to retry after.
 pub fn send_error_response(
     request: Request,
     headers: &ResponseHeaders,
@@ -91,13 +94,13 @@
     send_json(request, &headers, err.code.status(), &ErrorResponse::from_error(err))
 }
 
-/// A streamed answer under way. Each event leaves at once.
+/// A streamed response in progress. Each event is sent without buffering.
 pub struct EventStream {
     body_sender: BodySender,
 }
 
 impl EventStream {
-    /// Sends the head of the answer.
+    /// Sends the response head and starts the stream.
     pub fn start(request: Request, headers: &ResponseHeaders) -> std::io::Result<EventStream> {
         let mut head = callers::response_head(200);
         append_header(&mut head, "Content-Type", "text/event-stream");
@@ -105,22 +108,21 @@
         Ok(EventStream { body_sender: request.start_response(headers.apply_to(head))? })
     }
 
-    /// Sends one event's data.
+    /// Sends one event with the given data. Fails if the caller has disconnected.
     pub fn send_event(&mut self, data: &str) -> std::io::Result<()> {
         self.body_sender.send(format!("data: {data}\n\n").into_bytes())
     }
 
-    /// Ends the body with an error in the place of the end marker, so that the caller need not
-    /// wait.
+    /// Sends an error event instead of the end marker, so that the caller does not wait for more.
     pub fn end_with_error(&mut self, err: &Error) {
         let error_event =
             serde_json::to_string(&ErrorResponse::from_error(err)).unwrap_or_default();
-        // A caller that has left misses nothing it waits for.
+        // A failed send means that the caller has disconnected.
         let _ = self.send_event(&error_event);
     }
 }
 
-/// Counts and logs the end of a request.
+/// Records the outcome of a request in the metrics and the log.
 pub fn record_outcome(shared: &Shared, id: &RequestId, labels: &Labels, outcome: &Result<()>) {
     match outcome {
         Ok(()) => {
@@ -135,7 +137,7 @@
     }
 }
 
-/// Makes the error of a body that is not what the API takes.
+/// Returns the error for a request body that the API does not accept.
 pub fn bad_body(message: impl ToString) -> Error {
     Error::new(Code::BadBody, message.to_string())
 }
--- a/crates/tidetrack-router/src/rating.rs
+++ b/crates/tidetrack-router/src/rating.rs
@@ -1,7 +1,8 @@
-//! Ratings of answers, asked for off the path of the request.
+//! Ratings of responses, requested asynchronously after the response was sent.
 //!
-//! Every answer of a version under roll-out is rated; of a proven version one in a few. The jobs
-//! wait in a bounded queue: when the rating service is slow, ratings are left out, never requests.
+//! Each response of a canary version is rated, and a fixed share of the responses of a stable
+//! version. The jobs wait in a bounded queue: if the rating service is slow, ratings are dropped,
+//! and requests are not delayed.
 
 use std::sync::Arc;
 
@@ -16,38 +17,40 @@
 
 use crate::shared::Shared;
 
-/// Answers that may wait to be rated.
+/// Maximum number of responses that wait to be rated.
 pub const QUEUE_CAPACITY: usize = 512;
 
-/// Threads that ask for ratings.
+/// Number of threads that request ratings.
 pub const THREADS: usize = 2;
 
-/// Share of a proven version's answers that are rated.
+/// Share of a stable version's responses that are rated.
 const STABLE_RATED_SHARE: f64 = 0.25;
 
-/// Seconds that a rating may take.
+/// Timeout in seconds of a rating request.
 const RATING_TIMEOUT_SECONDS: u64 = 5;
 
-/// An answer to rate.
+/// A response to rate.
 pub struct RatingJob {
-    /// What is asked.
+    /// Request to send to the rating service.
     pub rating_request: RatingRequest,
-    /// The version that answered.
+    /// Version that produced the response.
     pub version: VersionRef,
-    /// Its generation.
+    /// Generation of the version.
     pub generation: u64,
-    /// Whether a roll-out of it is not done.
+    /// Whether the version is a canary version, whose roll-out is not complete.
     pub is_canary: bool,
 }
 
-/// Asks for one rating.
+/// Requests a rating from the service at `address` and returns the score. Fails after
+/// `timeout_seconds`.
 pub fn request_rating(
     address: &str,
     rating_request: &RatingRequest,
     timeout_seconds: u64,
 ) -> Result<f64> {
-    let rating_error = |text: String| Error::new(Code::EndpointFailed, format!("rating: {text}"));
-    let body = serde_json::to_string(rating_request).expect("an ask is plain text");
+    let rating_error =
+        |text: String| Error::new(Code::EndpointFailed, format!("rating request failed: {text}"));
+    let body = serde_json::to_string(rating_request).expect("a rating request can be serialized");
     let request = minreq::post(format!("http://{address}/v1/rate")).with_body(body);
     let response = request
         .with_timeout(timeout_seconds)
@@ -58,7 +61,7 @@
     Ok(rating.score)
 }
 
-/// Hands an answer over to be rated, if it is one of those that are.
+/// Queues a response for rating, unless it is left out of the sample or the queue is full.
 pub fn submit(shared: &Shared, job: RatingJob) {
     let is_sampled = hash_fraction("rate", &job.rating_request.request) < STABLE_RATED_SHARE;
     let should_rate = shared.settings.rating.is_some() && (job.is_canary || is_sampled);
@@ -67,7 +70,7 @@
     }
 }
 
-/// Rates answers until all senders are gone.
+/// Rates responses until all senders have been dropped.
 pub fn run(shared: Arc<Shared>, jobs: Receiver<RatingJob>) {
     for job in jobs {
         let Some(address) = shared.settings.rating.as_deref() else { continue };
--- a/crates/tidetrack-router/src/upstream.rs
+++ b/crates/tidetrack-router/src/upstream.rs
@@ -330,8 +330,8 @@
 }
 
 /// Reports whether an address refuses connections. A process that is exiting may still accept
-/// connections for a moment after its existing ones have been closed, so an address that accepts the
-/// first probe is probed again.
+/// connections for a moment after its existing ones have been closed, so an address that accepts
+/// the first probe is probed again.
 fn refuses_connections(address: &str) -> bool {
     let Ok(address) = address.parse::<SocketAddr>() else { return false };
     let connect =
