--- a/crates/tidetrack-router/src/billing.rs
+++ b/crates/tidetrack-router/src/billing.rs
@@ -60,9 +60,9 @@
         /// Segment that the object API has under this number; `None` if that is unknown.
         stored: Option<Segment>,
     },
-    /// Sets the hosts that can hold this host's bills, best first.
+    /// Set the hosts that can hold this host's bills, best first.
     Holders(Vec<Holder>),
-    /// Incarnations that are gone; the bills held for them are written.
+    /// Write the bills held for these incarnations, which are gone.
     IncarnationsGone(Vec<Incarnation>),
     /// Write all bills now. The sender receives whether each bill was written or is held by another
     /// host.
--- a/crates/tidetrack-router/src/chat/attempts.rs
+++ b/crates/tidetrack-router/src/chat/attempts.rs
@@ -52,34 +52,34 @@
         loop {
             let tried_before = tried.len();
             let result = self.run_attempt(model, &mut chosen, &mut tried, min_score, sink);
-            let e = match result {
+            let err = match result {
                 Ok(is_sent) => {
                     self.may_have_run = true;
                     return Ok(is_sent);
                 }
-                Err(e) => e,
+                Err(err) => err,
             };
-            self.may_have_run |= e.executed != Executed::No;
+            self.may_have_run |= err.executed != Executed::No;
             // `Overloaded` means that no untried endpoint is available. The error of the previous
             // attempt, which caused the retry, says more.
-            let e = match previous_error.take() {
-                Some(previous_error) if e.code == Code::Overloaded => previous_error,
-                _ => e,
+            let err = match previous_error.take() {
+                Some(previous_error) if err.code == Code::Overloaded => previous_error,
+                _ => err,
             };
-            previous_error = Some(e.clone());
+            previous_error = Some(err.clone());
             let failed_attempt = FailedAttempt {
-                ran: e.executed,
+                ran: err.executed,
                 is_repeatable: true,
                 has_partial_response: sink.has_started(),
             };
             let should_retry = tried.len() > tried_before
                 && tried.len() < MAX_ATTEMPTS
-                && is_endpoint_specific(e.code)
+                && is_endpoint_specific(err.code)
                 && may_retry(failed_attempt)
                 && Instant::now() < self.deadline;
             if !should_retry || !self.acquire_retry() {
                 self.refund_credit(&chosen);
-                return Err(e);
+                return Err(err);
             }
         }
     }
@@ -160,7 +160,7 @@
     fn record_outcome(&self, chosen: &ChosenVersion, result: &Result<bool>) {
         let counts = match result {
             Ok(_) => VersionCounts { answered: 1, ..VersionCounts::default() },
-            Err(e) if e.executed != Executed::No && e.code == Code::EndpointFailed => {
+            Err(err) if err.executed != Executed::No && err.code == Code::EndpointFailed => {
                 VersionCounts { errors: 1, ..VersionCounts::default() }
             }
             Err(_) => return,
@@ -253,7 +253,7 @@
         let (mut attempt, mut reply) = Attempt::send(params, request, body)?;
         let parsed = attempt.read_body(&mut reply, MAX_RESPONSE_BYTES).and_then(|body| {
             let part = serde_json::from_slice::<ResponsePart>(&body);
-            part.map(|part| (part, body)).map_err(|e| attempt.endpoint_error(&e.to_string()))
+            part.map(|part| (part, body)).map_err(|err| attempt.endpoint_error(&err.to_string()))
         });
         match parsed {
             Ok((part, body)) => {
@@ -263,9 +263,9 @@
                 let endpoint = attempt.endpoint().clone();
                 Ok(RungResponse { chosen: chosen.clone(), endpoint, text, usage, body })
             }
-            Err(e) => {
-                attempt.record_failure(&e);
-                Err(e)
+            Err(err) => {
+                attempt.record_failure(&err);
+                Err(err)
             }
         }
     }
@@ -294,8 +294,8 @@
         self.set_headers(view, chosen, attempt.endpoint(), sink);
         let relay_result = relay.relay_events(&mut EventReader::new(reply), &attempt, self, sink);
         let relay_result = match relay_result {
-            Err(e) if e.code == Code::EndpointFailed && sink.has_started() => {
-                relay.resume(&attempt, sink).map_err(|_| e)
+            Err(err) if err.code == Code::EndpointFailed && sink.has_started() => {
+                relay.resume(&attempt, sink).map_err(|_| err)
             }
             other => other,
         };
@@ -304,13 +304,13 @@
             completion_tokens: relay.chunks,
             total_tokens: self.chat.prompt_tokens() + relay.chunks,
         });
-        if let Err(e) = relay_result {
-            attempt.record_failure(&e);
+        if let Err(err) = relay_result {
+            attempt.record_failure(&err);
             if sink.has_started() {
                 self.add_line_item(view, chosen, usage);
                 self.store_bill(BillOutcome::Truncated)?;
             }
-            return Err(e);
+            return Err(err);
         }
         attempt.record_success();
         self.add_line_item(view, chosen, usage);
--- a/crates/tidetrack-router/src/chat/mod.rs
+++ b/crates/tidetrack-router/src/chat/mod.rs
@@ -2,8 +2,9 @@
 //!
 //! The policy of a route plans a cascade: a list of models, called rungs, that are tried in order.
 //! The response of a rung before the last is buffered and judged, and is sent to the caller only if
-//! it is accepted. The response of the last rung is streamed to the caller as it arrives. The bill
-//! is stored in a second place before the end marker is sent.
+//! it is accepted. The response of the last rung is streamed to the caller as it arrives if the
+//! caller requested a stream. The bill is stored in a second place before the end of the response
+//! is sent.
 
 use std::cell::Cell;
 use std::time::{Duration, Instant};
@@ -59,8 +60,9 @@
     /// and whether the policy is enforced.
     version_fraction: f64,
     deadline: Instant,
-    /// Whether the caller asked for an event with the token usage at the end of the stream.
+    /// Whether the caller requested an event with the token usage at the end of the stream.
     wants_usage: bool,
+    /// Priority set by the caller; 0 by default. It is also passed to the endpoint.
     priority: i64,
     labels: Labels,
     /// Line items of the bill for the responses received so far, including rejected ones.
@@ -151,7 +153,7 @@
             parse_number_header(request, headers::DEADLINE).map(|ms| ms.max(1) as u64);
         let deadline = context.received_at
             + Duration::from_millis(
-                requested_ms.map_or(max_deadline_ms, |a| a.min(max_deadline_ms)),
+                requested_ms.map_or(max_deadline_ms, |ms| ms.min(max_deadline_ms)),
             );
         let version_fraction = hash_fraction("version", &context.id.to_string());
         Ok(Call {
--- a/crates/tidetrack-router/src/chat/stream_relay.rs
+++ b/crates/tidetrack-router/src/chat/stream_relay.rs
@@ -44,7 +44,7 @@
     pub(super) chunks: u64,
     pub(super) text: String,
     pub(super) usage: Option<Usage>,
-    /// Event with the token usage, which is sent only if the caller asked for it.
+    /// Event with the token usage, which is sent only if the caller requested it.
     usage_event: Option<String>,
     last_chunk: Option<String>,
 }
@@ -116,7 +116,7 @@
         Ok(())
     }
 
-    /// Sends the event with the token usage, if the caller asked for it, and the end marker.
+    /// Sends the event with the token usage, if the caller requested it, and the end marker.
     pub(super) fn finish(&self, wants_usage: bool, sink: &mut ResponseSink) -> std::io::Result<()> {
         let stream = sink.open_stream()?;
         if let Some(event) = self.usage_event.as_ref().filter(|_| wants_usage) {
--- a/crates/tidetrack-router/src/endpoint_client.rs
+++ b/crates/tidetrack-router/src/endpoint_client.rs
@@ -2,7 +2,7 @@
 //!
 //! The thread of a caller's request sends an [`EndpointRequest`] over a channel and waits for the
 //! head of the response, then for each part of its body. The HTTP client of the traffic plane
-//! reuses connections, verifies the attempt id and enforces the deadline. A thread that no longer
+//! manages connections, verifies the attempt id and enforces the deadline. A thread that no longer
 //! needs the response drops its receiver, and the connection is closed.
 
 use std::rc::Rc;
@@ -68,8 +68,8 @@
 }
 
 impl EndpointRequest {
-    /// Sends the request and forwards the response to the waiting thread. The connection is kept
-    /// for reuse only if the body was complete.
+    /// Sends the request and forwards the response to the waiting thread. The connection is
+    /// returned to the pool only if the body was complete.
     async fn execute(mut self, pool: Rc<Pool>) {
         let attempt = Attempt {
             pool: &pool,
--- a/crates/tidetrack-router/src/loads.rs
+++ b/crates/tidetrack-router/src/loads.rs
@@ -24,15 +24,15 @@
 /// Requests the load of one endpoint per interval, in rotation, until `stop` is closed.
 pub fn run(shared: Arc<Shared>, stop: Receiver<()>) {
     let interval = Duration::from_millis(shared.settings.times.load_ms.max(1));
-    let mut next_index = 0usize;
+    let mut endpoint_index = 0usize;
     while stop.recv_timeout(interval) != Err(RecvTimeoutError::Disconnected) {
         let view = shared.view.load();
         let endpoints: Vec<&PoolEndpoint> = view.pool_endpoints().collect();
         if endpoints.is_empty() {
             continue;
         }
-        next_index = (next_index + 1) % endpoints.len();
-        let endpoint = endpoints[next_index];
+        endpoint_index = (endpoint_index + 1) % endpoints.len();
+        let endpoint = endpoints[endpoint_index];
         let now = shared.now();
         let is_recent = now - endpoint.state.reported_at() < MIN_REPORT_AGE;
         if !is_recent && !endpoint.state.is_leaving() {
--- a/crates/tidetrack-router/src/rating.rs
+++ b/crates/tidetrack-router/src/rating.rs
@@ -1,4 +1,4 @@
-//! Ratings of responses, requested asynchronously after the response was sent.
+//! Ratings of responses, requested by separate threads so that requests do not wait for them.
 //!
 //! Each response of a canary version is rated, and a fixed share of the responses of a stable
 //! version. The jobs wait in a bounded queue: if the rating service is slow, ratings are dropped,
@@ -61,7 +61,8 @@
     Ok(rating.score)
 }
 
-/// Queues a response for rating, unless it is left out of the sample or the queue is full.
+/// Queues a response for rating if it is from a canary version or sampled. A response that does not
+/// fit the queue is dropped and counted.
 pub fn submit(shared: &Shared, job: RatingJob) {
     let is_sampled = hash_fraction("rate", &job.rating_request.request) < STABLE_RATED_SHARE;
     let should_rate = shared.settings.rating.is_some() && (job.is_canary || is_sampled);
--- a/crates/tidetrack-router/src/services.rs
+++ b/crates/tidetrack-router/src/services.rs
@@ -47,7 +47,7 @@
 struct ServiceResponse {
     status: u16,
     content_type: String,
-    /// Id of the endpoint that responded; empty for a replayed response.
+    /// Id of the endpoint that responded; empty if unknown, as for a replayed response.
     endpoint: String,
     body: Vec<u8>,
 }
--- a/crates/tidetrack-router/src/upstream.rs
+++ b/crates/tidetrack-router/src/upstream.rs
@@ -1,8 +1,8 @@
 //! Attempts: requests to one endpoint, as the thread of a caller's request sees them.
 //!
 //! The event loop (`endpoint_client`) sends the request with the HTTP client of the traffic plane,
-//! which verifies the attempt id in the response, reuses connections and enforces the deadline. The
-//! error of a failed attempt says whether the request may have been executed.
+//! which verifies the attempt id in the response, manages connections and enforces the deadline.
+//! The error of a failed attempt says whether the request may have been executed.
 
 use std::collections::VecDeque;
 use std::io::ErrorKind;
@@ -97,7 +97,8 @@
     pub fingerprint: Fingerprint,
     /// Time by which the response must be complete.
     pub deadline: Instant,
-    /// Whether a response counts as such whatever its status, as for plain services.
+    /// Whether responses with any status are passed to the caller, as for plain services. Otherwise
+    /// a status that is not 2xx is an error.
     pub accepts_any_status: bool,
     /// Whether the request may be executed twice.
     pub is_repeatable: bool,
@@ -137,7 +138,7 @@
         }
     }
 
-    /// Adds the request's work to the endpoint's load.
+    /// Creates an attempt and adds its work to the endpoint's load.
     fn start(params: AttemptParams<'a>) -> Attempt<'a> {
         params.endpoint.state.begin_work(params.work);
         Attempt {
@@ -309,8 +310,8 @@
         self.finish(false);
     }
 
-    /// Removes the request's work from the endpoint's load and, if asked to, cancels the attempt.
-    /// Only the first call has an effect.
+    /// Removes the request's work from the endpoint's load and, with `should_cancel`, cancels the
+    /// attempt. Only the first call has an effect.
     fn finish(&mut self, should_cancel: bool) {
         if self.is_finished {
             return;
