--- a/crates/tidetrack-router/src/chat/buffered.rs
+++ b/crates/tidetrack-router/src/chat/buffered.rs
@@ -15,7 +15,7 @@
 use super::{Call, RungResponse};
 
 /// Timeout in seconds of a rating request inside a cascade.
-const JUDGE_TIMEOUT_SECONDS: u64 = 1;
+const JUDGE_TIMEOUT_S: u64 = 1;
 
 impl Call<'_> {
     /// Sends a buffered response to the caller. With a `min_score`, the response is judged first;
@@ -64,12 +64,9 @@
         if response.text.trim().is_empty() {
             return false;
         }
-        let Some(address) = self.shared().settings.rating.as_deref() else { return false };
-        let rating_request = self.rating_request(&response.chosen, &response.text);
-        let Ok(score) = rating::request_rating(address, &rating_request, JUDGE_TIMEOUT_SECONDS)
-        else {
-            return false;
-        };
+        let Some(addr) = self.shared().settings.rating.as_deref() else { return false };
+        let request = self.rating_request(&response.chosen, &response.text);
+        let Ok(score) = rating::fetch_score(addr, &request, JUDGE_TIMEOUT_S) else { return false };
         let mut counts = VersionCounts::default();
         counts.add_rating(score);
         let ChosenVersion { version, generation, credit, .. } = &response.chosen;
--- a/crates/tidetrack-router/src/chat/stream_relay.rs
+++ b/crates/tidetrack-router/src/chat/stream_relay.rs
@@ -61,9 +61,7 @@
     ) -> Result<()> {
         loop {
             let data = events.next_data(attempt)?;
-            let Some(data) = data else {
-                return Err(attempt.endpoint_error("stream ended early"));
-            };
+            let Some(data) = data else { return Err(attempt.endpoint_error("stream ended early")) };
             if data == STREAM_END {
                 return Ok(());
             }
--- a/crates/tidetrack-router/src/rating.rs
+++ b/crates/tidetrack-router/src/rating.rs
@@ -43,7 +43,7 @@
 
 /// Requests a rating from the service at `address` and returns the score. Fails after
 /// `timeout_seconds`.
-pub fn request_rating(
+pub fn fetch_score(
     address: &str,
     rating_request: &RatingRequest,
     timeout_seconds: u64,
@@ -75,7 +75,7 @@
 pub fn run(shared: Arc<Shared>, jobs: Receiver<RatingJob>) {
     for job in jobs {
         let Some(address) = shared.settings.rating.as_deref() else { continue };
-        match request_rating(address, &job.rating_request, RATING_TIMEOUT_SECONDS) {
+        match fetch_score(address, &job.rating_request, RATING_TIMEOUT_SECONDS) {
             Ok(score) => {
                 let mut counts = VersionCounts::default();
                 counts.add_rating(score);
