--- a/crates/tidetrack-router/src/upstream.rs
+++ b/crates/tidetrack-router/src/upstream.rs
@@ -1,8 +1,8 @@
-//! Attempts at endpoints: what a thread holds of one, and what its end means.
+//! Attempts: requests to one endpoint, as the thread of a caller's request sees them.
 //!
-//! The request itself is carried out on the event loop (`errands`), by the same client as on the users'
-//! platform: it checks the attempt's id, keeps connections and holds the deadline. What is known of a
-//! failed attempt, above all whether it ran, is told by its error.
+//! The event loop (`endpoint_client`) sends the request with the HTTP client of the traffic plane,
+//! which verifies the attempt id in the response, manages connections and enforces the deadline.
+//! The error of a failed attempt says whether the request may have been executed.
 
 use std::collections::VecDeque;
 use std::io::ErrorKind;
@@ -27,242 +27,266 @@
 use tidetrack_wire::headers;
 
 use crate::control::Msg;
-use crate::errands::{BodyPart, Errand, Reply};
+use crate::endpoint_client::{BodyPart, EndpointRequest, Reply};
 use crate::shared::Shared;
 
-/// Seconds that a call to cancel may take.
-const CANCEL_SECONDS: u64 = 1;
+/// Timeout in seconds of a cancel request.
+const CANCEL_TIMEOUT_SECONDS: u64 = 1;
 
-/// Longest wait for the outcome of a new connection to an endpoint that broke one off.
-const LOOK_WITHIN: Duration = Duration::from_millis(150);
+/// Timeout of the connection that probes an endpoint after it closed a connection early.
+const PROBE_CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Pause before the second look at an endpoint that took the new connection.
-const LOOK_AGAIN_AFTER: Duration = Duration::from_millis(30);
+/// Delay before the second probe of an endpoint that accepted the first.
+const SECOND_PROBE_DELAY: Duration = Duration::from_millis(30);
 
-/// When to come back to a pool whose endpoint refused, in milliseconds.
-const RETRY_REFUSED_MS: u64 = 1_000;
+/// Time after which a caller may retry when an endpoint refused its request, in milliseconds.
+const REFUSED_RETRY_AFTER_MS: u64 = 1_000;
 
-/// An attempt to cancel: the endpoint's address and the attempt's id.
-pub type Cancel = (String, String);
+/// A request to cancel an attempt: the endpoint's address and the attempt id.
+pub type CancelRequest = (String, String);
 
-/// What the threads of requests reach endpoints through.
+/// Channels through which request threads reach endpoints.
 #[derive(Clone)]
 pub struct Upstream {
-    /// Takes requests to endpoints.
-    pub errands: Sender<Errand>,
-    /// Takes attempts to cancel.
-    pub cancels: Sender<Cancel>,
+    /// Requests for the event loop to send to endpoints.
+    pub requests: Sender<EndpointRequest>,
+    /// Attempts to cancel.
+    pub cancels: Sender<CancelRequest>,
 }
 
-/// Cancels attempts until all senders are gone.
-pub fn cancel_loop(cancels: Receiver<Cancel>) {
+/// Cancels attempts until all senders have been dropped.
+pub fn cancel_loop(cancels: Receiver<CancelRequest>) {
     for (address, attempt) in cancels {
-        let ask = AttemptRequest { attempt, from_token: 0 };
-        let body = serde_json::to_string(&ask).expect("an ask is plain text");
+        let cancel_request = AttemptRequest { attempt, from_token: 0 };
+        let body =
+            serde_json::to_string(&cancel_request).expect("a cancel request can be serialized");
         let request = minreq::post(format!("http://{address}/v1/cancel")).with_body(body);
-        // An endpoint that cannot be reached has no work to cancel, or drops it with its connection.
-        let _ = request.with_timeout(CANCEL_SECONDS).send();
+        // An endpoint that cannot be reached has nothing to cancel, or stops the work when its
+        // connection closes.
+        let _ = request.with_timeout(CANCEL_TIMEOUT_SECONDS).send();
     }
 }
 
-/// One attempt under way; it cancels itself when dropped unfinished.
+/// An attempt in progress. If it is dropped before it is finished, it is cancelled at the endpoint.
 pub struct Attempt<'a> {
     shared: &'a Shared,
     upstream: &'a Upstream,
     endpoint: PoolEndpoint,
     work: u64,
-    began: Instant,
+    started_at: Instant,
     id: String,
     fingerprint: Fingerprint,
-    /// Whether the answer tells a failure of the endpoint's.
-    is_failure: bool,
-    finished: bool,
+    /// Whether the response has a 5xx status.
+    has_error_status: bool,
+    is_finished: bool,
 }
 
-/// What an attempt needs to begin.
-pub struct Begin<'a> {
-    /// The router's shared state.
+/// Parameters of an attempt.
+pub struct AttemptParams<'a> {
+    /// State shared by all threads of the router.
     pub shared: &'a Shared,
-    /// The way to endpoints.
+    /// Channels to the event loop.
     pub upstream: &'a Upstream,
-    /// The endpoint.
+    /// Endpoint to send the request to.
     pub endpoint: PoolEndpoint,
-    /// Work of the request in answer tokens.
+    /// Work that the request adds to the endpoint's load, in response tokens.
     pub work: u64,
-    /// The attempt's id.
+    /// Attempt id, which the endpoint returns in its response.
     pub id: String,
-    /// What stays the same when the caller sends the request again.
+    /// Fingerprint of the caller's request, which is the same when the caller sends it again.
     pub fingerprint: Fingerprint,
-    /// When the request must have ended.
+    /// Time by which the response must be complete.
     pub deadline: Instant,
-    /// Whether any status is an answer, as with plain services.
-    pub any_status: bool,
-    /// Whether the request may run twice.
+    /// Whether responses with any status are passed to the caller, as for plain services. Otherwise
+    /// a status that is not 2xx is an error.
+    pub accepts_any_status: bool,
+    /// Whether the request may be executed twice.
     pub is_repeatable: bool,
 }
 
 impl<'a> Attempt<'a> {
-    /// Sends a request to the endpoint and reads the head of the answer.
+    /// Sends a request to the endpoint and waits for the head of the response. Failures are
+    /// recorded as by [`Attempt::record_failure`].
     pub fn send(
-        begin: Begin<'a>,
+        params: AttemptParams<'a>,
         request: http::request::Builder,
         body: impl Into<Bytes>,
     ) -> Result<(Attempt<'a>, Reply)> {
-        let Begin { any_status, is_repeatable, deadline, .. } = begin;
-        let mut attempt = Attempt::start(begin);
+        let AttemptParams { accepts_any_status, is_repeatable, deadline, .. } = params;
+        let mut attempt = Attempt::start(params);
         let host = &attempt.endpoint.address;
-        // An endpoint that breaks off closes the connection only if it was told not to keep it.
+        // An endpoint that aborts a response closes the connection only if the request forbids
+        // keep-alive.
         let request = request
             .header(http::header::HOST, host)
             .header(http::header::CONNECTION, "close")
             .header(headers::ATTEMPT, &attempt.id)
             .body(Full::new(body.into()));
-        let sent = request
-            .map_err(|e| Error::new(Code::BadBody, e.to_string()))
+        let result = request
+            .map_err(|err| Error::new(Code::BadBody, err.to_string()))
             .and_then(|request| attempt.exchange(request, is_repeatable, deadline))
-            .and_then(|reply| attempt.read_head(&reply, any_status).map(|()| reply));
-        match sent {
+            .and_then(|reply| attempt.read_head(&reply, accepts_any_status).map(|()| reply));
+        match result {
             Ok(reply) => {
-                attempt.is_failure = reply.head.status.is_server_error();
+                attempt.has_error_status = reply.head.status.is_server_error();
                 Ok((attempt, reply))
             }
-            Err(e) => {
-                attempt.failed(&e);
-                Err(e)
+            Err(err) => {
+                attempt.record_failure(&err);
+                Err(err)
             }
         }
     }
 
-    fn start(begin: Begin<'a>) -> Attempt<'a> {
-        begin.endpoint.state.begin_work(begin.work);
+    /// Creates an attempt and adds its work to the endpoint's load.
+    fn start(params: AttemptParams<'a>) -> Attempt<'a> {
+        params.endpoint.state.begin_work(params.work);
         Attempt {
-            shared: begin.shared,
-            upstream: begin.upstream,
-            endpoint: begin.endpoint,
-            work: begin.work,
-            began: Instant::now(),
-            id: begin.id,
-            fingerprint: begin.fingerprint,
-            is_failure: false,
-            finished: false,
+            shared: params.shared,
+            upstream: params.upstream,
+            endpoint: params.endpoint,
+            work: params.work,
+            started_at: Instant::now(),
+            id: params.id,
+            fingerprint: params.fingerprint,
+            has_error_status: false,
+            is_finished: false,
         }
     }
 
-    /// Has the request carried out on the event loop.
+    /// Passes the request to the event loop and waits for the head of the response.
     fn exchange(
         &self,
         request: Request<Full<Bytes>>,
         is_repeatable: bool,
-        until: Instant,
+        deadline: Instant,
     ) -> Result<Reply> {
-        let (reply, answer) = oneshot::channel();
-        let errand = Errand {
+        let (reply, reply_receiver) = oneshot::channel();
+        let endpoint_request = EndpointRequest {
             endpoint: self.endpoint.id.clone(),
             address: self.endpoint.address.clone(),
             attempt_id: self.id.clone(),
             request,
             is_repeatable,
-            until,
+            deadline,
             reply,
         };
-        let ends = || Error::new(Code::Draining, "the host ends");
-        self.upstream.errands.send(errand).map_err(|_| ends())?;
-        let answer = answer.blocking_recv().map_err(|_| ends().with_executed(Executed::Unknown))?;
-        answer.map_err(|e| self.named(e))
+        let host_stopping = || Error::new(Code::Draining, "the host is shutting down");
+        self.upstream.requests.send(endpoint_request).map_err(|_| host_stopping())?;
+        let result = reply_receiver
+            .blocking_recv()
+            .map_err(|_| host_stopping().with_executed(Executed::Unknown))?;
+        result.map_err(|err| self.with_endpoint_name(err))
     }
 
-    /// Gets the endpoint.
+    /// Returns the endpoint that the request was sent to.
     pub fn endpoint(&self) -> &PoolEndpoint {
         &self.endpoint
     }
 
-    /// Gets the attempt's id.
+    /// Returns the attempt id.
     pub fn id(&self) -> &str {
         &self.id
     }
 
-    /// Adds the endpoint's name to an error.
-    fn named(&self, e: Error) -> Error {
-        Error { message: format!("{}: {}", self.endpoint.id, e.message), ..e }
+    /// Prefixes the message of an error with the endpoint id.
+    fn with_endpoint_name(&self, err: Error) -> Error {
+        Error { message: format!("{}: {}", self.endpoint.id, err.message), ..err }
     }
 
-    /// Makes the error of an answer that broke off.
-    pub fn cut(&self, why: &str) -> Error {
-        let message = format!("{}: {why}", self.endpoint.id);
+    /// Returns the error for an incomplete or invalid response. The request may have been executed.
+    pub fn endpoint_error(&self, reason: &str) -> Error {
+        let message = format!("{}: {reason}", self.endpoint.id);
         Error::new(Code::EndpointFailed, message).with_executed(Executed::Unknown)
     }
 
-    /// Gets the next part of a body; `None` at its end.
-    pub fn next_part(&self, reply: &mut Reply) -> Result<Option<Bytes>> {
+    /// Waits for the next part of a body. Returns `None` at its end, and an error if the connection
+    /// was lost before.
+    pub fn next_body_part(&self, reply: &mut Reply) -> Result<Option<Bytes>> {
         match reply.body.blocking_recv() {
             Some(Ok(BodyPart::Bytes(bytes))) => Ok(Some(bytes)),
             Some(Ok(BodyPart::End)) => Ok(None),
-            Some(Err(e)) => Err(self.named(e)),
-            None => Err(self.cut("the answer broke off")),
+            Some(Err(err)) => Err(self.with_endpoint_name(err)),
+            None => Err(self.endpoint_error("the response ended early")),
         }
     }
 
-    /// Reads a whole body of at most so many bytes.
-    pub fn read_body(&self, reply: &mut Reply, most: usize) -> Result<Vec<u8>> {
+    /// Reads a complete body. Fails if it is larger than `max_bytes`.
+    pub fn read_body(&self, reply: &mut Reply, max_bytes: usize) -> Result<Vec<u8>> {
         let mut body = Vec::new();
-        while let Some(part) = self.next_part(reply)? {
+        while let Some(part) = self.next_body_part(reply)? {
             body.extend_from_slice(&part);
-            if body.len() > most {
-                return Err(self.cut(&format!("the answer is larger than {most} bytes")));
+            if body.len() > max_bytes {
+                return Err(
+                    self.endpoint_error(&format!("the response is larger than {max_bytes} bytes"))
+                );
             }
         }
         Ok(body)
     }
 
-    fn read_head(&self, reply: &Reply, any_status: bool) -> Result<()> {
-        let find = |name| reply.head.headers.get(name).and_then(|v| v.to_str().ok());
-        if let Some((work, capacity)) = find(headers::LOAD).and_then(parse_load_header) {
+    /// Records the load and the shutdown notice in the head of a response. Returns an error if the
+    /// endpoint refused the request, or if the status is not 2xx and only a 2xx status is accepted.
+    fn read_head(&self, reply: &Reply, accepts_any_status: bool) -> Result<()> {
+        let header = |name| reply.head.headers.get(name).and_then(|v| v.to_str().ok());
+        if let Some((work, capacity)) = header(headers::LOAD).and_then(parse_load_header) {
             self.endpoint.state.record_load_report(self.shared.now(), work, capacity);
         }
-        if find(headers::LEAVING).is_some() {
+        if header(headers::LEAVING).is_some() {
             self.endpoint.state.set_leaving(true);
             let _ = self.shared.control.send(Msg::EndpointLeaving(self.endpoint.id.to_string()));
         }
-        let is_own = find(headers::ATTEMPT).is_some();
+        let is_from_endpoint = header(headers::ATTEMPT).is_some();
         match reply.head.status {
             status if status.is_success() => Ok(()),
-            StatusCode::SERVICE_UNAVAILABLE if is_own && find(headers::NOT_RUN).is_some() => {
-                let message = format!("{} refused", self.endpoint.id);
-                Err(Error::new(Code::EndpointRefused, message).with_retry_after(RETRY_REFUSED_MS))
+            StatusCode::SERVICE_UNAVAILABLE
+                if is_from_endpoint && header(headers::NOT_RUN).is_some() =>
+            {
+                let message = format!("{} refused the request", self.endpoint.id);
+                Err(Error::new(Code::EndpointRefused, message)
+                    .with_retry_after(REFUSED_RETRY_AFTER_MS))
+            }
+            _ if accepts_any_status => Ok(()),
+            status => {
+                Err(self.endpoint_error(&format!("responded with status {}", status.as_u16())))
             }
-            _ if any_status => Ok(()),
-            status => Err(self.cut(&format!("answered {}", status.as_u16()))),
         }
     }
 
-    /// Takes note that the attempt failed; cancels what may still run.
-    pub fn failed(&mut self, e: &Error) {
-        if e.code == Code::WrongAnswer {
+    /// Records a failed attempt and cancels it at the endpoint if it may still be running.
+    pub fn record_failure(&mut self, err: &Error) {
+        if err.code == Code::WrongAnswer {
             self.shared.metrics.event("answer_mismatch");
             self.shared.log(Event::AnswerMismatch, &self.id);
         }
-        // A refusal is no sign of ill health, and a deadline may be the caller's own.
-        let ill = !matches!(e.code, Code::EndpointRefused | Code::Deadline | Code::CallerLeft);
-        if ill {
+        // A refusal does not mean that the endpoint is unhealthy, and the caller may have set the
+        // deadline that was missed.
+        let is_endpoint_fault =
+            !matches!(err.code, Code::EndpointRefused | Code::Deadline | Code::CallerLeft);
+        if is_endpoint_fault {
             self.endpoint.state.record_outcome(self.shared.now(), false);
         }
-        if e.executed != Executed::No
-            && matches!(e.disconnect_cause, Some(DisconnectCause::Closed | DisconnectCause::Reset))
+        if err.executed != Executed::No
+            && matches!(
+                err.disconnect_cause,
+                Some(DisconnectCause::Closed | DisconnectCause::Reset)
+            )
         {
-            self.note_crash();
+            self.record_crash();
         }
         self.shared.metrics.event("attempt_failed");
-        self.shared.log(Event::AttemptFailed, &format!("{} {e}", self.id));
-        self.finish(e.executed != Executed::No);
+        self.shared.log(Event::AttemptFailed, &format!("{} {err}", self.id));
+        self.finish(err.executed != Executed::No);
     }
 
-    /// Takes note of the crash of an endpoint at whose address nobody listens any more.
-    fn note_crash(&self) {
-        if !has_ended(&self.endpoint.address) {
+    /// Records a crash of the endpoint if its address refuses connections, with the request as a
+    /// suspect.
+    fn record_crash(&self) {
+        if !refuses_connections(&self.endpoint.address) {
             return;
         }
         let now = self.shared.now();
-        let sent_at = Millis(now.0.saturating_sub(self.began.elapsed().as_millis() as u64));
+        let sent_at = Millis(now.0.saturating_sub(self.started_at.elapsed().as_millis() as u64));
         let PoolEndpoint { id, failure_domain, state, .. } = &self.endpoint;
         state.record_unreachable(now);
         let suspects = &self.shared.suspects;
@@ -272,24 +296,29 @@
         self.shared.log(Event::EndpointCrashed, &text);
     }
 
-    /// Takes note that the whole answer was read.
-    pub fn succeeded(&mut self) {
-        // An endpoint may fail a request before running it.
-        if !self.is_failure {
+    /// Records that the complete response was read.
+    pub fn record_success(&mut self) {
+        // A 5xx status does not prove that the endpoint survives the request: it may have failed
+        // before executing it.
+        if !self.has_error_status {
             self.shared.suspects.record_completion(self.shared.now(), self.fingerprint);
         }
         self.endpoint.state.record_outcome(self.shared.now(), true);
-        self.endpoint.state.record_duration(self.work, self.began.elapsed().as_micros() as u64);
+        self.endpoint
+            .state
+            .record_duration(self.work, self.started_at.elapsed().as_micros() as u64);
         self.finish(false);
     }
 
-    fn finish(&mut self, cancel: bool) {
-        if self.finished {
+    /// Removes the request's work from the endpoint's load and, with `should_cancel`, cancels the
+    /// attempt. Only the first call has an effect.
+    fn finish(&mut self, should_cancel: bool) {
+        if self.is_finished {
             return;
         }
-        self.finished = true;
+        self.is_finished = true;
         self.endpoint.state.end_work(self.work);
-        if cancel {
+        if should_cancel {
             let _ = self.upstream.cancels.send((self.endpoint.address.clone(), self.id.clone()));
         }
     }
@@ -301,43 +330,46 @@
     }
 }
 
-/// Tells whether nobody listens at an address any more. A process that ends may do so for a moment after its connections
-/// have been closed, so one that takes a connection is looked at once more.
-fn has_ended(address: &str) -> bool {
+/// Reports whether an address refuses connections. A process that is exiting may still accept
+/// connections for a moment after its existing ones have been closed, so an address that accepts
+/// the first probe is probed again.
+fn refuses_connections(address: &str) -> bool {
     let Ok(address) = address.parse::<SocketAddr>() else { return false };
-    let connect = || TcpStream::connect_timeout(&address, LOOK_WITHIN).map_err(|e| e.kind());
-    let last = connect().and_then(|_| {
-        std::thread::sleep(LOOK_AGAIN_AFTER);
+    let connect =
+        || TcpStream::connect_timeout(&address, PROBE_CONNECT_TIMEOUT).map_err(|err| err.kind());
+    let last_result = connect().and_then(|_| {
+        std::thread::sleep(SECOND_PROBE_DELAY);
         connect()
     });
-    last.is_err_and(|kind| kind == ErrorKind::ConnectionRefused)
+    last_result.is_err_and(|kind| kind == ErrorKind::ConnectionRefused)
 }
 
-/// Reads the data of a stream's events, one by one.
-pub struct Events {
+/// Reads the data of server-sent events one by one.
+pub struct EventReader {
     reply: Reply,
     splitter: EventSplitter,
-    waiting: VecDeque<String>,
+    pending_data: VecDeque<String>,
 }
 
-impl Events {
-    /// Begins to read.
-    pub fn new(reply: Reply) -> Events {
-        Events { reply, splitter: EventSplitter::default(), waiting: VecDeque::new() }
+impl EventReader {
+    /// Creates a reader of the body of a response.
+    pub fn new(reply: Reply) -> EventReader {
+        EventReader { reply, splitter: EventSplitter::default(), pending_data: VecDeque::new() }
     }
 
-    /// Gets the next event's data; `None` at the end of the body.
+    /// Waits for the next data line. Returns `None` at the end of the body, and an error if the
+    /// body is interrupted or an event is too long.
     pub fn next_data(&mut self, attempt: &Attempt<'_>) -> Result<Option<String>> {
         loop {
-            if let Some(data) = self.waiting.pop_front() {
+            if let Some(data) = self.pending_data.pop_front() {
                 return Ok(Some(data));
             }
             if let Some(event) = self.splitter.next_event() {
-                self.waiting.extend(data_of(&event.bytes));
+                self.pending_data.extend(data_lines(&event.bytes));
             } else if self.splitter.is_overlong() {
-                return Err(attempt.cut("an event without an end"));
+                return Err(attempt.endpoint_error("an event of the stream is too long"));
             } else {
-                match attempt.next_part(&mut self.reply)? {
+                match attempt.next_body_part(&mut self.reply)? {
                     Some(part) => self.splitter.push(&part),
                     None => return Ok(None),
                 }
@@ -346,8 +378,8 @@
     }
 }
 
-/// Gets the data lines of an event.
-fn data_of(event: &[u8]) -> Vec<String> {
+/// Returns the data lines of an event without the `data:` prefix.
+fn data_lines(event: &[u8]) -> Vec<String> {
     let text = String::from_utf8_lossy(event);
     let lines = text.lines().filter_map(|line| line.trim_end().strip_prefix("data:"));
     lines.map(|data| data.trim_start().to_string()).collect()
