--- a/crates/tidetrack-ctl/src/status.rs
+++ b/crates/tidetrack-ctl/src/status.rs
@@ -57,10 +57,10 @@
                 "rollout {} to {}: {state}; {} answered, {} rated at {:.3} (stable {:.3})\n",
                 r.name,
                 r.to,
-                r.new.answered,
-                r.new.rated,
-                r.new.mean_score(),
-                r.proven.mean_score()
+                r.canary.answered,
+                r.canary.rated,
+                r.canary.mean_score(),
+                r.stable.mean_score()
             );
             out.push_str(&line);
         }
--- a/crates/tidetrack-quickstart/src/main.rs
+++ b/crates/tidetrack-quickstart/src/main.rs
@@ -103,7 +103,7 @@
     settings.rating = Some(world.rater.clone());
     settings.limits.threads = 32;
     settings.times.grace_ms = 50;
-    Router::start(settings, logging::silent())
+    Router::start(settings, logging::discarding_logger())
 }
 
 /// Waits until `done` gives a value.
--- a/crates/tidetrack-router/src/admin.rs
+++ b/crates/tidetrack-router/src/admin.rs
@@ -10,41 +10,41 @@
 use tidetrack_core::message_auth::digest;
 
 use crate::callers::Request;
-use crate::control::{Msg, Status};
+use crate::control::{ControlMsg, Status};
 use crate::outcome::{self, header_of, AnswerHeaders};
 use crate::shared::Shared;
 
 /// A page of plain text: status and body.
-pub struct Page(pub u16, pub Vec<u8>);
+pub struct TextPage(pub u16, pub Vec<u8>);
 
 /// Answers whether the process runs.
-pub fn health() -> Page {
-    Page(200, b"ok\n".to_vec())
+pub fn health() -> TextPage {
+    TextPage(200, b"ok\n".to_vec())
 }
 
 /// Answers whether the host takes requests, and if not, why.
-pub fn readiness(shared: &Shared) -> Page {
-    let leaving = shared.leaving.load(Ordering::Acquire);
-    let ready = match leaving {
+pub fn readiness(shared: &Shared) -> TextPage {
+    let is_leaving = shared.is_leaving.load(Ordering::Acquire);
+    let readiness_check = match is_leaving {
         true => Err(Error::new(Code::Draining, "the host is leaving")),
-        false => shared.gate.check().and_then(|()| shared.billing.check()),
+        false => shared.admission.check().and_then(|()| shared.billing.check()),
     };
-    match ready {
-        Ok(()) => Page(200, b"ready\n".to_vec()),
-        Err(e) => Page(503, format!("{e}\n").into_bytes()),
+    match readiness_check {
+        Ok(()) => TextPage(200, b"ready\n".to_vec()),
+        Err(err) => TextPage(503, format!("{err}\n").into_bytes()),
     }
 }
 
 /// Renders the metrics.
-pub fn metrics(shared: &Shared) -> Page {
-    match shared.metrics.text() {
-        Ok(text) => Page(200, text),
-        Err(e) => Page(500, format!("{e}\n").into_bytes()),
+pub fn metrics(shared: &Shared) -> TextPage {
+    match shared.metrics.render() {
+        Ok(text) => TextPage(200, text),
+        Err(err) => TextPage(500, format!("{err}\n").into_bytes()),
     }
 }
 
 /// Sends a page.
-pub fn send(request: Request, page: Page) {
+pub fn send_page(request: Request, page: TextPage) {
     let headers = AnswerHeaders::default();
     // Whoever asked and left will ask again.
     drop(outcome::send_whole(request, &headers, page.0, "text/plain; version=0.0.4", page.1));
@@ -52,7 +52,7 @@
 
 /// Checks that a request carries the operators' key.
 pub fn check_operator(shared: &Shared, request: &Request) -> Result<()> {
-    let key = bearer(request).unwrap_or_default();
+    let key = bearer_key(request).unwrap_or_default();
     match digest(key.as_bytes()) == shared.settings.operator_key_digest {
         true => Ok(()),
         false => Err(Error::new(Code::NoKey, "the operators' key is needed")),
@@ -60,7 +60,7 @@
 }
 
 /// Gets the key that a request carries.
-pub fn bearer(request: &Request) -> Option<&str> {
+pub fn bearer_key(request: &Request) -> Option<&str> {
     let value = header_of(request, "Authorization")?;
     let (scheme, key) = value.split_once(' ')?;
     scheme.eq_ignore_ascii_case("bearer").then_some(key.trim())
@@ -68,23 +68,24 @@
 
 /// Gets the host's state.
 pub fn status(shared: &Shared) -> Result<Status> {
-    let ends = || Error::new(Code::Draining, "the host ends");
-    let (tx, rx) = flume::bounded(1);
-    shared.control.send(Msg::Status(tx)).map_err(|_| ends())?;
-    rx.recv().map_err(|_| ends())
+    let host_stopping = || Error::new(Code::Draining, "the host ends");
+    let (reply_sender, reply_receiver) = flume::bounded(1);
+    shared.control.send(ControlMsg::Status(reply_sender)).map_err(|_| host_stopping())?;
+    reply_receiver.recv().map_err(|_| host_stopping())
 }
 
 /// The answer to a fact that was told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct FactTaken {
+pub struct FactResponse {
     /// The host knows it now and passes it on.
-    pub taken: bool,
+    #[serde(rename = "taken")]
+    pub is_accepted: bool,
 }
 
 /// Takes a narrowing fact from an operator, for when the object API is down.
-pub fn take_fact(shared: &Shared, body: &[u8]) -> Result<FactTaken> {
+pub fn add_fact(shared: &Shared, body: &[u8]) -> Result<FactResponse> {
     let fact: Fact = serde_json::from_slice(body).map_err(outcome::bad_body)?;
-    let ends = |_| Error::new(Code::Draining, "the host ends");
-    shared.control.send(Msg::Learn(fact)).map_err(ends)?;
-    Ok(FactTaken { taken: true })
+    let host_stopping = |_| Error::new(Code::Draining, "the host ends");
+    shared.control.send(ControlMsg::AddFact(fact)).map_err(host_stopping)?;
+    Ok(FactResponse { is_accepted: true })
 }
--- a/crates/tidetrack-router/src/billing.rs
+++ b/crates/tidetrack-router/src/billing.rs
@@ -15,9 +15,9 @@
 use tidetrack_core::ledger::{Bill, Segment};
 use tidetrack_wire::platform::{PlatformClient, LEDGER_PREFIX};
 
-use crate::control::Msg;
+use crate::control::ControlMsg;
 use crate::logging;
-use crate::peers::Job;
+use crate::peers::PeerJob;
 use crate::shared::Clock;
 
 /// Pause of the loop when nothing comes.
@@ -137,9 +137,9 @@
     /// The clock.
     pub clock: Clock,
     /// Calls to other hosts.
-    pub jobs: Sender<Job>,
+    pub jobs: Sender<PeerJob>,
     /// The control thread.
-    pub control: Sender<Msg>,
+    pub control: Sender<ControlMsg>,
     /// The writer of segments.
     pub segments: Sender<Segment>,
 }
@@ -206,7 +206,7 @@
     fn act(&self, action: ReplicatorAction, waiters: &mut Waiters) {
         match action {
             ReplicatorAction::Hold { holder, batch, call } => {
-                let _ = self.jobs.send(Job::Hold { address: holder, batch, call });
+                let _ = self.jobs.send(PeerJob::Hold { address: holder, batch, call });
             }
             ReplicatorAction::Write(segment) => {
                 let _ = self.segments.send(segment);
@@ -217,8 +217,8 @@
                     let _ = safe.send(());
                 }
             }
-            ReplicatorAction::CheckGone(of) => {
-                let _ = self.control.send(Msg::Gone { of });
+            ReplicatorAction::CheckGone(incarnations) => {
+                let _ = self.control.send(ControlMsg::FindGoneIncarnations { incarnations });
             }
             ReplicatorAction::Flushed(safe) => {
                 for flush in waiters.flushes.drain(..) {
--- a/crates/tidetrack-router/src/chat/attempts.rs
+++ b/crates/tidetrack-router/src/chat/attempts.rs
@@ -89,7 +89,7 @@
     }
 
     fn take_retry(&self) -> bool {
-        let mut retries = self.shared().retries.lock().expect("no holder of the lock panics");
+        let mut retries = self.shared().retry_budget.lock().expect("no holder of the lock panics");
         retries.try_acquire()
     }
 
@@ -101,7 +101,7 @@
         judged: Option<f64>,
         out: &mut Out,
     ) -> Result<bool> {
-        let fresh = self.shared().confirm();
+        let fresh = self.shared().wait_for_confirmation();
         self.shared().suspects.check(self.shared().now(), self.fingerprint)?;
         let view = self.shared().view.load_full();
         let workspace = self.workspace(&view)?;
@@ -151,7 +151,7 @@
             Err(_) => return,
         };
         let unproven = chosen.credit.is_some();
-        self.shared().count(&chosen.version, chosen.generation, unproven, counts);
+        self.shared().record_counts(&chosen.version, chosen.generation, unproven, counts);
     }
 
     fn workspace<'v>(&self, view: &'v View) -> Result<&'v Workspace> {
--- a/crates/tidetrack-router/src/chat/judged.rs
+++ b/crates/tidetrack-router/src/chat/judged.rs
@@ -64,7 +64,7 @@
         let mut counts = VersionCounts::default();
         counts.add_rating(score);
         let ChosenVersion { version, generation, credit, .. } = &answer.chosen;
-        self.shared().count(version, *generation, credit.is_some(), counts);
+        self.shared().record_counts(version, *generation, credit.is_some(), counts);
         score >= accept
     }
 
--- a/crates/tidetrack-router/src/chat/mod.rs
+++ b/crates/tidetrack-router/src/chat/mod.rs
@@ -21,7 +21,7 @@
 use tidetrack_wire::headers;
 
 use crate::callers::Request;
-use crate::metrics::Labels;
+use crate::metrics::RequestLabels;
 use crate::outcome::{self, header_of, AnswerHeaders};
 use crate::shared::Shared;
 use crate::upstream::Upstream;
@@ -57,7 +57,7 @@
     deadline: Instant,
     wants_usage: bool,
     priority: i64,
-    labels: Labels,
+    labels: RequestLabels,
     parts: Vec<LineItem>,
     first_token_ms: Cell<Option<f64>>,
     may_have_run: bool,
@@ -73,9 +73,10 @@
 }
 
 /// Runs a chat request and answers it.
-pub fn run(caller: &Caller<'_>, request: Request, body: &[u8]) -> (Labels, Result<()>) {
+pub fn run(caller: &Caller<'_>, request: Request, body: &[u8]) -> (RequestLabels, Result<()>) {
     let headers = AnswerHeaders::new(&caller.id, &request);
-    let mut labels = Labels { workspace: caller.workspace.to_string(), ..Labels::default() };
+    let mut labels =
+        RequestLabels { workspace: caller.workspace.to_string(), ..RequestLabels::default() };
     let view = caller.shared.view.load_full();
     let call = Call::read(caller, &view, &request, body);
     let mut out = Out { request: Some(request), headers, stream: None };
@@ -139,10 +140,10 @@
             wants_usage: chat.stream_options.as_ref().is_some_and(|o| o.include_usage),
             priority: number_of(request, headers::PRIORITY).unwrap_or(0),
             draw,
-            labels: Labels {
+            labels: RequestLabels {
                 workspace: caller.workspace.to_string(),
                 route: route.to_string(),
-                ..Labels::default()
+                ..RequestLabels::default()
             },
             fingerprint: Fingerprint::of(&RequestIdentity {
                 workspace: Some(&caller.workspace),
@@ -215,7 +216,7 @@
         let (plan, failed) =
             policy.decide(&features, &load_of(view, &policy.spec.fallback, self.shared()));
         if let Some(e) = failed {
-            self.shared().metrics.event("policy_failed");
+            self.shared().metrics.count_event("policy_failed");
             self.shared().log(Event::PolicyFailed, &format!("{}: {e}", self.route));
         }
         let script = header_of(request, headers::SCRIPT_CHOICE);
@@ -246,7 +247,7 @@
         let (tokens_in, tokens_out) =
             (Tokens(usage.prompt_tokens), Tokens(usage.completion_tokens));
         let cost = v.spec.price_in.cost_of(tokens_in) + v.spec.price_out.cost_of(tokens_out);
-        self.shared().metrics.usage(&self.labels, usage.total_tokens, cost.0);
+        self.shared().metrics.record_usage(&self.labels, usage.total_tokens, cost.0);
         self.parts.push(LineItem(chosen.version.clone(), tokens_in, tokens_out, cost));
     }
 
@@ -256,7 +257,7 @@
         let bill = Bill(self.caller.id.number, self.caller.workspace.clone(), parts, ended);
         let from = Instant::now();
         let kept = self.shared().billing.keep(bill);
-        self.shared().metrics.bill_wait(from.elapsed().as_secs_f64() * 1_000.0);
+        self.shared().metrics.record_bill_wait(from.elapsed().as_secs_f64() * 1_000.0);
         kept
     }
 
@@ -290,7 +291,7 @@
     fn note_first_token(&self) {
         let ms = self.caller.began.elapsed().as_secs_f64() * 1_000.0;
         self.first_token_ms.set(Some(ms));
-        self.shared().metrics.first_token(&self.labels, ms);
+        self.shared().metrics.record_first_token(&self.labels, ms);
     }
 
     /// Counts the request against its objectives. The caller's own faults do not count.
@@ -300,7 +301,7 @@
                 let name = format!("{}/{}", objective.workspace, objective.route);
                 let limit = objective.first_token_ms as f64;
                 let in_time = self.first_token_ms.get().is_some_and(|ms| ms <= limit);
-                self.shared().metrics.objective(&self.labels, &name, good && in_time);
+                self.shared().metrics.record_objective(&self.labels, &name, good && in_time);
             }
         }
     }
--- a/crates/tidetrack-router/src/control.rs
+++ b/crates/tidetrack-router/src/control.rs
@@ -24,18 +24,18 @@
 use tidetrack_wire::platform::{ListedHost, ListedState};
 
 use crate::billing::BillMsg;
-use crate::peers::Job;
-use crate::platform_io::StateJob;
-use crate::shared::{PlatformDuty, Shared};
+use crate::peers::PeerJob;
+use crate::platform_io::StateWrite;
+use crate::shared::{ReadPlan, Shared};
 
 /// Roll-outs are looked at this often.
-const DUTY_EVERY: Millis = Millis(300);
+const ROLLOUT_CHECK_INTERVAL: Millis = Millis(300);
 
 /// Views are built at most this often.
-const BUILD_EVERY: Millis = Millis(50);
+const MIN_VIEW_BUILD_INTERVAL: Millis = Millis(50);
 
 /// Messages for the control thread.
-pub enum Msg {
+pub enum ControlMsg {
     /// Time has passed.
     Tick,
     /// Another host exchanges.
@@ -62,16 +62,16 @@
         to: HostId,
     },
     /// A probe came back.
-    Probed {
+    ProbeFinished {
         /// Who was called.
         target: HostId,
         /// Whether it answered.
-        reached: bool,
+        is_reachable: bool,
     },
     /// A full list of the configuration.
     List {
         /// When it was asked for.
-        asked_at: Millis,
+        requested_at: Millis,
         /// At which revision.
         revision: u64,
         /// The objects.
@@ -80,25 +80,25 @@
     /// Changes of the configuration.
     Changes {
         /// When they were asked for.
-        asked_at: Millis,
+        requested_at: Millis,
         /// The changes.
         delta: Delta,
     },
     /// The platform's list of hosts and endpoints.
     Hosts(Vec<ListedHost>),
     /// Something seen of a version.
-    Count {
+    RecordCounts {
         /// The version.
         version: VersionRef,
         /// Its generation.
         generation: u64,
         /// Whether a roll-out of it is not done.
-        unproven: bool,
+        is_canary: bool,
         /// What was seen.
         counts: VersionCounts,
     },
     /// A narrowing fact.
-    Learn(Fact),
+    AddFact(Fact),
     /// An endpoint said that it is leaving.
     EndpointLeaving(String),
     /// A state of a roll-out was written, at the version given.
@@ -111,9 +111,9 @@
         state: RolloutState,
     },
     /// Asks which incarnations are gone; the keeper of the bills is told.
-    Gone {
+    FindGoneIncarnations {
         /// Of these.
-        of: Vec<Incarnation>,
+        incarnations: Vec<Incarnation>,
     },
     /// Asks for the host's address for callers, if that incarnation lives.
     Locate {
@@ -169,157 +169,163 @@
     /// The accepted state; absent before it is started.
     pub state: Option<RolloutState>,
     /// What is known of the new version.
-    pub new: VersionCounts,
+    #[serde(rename = "new")]
+    pub canary: VersionCounts,
     /// What is known of the proven version.
-    pub proven: VersionCounts,
+    #[serde(rename = "proven")]
+    pub stable: VersionCounts,
 }
 
 /// The control thread's state.
 pub struct Control {
     shared: Arc<Shared>,
     node: Node,
-    builder: ViewBuilder,
-    jobs: Sender<Job>,
-    bills: Sender<BillMsg>,
-    states: Sender<StateJob>,
+    view_builder: ViewBuilder,
+    peer_jobs: Sender<PeerJob>,
+    bill_messages: Sender<BillMsg>,
+    state_writes: Sender<StateWrite>,
     holders_epoch: Option<u64>,
-    duty_at: Millis,
-    built_at: Millis,
+    rollouts_checked_at: Millis,
+    view_built_at: Millis,
     facts_seq: u64,
-    rollout_since: BTreeMap<RolloutId, (u64, Millis)>,
-    writing: BTreeMap<RolloutId, u64>,
-    spent: BTreeMap<(VersionRef, u64), u64>,
+    rollout_state_since: BTreeMap<RolloutId, (u64, Millis)>,
+    pending_writes: BTreeMap<RolloutId, u64>,
+    counted_credits: BTreeMap<(VersionRef, u64), u64>,
 }
 
 /// What the control thread tells others through.
-pub struct Outlets {
+pub struct ControlOutputs {
     /// Calls to other hosts.
-    pub jobs: Sender<Job>,
+    pub peer_jobs: Sender<PeerJob>,
     /// The keeper of the bills.
-    pub bills: Sender<BillMsg>,
+    pub bill_messages: Sender<BillMsg>,
     /// The writer of roll-out states.
-    pub states: Sender<StateJob>,
+    pub state_writes: Sender<StateWrite>,
 }
 
 impl Control {
     /// Makes the thread's state.
-    pub fn new(shared: Arc<Shared>, mut node: Node, outlets: Outlets) -> Control {
+    pub fn new(shared: Arc<Shared>, mut node: Node, outputs: ControlOutputs) -> Control {
         node.limits = shared.limits.clone();
         node.suspects = shared.suspects.clone();
         Control {
             shared,
             node,
-            builder: ViewBuilder::default(),
-            jobs: outlets.jobs,
-            bills: outlets.bills,
-            states: outlets.states,
+            view_builder: ViewBuilder::default(),
+            peer_jobs: outputs.peer_jobs,
+            bill_messages: outputs.bill_messages,
+            state_writes: outputs.state_writes,
             holders_epoch: None,
-            duty_at: Millis(0),
-            built_at: Millis(0),
+            rollouts_checked_at: Millis(0),
+            view_built_at: Millis(0),
             facts_seq: 0,
-            rollout_since: BTreeMap::new(),
-            writing: BTreeMap::new(),
-            spent: BTreeMap::new(),
+            rollout_state_since: BTreeMap::new(),
+            pending_writes: BTreeMap::new(),
+            counted_credits: BTreeMap::new(),
         }
     }
 
     /// Takes messages until told to stop.
-    pub fn run(mut self, messages: Receiver<Msg>) {
-        while let Ok(msg) = messages.recv() {
-            if matches!(msg, Msg::Stop) {
+    pub fn run(mut self, messages: Receiver<ControlMsg>) {
+        while let Ok(message) = messages.recv() {
+            if matches!(message, ControlMsg::Stop) {
                 return;
             }
-            self.take(msg);
+            self.handle_message(message);
             // A narrowing fact is in force at once; what widens may wait for the next view.
             if self.node.facts.seq() != self.facts_seq {
                 self.facts_seq = self.node.facts.seq();
-                self.built_at = Millis(0);
-                self.publish(self.shared.now());
+                self.view_built_at = Millis(0);
+                self.publish_view(self.shared.now());
             }
         }
     }
 
-    fn take(&mut self, msg: Msg) {
+    fn handle_message(&mut self, message: ControlMsg) {
         let now = self.shared.now();
-        match msg {
-            Msg::Tick => self.tick(now),
-            Msg::PeerExchange { half, reply } => {
+        match message {
+            ControlMsg::Tick => self.tick(now),
+            ControlMsg::PeerExchange { half, reply } => {
                 // A caller that has given up needs no answer.
                 let _ = reply.send(self.node.on_exchange(now, half));
             }
-            Msg::PeerReply { to, sent_at, nonce, reply } => {
+            ControlMsg::PeerReply { to, sent_at, nonce, reply } => {
                 self.node.on_reply(now, &to, sent_at, nonce, reply);
             }
-            Msg::PeerFailed { to } => self.node.on_exchange_failed(&to),
-            Msg::Probed { target, reached } => self.node.on_probe(now, &target, reached),
-            Msg::List { asked_at, revision, entries } => {
-                self.node.on_list(asked_at, revision, entries);
-                self.publish(now);
+            ControlMsg::PeerFailed { to } => self.node.on_exchange_failed(&to),
+            ControlMsg::ProbeFinished { target, is_reachable } => {
+                self.node.on_probe(now, &target, is_reachable)
             }
-            Msg::Changes { asked_at, delta } => {
-                self.node.on_changes(asked_at, delta);
-                self.publish(now);
+            ControlMsg::List { requested_at, revision, entries } => {
+                self.node.on_list(requested_at, revision, entries);
+                self.publish_view(now);
             }
-            Msg::Hosts(hosts) => self.take_hosts(hosts),
-            Msg::Count { version, generation, unproven, counts } => {
-                self.node.record_counts(&version, generation, unproven, &counts);
+            ControlMsg::Changes { requested_at, delta } => {
+                self.node.on_changes(requested_at, delta);
+                self.publish_view(now);
             }
-            Msg::Learn(fact) => {
+            ControlMsg::Hosts(hosts) => self.apply_hosts(hosts),
+            ControlMsg::RecordCounts { version, generation, is_canary, counts } => {
+                self.node.record_counts(&version, generation, is_canary, &counts);
+            }
+            ControlMsg::AddFact(fact) => {
                 self.node.add_fact(fact);
             }
-            Msg::EndpointLeaving(name) => self.endpoint_leaving(&name),
-            Msg::StateWritten { rollout, version, state } => {
-                self.state_written(&rollout, version, &state);
+            ControlMsg::EndpointLeaving(name) => self.withdraw_leaving_endpoint(&name),
+            ControlMsg::StateWritten { rollout, version, state } => {
+                self.finish_state_write(&rollout, version, &state);
             }
-            Msg::Gone { of } => {
-                let gone = of.into_iter().filter(|i| self.node.members.is_gone(i)).collect();
-                let _ = self.bills.send(BillMsg::Gone(gone));
+            ControlMsg::FindGoneIncarnations { incarnations } => {
+                let gone_incarnations =
+                    incarnations.into_iter().filter(|i| self.node.members.is_gone(i)).collect();
+                let _ = self.bill_messages.send(BillMsg::Gone(gone_incarnations));
             }
-            Msg::Locate { incarnation, reply } => {
-                let _ = reply.send(self.locate(&incarnation));
+            ControlMsg::Locate { incarnation, reply } => {
+                let _ = reply.send(self.locate_caller_address(&incarnation));
             }
-            Msg::Announce(state) => self.node.announce(state),
-            Msg::Status(reply) => {
+            ControlMsg::Announce(state) => self.node.announce(state),
+            ControlMsg::Status(reply) => {
                 let _ = reply.send(self.status(now));
             }
-            Msg::Stop => {}
+            ControlMsg::Stop => {}
         }
     }
 
     fn tick(&mut self, now: Millis) {
-        self.count_spent();
+        self.record_spent_credits();
         for action in self.node.tick(now) {
-            self.act(now, action);
+            self.perform_action(now, action);
         }
-        self.choose_holders();
-        if now - self.duty_at >= DUTY_EVERY {
-            self.duty_at = now;
+        self.update_holders();
+        if now - self.rollouts_checked_at >= ROLLOUT_CHECK_INTERVAL {
+            self.rollouts_checked_at = now;
             let view = self.shared.view.load_full();
             self.node.quarantine_bad_versions(&view);
-            self.rollouts(now, &view);
+            self.advance_rollouts(now, &view);
         }
-        self.publish(now);
+        self.publish_view(now);
     }
 
-    fn act(&mut self, now: Millis, action: Action) {
+    fn perform_action(&mut self, now: Millis, action: Action) {
         let job = match action {
             Action::Log(event, text) => return self.shared.log(event, &text),
             Action::Exchange { to, address, message } => {
-                Job::Exchange { to, address, sent_at: now, half: message }
-            }
-            Action::Probe { via_address, target, target_address, .. } => {
-                Job::Probe { via: via_address, call: ProbeCall { target, address: target_address } }
+                PeerJob::Exchange { to, address, sent_at: now, half: message }
             }
+            Action::Probe { via_address, target, target_address, .. } => PeerJob::Probe {
+                via: via_address,
+                call: ProbeCall { target, address: target_address },
+            },
         };
         // The peers' thread is gone only when the process ends.
-        let _ = self.jobs.send(job);
+        let _ = self.peer_jobs.send(job);
     }
 
     /// Builds a new view if something changed, and tells traffic and the platform's thread.
-    fn publish(&mut self, now: Millis) {
-        if now - self.built_at >= BUILD_EVERY && self.node.take_changed() {
-            self.built_at = now;
-            let view = self.node.view(now, &mut self.builder);
+    fn publish_view(&mut self, now: Millis) {
+        if now - self.view_built_at >= MIN_VIEW_BUILD_INTERVAL && self.node.take_changed() {
+            self.view_built_at = now;
+            let view = self.node.view(now, &mut self.view_builder);
             let old = self.shared.view.swap(Arc::new(view));
             let revision = self.node.store.complete_to();
             if old.revision != revision {
@@ -328,20 +334,21 @@
         }
         // What is known counts once traffic decides on it.
         let ready = self.shared.view.load().revision > 0;
-        self.shared.gate.tick(now, self.node.confirmation(), ready);
-        self.shared.gate.set_duty(PlatformDuty {
-            watcher: self.node.is_watcher(),
+        self.shared.admission.tick(now, self.node.confirmation(), ready);
+        self.shared.admission.set_read_plan(ReadPlan {
+            is_watcher: self.node.is_watcher(),
             // After a pause the answer to a short read is the first that tells.
-            poll: self.node.needs_poll(now) || self.shared.gate.is_unconfirmed(now),
-            alone: self.node.live_host_count() <= 1,
+            needs_poll: self.node.needs_poll(now) || self.shared.admission.is_unconfirmed(now),
+            is_alone: self.node.live_host_count() <= 1,
             complete_to: self.node.store.complete_to(),
         });
     }
 
-    fn take_hosts(&mut self, hosts: Vec<ListedHost>) {
-        let leaving = |h: &&ListedHost| h.role == "endpoint" && h.state == ListedState::Leaving;
-        for host in hosts.iter().filter(leaving) {
-            self.endpoint_leaving(&host.name);
+    fn apply_hosts(&mut self, hosts: Vec<ListedHost>) {
+        let is_leaving_endpoint =
+            |h: &&ListedHost| h.role == "endpoint" && h.state == ListedState::Leaving;
+        for host in hosts.iter().filter(is_leaving_endpoint) {
+            self.withdraw_leaving_endpoint(&host.name);
         }
         let routers = hosts.into_iter().filter(|h| h.role == "router");
         let seeds = routers.filter_map(|h| Some((h.name.parse().ok()?, h.address)));
@@ -349,7 +356,7 @@
     }
 
     /// Bars an endpoint as it is declared now; a later declaration admits it again.
-    fn endpoint_leaving(&mut self, name: &str) {
+    fn withdraw_leaving_endpoint(&mut self, name: &str) {
         let Ok(endpoint) = name.parse() else { return };
         let declared = self.node.store.iter().filter(|e| {
             matches!(e.key.kind, ObjectKind::Pool | ObjectKind::Service)
@@ -362,7 +369,7 @@
     }
 
     /// Tells the keeper of the bills who may hold them, when the members changed.
-    fn choose_holders(&mut self) {
+    fn update_holders(&mut self) {
         let epoch = self.node.members.epoch();
         if self.holders_epoch == Some(epoch) {
             return;
@@ -373,55 +380,58 @@
             incarnation: m.incarnation.clone(),
             address: m.peer_address.clone(),
         });
-        let _ = self.bills.send(BillMsg::Holders(holders.collect()));
+        let _ = self.bill_messages.send(BillMsg::Holders(holders.collect()));
     }
 
     /// Counts the credits spent since the last look as requests started.
-    fn count_spent(&mut self) {
+    fn record_spent_credits(&mut self) {
         let view = self.shared.view.load();
         for rollout in &view.rollouts {
             let version = &rollout.spec.to;
             let Some(v) = view.versions.get(version) else { continue };
             let generation = v.spec.generation;
-            let Some(credits) = self.builder.credits(version, generation) else { continue };
-            let spent = credits.spent();
-            let told = self.spent.entry((version.clone(), generation)).or_default();
-            if spent > *told {
-                let counts = VersionCounts { started: spent - *told, ..VersionCounts::default() };
-                *told = spent;
+            let Some(credits) = self.view_builder.credits(version, generation) else { continue };
+            let spent_credits = credits.spent();
+            let counted = self.counted_credits.entry((version.clone(), generation)).or_default();
+            if spent_credits > *counted {
+                let counts =
+                    VersionCounts { started: spent_credits - *counted, ..VersionCounts::default() };
+                *counted = spent_credits;
                 self.node.record_counts(version, generation, true, &counts);
             }
         }
     }
 
-    fn rollouts(&mut self, now: Millis, view: &View) {
+    fn advance_rollouts(&mut self, now: Millis, view: &View) {
         for rollout in &view.rollouts {
-            let since = self.rollout_since.entry(rollout.id.clone()).or_insert((0, now));
-            if since.0 != rollout.state_version {
-                *since = (rollout.state_version, now);
+            let state_since =
+                self.rollout_state_since.entry(rollout.id.clone()).or_insert((0, now));
+            if state_since.0 != rollout.state_version {
+                *state_since = (rollout.state_version, now);
                 if let Some(state) = &rollout.state {
                     let text = format!("{} {:?} stage {}", rollout.id, state.phase, state.stage);
                     self.shared.log(Event::RolloutMoved, &text);
                 }
             }
-            let since = since.1;
-            if self.writing.get(&rollout.id) == Some(&rollout.state_version) {
+            let state_since = state_since.1;
+            if self.pending_writes.get(&rollout.id) == Some(&rollout.state_version) {
                 continue;
             }
-            let Some(mut state) = self.node.rollout_update(now, view, rollout, since) else {
+            let Some(mut state) = self.node.rollout_update(now, view, rollout, state_since) else {
                 continue;
             };
-            state.operation_id = format!("{}-{}-{}", self.shared.own, rollout.state_version, now.0);
-            self.writing.insert(rollout.id.clone(), rollout.state_version);
-            let expected = rollout.state_version;
-            let job = StateJob { rollout: rollout.id.clone(), expected, state };
+            state.operation_id =
+                format!("{}-{}-{}", self.shared.incarnation, rollout.state_version, now.0);
+            self.pending_writes.insert(rollout.id.clone(), rollout.state_version);
+            let expected_version = rollout.state_version;
+            let job = StateWrite { rollout: rollout.id.clone(), expected_version, state };
             // The writer's thread is gone only when the process ends.
-            let _ = self.states.send(job);
+            let _ = self.state_writes.send(job);
         }
     }
 
-    fn state_written(&mut self, rollout: &RolloutId, version: u64, state: &RolloutState) {
-        self.writing.remove(rollout);
+    fn finish_state_write(&mut self, rollout: &RolloutId, version: u64, state: &RolloutState) {
+        self.pending_writes.remove(rollout);
         if version == 0 {
             return;
         }
@@ -433,10 +443,10 @@
         self.node.on_object_written(delta);
     }
 
-    fn locate(&self, incarnation: &Incarnation) -> Option<String> {
+    fn locate_caller_address(&self, incarnation: &Incarnation) -> Option<String> {
         let member = self.node.members.lookup(&incarnation.host)?;
-        let lives = member.incarnation == *incarnation && member.is_live();
-        lives.then(|| member.caller_address.clone())
+        let is_live = member.incarnation == *incarnation && member.is_live();
+        is_live.then(|| member.caller_address.clone())
     }
 
     fn status(&self, now: Millis) -> Status {
@@ -449,12 +459,12 @@
             name: r.id.to_string(),
             to: r.spec.to.clone(),
             state: r.state.clone(),
-            new: counts(&r.spec.to),
-            proven: counts(&r.spec.from),
+            canary: counts(&r.spec.to),
+            stable: counts(&r.spec.from),
         });
         let shares = self.shared.limits().rates(now);
         Status {
-            incarnation: self.shared.own.clone(),
+            incarnation: self.shared.incarnation.clone(),
             failure_domain: self.shared.settings.failure_domain.to_string(),
             in_force: view.revision,
             confirmed_ms_ago: self.node.confirmation_age(now).map(|a| a.0),
--- a/crates/tidetrack-router/src/loads.rs
+++ b/crates/tidetrack-router/src/loads.rs
@@ -12,7 +12,7 @@
 use tidetrack_core::units::{Millis, Tokens};
 use tidetrack_wire::endpoint::LoadReport;
 
-use crate::control::Msg;
+use crate::control::ControlMsg;
 use crate::shared::Shared;
 
 /// Seconds that a read may take.
@@ -48,6 +48,6 @@
     let capacity = Tokens(report.capacity_tokens);
     endpoint.state.record_load_report(shared.now(), report.work, capacity);
     if report.leaving {
-        let _ = shared.control.send(Msg::EndpointLeaving(endpoint.id.to_string()));
+        let _ = shared.control.send(ControlMsg::EndpointLeaving(endpoint.id.to_string()));
     }
 }
--- a/crates/tidetrack-router/src/metrics.rs
+++ b/crates/tidetrack-router/src/metrics.rs
@@ -8,7 +8,7 @@
 use tidetrack_plane::metrics;
 
 /// Bounds of the histograms in milliseconds.
-const BOUNDS_MS: [f64; 14] = [
+const HISTOGRAM_BOUNDS_MS: [f64; 14] = [
     1.0, 2.5, 5.0, 10.0, 25.0, 50.0, 100.0, 200.0, 380.0, 500.0, 1_000.0, 2_500.0, 10_000.0,
     30_000.0,
 ];
@@ -29,7 +29,7 @@
 
 /// What a finished request is counted under.
 #[derive(Clone, Debug, Default)]
-pub struct Labels {
+pub struct RequestLabels {
     /// The workspace.
     pub workspace: String,
     /// The route or service.
@@ -40,7 +40,7 @@
     pub failure_domain: String,
 }
 
-impl Labels {
+impl RequestLabels {
     fn key_values(&self) -> Vec<KeyValue> {
         vec![
             KeyValue::new("workspace", self.workspace.clone()),
@@ -57,7 +57,7 @@
         let (registry, provider) = metrics::registry()?;
         let meter = provider.meter("tidetrack");
         let histogram = |name: &'static str| {
-            meter.f64_histogram(name).with_boundaries(BOUNDS_MS.to_vec()).build()
+            meter.f64_histogram(name).with_boundaries(HISTOGRAM_BOUNDS_MS.to_vec()).build()
         };
         Ok(Metrics {
             requests: meter.u64_counter("tidetrack_requests").build(),
@@ -73,44 +73,44 @@
     }
 
     /// Counts a finished request under its result code; `TT-0` is success.
-    pub fn request(&self, labels: &Labels, code: &str) {
+    pub fn record_request(&self, labels: &RequestLabels, code: &str) {
         let mut key_values = labels.key_values();
         key_values.push(KeyValue::new("code", code.to_string()));
         self.requests.add(1, &key_values);
     }
 
     /// Counts a request against its objective.
-    pub fn objective(&self, labels: &Labels, objective: &str, good: bool) {
+    pub fn record_objective(&self, labels: &RequestLabels, objective: &str, is_met: bool) {
         let mut key_values = labels.key_values();
         key_values.push(KeyValue::new("objective", objective.to_string()));
-        key_values.push(KeyValue::new("good", good));
+        key_values.push(KeyValue::new("good", is_met));
         self.objective.add(1, &key_values);
     }
 
     /// Counts tokens and cost.
-    pub fn usage(&self, labels: &Labels, tokens: u64, cost: u64) {
+    pub fn record_usage(&self, labels: &RequestLabels, tokens: u64, cost: u64) {
         let key_values = labels.key_values();
         self.tokens.add(tokens, &key_values);
         self.cost.add(cost, &key_values);
     }
 
     /// Records the time to the first token.
-    pub fn first_token(&self, labels: &Labels, ms: f64) {
+    pub fn record_first_token(&self, labels: &RequestLabels, ms: f64) {
         self.first_token.record(ms, &[KeyValue::new("route", labels.route.clone())]);
     }
 
     /// Records how long a bill waited for a safe place.
-    pub fn bill_wait(&self, ms: f64) {
+    pub fn record_bill_wait(&self, ms: f64) {
         self.bill_wait.record(ms, &[]);
     }
 
     /// Counts something that happened, by name.
-    pub fn event(&self, name: &'static str) {
+    pub fn count_event(&self, name: &'static str) {
         self.events.add(1, &[KeyValue::new("event", name)]);
     }
 
     /// Renders all metrics as Prometheus text.
-    pub fn text(&self) -> anyhow::Result<Vec<u8>> {
+    pub fn render(&self) -> anyhow::Result<Vec<u8>> {
         metrics::render(&self.registry)
     }
 }
--- a/crates/tidetrack-router/src/outcome.rs
+++ b/crates/tidetrack-router/src/outcome.rs
@@ -11,7 +11,7 @@
 use tidetrack_wire::headers;
 
 use crate::callers::{self, Pieces, Request};
-use crate::metrics::Labels;
+use crate::metrics::RequestLabels;
 use crate::shared::Shared;
 
 /// Sets a header; a value that cannot be one is left empty.
@@ -115,14 +115,14 @@
 }
 
 /// Counts and logs the end of a request.
-pub fn note(shared: &Shared, id: &RequestId, labels: &Labels, outcome: &Result<()>) {
+pub fn note(shared: &Shared, id: &RequestId, labels: &RequestLabels, outcome: &Result<()>) {
     match outcome {
         Ok(()) => {
-            shared.metrics.request(labels, "TT-0");
+            shared.metrics.record_request(labels, "TT-0");
             shared.log(Event::RequestDone, &id.to_string());
         }
         Err(e) => {
-            shared.metrics.request(labels, &e.code.to_string());
+            shared.metrics.record_request(labels, &e.code.to_string());
             let ran = format!("{:?}", e.executed).to_lowercase();
             shared.log(Event::RequestRefused, &format!("{id} {e} ran={ran}"));
         }
--- a/crates/tidetrack-router/src/peers.rs
+++ b/crates/tidetrack-router/src/peers.rs
@@ -31,7 +31,7 @@
 };
 
 use crate::billing::BillMsg;
-use crate::control::Msg;
+use crate::control::ControlMsg;
 use crate::logging;
 
 /// A connection must be made within this time.
@@ -41,16 +41,16 @@
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Most connections that other hosts may open here.
-const MOST_CONNECTIONS: u32 = 128;
+const MAX_CONNECTIONS: u32 = 128;
 
 /// Largest message, in bytes.
-const LARGEST_MESSAGE: u32 = 4 << 20;
+const MAX_MESSAGE_BYTES: u32 = 4 << 20;
 
 /// Connections kept open to others.
-const MOST_CLIENTS: usize = 24;
+const MAX_CLIENTS: usize = 24;
 
 /// A call that another thread wants made.
-pub enum Job {
+pub enum PeerJob {
     /// Exchange what changed.
     Exchange {
         /// With whom.
@@ -81,123 +81,127 @@
 }
 
 /// What the thread needs.
-pub struct Peers {
+pub struct PeerServiceParams {
     /// This host.
     pub host: HostId,
     /// The keys.
     pub keys: KeyRing,
     /// Jobs of the other threads.
-    pub jobs: Receiver<Job>,
+    pub jobs: Receiver<PeerJob>,
     /// The control thread.
-    pub control: Sender<Msg>,
+    pub control: Sender<ControlMsg>,
     /// The keeper of the bills.
-    pub bills: Sender<BillMsg>,
+    pub bill_messages: Sender<BillMsg>,
     /// The log.
     pub logger: slog::Logger,
 }
 
-struct Inner {
+struct PeerService {
     host: HostId,
     keys: KeyRing,
-    control: Sender<Msg>,
-    bills: Sender<BillMsg>,
+    control: Sender<ControlMsg>,
+    bill_messages: Sender<BillMsg>,
     logger: slog::Logger,
     clients: Mutex<HashMap<String, Arc<Client>>>,
 }
 
 /// Starts the thread on a bound listener. It ends when all senders of jobs are gone.
-pub fn start(peers: Peers, listener: TcpListener) -> anyhow::Result<()> {
+pub fn start(params: PeerServiceParams, listener: TcpListener) -> anyhow::Result<()> {
     listener.set_nonblocking(true)?;
     let thread = std::thread::Builder::new().name("peers".into()).stack_size(512 * 1024);
     let (started_tx, started) = flume::bounded(1);
     thread.spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         match runtime {
-            Ok(runtime) => runtime.block_on(run(peers, listener, started_tx)),
-            Err(e) => drop(started_tx.send(Err(e.into()))),
+            Ok(runtime) => runtime.block_on(run(params, listener, started_tx)),
+            Err(err) => drop(started_tx.send(Err(err.into()))),
         }
     })?;
     started.recv().context("the thread for calls between hosts ended")?
 }
 
-async fn run(peers: Peers, listener: TcpListener, started: Sender<anyhow::Result<()>>) {
-    let jobs = peers.jobs;
-    let inner = Arc::new(Inner {
-        host: peers.host,
-        keys: peers.keys,
-        control: peers.control,
-        bills: peers.bills,
-        logger: peers.logger,
+async fn run(
+    params: PeerServiceParams,
+    listener: TcpListener,
+    started: Sender<anyhow::Result<()>>,
+) {
+    let jobs = params.jobs;
+    let service = Arc::new(PeerService {
+        host: params.host,
+        keys: params.keys,
+        control: params.control,
+        bill_messages: params.bill_messages,
+        logger: params.logger,
         clients: Mutex::default(),
     });
-    let server = match serve(inner.clone(), listener) {
+    let server = match serve(service.clone(), listener) {
         Ok(server) => server,
-        Err(e) => return drop(started.send(Err(e))),
+        Err(err) => return drop(started.send(Err(err))),
     };
     drop(started.send(Ok(())));
     while let Ok(job) = jobs.recv_async().await {
-        let inner = inner.clone();
-        tokio::spawn(async move { inner.run_job(job).await });
+        let service = service.clone();
+        tokio::spawn(async move { service.run_job(job).await });
     }
     // The process ends; a server that has stopped already says so, which changes nothing.
     let _ = server.stop();
 }
 
 fn serve(
-    inner: Arc<Inner>,
+    service: Arc<PeerService>,
     listener: TcpListener,
 ) -> anyhow::Result<jsonrpsee::server::ServerHandle> {
     let config = ServerConfig::builder()
-        .max_connections(MOST_CONNECTIONS)
-        .max_request_body_size(LARGEST_MESSAGE)
-        .max_response_body_size(LARGEST_MESSAGE)
+        .max_connections(MAX_CONNECTIONS)
+        .max_request_body_size(MAX_MESSAGE_BYTES)
+        .max_response_body_size(MAX_MESSAGE_BYTES)
         .set_tcp_no_delay(true)
         .ws_only()
         .build();
     let server = Server::builder().set_config(config).build_from_tcp(listener)?;
-    let mut module = RpcModule::new(inner);
+    let mut module = RpcModule::new(service);
     module.register_async_method(METHOD_EXCHANGE, |params, cx, _| async move {
-        let call: ExchangeCall = cx.open(METHOD_EXCHANGE, params.one())?;
-        cx.seal(METHOD_EXCHANGE, &cx.exchange(call).await?)
+        let call: ExchangeCall = cx.verify_params(METHOD_EXCHANGE, params.one())?;
+        cx.sign_reply(METHOD_EXCHANGE, &cx.exchange(call).await?)
     })?;
     module.register_async_method(METHOD_HOLD, |params, cx, _| async move {
-        let call: HoldCall = cx.open(METHOD_HOLD, params.one())?;
-        let (tx, rx) = flume::bounded(1);
-        let sent = cx.bills.send(BillMsg::Hold { call, reply: tx });
-        let held = sent.is_ok() && rx.recv_async().await.unwrap_or(false);
-        cx.seal(METHOD_HOLD, &HoldReply { held })
+        let call: HoldCall = cx.verify_params(METHOD_HOLD, params.one())?;
+        let (reply_sender, reply_receiver) = flume::bounded(1);
+        let send_result = cx.bill_messages.send(BillMsg::Hold { call, reply: reply_sender });
+        let held = send_result.is_ok() && reply_receiver.recv_async().await.unwrap_or(false);
+        cx.sign_reply(METHOD_HOLD, &HoldReply { held })
     })?;
     module.register_async_method(METHOD_PROBE, |params, cx, _| async move {
-        let call: ProbeCall = cx.open(METHOD_PROBE, params.one())?;
+        let call: ProbeCall = cx.verify_params(METHOD_PROBE, params.one())?;
         let reached = cx.client(&call.address).await.is_ok_and(|c| c.is_connected());
-        cx.seal(METHOD_PROBE, &ProbeReply { reached })
+        cx.sign_reply(METHOD_PROBE, &ProbeReply { reached })
     })?;
     Ok(server.start(module))
 }
 
-fn refusal(text: impl ToString) -> ErrorObjectOwned {
+fn rpc_error(text: impl ToString) -> ErrorObjectOwned {
     ErrorObjectOwned::owned(-32_000, text.to_string(), None::<()>)
 }
 
-impl Inner {
-    fn open<T: DeserializeOwned>(
+impl PeerService {
+    fn verify_params<T: DeserializeOwned>(
         &self,
         method: &str,
         params: std::result::Result<SignedMessage, ErrorObjectOwned>,
     ) -> std::result::Result<T, ErrorObjectOwned> {
-        let opened = params?.verify(&self.keys, method);
-        opened.map_err(|e: Error| {
-            logging::log(&self.logger, Event::PeerRefused, &e.to_string());
-            refusal(e)
+        let verified = params?.verify(&self.keys, method);
+        verified.map_err(|err: Error| {
+            logging::log(&self.logger, Event::PeerRefused, &err.to_string());
+            rpc_error(err)
         })
     }
 
-    fn seal<T: Serialize>(
+    fn sign_reply<T: Serialize>(
         &self,
         method: &str,
         body: &T,
     ) -> std::result::Result<SignedMessage, ErrorObjectOwned> {
-        SignedMessage::sign(&self.keys, method, body).map_err(refusal)
+        SignedMessage::sign(&self.keys, method, body).map_err(rpc_error)
     }
 
     async fn exchange(
@@ -205,36 +209,36 @@
         call: ExchangeCall,
     ) -> std::result::Result<Exchange, ErrorObjectOwned> {
         if call.to != self.host {
-            return Err(refusal(format!("this is {}, not {}", self.host, call.to)));
+            return Err(rpc_error(format!("this is {}, not {}", self.host, call.to)));
         }
-        let (tx, rx) = flume::bounded(1);
-        let msg = Msg::PeerExchange { half: call.half, reply: tx };
-        self.control.send(msg).map_err(|_| refusal("the host ends"))?;
-        rx.recv_async().await.map_err(|_| refusal("the host ends"))
+        let (reply_sender, reply_receiver) = flume::bounded(1);
+        let message = ControlMsg::PeerExchange { half: call.half, reply: reply_sender };
+        self.control.send(message).map_err(|_| rpc_error("the host ends"))?;
+        reply_receiver.recv_async().await.map_err(|_| rpc_error("the host ends"))
     }
 
-    async fn run_job(&self, job: Job) {
+    async fn run_job(&self, job: PeerJob) {
         match job {
-            Job::Exchange { to, address, sent_at, half } => {
+            PeerJob::Exchange { to, address, sent_at, half } => {
                 let nonce = half.nonce;
                 let call = ExchangeCall { to: to.clone(), half };
-                let msg = match self.call(&address, METHOD_EXCHANGE, &call).await {
-                    Ok(reply) => Msg::PeerReply { to, sent_at, nonce, reply },
-                    Err(_) => Msg::PeerFailed { to },
+                let message = match self.call(&address, METHOD_EXCHANGE, &call).await {
+                    Ok(reply) => ControlMsg::PeerReply { to, sent_at, nonce, reply },
+                    Err(_) => ControlMsg::PeerFailed { to },
                 };
                 // The control thread is gone only when the process ends.
-                let _ = self.control.send(msg);
+                let _ = self.control.send(message);
             }
-            Job::Hold { address, batch, call } => {
+            PeerJob::Hold { address, batch, call } => {
                 let held = self.call::<_, HoldReply>(&address, METHOD_HOLD, &call).await;
                 let held = held.is_ok_and(|r| r.held);
-                let _ = self.bills.send(BillMsg::HoldDone { batch, held });
+                let _ = self.bill_messages.send(BillMsg::HoldDone { batch, held });
             }
-            Job::Probe { via, call } => {
+            PeerJob::Probe { via, call } => {
                 let target = call.target.clone();
                 let reply = self.call::<_, ProbeReply>(&via, METHOD_PROBE, &call).await;
-                let reached = reply.is_ok_and(|r| r.reached);
-                let _ = self.control.send(Msg::Probed { target, reached });
+                let is_reachable = reply.is_ok_and(|r| r.reached);
+                let _ = self.control.send(ControlMsg::ProbeFinished { target, is_reachable });
             }
         }
     }
@@ -247,14 +251,14 @@
         body: &Q,
     ) -> anyhow::Result<R> {
         let client = self.client(address).await?;
-        let sealed = SignedMessage::sign(&self.keys, method, body)?;
+        let signed = SignedMessage::sign(&self.keys, method, body)?;
         let reply: std::result::Result<SignedMessage, _> =
-            client.request(method, rpc_params![sealed]).await;
+            client.request(method, rpc_params![signed]).await;
         match reply {
-            Ok(sealed) => Ok(open_reply(&self.keys, method, &sealed)?),
-            Err(e) => {
+            Ok(signed) => Ok(verify_reply(&self.keys, method, &signed)?),
+            Err(err) => {
                 self.lock().remove(address);
-                Err(e.into())
+                Err(err.into())
             }
         }
     }
@@ -265,8 +269,8 @@
 
     /// Gets the connection to a host, or makes one.
     async fn client(&self, address: &str) -> anyhow::Result<Arc<Client>> {
-        let found = self.lock().get(address).cloned();
-        if let Some(client) = found.filter(|c| c.is_connected()) {
+        let existing = self.lock().get(address).cloned();
+        if let Some(client) = existing.filter(|c| c.is_connected()) {
             return Ok(client);
         }
         let url = Url::parse(&format!("ws://{address}"))?;
@@ -280,7 +284,7 @@
         let client = Arc::new(client);
         let mut clients = self.lock();
         clients.retain(|_, c| c.is_connected());
-        if clients.len() >= MOST_CLIENTS {
+        if clients.len() >= MAX_CLIENTS {
             clients.clear();
         }
         clients.insert(address.to_string(), client.clone());
@@ -288,10 +292,10 @@
     }
 }
 
-fn open_reply<R: DeserializeOwned>(
+fn verify_reply<R: DeserializeOwned>(
     keys: &KeyRing,
     method: &str,
-    sealed: &SignedMessage,
+    signed: &SignedMessage,
 ) -> Result<R> {
-    sealed.verify(keys, method)
+    signed.verify(keys, method)
 }
--- a/crates/tidetrack-router/src/platform_io.rs
+++ b/crates/tidetrack-router/src/platform_io.rs
@@ -16,24 +16,24 @@
 use tidetrack_core::ids::RolloutId;
 use tidetrack_wire::platform::config_object_name;
 
-use crate::control::Msg;
-use crate::shared::{PlatformDuty, Shared};
+use crate::control::ControlMsg;
+use crate::shared::{ReadPlan, Shared};
 
 /// A watch waits so long for a change.
-const WATCH_MS: u64 = 1_000;
+const WATCH_TIMEOUT_MS: u64 = 1_000;
 
 /// Pause between looks at whether something is to be read.
-const IDLE: Duration = Duration::from_millis(100);
+const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Pauses after failures, doubling from the first to the last.
-const BACKOFF_MS: (u64, u64) = (100, 2_000);
+const BACKOFF_RANGE_MS: (u64, u64) = (100, 2_000);
 
 /// A roll-out's state to write.
-pub struct StateJob {
+pub struct StateWrite {
     /// The roll-out.
     pub rollout: RolloutId,
     /// The version that the write expects.
-    pub expected: u64,
+    pub expected_version: u64,
     /// The state.
     pub state: RolloutState,
 }
@@ -42,61 +42,62 @@
 ///
 /// The time to the next read counts from the end of the last: a slow one is not begun again at once.
 pub fn hosts_loop(shared: Arc<Shared>, stop: Receiver<()>) {
-    let every = Duration::from_millis(shared.settings.times.hosts_ms);
+    let interval = Duration::from_millis(shared.settings.times.hosts_ms);
     let mut read_at: Option<Instant> = None;
-    let mut is_lost = false;
+    let mut is_unreachable = false;
     loop {
-        let duty = shared.gate.duty();
-        let is_due = read_at.is_none_or(|at| at.elapsed() >= every);
-        if is_due && (duty.watcher || duty.alone || read_at.is_none()) {
+        let read_plan = shared.admission.read_plan();
+        let is_due = read_at.is_none_or(|at| at.elapsed() >= interval);
+        if is_due && (read_plan.is_watcher || read_plan.is_alone || read_at.is_none()) {
             match shared.platform.hosts() {
                 Ok(hosts) => {
-                    is_lost = false;
+                    is_unreachable = false;
                     // The control thread is gone only when the process ends.
-                    let _ = shared.control.send(Msg::Hosts(hosts));
+                    let _ = shared.control.send(ControlMsg::Hosts(hosts));
                 }
-                Err(e) if !is_lost => {
-                    is_lost = true;
-                    shared.log(Event::PlatformLost, &format!("the list of hosts: {e}"));
+                Err(err) if !is_unreachable => {
+                    is_unreachable = true;
+                    shared.log(Event::PlatformLost, &format!("the list of hosts: {err}"));
                 }
                 Err(_) => {}
             }
             read_at = Some(Instant::now());
         }
-        if stop.recv_timeout(IDLE) == Err(RecvTimeoutError::Disconnected) {
+        if stop.recv_timeout(IDLE_POLL_INTERVAL) == Err(RecvTimeoutError::Disconnected) {
             return;
         }
     }
 }
 
 /// Reads the configuration until `stop` is closed.
-pub fn read_loop(shared: Arc<Shared>, stop: Receiver<()>) {
+pub fn config_loop(shared: Arc<Shared>, stop: Receiver<()>) {
     let mut failures = 0;
     let mut rng = rand::rng();
-    let mut read_to = 0;
+    let mut read_revision = 0;
     loop {
-        let duty = shared.gate.duty();
-        let wait = match read_once(&shared, duty, &mut read_to) {
+        let read_plan = shared.admission.read_plan();
+        let wait = match read_config(&shared, read_plan, &mut read_revision) {
             Ok(true) => {
                 if failures > 0 {
                     shared.log(Event::PlatformBack, "");
                 }
                 failures = 0;
                 // A watch waits at the object API; whoever reads once waits until that is taken in.
-                if duty.is_watch() {
+                if read_plan.is_long_poll() {
                     Duration::ZERO
                 } else {
-                    IDLE
+                    IDLE_POLL_INTERVAL
                 }
             }
-            Ok(false) => IDLE,
-            Err(e) => {
+            Ok(false) => IDLE_POLL_INTERVAL,
+            Err(err) => {
                 if failures == 0 {
-                    shared.log(Event::PlatformLost, &e.to_string());
+                    shared.log(Event::PlatformLost, &err.to_string());
                 }
                 failures += 1;
-                let most = (BACKOFF_MS.0 << failures.min(8)).min(BACKOFF_MS.1);
-                Duration::from_millis(rng.random_range(BACKOFF_MS.0..=most))
+                let max_backoff_ms =
+                    (BACKOFF_RANGE_MS.0 << failures.min(8)).min(BACKOFF_RANGE_MS.1);
+                Duration::from_millis(rng.random_range(BACKOFF_RANGE_MS.0..=max_backoff_ms))
             }
         };
         if stop.recv_timeout(wait) == Err(RecvTimeoutError::Disconnected) {
@@ -107,49 +108,55 @@
 
 /// Reads what is due; tells whether anything was read.
 ///
-/// `read_to` is the revision up to which everything was handed to the control thread. It takes that in
+/// `read_revision` is the revision up to which everything was handed to the control thread. It takes that in
 /// in order but later: to ask by its own revision alone would read the same changes again.
-fn read_once(shared: &Shared, duty: PlatformDuty, read_to: &mut u64) -> Result<bool> {
-    let asked_at = shared.now();
-    let after = duty.complete_to.max(*read_to);
-    if after == 0 {
-        return list(shared, read_to);
+fn read_config(shared: &Shared, read_plan: ReadPlan, read_revision: &mut u64) -> Result<bool> {
+    let requested_at = shared.now();
+    let after_revision = read_plan.complete_to.max(*read_revision);
+    if after_revision == 0 {
+        return read_list(shared, read_revision);
     }
-    if !duty.watcher && !duty.poll {
+    if !read_plan.is_watcher && !read_plan.needs_poll {
         return Ok(false);
     }
-    let wait = if duty.is_watch() { WATCH_MS } else { 0 };
-    match shared.platform.watch_config(after, wait) {
+    let wait = if read_plan.is_long_poll() { WATCH_TIMEOUT_MS } else { 0 };
+    match shared.platform.watch_config(after_revision, wait) {
         Ok(delta) => {
-            *read_to = after.max(delta.to);
+            *read_revision = after_revision.max(delta.to);
             // A watch says what was newest when it answered; what it was asked at is the safe side.
-            let _ = shared.control.send(Msg::Changes { asked_at, delta });
+            let _ = shared.control.send(ControlMsg::Changes { requested_at, delta });
             Ok(true)
         }
-        Err(e) if e.code == Code::ObjectGone => list(shared, read_to),
-        Err(e) => Err(e),
+        Err(err) if err.code == Code::ObjectGone => read_list(shared, read_revision),
+        Err(err) => Err(err),
     }
 }
 
-fn list(shared: &Shared, read_to: &mut u64) -> Result<bool> {
-    let asked_at = shared.now();
+fn read_list(shared: &Shared, read_revision: &mut u64) -> Result<bool> {
+    let requested_at = shared.now();
     let (revision, entries) = shared.platform.list_config()?;
-    *read_to = revision.max(*read_to);
-    let _ = shared.control.send(Msg::List { asked_at, revision, entries });
+    *read_revision = revision.max(*read_revision);
+    let _ = shared.control.send(ControlMsg::List { requested_at, revision, entries });
     Ok(true)
 }
 
 /// Writes roll-out states until all senders are gone.
-pub fn write_loop(shared: Arc<Shared>, jobs: Receiver<StateJob>) {
-    for job in jobs {
-        let name = config_object_name(&ObjectKey::new(ObjectKind::RolloutState, &job.rollout));
-        let body = serde_json::to_string(&job.state).expect("a state has text keys");
-        let written = shared.platform.write_confirmed(&name, job.expected, &body);
-        let version = written.map_or(0, |w| w.version);
-        let msg = Msg::StateWritten { rollout: job.rollout, version, state: job.state };
-        let _ = shared.control.send(msg);
+pub fn state_write_loop(shared: Arc<Shared>, state_writes: Receiver<StateWrite>) {
+    for state_write in state_writes {
+        let name =
+            config_object_name(&ObjectKey::new(ObjectKind::RolloutState, &state_write.rollout));
+        let body = serde_json::to_string(&state_write.state).expect("a state has text keys");
+        let write_result =
+            shared.platform.write_confirmed(&name, state_write.expected_version, &body);
+        let version = write_result.map_or(0, |w| w.version);
+        let message = ControlMsg::StateWritten {
+            rollout: state_write.rollout,
+            version,
+            state: state_write.state,
+        };
+        let _ = shared.control.send(message);
         if version == 0 {
-            std::thread::sleep(Duration::from_millis(BACKOFF_MS.0));
+            std::thread::sleep(Duration::from_millis(BACKOFF_RANGE_MS.0));
         }
     }
 }
--- a/crates/tidetrack-router/src/rating.rs
+++ b/crates/tidetrack-router/src/rating.rs
@@ -55,8 +55,8 @@
 pub fn offer(shared: &Shared, job: RateJob) {
     let sampled = hash_fraction("rate", &job.ask.request) < PROVEN_SHARE;
     let wanted = shared.settings.rating.is_some() && (job.unproven || sampled);
-    if wanted && shared.ratings.try_send(job).is_err() {
-        shared.metrics.event("rating_left_out");
+    if wanted && shared.rating_jobs.try_send(job).is_err() {
+        shared.metrics.count_event("rating_left_out");
     }
 }
 
@@ -68,9 +68,9 @@
             Ok(score) => {
                 let mut counts = VersionCounts::default();
                 counts.add_rating(score);
-                shared.count(&job.version, job.generation, job.unproven, counts);
+                shared.record_counts(&job.version, job.generation, job.unproven, counts);
             }
-            Err(_) => shared.metrics.event("rating_failed"),
+            Err(_) => shared.metrics.count_event("rating_failed"),
         }
     }
 }
--- a/crates/tidetrack-router/src/router.rs
+++ b/crates/tidetrack-router/src/router.rs
@@ -22,50 +22,50 @@
 use tidetrack_wire::platform::PlatformClient;
 
 use crate::billing::{self, BillMsg, Billing, KeeperThread};
-use crate::control::{Control, Msg, Outlets};
+use crate::control::{Control, ControlMsg, ControlOutputs};
 use crate::metrics::Metrics;
-use crate::peers::{self, Peers};
-use crate::server::Listening;
+use crate::peers::{self, PeerServiceParams};
+use crate::server::CallerListener;
 use crate::settings::Settings;
-use crate::shared::{Clock, Gate, Shared};
+use crate::shared::{AdmissionState, Clock, Shared};
 use crate::timers::Timers;
 use crate::upstream::Upstream;
 use crate::{loads, platform_io, rating, server, upstream};
 
 /// The control thread looks around this often.
-const TICK: Duration = Duration::from_millis(25);
+const TICK_INTERVAL: Duration = Duration::from_millis(25);
 
 /// Tickets are swept this often.
-const SWEEP: Duration = Duration::from_secs(5);
+const TICKET_SWEEP_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Stack of a thread that carries requests, in bytes.
-const TRAFFIC_STACK: usize = 256 * 1024;
+const TRAFFIC_STACK_BYTES: usize = 256 * 1024;
 
 /// Stack of the other threads, in bytes.
-const SMALL_STACK: usize = 256 * 1024;
+const DEFAULT_STACK_BYTES: usize = 256 * 1024;
 
 /// Threads that cancel attempts.
 const CANCEL_THREADS: usize = 2;
 
 /// Pause between looks at whether a planned stop has come to its end.
-const DRAIN_LOOK: Duration = Duration::from_millis(10);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Bills must stand or be held within this time at a planned stop.
-const LAST_FLUSH: Duration = Duration::from_secs(30);
+const FINAL_FLUSH_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A running router.
 pub struct Router {
     shared: Arc<Shared>,
-    listening: Listening,
+    caller_listener: CallerListener,
     caller_address: String,
     peer_address: String,
-    bills: Sender<BillMsg>,
-    stop: Option<Sender<()>>,
+    bill_messages: Sender<BillMsg>,
+    stop_sender: Option<Sender<()>>,
     threads: Vec<JoinHandle<()>>,
 }
 
-fn spawn(name: &str, stack: usize, f: impl FnOnce() + Send + 'static) -> Result<JoinHandle<()>> {
-    Ok(Builder::new().name(name.to_string()).stack_size(stack).spawn(f)?)
+fn spawn(name: &str, stack: usize, body: impl FnOnce() + Send + 'static) -> Result<JoinHandle<()>> {
+    Ok(Builder::new().name(name.to_string()).stack_size(stack).spawn(body)?)
 }
 
 fn listen(address: &str) -> Result<TcpListener> {
@@ -78,14 +78,14 @@
 impl Router {
     /// Starts a router; it serves when this returns, and is ready once it has a configuration.
     pub fn start(settings: Settings, logger: slog::Logger) -> Result<Router> {
-        let callers = listen(&settings.caller_address)?;
-        let others = listen(&settings.peer_address)?;
-        let caller_address = callers.local_addr()?.to_string();
-        let peer_address = others.local_addr()?.to_string();
-        let own =
+        let caller_socket = listen(&settings.caller_address)?;
+        let peer_socket = listen(&settings.peer_address)?;
+        let caller_address = caller_socket.local_addr()?.to_string();
+        let peer_address = peer_socket.local_addr()?.to_string();
+        let incarnation =
             Incarnation { host: settings.host.clone(), nonce: u64::from(rand::random::<u32>()) };
         let member = Member {
-            incarnation: own.clone(),
+            incarnation: incarnation.clone(),
             state_version: 1,
             state: MemberState::Alive,
             peer_address: settings.advertised_peer_address.clone().unwrap_or(peer_address.clone()),
@@ -108,92 +108,117 @@
         let bills_tx = billing.sender();
         let platform = PlatformClient::new(&settings.platform);
         let shared = Arc::new(Shared {
-            own: own.clone(),
+            incarnation: incarnation.clone(),
             clock: Clock::start(),
             view: ArcSwap::from_pointee(View::default()),
-            gate: Gate::default(),
-            leaving: AtomicBool::new(false),
+            admission: AdmissionState::default(),
+            is_leaving: AtomicBool::new(false),
             limits: Arc::default(),
             suspects: Arc::new(Suspects::new(settings.suspects)),
-            tickets: Mutex::new(TicketRegistry::new(own.clone(), TicketOptions::default())),
-            retries: Mutex::default(),
+            tickets: Mutex::new(TicketRegistry::new(incarnation.clone(), TicketOptions::default())),
+            retry_budget: Mutex::default(),
             control: control_tx.clone(),
             billing: billing.clone(),
-            ratings: ratings_tx,
+            rating_jobs: ratings_tx,
             timers: timers.clone(),
             platform: platform.clone(),
             metrics: Metrics::new()?,
             logger: logger.clone(),
-            numbers: AtomicU64::new(0),
+            request_count: AtomicU64::new(0),
             in_flight: AtomicU64::new(0),
-            reading: AtomicU64::new(0),
+            body_reads: AtomicU64::new(0),
             settings,
         });
         let settings = &shared.settings;
         let mut threads = Vec::new();
         peers::start(
-            Peers {
+            PeerServiceParams {
                 host: settings.host.clone(),
                 keys: settings.peer_keys.clone(),
                 jobs: jobs_rx,
                 control: control_tx.clone(),
-                bills: bills_tx.clone(),
+                bill_messages: bills_tx.clone(),
                 logger: logger.clone(),
             },
-            others,
+            peer_socket,
         )?;
-        let flush_every = Millis(settings.times.flush_ms);
-        let keeper = KeeperThread {
-            keeper: BillReplicator::new(shared.now(), own.clone(), flush_every),
+        let flush_interval = Millis(settings.times.flush_ms);
+        let replicator_thread = KeeperThread {
+            keeper: BillReplicator::new(shared.now(), incarnation.clone(), flush_interval),
             clock: shared.clock,
             jobs: jobs_tx.clone(),
             control: control_tx.clone(),
             segments: segments_tx,
         };
-        spawn("bills", SMALL_STACK, move || keeper.run(&billing, bills_rx))?;
-        let done = bills_tx.clone();
+        spawn("bills", DEFAULT_STACK_BYTES, move || replicator_thread.run(&billing, bills_rx))?;
+        let write_results = bills_tx.clone();
         let log = logger.clone();
-        spawn("segments", SMALL_STACK, move || {
-            billing::write_loop(platform, segments_rx, done, log);
+        spawn("segments", DEFAULT_STACK_BYTES, move || {
+            billing::write_loop(platform, segments_rx, write_results, log);
         })?;
-        let outlets = Outlets { jobs: jobs_tx, bills: bills_tx.clone(), states: states_tx };
-        let control = Control::new(shared.clone(), node, outlets);
-        threads.push(spawn("control", SMALL_STACK * 4, move || control.run(control_rx))?);
-        let (s, stop) = (shared.clone(), stop_rx.clone());
-        spawn("platform", SMALL_STACK, move || platform_io::read_loop(s, stop))?;
-        let (s, stop) = (shared.clone(), stop_rx.clone());
-        spawn("hosts", SMALL_STACK, move || platform_io::hosts_loop(s, stop))?;
-        let s = shared.clone();
-        spawn("states", SMALL_STACK, move || platform_io::write_loop(s, states_rx))?;
-        let (s, stop) = (shared.clone(), stop_rx);
-        spawn("loads", SMALL_STACK, move || loads::run(s, stop))?;
+        let outputs = ControlOutputs {
+            peer_jobs: jobs_tx,
+            bill_messages: bills_tx.clone(),
+            state_writes: states_tx,
+        };
+        let control = Control::new(shared.clone(), node, outputs);
+        threads.push(spawn("control", DEFAULT_STACK_BYTES * 4, move || control.run(control_rx))?);
+        let (thread_shared, stop) = (shared.clone(), stop_rx.clone());
+        spawn("platform", DEFAULT_STACK_BYTES, move || {
+            platform_io::config_loop(thread_shared, stop)
+        })?;
+        let (thread_shared, stop) = (shared.clone(), stop_rx.clone());
+        spawn("hosts", DEFAULT_STACK_BYTES, move || platform_io::hosts_loop(thread_shared, stop))?;
+        let thread_shared = shared.clone();
+        spawn("states", DEFAULT_STACK_BYTES, move || {
+            platform_io::state_write_loop(thread_shared, states_rx)
+        })?;
+        let (thread_shared, stop) = (shared.clone(), stop_rx);
+        spawn("loads", DEFAULT_STACK_BYTES, move || loads::run(thread_shared, stop))?;
         for _ in 0..rating::THREADS {
-            let (s, jobs) = (shared.clone(), ratings_rx.clone());
-            spawn("ratings", SMALL_STACK, move || rating::run(s, jobs))?;
+            let (thread_shared, jobs) = (shared.clone(), ratings_rx.clone());
+            spawn("ratings", DEFAULT_STACK_BYTES, move || rating::run(thread_shared, jobs))?;
         }
         for _ in 0..CANCEL_THREADS {
             let cancels = cancels_rx.clone();
-            spawn("cancels", SMALL_STACK, move || upstream::cancel_loop(cancels))?;
+            spawn("cancels", DEFAULT_STACK_BYTES, move || upstream::cancel_loop(cancels))?;
         }
-        let (errands_tx, errands_rx) = flume::unbounded();
-        let upstream = Upstream { errands: errands_tx, cancels: cancels_tx };
-        let (taken_tx, taken_rx) = flume::bounded(settings.limits.waiting);
+        let (endpoint_requests_tx, endpoint_requests_rx) = flume::unbounded();
+        let upstream = Upstream { errands: endpoint_requests_tx, cancels: cancels_tx };
+        let (queue_sender, queue_receiver) = flume::bounded(settings.limits.waiting);
         for _ in 0..settings.limits.threads {
-            let (s, taken, upstream) = (shared.clone(), taken_rx.clone(), upstream.clone());
-            spawn("traffic", TRAFFIC_STACK, move || server::traffic_loop(s, taken, upstream))?;
+            let (thread_shared, queued_requests, upstream) =
+                (shared.clone(), queue_receiver.clone(), upstream.clone());
+            spawn("traffic", TRAFFIC_STACK_BYTES, move || {
+                server::process_requests(thread_shared, queued_requests, upstream)
+            })?;
         }
-        let (listening, end) = Listening::new();
-        let s = shared.clone();
-        spawn("callers", SMALL_STACK * 2, move || {
-            if let Err(e) = server::serve_callers(s.clone(), callers, end, taken_tx, errands_rx) {
-                s.log(Event::AcceptFailed, &e.to_string());
+        let (caller_listener, stop_signal) = CallerListener::new();
+        let thread_shared = shared.clone();
+        spawn("callers", DEFAULT_STACK_BYTES * 2, move || {
+            if let Err(err) = server::serve_callers(
+                thread_shared.clone(),
+                caller_socket,
+                stop_signal,
+                queue_sender,
+                endpoint_requests_rx,
+            ) {
+                thread_shared.log(Event::AcceptFailed, &err.to_string());
             }
         })?;
-        subscribe(&timers, &shared);
-        shared.log(Event::Started, &format!("{own} {caller_address} {peer_address}"));
-        let stop = Some(stop_tx);
-        let bills = bills_tx;
-        Ok(Router { shared, listening, caller_address, peer_address, bills, stop, threads })
+        subscribe_timers(&timers, &shared);
+        shared.log(Event::Started, &format!("{incarnation} {caller_address} {peer_address}"));
+        let stop_sender = Some(stop_tx);
+        let bill_messages = bills_tx;
+        Ok(Router {
+            shared,
+            caller_listener,
+            caller_address,
+            peer_address,
+            bill_messages,
+            stop_sender,
+            threads,
+        })
     }
 
     /// Gets the address for callers.
@@ -218,28 +243,28 @@
         let shared = self.shared.clone();
         let times = shared.settings.times.clone();
         shared.log(Event::Stopping, "");
-        shared.leaving.store(true, Ordering::Release);
-        let _ = shared.control.send(Msg::Announce(MemberState::Leaving));
+        shared.is_leaving.store(true, Ordering::Release);
+        let _ = shared.control.send(ControlMsg::Announce(MemberState::Leaving));
         // Balancers see readiness say no before requests are refused.
         std::thread::sleep(Duration::from_millis(times.grace_ms));
-        shared.gate.drain();
+        shared.admission.drain();
         let drained = wait_until(Duration::from_millis(times.drain_ms), || {
             shared.in_flight.load(Ordering::Acquire) == 0
         });
-        let safe = wait_until(LAST_FLUSH, || shared.billing.flush());
-        let _ = shared.control.send(Msg::Announce(MemberState::Dead));
-        // One beat of the links carries the farewell; without it the others find out by silence.
+        let is_billing_flushed = wait_until(FINAL_FLUSH_TIMEOUT, || shared.billing.flush());
+        let _ = shared.control.send(ControlMsg::Announce(MemberState::Dead));
+        // One beat of the links carries the farewell; without it the peer_socket find out by silence.
         std::thread::sleep(Duration::from_millis(shared.settings.control.heartbeat_ms));
-        shared.log(Event::Stopped, &format!("drained={drained} bills_safe={safe}"));
-        self.end();
-        drained && safe
+        shared.log(Event::Stopped, &format!("drained={drained} bills_safe={is_billing_flushed}"));
+        self.shut_down();
+        drained && is_billing_flushed
     }
 
-    fn end(&mut self) {
-        self.stop = None;
-        self.listening.stop();
-        let _ = self.bills.send(BillMsg::Stop);
-        let _ = self.shared.control.send(Msg::Stop);
+    fn shut_down(&mut self) {
+        self.stop_sender = None;
+        self.caller_listener.stop();
+        let _ = self.bill_messages.send(BillMsg::Stop);
+        let _ = self.shared.control.send(ControlMsg::Stop);
         for thread in self.threads.drain(..) {
             // A panic of the control thread was printed when it happened.
             drop(thread.join());
@@ -249,15 +274,15 @@
 
 impl Drop for Router {
     fn drop(&mut self) {
-        self.end();
+        self.shut_down();
     }
 }
 
-fn subscribe(timers: &Timers, shared: &Arc<Shared>) {
+fn subscribe_timers(timers: &Timers, shared: &Arc<Shared>) {
     let control = shared.control.clone();
-    timers.subscribe(TICK, move || control.send(Msg::Tick).is_ok());
-    let tickets = Arc::downgrade(shared);
-    timers.subscribe(SWEEP, move || match tickets.upgrade() {
+    timers.subscribe(TICK_INTERVAL, move || control.send(ControlMsg::Tick).is_ok());
+    let weak_shared = Arc::downgrade(shared);
+    timers.subscribe(TICKET_SWEEP_INTERVAL, move || match weak_shared.upgrade() {
         Some(shared) => {
             shared.tickets().remove_expired(shared.now());
             true
@@ -266,15 +291,15 @@
     });
 }
 
-fn wait_until(most: Duration, mut done: impl FnMut() -> bool) -> bool {
-    let until = Instant::now() + most;
+fn wait_until(timeout: Duration, mut condition: impl FnMut() -> bool) -> bool {
+    let deadline = Instant::now() + timeout;
     loop {
-        if done() {
+        if condition() {
             return true;
         }
-        if Instant::now() >= until {
+        if Instant::now() >= deadline {
             return false;
         }
-        std::thread::sleep(DRAIN_LOOK);
+        std::thread::sleep(STOP_POLL_INTERVAL);
     }
 }
--- a/crates/tidetrack-router/src/server.rs
+++ b/crates/tidetrack-router/src/server.rs
@@ -42,72 +42,75 @@
 use crate::callers::{self, ReplyBody, Request};
 use crate::chat::{self, Caller};
 use crate::errands::{self, Errand};
-use crate::metrics::Labels;
+use crate::metrics::RequestLabels;
 use crate::outcome::{self, AnswerHeaders};
 use crate::services::{self, SERVICES_PATH};
 use crate::shared::Shared;
 use crate::upstream::Upstream;
 
 /// Bodies up to this size, in bytes, have arrived with the head.
-const SMALL_BODY: usize = 1024;
+const SMALL_BODY_BYTES: usize = 1024;
 
 /// Multiple of the largest body that is read and dropped, so that the caller sees the refusal.
-const DROPPED_TIMES: usize = 2;
+const MAX_DISCARDED_RATIO: usize = 2;
 
 /// When to come back to a host whose threads or bodies are at their bound, in milliseconds.
-const RETRY_BUSY_MS: u64 = 1_000;
+const OVERLOAD_RETRY_AFTER_MS: u64 = 1_000;
 
 /// Largest head of a request in bytes.
-const HEAD_BYTES: usize = 64 << 10;
+const MAX_HEAD_BYTES: usize = 64 << 10;
 
 /// Longest time for a head to arrive.
-const HEAD_TIME: Millis = Millis(10_000);
+const HEAD_TIMEOUT: Millis = Millis(10_000);
 
 /// Longest rest of a kept connection.
-const IDLE_TIME: Millis = Millis(60_000);
+const IDLE_TIMEOUT: Millis = Millis(60_000);
 
 /// A request that was taken, with when it came.
-pub struct Taken {
+pub struct QueuedRequest {
     request: Request,
-    began: Instant,
+    received_at: Instant,
 }
 
 /// The listening side for callers: an event loop on a thread of its own.
-pub struct Listening {
-    stop: flume::Sender<()>,
-    stopped: flume::Receiver<()>,
+pub struct CallerListener {
+    stop_sender: flume::Sender<()>,
+    stopped_receiver: flume::Receiver<()>,
 }
 
-impl Listening {
+impl CallerListener {
     /// Makes the two ends of the listening side's stop.
-    pub fn new() -> (Listening, ListeningEnd) {
-        let (stop, asked) = flume::bounded(1);
-        let (done, stopped) = flume::bounded(1);
-        (Listening { stop, stopped }, ListeningEnd { asked, done })
+    pub fn new() -> (CallerListener, StopSignal) {
+        let (stop_sender, stop_receiver) = flume::bounded(1);
+        let (stopped_sender, stopped_receiver) = flume::bounded(1);
+        (
+            CallerListener { stop_sender, stopped_receiver },
+            StopSignal { stop_receiver, stopped_sender },
+        )
     }
 
     /// Takes no more requests, and closes all connections.
     pub fn stop(&self) {
         // It may have stopped before; then nothing is left to wait for.
-        if self.stop.try_send(()).is_ok() {
-            let _ = self.stopped.recv();
+        if self.stop_sender.try_send(()).is_ok() {
+            let _ = self.stopped_receiver.recv();
         }
     }
 }
 
 /// The event loop's end of a stop.
-pub struct ListeningEnd {
-    asked: flume::Receiver<()>,
-    done: flume::Sender<()>,
+pub struct StopSignal {
+    stop_receiver: flume::Receiver<()>,
+    stopped_sender: flume::Sender<()>,
 }
 
 /// Serves callers' connections, and asks endpoints for them, on the present thread until the listening side is stopped.
 pub fn serve_callers(
     shared: Arc<Shared>,
     listener: TcpListener,
-    end: ListeningEnd,
-    threads: Sender<Taken>,
-    errands: Receiver<Errand>,
+    stop_signal: StopSignal,
+    request_queue: Sender<QueuedRequest>,
+    endpoint_requests: Receiver<Errand>,
 ) -> std::io::Result<()> {
     let runtime = Builder::new_current_thread().enable_io().enable_time().build()?;
     listener.set_nonblocking(true)?;
@@ -115,168 +118,182 @@
     local.block_on(&runtime, async move {
         let listener = tokio::net::TcpListener::from_std(listener)?;
         let (_stage, stage_seen) = watch::channel(StopStage::Serving);
-        let opts = server_options(shared, threads);
-        tokio::task::spawn_local(errands::run(errands));
+        let opts = server_options(shared, request_queue);
+        tokio::task::spawn_local(errands::run(endpoint_requests));
         tokio::task::spawn_local(accept_loop(listener, opts, Rc::default(), stage_seen));
         // The other end is gone when the process ends.
-        let _ = end.asked.recv_async().await;
+        let _ = stop_signal.stop_receiver.recv_async().await;
         std::io::Result::Ok(())
     })?;
     drop(local);
     // Nobody waits where the other end is gone.
-    let _ = end.done.try_send(());
+    let _ = stop_signal.stopped_sender.try_send(());
     Ok(())
 }
 
-fn server_options(shared: Arc<Shared>, threads: Sender<Taken>) -> ServerOptions {
+fn server_options(shared: Arc<Shared>, request_queue: Sender<QueuedRequest>) -> ServerOptions {
     let limits = &shared.settings.limits;
     let caller_limits = CallerLimits {
-        max_head_bytes: HEAD_BYTES,
+        max_head_bytes: MAX_HEAD_BYTES,
         max_body_bytes: limits.body_bytes,
-        head_timeout: HEAD_TIME,
-        idle_timeout: IDLE_TIME,
+        head_timeout: HEAD_TIMEOUT,
+        idle_timeout: IDLE_TIMEOUT,
     };
-    let (for_log, for_closes, closes) = (shared.clone(), shared.clone(), Closes::default());
+    let (accept_shared, close_shared, closes) = (shared.clone(), shared.clone(), Closes::default());
     ServerOptions {
         most_connections: limits.connections,
         limits: Rc::new(move || caller_limits),
-        accept_failed: Rc::new(move |e| for_log.log(Event::AcceptFailed, &e.to_string())),
+        accept_failed: Rc::new(move |err| accept_shared.log(Event::AcceptFailed, &err.to_string())),
         closed: Rc::new(move |closed| {
-            if let Some(left_out) = closes.take(closed) {
-                let text = format!("{closed} more_before={left_out}");
-                for_closes.log(Event::CallerClosed, &text);
+            if let Some(suppressed_count) = closes.take(closed) {
+                let detail = format!("{closed} more_before={suppressed_count}");
+                close_shared.log(Event::CallerClosed, &detail);
             }
         }),
-        handler: Rc::new(move |req| Box::pin(take(shared.clone(), threads.clone(), req))),
+        handler: Rc::new(move |req| {
+            Box::pin(dispatch_request(shared.clone(), request_queue.clone(), req))
+        }),
     }
 }
 
 /// Counts an answer as under way until its connection is done with it.
-struct UnderWay(Arc<Shared>);
+struct InFlightGuard(Arc<Shared>);
 
-impl UnderWay {
-    fn new(shared: &Arc<Shared>) -> UnderWay {
+impl InFlightGuard {
+    fn new(shared: &Arc<Shared>) -> InFlightGuard {
         shared.in_flight.fetch_add(1, Ordering::AcqRel);
-        UnderWay(shared.clone())
+        InFlightGuard(shared.clone())
     }
 }
 
-impl Drop for UnderWay {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.in_flight.fetch_sub(1, Ordering::AcqRel);
     }
 }
 
 /// Reads a request, hands it to a thread and waits for the head of its answer.
-async fn take(shared: Arc<Shared>, threads: Sender<Taken>, req: http::Request<Incoming>) -> Answer {
-    let began = Instant::now();
-    let under_way = UnderWay::new(&shared);
+async fn dispatch_request(
+    shared: Arc<Shared>,
+    request_queue: Sender<QueuedRequest>,
+    req: http::Request<Incoming>,
+) -> Answer {
+    let received_at = Instant::now();
+    let in_flight_guard = InFlightGuard::new(&shared);
     let (head, body) = req.into_parts();
     let body = read_body(&shared, &head.headers, body).await;
-    let (reply, answer) = oneshot::channel();
-    let taken = Taken { request: Request::new(head, body, reply), began };
-    match threads.try_send(taken) {
+    let (reply_sender, reply_receiver) = oneshot::channel();
+    let queued = QueuedRequest { request: Request::new(head, body, reply_sender), received_at };
+    match request_queue.try_send(queued) {
         Ok(()) => {}
-        Err(TrySendError::Full(taken)) => {
-            let e = Error::new(Code::Overloaded, "all threads of the host are busy");
-            refuse(&shared, taken.request, &e.with_retry_after(RETRY_BUSY_MS));
+        Err(TrySendError::Full(queued)) => {
+            let err = Error::new(Code::Overloaded, "all threads of the host are busy");
+            reject_request(&shared, queued.request, &err.with_retry_after(OVERLOAD_RETRY_AFTER_MS));
         }
         // The threads are gone; the request is dropped and answered below.
         Err(TrySendError::Disconnected(_)) => {}
     }
-    let resp = answer.await.unwrap_or_else(|_| {
+    let response = reply_receiver.await.unwrap_or_else(|_| {
         // The thread panicked, or the process ends.
         callers::head(500).map(|()| ReplyBody::Whole(Bytes::new()))
     });
-    resp.map(|body| AnswerBody::from(body).on_end(move || drop(under_way)))
+    response.map(|body| AnswerBody::from(body).on_end(move || drop(in_flight_guard)))
 }
 
 /// Reads a body within its bounds of size and time.
 async fn read_body(shared: &Shared, headers: &HeaderMap, body: Incoming) -> Result<Bytes> {
     let limits = &shared.settings.limits;
-    let announced = headers.get(CONTENT_LENGTH).and_then(|v| v.to_str().ok()?.parse().ok());
-    let reading = Counted::new(&shared.reading);
-    let is_large = announced.map_or(!body.is_end_stream(), |n: usize| n > SMALL_BODY);
+    let content_length = headers.get(CONTENT_LENGTH).and_then(|v| v.to_str().ok()?.parse().ok());
+    let body_reads = CounterGuard::new(&shared.body_reads);
+    let is_large = content_length.map_or(!body.is_end_stream(), |n: usize| n > SMALL_BODY_BYTES);
     // What bodies on their way take of the memory is bounded.
-    if is_large && reading.0.load(Ordering::Acquire) as usize > limits.threads.div_ceil(2) {
-        let e = Error::new(Code::Overloaded, "too many bodies are on their way");
-        return Err(e.with_retry_after(RETRY_BUSY_MS));
+    if is_large && body_reads.0.load(Ordering::Acquire) as usize > limits.threads.div_ceil(2) {
+        let err = Error::new(Code::Overloaded, "too many bodies are on their way");
+        return Err(err.with_retry_after(OVERLOAD_RETRY_AFTER_MS));
     }
-    let late = |_| {
+    let timeout_error = |_| {
         let message = format!("the body took longer than {} ms", limits.body_ms);
         Error::new(Code::TooSlow, message)
     };
-    let collected = collect(body, limits.body_bytes);
-    tokio::time::timeout(Duration::from_millis(limits.body_ms), collected).await.map_err(late)?
+    let body_read = collect_body(body, limits.body_bytes);
+    tokio::time::timeout(Duration::from_millis(limits.body_ms), body_read)
+        .await
+        .map_err(timeout_error)?
 }
 
-async fn collect(mut body: Incoming, most: usize) -> Result<Bytes> {
-    let mut whole = Vec::new();
-    let mut read = 0;
+async fn collect_body(mut body: Incoming, max_bytes: usize) -> Result<Bytes> {
+    let mut collected = Vec::new();
+    let mut total_bytes = 0;
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|_| outcome::bad_body("the body ends early"))?;
         let Some(data) = frame.data_ref() else { continue };
-        read += data.len();
-        if read <= most {
-            whole.extend_from_slice(data);
-        } else if read > most * DROPPED_TIMES {
+        total_bytes += data.len();
+        if total_bytes <= max_bytes {
+            collected.extend_from_slice(data);
+        } else if total_bytes > max_bytes * MAX_DISCARDED_RATIO {
             break;
         }
     }
-    match read > most {
-        true => Err(Error::new(Code::TooLarge, format!("the body is larger than {most} bytes"))),
-        false => Ok(whole.into()),
+    match total_bytes > max_bytes {
+        true => {
+            Err(Error::new(Code::TooLarge, format!("the body is larger than {max_bytes} bytes")))
+        }
+        false => Ok(collected.into()),
     }
 }
 
 /// Carries requests until the accept loop is gone.
-pub fn traffic_loop(shared: Arc<Shared>, requests: Receiver<Taken>, upstream: Upstream) {
-    for taken in requests {
-        let handled = catch_unwind(AssertUnwindSafe(|| handle(&shared, taken, &upstream)));
+pub fn process_requests(
+    shared: Arc<Shared>,
+    requests: Receiver<QueuedRequest>,
+    upstream: Upstream,
+) {
+    for queued in requests {
+        let handled = catch_unwind(AssertUnwindSafe(|| handle_request(&shared, queued, &upstream)));
         if handled.is_err() {
-            shared.metrics.event("thread_panicked");
+            shared.metrics.count_event("thread_panicked");
             shared.log(Event::ThreadPanicked, "");
         }
     }
 }
 
 /// Counts something for as long as it lives.
-struct Counted<'a>(&'a AtomicU64);
+struct CounterGuard<'a>(&'a AtomicU64);
 
-impl<'a> Counted<'a> {
-    fn new(count: &'a AtomicU64) -> Counted<'a> {
+impl<'a> CounterGuard<'a> {
+    fn new(count: &'a AtomicU64) -> CounterGuard<'a> {
         count.fetch_add(1, Ordering::AcqRel);
-        Counted(count)
+        CounterGuard(count)
     }
 }
 
-impl Drop for Counted<'_> {
+impl Drop for CounterGuard<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::AcqRel);
     }
 }
 
 /// Room within a workspace's limits, given back when dropped.
-struct RoomTaken<'a> {
+struct WorkspacePermit<'a> {
     shared: &'a Shared,
     workspace: WorkspaceId,
 }
 
-impl Drop for RoomTaken<'_> {
+impl Drop for WorkspacePermit<'_> {
     fn drop(&mut self) {
         self.shared.limits().release(&self.workspace);
     }
 }
 
-fn refuse(shared: &Shared, request: Request, e: &Error) {
+fn reject_request(shared: &Shared, request: Request, err: &Error) {
     let id = shared.next_id();
-    outcome::note(shared, &id, &Labels::default(), &Err(e.clone()));
+    outcome::note(shared, &id, &RequestLabels::default(), &Err(err.clone()));
     let headers = AnswerHeaders::new(&id, &request);
-    drop(outcome::send_refusal(request, &headers, e));
+    drop(outcome::send_refusal(request, &headers, err));
 }
 
 /// What a path is.
-enum Page {
+enum ApiPath {
     Health,
     Ready,
     Metrics,
@@ -289,91 +306,99 @@
     Service,
 }
 
-fn page_of(request: &Request) -> Result<Page> {
+fn parse_path(request: &Request) -> Result<ApiPath> {
     let path = request.url().split('?').next().unwrap_or_default();
-    let (page, method) = match path {
-        "/healthz" => (Page::Health, Method::GET),
-        "/readyz" => (Page::Ready, Method::GET),
-        "/metrics" => (Page::Metrics, Method::GET),
-        "/admin/status" => (Page::Status, Method::GET),
-        "/admin/facts" => (Page::Facts, Method::POST),
-        "/v1/chat/completions" => (Page::Chat, Method::POST),
-        "/v1/models" => (Page::Models, Method::GET),
-        "/v1/sessions" => (Page::Sessions, Method::POST),
-        "/v1/tickets" => (Page::Tickets, Method::POST),
-        _ if path.starts_with(SERVICES_PATH) => (Page::Service, request.method().clone()),
+    let (api_path, method) = match path {
+        "/healthz" => (ApiPath::Health, Method::GET),
+        "/readyz" => (ApiPath::Ready, Method::GET),
+        "/metrics" => (ApiPath::Metrics, Method::GET),
+        "/admin/status" => (ApiPath::Status, Method::GET),
+        "/admin/facts" => (ApiPath::Facts, Method::POST),
+        "/v1/chat/completions" => (ApiPath::Chat, Method::POST),
+        "/v1/models" => (ApiPath::Models, Method::GET),
+        "/v1/sessions" => (ApiPath::Sessions, Method::POST),
+        "/v1/tickets" => (ApiPath::Tickets, Method::POST),
+        _ if path.starts_with(SERVICES_PATH) => (ApiPath::Service, request.method().clone()),
         _ => {
-            let shown: String = path.chars().take(80).collect();
-            return Err(unknown_name(Code::UnknownRoute, "path", &shown));
+            let truncated_path: String = path.chars().take(80).collect();
+            return Err(unknown_name(Code::UnknownRoute, "path", &truncated_path));
         }
     };
     match *request.method() == method {
-        true => Ok(page),
+        true => Ok(api_path),
         false => Err(Error::new(Code::BadMethod, format!("{path} takes {method}"))),
     }
 }
 
-fn handle(shared: &Shared, taken: Taken, upstream: &Upstream) {
-    let page = match page_of(&taken.request) {
-        Ok(page) => page,
-        Err(e) => return refuse(shared, taken.request, &e),
+fn handle_request(shared: &Shared, queued: QueuedRequest, upstream: &Upstream) {
+    let api_path = match parse_path(&queued.request) {
+        Ok(api_path) => api_path,
+        Err(err) => return reject_request(shared, queued.request, &err),
     };
-    match page {
-        Page::Health => admin::send(taken.request, admin::health()),
-        Page::Ready => admin::send(taken.request, admin::readiness(shared)),
-        Page::Metrics => admin::send(taken.request, admin::metrics(shared)),
-        Page::Status | Page::Facts => operator(shared, taken.request, &page),
-        other => caller(shared, taken, upstream, &other),
+    match api_path {
+        ApiPath::Health => admin::send_page(queued.request, admin::health()),
+        ApiPath::Ready => admin::send_page(queued.request, admin::readiness(shared)),
+        ApiPath::Metrics => admin::send_page(queued.request, admin::metrics(shared)),
+        ApiPath::Status | ApiPath::Facts => {
+            handle_operator_request(shared, queued.request, &api_path)
+        }
+        other => handle_caller_request(shared, queued, upstream, &other),
     }
 }
 
-fn operator(shared: &Shared, mut request: Request, page: &Page) {
-    let allowed = admin::check_operator(shared, &request);
-    let answer = allowed.and_then(|()| match page {
-        Page::Facts => {
+fn handle_operator_request(shared: &Shared, mut request: Request, api_path: &ApiPath) {
+    let authorized = admin::check_operator(shared, &request);
+    let result = authorized.and_then(|()| match api_path {
+        ApiPath::Facts => {
             let body = request.take_body()?;
-            Ok(serde_json::to_vec(&admin::take_fact(shared, &body)?))
+            Ok(serde_json::to_vec(&admin::add_fact(shared, &body)?))
         }
         _ => Ok(serde_json::to_vec(&admin::status(shared)?)),
     });
     let headers = AnswerHeaders::default();
-    let sent = match answer {
+    let send_result = match result {
         Ok(Ok(body)) => outcome::send_whole(request, &headers, 200, "application/json", body),
-        Ok(Err(e)) => {
-            let e = Error::new(Code::Internal, e.to_string());
-            outcome::send_refusal(request, &headers, &e)
+        Ok(Err(err)) => {
+            let err = Error::new(Code::Internal, err.to_string());
+            outcome::send_refusal(request, &headers, &err)
         }
-        Err(e) => outcome::send_refusal(request, &headers, &e),
+        Err(err) => outcome::send_refusal(request, &headers, &err),
     };
     // An operator that has left asks again.
-    drop(sent);
+    drop(send_result);
 }
 
 /// Finds the workspace of a request.
 fn authenticate(view: &View, request: &Request) -> Result<WorkspaceId> {
-    let no_key = || Error::new(Code::NoKey, "the request carries no bearer key");
-    let key = admin::bearer(request).ok_or_else(no_key)?;
+    let missing_key = || Error::new(Code::NoKey, "the request carries no bearer key");
+    let key = admin::bearer_key(request).ok_or_else(missing_key)?;
     Ok(view.workspace_by_key_digest(&digest(key.as_bytes()))?.0.clone())
 }
 
-fn caller(shared: &Shared, mut taken: Taken, upstream: &Upstream, page: &Page) {
+fn handle_caller_request(
+    shared: &Shared,
+    mut queued: QueuedRequest,
+    upstream: &Upstream,
+    api_path: &ApiPath,
+) {
     let id = shared.next_id();
-    let admitted = admit(shared, &mut taken.request, page);
+    let admitted = admit(shared, &mut queued.request, api_path);
     let (labels, result) = match admitted {
-        Err(e) => {
-            let headers = AnswerHeaders::new(&id, &taken.request);
-            drop(outcome::send_refusal(taken.request, &headers, &e));
-            (Labels::default(), Err(e))
+        Err(err) => {
+            let headers = AnswerHeaders::new(&id, &queued.request);
+            drop(outcome::send_refusal(queued.request, &headers, &err));
+            (RequestLabels::default(), Err(err))
         }
-        Ok(Admitted { workspace, body, room }) => {
-            let caller = Caller { shared, upstream, id: id.clone(), workspace, began: taken.began };
-            let done = match page {
-                Page::Chat => chat::run(&caller, taken.request, &body),
-                Page::Service => services::run(&caller, taken.request, body),
-                _ => small(&caller, taken.request, &body, page),
+        Ok(Admitted { workspace, body, permit }) => {
+            let caller =
+                Caller { shared, upstream, id: id.clone(), workspace, began: queued.received_at };
+            let outcome_result = match api_path {
+                ApiPath::Chat => chat::run(&caller, queued.request, &body),
+                ApiPath::Service => services::run(&caller, queued.request, body),
+                _ => handle_small_request(&caller, queued.request, &body, api_path),
             };
-            drop(room);
-            done
+            drop(permit);
+            outcome_result
         }
     };
     outcome::note(shared, &id, &labels, &result);
@@ -382,28 +407,32 @@
 struct Admitted<'a> {
     workspace: WorkspaceId,
     body: Vec<u8>,
-    room: Option<RoomTaken<'a>>,
+    permit: Option<WorkspacePermit<'a>>,
 }
 
 /// Checks a caller's request as early as it can be checked.
-fn admit<'a>(shared: &'a Shared, request: &mut Request, page: &Page) -> Result<Admitted<'a>> {
-    shared.gate.check()?;
+fn admit<'a>(
+    shared: &'a Shared,
+    request: &mut Request,
+    api_path: &ApiPath,
+) -> Result<Admitted<'a>> {
+    shared.admission.check()?;
     let workspace = authenticate(&shared.view.load(), request)?;
     let body = request.take_body()?;
-    if matches!(page, Page::Chat) {
+    if matches!(api_path, ApiPath::Chat) {
         shared.billing.check()?;
     }
-    let room = match page {
-        Page::Chat | Page::Service => Some(take_room(shared, &workspace)?),
+    let permit = match api_path {
+        ApiPath::Chat | ApiPath::Service => Some(acquire_permit(shared, &workspace)?),
         _ => None,
     };
-    shared.retries.lock().expect("no holder of the lock panics").earn();
-    Ok(Admitted { workspace, body, room })
+    shared.retry_budget.lock().expect("no holder of the lock panics").earn();
+    Ok(Admitted { workspace, body, permit })
 }
 
-fn take_room<'a>(shared: &'a Shared, workspace: &WorkspaceId) -> Result<RoomTaken<'a>> {
+fn acquire_permit<'a>(shared: &'a Shared, workspace: &WorkspaceId) -> Result<WorkspacePermit<'a>> {
     match shared.limits().try_acquire(shared.now(), workspace) {
-        Admission::Granted => Ok(RoomTaken { shared, workspace: workspace.clone() }),
+        Admission::Granted => Ok(WorkspacePermit { shared, workspace: workspace.clone() }),
         Admission::Refused { retry_after_ms } => {
             let message = format!("the limits of {workspace} are reached on this host");
             Err(Error::new(Code::OverLimit, message).with_retry_after(retry_after_ms))
@@ -412,32 +441,43 @@
 }
 
 /// Answers the small calls: models, sessions and tickets.
-fn small(caller: &Caller<'_>, request: Request, body: &[u8], page: &Page) -> (Labels, Result<()>) {
+fn handle_small_request(
+    caller: &Caller<'_>,
+    request: Request,
+    body: &[u8],
+    api_path: &ApiPath,
+) -> (RequestLabels, Result<()>) {
     let view = caller.shared.view.load_full();
     let headers = AnswerHeaders::new(&caller.id, &request);
-    let labels = Labels { workspace: caller.workspace.to_string(), ..Labels::default() };
-    let answer = match page {
-        Page::Models => Ok(models(caller, &view)),
-        Page::Sessions => make_session(caller, &view, body).map(|made| json!(made)),
-        _ => make_ticket(caller, &view).map(|made| json!(made)),
+    let labels =
+        RequestLabels { workspace: caller.workspace.to_string(), ..RequestLabels::default() };
+    let result = match api_path {
+        ApiPath::Models => Ok(list_models(caller, &view)),
+        ApiPath::Sessions => create_session(caller, &view, body).map(|created| json!(created)),
+        _ => create_ticket(caller, &view).map(|created| json!(created)),
     };
-    let sent = match &answer {
+    let send_result = match &result {
         Ok(value) => outcome::send_json(request, &headers, 200, value),
-        Err(e) => outcome::send_refusal(request, &headers, e),
+        Err(err) => outcome::send_refusal(request, &headers, err),
     };
     // A caller that has left asks again.
-    drop(sent);
-    (labels, answer.map(|_| ()))
+    drop(send_result);
+    (labels, result.map(|_| ()))
 }
 
 /// Lists what a workspace may name as `model`: routes, and models with an allowed version.
-fn models(caller: &Caller<'_>, view: &View) -> serde_json::Value {
-    let allowed = |m: &tidetrack_core::config::Model| {
+fn list_models(caller: &Caller<'_>, view: &View) -> serde_json::Value {
+    let is_allowed = |model_spec: &tidetrack_core::config::Model| {
         let workspace = view.workspaces.get(&caller.workspace);
-        workspace.is_some_and(|w| w.allow.contains(&m.serving))
+        workspace.is_some_and(|workspace_spec| workspace_spec.allow.contains(&model_spec.serving))
     };
     let mut names: Vec<String> = view.policies.keys().map(RouteId::to_string).collect();
-    names.extend(view.models.iter().filter(|(_, m)| allowed(m)).map(|(id, _)| id.to_string()));
+    names.extend(
+        view.models
+            .iter()
+            .filter(|(_, model_spec)| is_allowed(model_spec))
+            .map(|(id, _)| id.to_string()),
+    );
     names.sort();
     names.dedup();
     let entries = names
@@ -447,41 +487,51 @@
 }
 
 /// Starts a session before its first request, so that two first requests meet one version.
-fn make_session(caller: &Caller<'_>, view: &View, body: &[u8]) -> Result<SessionResponse> {
-    let ask: SessionRequest = serde_json::from_slice(body).map_err(outcome::bad_body)?;
-    let route: RouteId = ask.model.parse()?;
-    let no_ring = || Error::new(Code::NotReady, "no key ring yet");
-    let ring = view.key_ring.as_ref().ok_or_else(no_ring)?;
+fn create_session(caller: &Caller<'_>, view: &View, body: &[u8]) -> Result<SessionResponse> {
+    let session_request: SessionRequest =
+        serde_json::from_slice(body).map_err(outcome::bad_body)?;
+    let route: RouteId = session_request.model.parse()?;
+    let no_key_ring = || Error::new(Code::NotReady, "no key ring yet");
+    let ring = view.key_ring.as_ref().ok_or_else(no_key_ring)?;
     let workspace = view.workspaces.get(&caller.workspace);
     let workspace = workspace.ok_or_else(|| Error::new(Code::NoKey, "the workspace is gone"))?;
     let model = match view.policies.get(&route) {
         Some(policy) => policy.spec.fallback.first().cloned(),
-        None => ask.model.parse().ok().filter(|m| view.models.contains_key(m)),
+        None => session_request
+            .model
+            .parse()
+            .ok()
+            .filter(|model_spec| view.models.contains_key(model_spec)),
     };
     let model = model.ok_or_else(|| unknown_name(Code::UnknownRoute, "route", &route))?;
     let id = caller.id.to_string();
-    let draw = hash_fraction("version", &id);
-    let chosen = view.choose_version(workspace, &model, draw, caller.shared.confirm())?;
+    let version_fraction = hash_fraction("version", &id);
+    let choice = view.choose_version(
+        workspace,
+        &model,
+        version_fraction,
+        caller.shared.wait_for_confirmation(),
+    )?;
     // Nothing runs yet: the credit is taken again by each of the session's requests.
-    if let Some(credit) = &chosen.credit {
+    if let Some(credit) = &choice.credit {
         credit.refund();
     }
     let session = Session {
         workspace: caller.workspace.clone(),
         route,
-        version: chosen.version.clone(),
-        generation: chosen.generation,
+        version: choice.version.clone(),
+        generation: choice.generation,
         nonce: rendezvous("session", &id),
     };
-    Ok(SessionResponse { session: session.to_token(ring), version: chosen.version.to_string() })
+    Ok(SessionResponse { session: session.to_token(ring), version: choice.version.to_string() })
 }
 
-fn make_ticket(caller: &Caller<'_>, view: &View) -> Result<TicketResponse> {
-    if caller.shared.leaving.load(Ordering::Acquire) {
+fn create_ticket(caller: &Caller<'_>, view: &View) -> Result<TicketResponse> {
+    if caller.shared.is_leaving.load(Ordering::Acquire) {
         return Err(Error::new(Code::Draining, "the host is leaving; ask another"));
     }
-    let no_ring = || Error::new(Code::NotReady, "no key ring yet");
-    let ring = view.key_ring.as_ref().ok_or_else(no_ring)?;
+    let no_key_ring = || Error::new(Code::NotReady, "no key ring yet");
+    let ring = view.key_ring.as_ref().ok_or_else(no_key_ring)?;
     let ticket = caller.shared.tickets().issue(caller.shared.now(), &caller.workspace)?;
     Ok(TicketResponse { ticket: ticket.to_token(ring) })
 }
--- a/crates/tidetrack-router/src/services.rs
+++ b/crates/tidetrack-router/src/services.rs
@@ -19,8 +19,8 @@
 
 use crate::callers::Request;
 use crate::chat::Caller;
-use crate::control::Msg;
-use crate::metrics::Labels;
+use crate::control::ControlMsg;
+use crate::metrics::RequestLabels;
 use crate::outcome::{self, header_of, AnswerHeaders};
 use crate::upstream::{Attempt, Begin};
 
@@ -72,15 +72,16 @@
     content_type: String,
     body: Vec<u8>,
     fingerprint: Fingerprint,
-    labels: Labels,
+    labels: RequestLabels,
     deadline: Instant,
 }
 
 /// Runs a call to a service and answers it.
-pub fn run(caller: &Caller<'_>, request: Request, body: Vec<u8>) -> (Labels, Result<()>) {
+pub fn run(caller: &Caller<'_>, request: Request, body: Vec<u8>) -> (RequestLabels, Result<()>) {
     let view = caller.shared.view.load_full();
     let mut headers = AnswerHeaders::new(&caller.id, &request);
-    let mut labels = Labels { workspace: caller.workspace.to_string(), ..Labels::default() };
+    let mut labels =
+        RequestLabels { workspace: caller.workspace.to_string(), ..RequestLabels::default() };
     let result = find(caller, &view, &request).and_then(|(name, service, path)| {
         labels.route = name.to_string();
         let fingerprint = Fingerprint::of(&RequestIdentity {
@@ -165,7 +166,7 @@
             let no_ring = || Error::new(Code::NotReady, "no key ring yet");
             let ring = view.key_ring.as_ref().ok_or_else(no_ring)?;
             let ticket = Ticket::from_token(token.trim(), &self.caller.workspace, ring)?;
-            let ours = ticket.issued_by == self.caller.shared.own;
+            let ours = ticket.issued_by == self.caller.shared.incarnation;
             return Ok(ours.then_some(Once::Ticket(ticket)));
         }
         match header_of(request, headers::IDEMPOTENCY_KEY) {
@@ -227,7 +228,7 @@
                 && !matches!(e.code, Code::Overloaded | Code::CrashesEndpoints)
                 && Instant::now() < self.deadline;
             let again = again && {
-                let retries = self.caller.shared.retries.lock();
+                let retries = self.caller.shared.retry_budget.lock();
                 retries.expect("no holder of the lock panics").try_acquire()
             };
             if !again {
@@ -246,7 +247,7 @@
         is_repeatable: bool,
     ) -> Result<ServiceAnswer> {
         let shared = self.caller.shared;
-        shared.confirm();
+        shared.wait_for_confirmation();
         shared.suspects.check(shared.now(), self.fingerprint)?;
         let salt = rendezvous("endpoint", &self.caller.id.to_string());
         let ask = PlacementRequest {
@@ -305,7 +306,7 @@
         let method = minreq::Method::Custom(self.method.as_str().to_string());
         let mut passed = minreq::Request::new(method, format!("http://{address}{}", request.url()))
             .with_body(self.body.clone())
-            .with_header(headers::FORWARDED, shared.own.to_string());
+            .with_header(headers::FORWARDED, shared.incarnation.to_string());
         for name in ["Authorization", "Content-Type", headers::TICKET, headers::CALLER_REQUEST_ID] {
             if let Some(value) = header_of(request, name) {
                 passed = passed.with_header(name, value);
@@ -335,7 +336,7 @@
         let ring = view.key_ring.as_ref().ok_or_else(no_ring)?;
         let ticket = Ticket::from_token(token.trim(), &self.caller.workspace, ring)?;
         let (tx, rx) = flume::bounded(1);
-        let msg = Msg::Locate { incarnation: ticket.issued_by, reply: tx };
+        let msg = ControlMsg::Locate { incarnation: ticket.issued_by, reply: tx };
         let ends = || Error::new(Code::Draining, "the host ends");
         shared.control.send(msg).map_err(|_| ends())?;
         rx.recv().map_err(|_| ends())
--- a/crates/tidetrack-router/src/settings.rs
+++ b/crates/tidetrack-router/src/settings.rs
@@ -124,7 +124,7 @@
     /// Reads settings from TOML text; every fault is named with its line.
     pub fn from_toml(file: &str, text: &str) -> Result<Settings> {
         let settings: Settings =
-            read_toml(file, text).map_err(|f| faults_error(Code::BadSettings, &f))?;
+            read_toml(file, text).map_err(|faults| faults_error(Code::BadSettings, &faults))?;
         let faults = settings.faults(file);
         match faults.is_empty() {
             true => Ok(settings),
@@ -135,7 +135,7 @@
     /// Lists what reads well and makes no sense.
     fn faults(&self, file: &str) -> Vec<Fault> {
         let mut faults = Vec::new();
-        let mut say = |message: String| {
+        let mut add_fault = |message: String| {
             faults.push(Fault { file: file.to_string(), line: 0, message });
         };
         let addresses = [
@@ -149,27 +149,29 @@
         for (name, address) in addresses {
             if let Some(address) = address {
                 if address.parse::<std::net::SocketAddr>().is_err() {
-                    say(format!("{name}: {address:?} is not ip:port"));
+                    add_fault(format!("{name}: {address:?} is not ip:port"));
                 }
             }
         }
         if self.peer_keys.current.secret.len() < MIN_SECRET_LEN {
-            say(format!("peer_keys.current: shorter than {MIN_SECRET_LEN} characters"));
+            add_fault(format!("peer_keys.current: shorter than {MIN_SECRET_LEN} characters"));
         }
         if self.operator_key_digest.len() != 64 {
-            say("operator_key_digest: not 64 hexadecimal digits".to_string());
+            add_fault("operator_key_digest: not 64 hexadecimal digits".to_string());
         }
         if self.limits.threads == 0 {
-            say("limits.threads: none would carry a request".to_string());
+            add_fault("limits.threads: none would carry a request".to_string());
         }
         if self.suspects.bar_threshold == 0 {
-            say("suspects.barred_from: every request would be barred".to_string());
+            add_fault("suspects.barred_from: every request would be barred".to_string());
         }
         if self.suspects.max_suspects == 0 || self.suspects.max_suspects_per_caller == 0 {
-            say("suspects.most, suspects.most_of_caller: none would be remembered".to_string());
+            add_fault(
+                "suspects.most, suspects.most_of_caller: none would be remembered".to_string(),
+            );
         }
         if !crate::logging::LEVELS.contains(&self.log_level.as_str()) {
-            say(format!("log_level: one of {:?} is taken", crate::logging::LEVELS));
+            add_fault(format!("log_level: one of {:?} is taken", crate::logging::LEVELS));
         }
         faults
     }
@@ -180,7 +182,7 @@
     use super::*;
 
     #[test]
-    fn all_faults_are_named_with_file_and_line() {
+    fn all_parse_faults_name_file_and_line() {
         let text = "host = \"a\"\nfailure_domian = \"x\"\n[limits]\nthreads = \"many\"\n";
         let err = Settings::from_toml("r.toml", text).expect_err("faults");
         assert_eq!(err.code, Code::BadSettings);
@@ -190,14 +192,15 @@
     }
 
     #[test]
-    fn suspects_that_would_bar_all_or_remember_none_are_refused() {
+    fn suspect_limits_that_bar_all_requests_or_store_none_are_rejected() {
         let example = include_str!("../../../examples/routers/router-1.toml");
-        let with = |more: &str| Settings::from_toml("r.toml", &format!("{example}\n{more}"));
+        let parse_with = |more: &str| Settings::from_toml("r.toml", &format!("{example}\n{more}"));
 
-        let good = with("[suspects]\nbarred_from = 5\nbarred_for = 60000\n").expect("settings");
-        let none = with("[suspects]\nbarred_from = 0\nmost = 0\n").expect_err("faults");
+        let valid =
+            parse_with("[suspects]\nbarred_from = 5\nbarred_for = 60000\n").expect("settings");
+        let error = parse_with("[suspects]\nbarred_from = 0\nmost = 0\n").expect_err("faults");
 
-        assert_eq!(good.suspects.bar_threshold, 5);
-        assert!(none.message.contains("barred_from") && none.message.contains("most"), "{none}");
+        assert_eq!(valid.suspects.bar_threshold, 5);
+        assert!(error.message.contains("barred_from") && error.message.contains("most"), "{error}");
     }
 }
--- a/crates/tidetrack-router/src/timers.rs
+++ b/crates/tidetrack-router/src/timers.rs
@@ -11,10 +11,10 @@
 
 use flume::{Receiver, RecvTimeoutError, Sender};
 
-type Job = Box<dyn FnMut() -> Next + Send>;
+type Job = Box<dyn FnMut() -> Reschedule + Send>;
 
 /// Whether a job is to be run again.
-enum Next {
+enum Reschedule {
     After(Duration),
     Never,
 }
@@ -32,7 +32,7 @@
 #[derive(Clone)]
 pub struct Timers {
     commands: Sender<Command>,
-    next: Arc<AtomicU64>,
+    next_id: Arc<AtomicU64>,
 }
 
 impl Timers {
@@ -41,25 +41,25 @@
         let (tx, rx) = flume::unbounded();
         let thread = std::thread::Builder::new().name("timers".into()).stack_size(64 * 1024);
         thread.spawn(move || run(rx))?;
-        Ok(Timers { commands: tx, next: Arc::default() })
+        Ok(Timers { commands: tx, next_id: Arc::default() })
     }
 
     /// Calls `f` every `period`, for as long as it gives back `true`.
     pub fn subscribe(&self, period: Duration, mut f: impl FnMut() -> bool + Send + 'static) {
-        let job = move || if f() { Next::After(period) } else { Next::Never };
-        self.add(Instant::now() + period, Box::new(job));
+        let job = move || if f() { Reschedule::After(period) } else { Reschedule::Never };
+        self.schedule(Instant::now() + period, Box::new(job));
     }
 
     /// Calls `f` once after `delay`.
-    pub fn after(&self, delay: Duration, f: impl FnOnce() + Send + 'static) -> TimerId {
+    pub fn run_after(&self, delay: Duration, f: impl FnOnce() + Send + 'static) -> TimerId {
         let mut f = Some(f);
         let job = move || {
             if let Some(f) = f.take() {
                 f();
             }
-            Next::Never
+            Reschedule::Never
         };
-        self.add(Instant::now() + delay, Box::new(job))
+        self.schedule(Instant::now() + delay, Box::new(job))
     }
 
     /// Cancels a call that has not been made yet.
@@ -68,71 +68,73 @@
         let _ = self.commands.send(Command::Cancel(id.0));
     }
 
-    fn add(&self, at: Instant, job: Job) -> TimerId {
-        let id = self.next.fetch_add(1, Ordering::Relaxed);
-        let _ = self.commands.send(Command::Add(id, at, job));
+    fn schedule(&self, due_at: Instant, job: Job) -> TimerId {
+        let id = self.next_id.fetch_add(1, Ordering::Relaxed);
+        let _ = self.commands.send(Command::Add(id, due_at, job));
         TimerId(id)
     }
 }
 
-struct Entry {
-    at: Instant,
+struct ScheduledJob {
+    due_at: Instant,
     id: u64,
     job: Job,
 }
 
-impl PartialEq for Entry {
+impl PartialEq for ScheduledJob {
     fn eq(&self, other: &Self) -> bool {
-        (self.at, self.id) == (other.at, other.id)
+        (self.due_at, self.id) == (other.due_at, other.id)
     }
 }
 
-impl Eq for Entry {}
+impl Eq for ScheduledJob {}
 
-impl PartialOrd for Entry {
+impl PartialOrd for ScheduledJob {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Entry {
+impl Ord for ScheduledJob {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        (self.at, self.id).cmp(&(other.at, other.id))
+        (self.due_at, self.id).cmp(&(other.due_at, other.id))
     }
 }
 
 fn run(commands: Receiver<Command>) {
-    let mut queue: BinaryHeap<Reverse<Entry>> = BinaryHeap::new();
-    let mut waiting: HashSet<u64> = HashSet::new();
+    let mut queue: BinaryHeap<Reverse<ScheduledJob>> = BinaryHeap::new();
+    let mut pending: HashSet<u64> = HashSet::new();
     loop {
         let command = match queue.peek() {
-            Some(Reverse(first)) => commands.recv_deadline(first.at),
+            Some(Reverse(earliest)) => commands.recv_deadline(earliest.due_at),
             None => commands.recv().map_err(|_| RecvTimeoutError::Disconnected),
         };
         match command {
-            Ok(Command::Add(id, at, job)) => {
-                waiting.insert(id);
-                queue.push(Reverse(Entry { at, id, job }));
+            Ok(Command::Add(id, due_at, job)) => {
+                pending.insert(id);
+                queue.push(Reverse(ScheduledJob { due_at, id, job }));
             }
             Ok(Command::Cancel(id)) => {
-                waiting.remove(&id);
+                pending.remove(&id);
             }
             Err(RecvTimeoutError::Disconnected) => return,
-            Err(RecvTimeoutError::Timeout) => run_first(&mut queue, &mut waiting),
+            Err(RecvTimeoutError::Timeout) => run_earliest(&mut queue, &mut pending),
         }
     }
 }
 
-fn run_first(queue: &mut BinaryHeap<Reverse<Entry>>, waiting: &mut HashSet<u64>) {
-    let Some(Reverse(mut entry)) = queue.pop() else { return };
-    if !waiting.contains(&entry.id) {
+fn run_earliest(queue: &mut BinaryHeap<Reverse<ScheduledJob>>, pending: &mut HashSet<u64>) {
+    let Some(Reverse(mut scheduled)) = queue.pop() else { return };
+    if !pending.contains(&scheduled.id) {
         return;
     }
-    match (entry.job)() {
+    match (scheduled.job)() {
         // Counted from now: after a pause of the process, missed periods are not made up for.
-        Next::After(period) => queue.push(Reverse(Entry { at: Instant::now() + period, ..entry })),
-        Next::Never => {
-            waiting.remove(&entry.id);
+        Reschedule::After(period) => {
+            queue.push(Reverse(ScheduledJob { due_at: Instant::now() + period, ..scheduled }))
+        }
+        Reschedule::Never => {
+            pending.remove(&scheduled.id);
         }
     }
 }
@@ -142,29 +144,29 @@
     use super::*;
 
     #[test]
-    fn calls_come_in_order_and_cancelled_ones_do_not() {
+    fn calls_run_in_order_of_due_time_and_cancelled_calls_do_not_run() {
         let timers = Timers::start().expect("a thread");
         let (tx, rx) = flume::unbounded();
         let send = |n: u32| {
             let tx = tx.clone();
             move || tx.send(n).expect("the test listens")
         };
-        timers.after(Duration::from_millis(40), send(2));
-        let cancelled = timers.after(Duration::from_millis(20), send(9));
-        timers.after(Duration::from_millis(1), send(1));
+        timers.run_after(Duration::from_millis(40), send(2));
+        let cancelled = timers.run_after(Duration::from_millis(20), send(9));
+        timers.run_after(Duration::from_millis(1), send(1));
         timers.cancel(cancelled);
         assert_eq!((rx.recv(), rx.recv()), (Ok(1), Ok(2)));
     }
 
     #[test]
-    fn a_subscription_lasts_until_it_says_no() {
+    fn subscription_ends_when_closure_returns_false() {
         let timers = Timers::start().expect("a thread");
         let (tx, rx) = flume::unbounded();
-        let mut left = 3;
+        let mut remaining = 3;
         timers.subscribe(Duration::from_millis(1), move || {
-            left -= 1;
-            tx.send(left).expect("the test listens");
-            left > 0
+            remaining -= 1;
+            tx.send(remaining).expect("the test listens");
+            remaining > 0
         });
         assert_eq!(rx.iter().collect::<Vec<_>>(), [2, 1, 0]);
     }
--- a/crates/tidetrack-router/src/upstream.rs
+++ b/crates/tidetrack-router/src/upstream.rs
@@ -26,7 +26,7 @@
 use tidetrack_wire::endpoint::{parse_load_header, AttemptRequest};
 use tidetrack_wire::headers;
 
-use crate::control::Msg;
+use crate::control::ControlMsg;
 use crate::errands::{BodyPart, Errand, Reply};
 use crate::shared::Shared;
 
@@ -221,7 +221,8 @@
         }
         if find(headers::LEAVING).is_some() {
             self.endpoint.state.set_leaving(true);
-            let _ = self.shared.control.send(Msg::EndpointLeaving(self.endpoint.id.to_string()));
+            let _ =
+                self.shared.control.send(ControlMsg::EndpointLeaving(self.endpoint.id.to_string()));
         }
         let is_own = find(headers::ATTEMPT).is_some();
         match reply.head.status {
@@ -238,7 +239,7 @@
     /// Takes note that the attempt failed; cancels what may still run.
     pub fn failed(&mut self, e: &Error) {
         if e.code == Code::WrongAnswer {
-            self.shared.metrics.event("answer_mismatch");
+            self.shared.metrics.count_event("answer_mismatch");
             self.shared.log(Event::AnswerMismatch, &self.id);
         }
         // A refusal is no sign of ill health, and a deadline may be the caller's own.
@@ -251,7 +252,7 @@
         {
             self.note_crash();
         }
-        self.shared.metrics.event("attempt_failed");
+        self.shared.metrics.count_event("attempt_failed");
         self.shared.log(Event::AttemptFailed, &format!("{} {e}", self.id));
         self.finish(e.executed != Executed::No);
     }
@@ -267,7 +268,7 @@
         state.record_unreachable(now);
         let suspects = &self.shared.suspects;
         let crashes = suspects.record_crash(now, self.fingerprint, id, failure_domain, sent_at);
-        self.shared.metrics.event("endpoint_crashed");
+        self.shared.metrics.count_event("endpoint_crashed");
         let text = format!("{} {id} fingerprint={} crashes={crashes}", self.id, self.fingerprint);
         self.shared.log(Event::EndpointCrashed, &text);
     }
--- a/crates/tidetrack-router/tests/pause.rs
+++ b/crates/tidetrack-router/tests/pause.rs
@@ -16,7 +16,7 @@
 
 use tidetrack_core::units::Millis;
 use tidetrack_core::view::ConfigConfirmation;
-use tidetrack_router::shared::Gate;
+use tidetrack_router::shared::AdmissionState;
 
 /// The last look of the control thread before the pause.
 const PAUSED: u64 = 10_000;
@@ -29,8 +29,8 @@
 }
 
 /// The gate of a host that was confirmed 1.5 s before its pause.
-fn paused() -> Gate {
-    let gate = Gate::default();
+fn paused() -> AdmissionState {
+    let gate = AdmissionState::default();
     gate.tick(Millis(PAUSED), confirmed(PAUSED - 1_500, PAUSED - 1_000), true);
     gate
 }
--- a/crates/tidetrack-router/tests/promises.rs
+++ b/crates/tidetrack-router/tests/promises.rs
@@ -337,7 +337,7 @@
     });
     let at_stop = fleet.new.counts().started;
     fleet.wait_all("traffic after the stop", |s| {
-        s.rollouts.first().is_some_and(|r| r.proven.answered > 50) || s.members.len() < HOSTS
+        s.rollouts.first().is_some_and(|r| r.stable.answered > 50) || s.members.len() < HOSTS
     });
     stop.store(true, Ordering::Release);
     load.into_iter().for_each(|l| l.join().expect("a caller"));
