--- a/crates/tidetrack-bench/src/control.rs
+++ b/crates/tidetrack-bench/src/control.rs
@@ -102,7 +102,7 @@
     while !waiting.is_empty() {
         anyhow::ensure!(from.elapsed() < Duration::from_secs(30), "a change did not spread");
         waiting.retain(|h| {
-            let there = fleet.hosts[*h].status().is_some_and(|s| s.in_force >= revision);
+            let there = fleet.hosts[*h].status().is_some_and(|s| s.applied_revision >= revision);
             if there {
                 times.push(from.elapsed().as_secs_f64() * 1_000.0);
             }
--- a/crates/tidetrack-ctl/src/status.rs
+++ b/crates/tidetrack-ctl/src/status.rs
@@ -47,7 +47,7 @@
             Err(e) => out.push_str(&format!("{address:<20} {e}\n")),
         }
     }
-    let newest = all.iter().filter_map(|(_, s)| s.as_ref().ok()).max_by_key(|s| s.in_force);
+    let newest = all.iter().filter_map(|(_, s)| s.as_ref().ok()).max_by_key(|s| s.applied_revision);
     if let Some(s) = newest {
         for r in &s.rollouts {
             let state = r.state.as_ref().map_or("not started".to_string(), |st| {
@@ -76,17 +76,17 @@
 
 fn render_host(out: &mut String, s: &Status) {
     let live = s.members.iter().filter(|m| m.state == MemberState::Alive).count();
-    let confirmed = s.confirmed_ms_ago.map_or("never".to_string(), |ms| format!("{ms} ms"));
+    let confirmed = s.confirmation_age_ms.map_or("never".to_string(), |ms| format!("{ms} ms"));
     // Writing to a string cannot fail.
     let _ = writeln!(
         out,
         "{:<20} {:>8}  {:>9}  {:>10}  {:>9}  {:>5}  {}",
         s.incarnation.host.as_str(),
-        s.in_force,
+        s.applied_revision,
         confirmed,
         format!("{live}/{}", s.members.len()),
         s.in_flight,
-        s.bills_pending,
-        if s.watcher { "yes" } else { "no" }
+        s.pending_bills,
+        if s.is_watcher { "yes" } else { "no" }
     );
 }
--- a/crates/tidetrack-quickstart/src/main.rs
+++ b/crates/tidetrack-quickstart/src/main.rs
@@ -99,10 +99,10 @@
     settings.failure_domain = format!("hall-{n}").parse()?;
     settings.caller_address = "127.0.0.1:0".into();
     settings.peer_address = "127.0.0.1:0".into();
-    settings.platform = world.platform.address();
-    settings.rating = Some(world.rater.clone());
+    settings.platform_address = world.platform.address();
+    settings.rating_address = Some(world.rater.clone());
     settings.limits.threads = 32;
-    settings.times.grace_ms = 50;
+    settings.times.stop_grace_ms = 50;
     Router::start(settings, logging::discarding_logger())
 }
 
@@ -168,7 +168,7 @@
     for router in &routers {
         wait_for("a ready router that knows the other", || {
             let status = tidetrack_router::admin::status(router.shared()).ok()?;
-            (status.in_force > 0 && status.members.len() == 2).then_some(())
+            (status.applied_revision > 0 && status.members.len() == 2).then_some(())
         })?;
     }
     println!("3. Two routers are ready, in two failure domains, and know each other.");
--- a/crates/tidetrack-router/src/chat/judged.rs
+++ b/crates/tidetrack-router/src/chat/judged.rs
@@ -58,7 +58,7 @@
         if answer.text.trim().is_empty() {
             return false;
         }
-        let Some(address) = self.shared().settings.rating.as_deref() else { return false };
+        let Some(address) = self.shared().settings.rating_address.as_deref() else { return false };
         let ask = self.rate_ask(&answer.chosen, &answer.text);
         let Ok(score) = rating::rate(address, &ask, JUDGE_SECONDS) else { return false };
         let mut counts = VersionCounts::default();
--- a/crates/tidetrack-router/src/control.rs
+++ b/crates/tidetrack-router/src/control.rs
@@ -138,25 +138,31 @@
     /// Its failure domain.
     pub failure_domain: String,
     /// The configuration up to this revision is what traffic decides on.
-    pub in_force: u64,
+    #[serde(rename = "in_force")]
+    pub applied_revision: u64,
     /// Milliseconds since it was confirmed to be the newest.
-    pub confirmed_ms_ago: Option<u64>,
+    #[serde(rename = "confirmed_ms_ago")]
+    pub confirmation_age_ms: Option<u64>,
     /// Whether it keeps a watch on the object API.
-    pub watcher: bool,
+    #[serde(rename = "watcher")]
+    pub is_watcher: bool,
     /// All hosts known, with how they are seen.
     pub members: Vec<Member>,
     /// Milliseconds since each link was last heard.
-    pub links: BTreeMap<HostId, u64>,
+    #[serde(rename = "links")]
+    pub link_silences_ms: BTreeMap<HostId, u64>,
     /// Narrowing facts.
     pub facts: Vec<Fact>,
     /// Where roll-outs stand.
     pub rollouts: Vec<RolloutStatus>,
     /// Rates that this host may use, by workspace.
-    pub shares: BTreeMap<String, f64>,
+    #[serde(rename = "shares")]
+    pub workspace_rates: BTreeMap<String, f64>,
     /// Requests in flight.
     pub in_flight: u64,
     /// Bills that are not in the object API yet.
-    pub bills_pending: u64,
+    #[serde(rename = "bills_pending")]
+    pub pending_bills: u64,
 }
 
 /// Where a roll-out stands, as a host sees it.
@@ -466,16 +472,21 @@
         Status {
             incarnation: self.shared.incarnation.clone(),
             failure_domain: self.shared.settings.failure_domain.to_string(),
-            in_force: view.revision,
-            confirmed_ms_ago: self.node.confirmation_age(now).map(|a| a.0),
-            watcher: self.node.is_watcher(),
+            applied_revision: view.revision,
+            confirmation_age_ms: self.node.confirmation_age(now).map(|a| a.0),
+            is_watcher: self.node.is_watcher(),
             members: self.node.members.iter().cloned().collect(),
-            links: self.node.link_silences(now).into_iter().map(|(h, a)| (h, a.0)).collect(),
+            link_silences_ms: self
+                .node
+                .link_silences(now)
+                .into_iter()
+                .map(|(h, a)| (h, a.0))
+                .collect(),
             facts: self.node.facts.iter().collect(),
             rollouts: rollouts.collect(),
-            shares: shares.into_iter().map(|(w, r)| (w.to_string(), r)).collect(),
+            workspace_rates: shares.into_iter().map(|(w, r)| (w.to_string(), r)).collect(),
             in_flight: self.shared.in_flight.load(std::sync::atomic::Ordering::Relaxed),
-            bills_pending: self.shared.billing.pending(),
+            pending_bills: self.shared.billing.pending(),
         }
     }
 }
--- a/crates/tidetrack-router/src/loads.rs
+++ b/crates/tidetrack-router/src/loads.rs
@@ -23,7 +23,7 @@
 
 /// Reads loads until `stop` is closed.
 pub fn run(shared: Arc<Shared>, stop: Receiver<()>) {
-    let every = Duration::from_millis(shared.settings.times.load_ms.max(1));
+    let every = Duration::from_millis(shared.settings.times.load_read_interval_ms.max(1));
     let mut turn = 0usize;
     while stop.recv_timeout(every) != Err(RecvTimeoutError::Disconnected) {
         let view = shared.view.load();
--- a/crates/tidetrack-router/src/platform_io.rs
+++ b/crates/tidetrack-router/src/platform_io.rs
@@ -42,7 +42,7 @@
 ///
 /// The time to the next read counts from the end of the last: a slow one is not begun again at once.
 pub fn hosts_loop(shared: Arc<Shared>, stop: Receiver<()>) {
-    let interval = Duration::from_millis(shared.settings.times.hosts_ms);
+    let interval = Duration::from_millis(shared.settings.times.hosts_read_interval_ms);
     let mut read_at: Option<Instant> = None;
     let mut is_unreachable = false;
     loop {
--- a/crates/tidetrack-router/src/rating.rs
+++ b/crates/tidetrack-router/src/rating.rs
@@ -54,7 +54,7 @@
 /// Hands an answer over to be rated, if it is one of those that are.
 pub fn offer(shared: &Shared, job: RateJob) {
     let sampled = hash_fraction("rate", &job.ask.request) < PROVEN_SHARE;
-    let wanted = shared.settings.rating.is_some() && (job.unproven || sampled);
+    let wanted = shared.settings.rating_address.is_some() && (job.unproven || sampled);
     if wanted && shared.rating_jobs.try_send(job).is_err() {
         shared.metrics.count_event("rating_left_out");
     }
@@ -63,7 +63,7 @@
 /// Rates answers until all senders are gone.
 pub fn run(shared: Arc<Shared>, jobs: Receiver<RateJob>) {
     for job in jobs {
-        let Some(address) = shared.settings.rating.as_deref() else { continue };
+        let Some(address) = shared.settings.rating_address.as_deref() else { continue };
         match rate(address, &job.ask, RATE_SECONDS) {
             Ok(score) => {
                 let mut counts = VersionCounts::default();
--- a/crates/tidetrack-router/src/router.rs
+++ b/crates/tidetrack-router/src/router.rs
@@ -104,9 +104,10 @@
         let (segments_tx, segments_rx) = flume::unbounded();
         let (cancels_tx, cancels_rx) = flume::unbounded();
         let (stop_tx, stop_rx) = flume::bounded::<()>(0);
-        let (billing, bills_rx) = Billing::new(Duration::from_millis(settings.times.bill_ms));
+        let (billing, bills_rx) =
+            Billing::new(Duration::from_millis(settings.times.max_bill_wait_ms));
         let bills_tx = billing.sender();
-        let platform = PlatformClient::new(&settings.platform);
+        let platform = PlatformClient::new(&settings.platform_address);
         let shared = Arc::new(Shared {
             incarnation: incarnation.clone(),
             clock: Clock::start(),
@@ -142,7 +143,7 @@
             },
             peer_socket,
         )?;
-        let flush_interval = Millis(settings.times.flush_ms);
+        let flush_interval = Millis(settings.times.flush_interval_ms);
         let replicator_thread = KeeperThread {
             keeper: BillReplicator::new(shared.now(), incarnation.clone(), flush_interval),
             clock: shared.clock,
@@ -185,7 +186,7 @@
         }
         let (endpoint_requests_tx, endpoint_requests_rx) = flume::unbounded();
         let upstream = Upstream { errands: endpoint_requests_tx, cancels: cancels_tx };
-        let (queue_sender, queue_receiver) = flume::bounded(settings.limits.waiting);
+        let (queue_sender, queue_receiver) = flume::bounded(settings.limits.max_queued_requests);
         for _ in 0..settings.limits.threads {
             let (thread_shared, queued_requests, upstream) =
                 (shared.clone(), queue_receiver.clone(), upstream.clone());
@@ -246,9 +247,9 @@
         shared.is_leaving.store(true, Ordering::Release);
         let _ = shared.control.send(ControlMsg::Announce(MemberState::Leaving));
         // Balancers see readiness say no before requests are refused.
-        std::thread::sleep(Duration::from_millis(times.grace_ms));
+        std::thread::sleep(Duration::from_millis(times.stop_grace_ms));
         shared.admission.drain();
-        let drained = wait_until(Duration::from_millis(times.drain_ms), || {
+        let drained = wait_until(Duration::from_millis(times.drain_timeout_ms), || {
             shared.in_flight.load(Ordering::Acquire) == 0
         });
         let is_billing_flushed = wait_until(FINAL_FLUSH_TIMEOUT, || shared.billing.flush());
--- a/crates/tidetrack-router/src/server.rs
+++ b/crates/tidetrack-router/src/server.rs
@@ -135,13 +135,13 @@
     let limits = &shared.settings.limits;
     let caller_limits = CallerLimits {
         max_head_bytes: MAX_HEAD_BYTES,
-        max_body_bytes: limits.body_bytes,
+        max_body_bytes: limits.max_body_bytes,
         head_timeout: HEAD_TIMEOUT,
         idle_timeout: IDLE_TIMEOUT,
     };
     let (accept_shared, close_shared, closes) = (shared.clone(), shared.clone(), Closes::default());
     ServerOptions {
-        most_connections: limits.connections,
+        most_connections: limits.max_connections,
         limits: Rc::new(move || caller_limits),
         accept_failed: Rc::new(move |err| accept_shared.log(Event::AcceptFailed, &err.to_string())),
         closed: Rc::new(move |closed| {
@@ -212,11 +212,11 @@
         return Err(err.with_retry_after(OVERLOAD_RETRY_AFTER_MS));
     }
     let timeout_error = |_| {
-        let message = format!("the body took longer than {} ms", limits.body_ms);
+        let message = format!("the body took longer than {} ms", limits.body_timeout_ms);
         Error::new(Code::TooSlow, message)
     };
-    let body_read = collect_body(body, limits.body_bytes);
-    tokio::time::timeout(Duration::from_millis(limits.body_ms), body_read)
+    let body_read = collect_body(body, limits.max_body_bytes);
+    tokio::time::timeout(Duration::from_millis(limits.body_timeout_ms), body_read)
         .await
         .map_err(timeout_error)?
 }
--- a/crates/tidetrack-router/src/settings.rs
+++ b/crates/tidetrack-router/src/settings.rs
@@ -32,10 +32,11 @@
     #[serde(default)]
     pub advertised_peer_address: Option<String>,
     /// The object API, as `ip:port`.
-    pub platform: String,
+    #[serde(rename = "platform")]
+    pub platform_address: String,
     /// The rating service, as `ip:port`.
-    #[serde(default)]
-    pub rating: Option<String>,
+    #[serde(rename = "rating", default)]
+    pub rating_address: Option<String>,
     /// Keys of the calls between hosts.
     pub peer_keys: KeyRing,
     /// SHA-256 digest of the key for operators' calls, in hexadecimal.
@@ -68,23 +69,27 @@
     /// Threads that carry requests: requests at a time.
     pub threads: usize,
     /// Requests that wait for a thread.
-    pub waiting: usize,
+    #[serde(rename = "waiting")]
+    pub max_queued_requests: usize,
     /// Connections of callers.
-    pub connections: usize,
+    #[serde(rename = "connections")]
+    pub max_connections: usize,
     /// Largest body in bytes.
-    pub body_bytes: usize,
+    #[serde(rename = "body_bytes")]
+    pub max_body_bytes: usize,
     /// Milliseconds for a body to arrive.
-    pub body_ms: u64,
+    #[serde(rename = "body_ms")]
+    pub body_timeout_ms: u64,
 }
 
 impl Default for ProcessLimits {
     fn default() -> Self {
         ProcessLimits {
             threads: 128,
-            waiting: 256,
-            connections: 2_000,
-            body_bytes: 4 << 20,
-            body_ms: 10_000,
+            max_queued_requests: 256,
+            max_connections: 2_000,
+            max_body_bytes: 4 << 20,
+            body_timeout_ms: 10_000,
         }
     }
 }
@@ -94,28 +99,34 @@
 #[serde(default, deny_unknown_fields)]
 pub struct Times {
     /// Segments of the ledger are written this often.
-    pub flush_ms: u64,
+    #[serde(rename = "flush_ms")]
+    pub flush_interval_ms: u64,
     /// A bill may wait so long for a safe place.
-    pub bill_ms: u64,
+    #[serde(rename = "bill_ms")]
+    pub max_bill_wait_ms: u64,
     /// A planned stop goes on taking requests for so long, until balancers have noticed.
-    pub grace_ms: u64,
+    #[serde(rename = "grace_ms")]
+    pub stop_grace_ms: u64,
     /// A planned stop waits so long for requests in flight.
-    pub drain_ms: u64,
+    #[serde(rename = "drain_ms")]
+    pub drain_timeout_ms: u64,
     /// Endpoints' loads are read this often at most, one endpoint at a time.
-    pub load_ms: u64,
+    #[serde(rename = "load_ms")]
+    pub load_read_interval_ms: u64,
     /// The list of hosts is read this often.
-    pub hosts_ms: u64,
+    #[serde(rename = "hosts_ms")]
+    pub hosts_read_interval_ms: u64,
 }
 
 impl Default for Times {
     fn default() -> Self {
         Times {
-            flush_ms: 5_000,
-            bill_ms: 5_000,
-            grace_ms: 1_000,
-            drain_ms: 120_000,
-            load_ms: 1_000,
-            hosts_ms: 5_000,
+            flush_interval_ms: 5_000,
+            max_bill_wait_ms: 5_000,
+            stop_grace_ms: 1_000,
+            drain_timeout_ms: 120_000,
+            load_read_interval_ms: 1_000,
+            hosts_read_interval_ms: 5_000,
         }
     }
 }
@@ -143,8 +154,8 @@
             ("peer_address", Some(&self.peer_address)),
             ("advertised_caller_address", self.advertised_caller_address.as_ref()),
             ("advertised_peer_address", self.advertised_peer_address.as_ref()),
-            ("platform", Some(&self.platform)),
-            ("rating", self.rating.as_ref()),
+            ("platform", Some(&self.platform_address)),
+            ("rating", self.rating_address.as_ref()),
         ];
         for (name, address) in addresses {
             if let Some(address) = address {
--- a/crates/tidetrack-router/tests/promises.rs
+++ b/crates/tidetrack-router/tests/promises.rs
@@ -62,13 +62,13 @@
 
     let from = Instant::now();
     let revision = withdraw(&fleet, "model@2");
-    fleet.wait_all("the change", |s| s.in_force >= revision);
+    fleet.wait_all("the change", |s| s.applied_revision >= revision);
     let healthy = from.elapsed();
     // Half of the hosts lose the platform; the others pass the change on.
     fleet.hosts.iter().skip(HOSTS / 2).for_each(|h| h.to_platform.set(Fault::Cut));
     let from = Instant::now();
     let revision = withdraw(&fleet, "model@1");
-    fleet.wait_all("the change past a cut", |s| s.in_force >= revision);
+    fleet.wait_all("the change past a cut", |s| s.applied_revision >= revision);
     let cut = from.elapsed();
 
     println!("in force on {HOSTS} hosts: {healthy:?}; with half of them cut off: {cut:?}");
@@ -103,7 +103,9 @@
     fleet.hosts[2].process().pause();
     let revision = withdraw(&fleet, "model@1");
     for (i, host) in fleet.hosts.iter().enumerate().filter(|(i, _)| *i != 2) {
-        wait_for("the withdrawal", || host.status().filter(|s| s.in_force >= revision).map(|_| ()));
+        wait_for("the withdrawal", || {
+            host.status().filter(|s| s.applied_revision >= revision).map(|_| ())
+        });
         assert_eq!(ask(&fleet, i, "x").code(), "TT-2005");
     }
     // The caller's request waits in the paused host's socket and is read first thing after.
@@ -124,7 +126,7 @@
 fn a_host_that_starts_in_an_outage_takes_the_configuration_from_others() {
     let mut fleet = fleet();
     let revision = withdraw(&fleet, "model@2");
-    fleet.wait_all("the change", |s| s.in_force >= revision);
+    fleet.wait_all("the change", |s| s.applied_revision >= revision);
     fleet.hosts[0].kill();
     cut_off_platform(&fleet, true);
 
@@ -133,7 +135,7 @@
     let unready = ask(&fleet, 0, "too early").code();
     cut_off_platform(&fleet, false);
     fleet.hosts[0].to_platform.set(Fault::Cut);
-    fleet.wait_all("the configuration", |s| s.in_force >= revision);
+    fleet.wait_all("the configuration", |s| s.applied_revision >= revision);
 
     assert_eq!(unready, "TT-2004");
     assert_eq!(ask(&fleet, 0, "now").status, 200);
@@ -164,7 +166,7 @@
         (0..HOSTS).map(|h| on(&fleet, h, &token).version().to_string()).collect();
     let forged = on(&fleet, 1, &token.replace("model@1", "model@2"));
     let revision = withdraw(&fleet, "model@1");
-    fleet.wait_all("the withdrawal", |s| s.in_force >= revision);
+    fleet.wait_all("the withdrawal", |s| s.applied_revision >= revision);
     let ended = on(&fleet, 5, &token);
 
     assert_eq!((first.version(), fresh.version()), ("model@1", "model@2"));
--- a/crates/tidetrack-router/tests/reads.rs
+++ b/crates/tidetrack-router/tests/reads.rs
@@ -38,7 +38,7 @@
 }
 
 fn wait_in_force(fleet: &Fleet, version: u64) {
-    fleet.wait_all("the change in force", |status| status.in_force >= version);
+    fleet.wait_all("the change in force", |status| status.applied_revision >= version);
 }
 
 #[test]
--- a/crates/tidetrack-router/tests/slow_store.rs
+++ b/crates/tidetrack-router/tests/slow_store.rs
@@ -38,7 +38,7 @@
     let (began, before) = (Instant::now(), fleet.hosts[0].to_platform.bytes());
 
     let version = fleet.platform.write(&name, 0, &object.to_json()).expect("a write").version;
-    let in_force = || fleet.hosts[0].status().is_some_and(|s| s.in_force >= version);
+    let in_force = || fleet.hosts[0].status().is_some_and(|s| s.applied_revision >= version);
     while !in_force() && began.elapsed() < Duration::from_secs(20) {
         std::thread::sleep(Duration::from_millis(100));
     }
@@ -81,7 +81,7 @@
 
 #[test]
 fn a_change_does_not_wait_for_the_list_of_a_large_fleet() {
-    let times = Times { hosts_ms: 1_000, ..FleetOptions::default().times };
+    let times = Times { hosts_read_interval_ms: 1_000, ..FleetOptions::default().times };
     let options = FleetOptions { hosts: 1, times, ..FleetOptions::default() };
     let fleet =
         Fleet::start(Path::new(env!("CARGO_BIN_EXE_tidetrack-router")), options).expect("a fleet");
@@ -103,7 +103,7 @@
             let began = Instant::now();
             let version = fleet.platform.write(&name, 0, &small).expect("a write").version;
             wait_for("the change in force", || {
-                fleet.hosts[0].status().filter(|s| s.in_force >= version).map(|_| ())
+                fleet.hosts[0].status().filter(|s| s.applied_revision >= version).map(|_| ())
             });
             std::thread::sleep(Duration::from_millis(400));
             began.elapsed() - Duration::from_millis(400)
--- a/crates/tidetrack-testkit/src/fleet.rs
+++ b/crates/tidetrack-testkit/src/fleet.rs
@@ -61,7 +61,7 @@
             domains: 2,
             engine: EngineOptions { token_us: 500, ..EngineOptions::default() },
             new_quality: 0.9,
-            times: Times { flush_ms: 500, grace_ms: 100, ..Times::default() },
+            times: Times { flush_interval_ms: 500, stop_grace_ms: 100, ..Times::default() },
             control: NodeOptions::default(),
             threads: 32,
             rate: 10_000.0,
@@ -260,11 +260,11 @@
             peer_address: "127.0.0.1:0".into(),
             advertised_caller_address: proxied.then(|| to_caller.address()),
             advertised_peer_address: proxied.then(|| to_peer.address()),
-            platform: match proxied {
+            platform_address: match proxied {
                 true => to_platform.address(),
                 false => self.platform_address.clone(),
             },
-            rating: Some(self.rater_address.clone()),
+            rating_address: Some(self.rater_address.clone()),
             peer_keys: key_ring(),
             operator_key_digest: digest(OPERATOR_KEY.as_bytes()),
             limits: ProcessLimits { threads: self.options.threads, ..ProcessLimits::default() },
@@ -306,10 +306,10 @@
         let up: Vec<&Host> = self.hosts.iter().filter(|h| h.process.is_some()).collect();
         wait_for("a whole fleet", || {
             let all: Vec<Status> = up.iter().map(|h| h.status()).collect::<Option<_>>()?;
-            let newest = all.iter().map(|s| s.in_force).max()?;
+            let newest = all.iter().map(|s| s.applied_revision).max()?;
             let whole = |s: &Status| {
                 let live = s.members.iter().filter(|m| m.is_live()).count();
-                s.in_force == newest && newest > 0 && live == up.len()
+                s.applied_revision == newest && newest > 0 && live == up.len()
             };
             all.iter().all(whole).then_some(())
         });
