--- a/crates/tidetrack-router/src/server.rs
+++ b/crates/tidetrack-router/src/server.rs
@@ -1,8 +1,8 @@
-//! Callers' side: takes requests from the traffic plane's server, hands them to traffic threads and
-//! checks what can be checked early.
+//! Caller-facing server: accepts requests from the HTTP server of `tidetrack-plane`, queues them
+//! for the request threads and performs the checks that are possible before routing.
 //!
-//! A panic in one request ends that request only. What waits for a thread is bounded; past the bound
-//! requests are refused at once.
+//! A panic while processing a request ends only that request. The queue for the threads is bounded;
+//! when it is full, requests are rejected immediately.
 
 use std::net::TcpListener;
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -48,38 +48,41 @@
 use crate::shared::Shared;
 use crate::upstream::Upstream;
 
-/// Bodies up to this size, in bytes, have arrived with the head.
+/// Maximum size in bytes of a body that is exempt from the limit on concurrent body reads. Such a
+/// body usually arrives together with the head.
 const SMALL_BODY_BYTES: usize = 1024;
 
-/// Multiple of the largest body that is read and dropped, so that the caller sees the refusal.
+/// A body that exceeds the size limit is still read, and discarded, up to this multiple of the
+/// limit, so that the caller finishes sending and receives the error response.
 const MAX_DISCARDED_RATIO: usize = 2;
 
-/// When to come back to a host whose threads or bodies are at their bound, in milliseconds.
+/// Delay in milliseconds after which a caller should retry when all threads are busy or too many
+/// bodies are being read.
 const OVERLOAD_RETRY_AFTER_MS: u64 = 1_000;
 
-/// Largest head of a request in bytes.
+/// Maximum size of a request head in bytes.
 const MAX_HEAD_BYTES: usize = 64 << 10;
 
-/// Longest time for a head to arrive.
+/// Time within which a request head must arrive.
 const HEAD_TIMEOUT: Millis = Millis(10_000);
 
-/// Longest rest of a kept connection.
+/// Time after which an idle keep-alive connection is closed.
 const IDLE_TIMEOUT: Millis = Millis(60_000);
 
-/// A request that was taken, with when it came.
+/// A request in the queue for the request threads, with the time at which its head arrived.
 pub struct QueuedRequest {
     request: Request,
     received_at: Instant,
 }
 
-/// The listening side for callers: an event loop on a thread of its own.
+/// Handle for stopping the event loop that serves callers, which runs on its own thread.
 pub struct CallerListener {
     stop_sender: flume::Sender<()>,
     stopped_receiver: flume::Receiver<()>,
 }
 
 impl CallerListener {
-    /// Makes the two ends of the listening side's stop.
+    /// Creates the handle and the signal that the event loop waits for.
     pub fn new() -> (CallerListener, StopSignal) {
         let (stop_sender, stop_receiver) = flume::bounded(1);
         let (stopped_sender, stopped_receiver) = flume::bounded(1);
@@ -89,22 +92,25 @@
         )
     }
 
-    /// Takes no more requests, and closes all connections.
+    /// Stops accepting requests and closes all connections; returns after the event loop has ended.
     pub fn stop(&self) {
-        // It may have stopped before; then nothing is left to wait for.
+        // Sending fails if the event loop was stopped before; there is nothing to wait for then.
         if self.stop_sender.try_send(()).is_ok() {
             let _ = self.stopped_receiver.recv();
         }
     }
 }
 
-/// The event loop's end of a stop.
+/// The event loop's side of a [`CallerListener`]: receives the stop request and confirms it.
 pub struct StopSignal {
     stop_receiver: flume::Receiver<()>,
     stopped_sender: flume::Sender<()>,
 }
 
-/// Serves callers' connections, and asks endpoints for them, on the present thread until the listening side is stopped.
+/// Serves the connections of callers and sends requests to endpoints on the current thread, until
+/// the [`CallerListener`] is stopped or dropped.
+///
+/// Returns an error if the runtime or the listener cannot be set up.
 pub fn serve_callers(
     shared: Arc<Shared>,
     listener: TcpListener,
@@ -121,12 +127,12 @@
         let opts = server_options(shared, request_queue);
         tokio::task::spawn_local(errands::run(endpoint_requests));
         tokio::task::spawn_local(accept_loop(listener, opts, Rc::default(), stage_seen));
-        // The other end is gone when the process ends.
+        // The sender is dropped only when the process ends, which also means stop.
         let _ = stop_signal.stop_receiver.recv_async().await;
         std::io::Result::Ok(())
     })?;
     drop(local);
-    // Nobody waits where the other end is gone.
+    // If the `CallerListener` was dropped, nothing waits for the confirmation.
     let _ = stop_signal.stopped_sender.try_send(());
     Ok(())
 }
@@ -156,7 +162,7 @@
     }
 }
 
-/// Counts an answer as under way until its connection is done with it.
+/// Counts a request as in flight until its response has been sent or its connection is closed.
 struct InFlightGuard(Arc<Shared>);
 
 impl InFlightGuard {
@@ -172,7 +178,7 @@
     }
 }
 
-/// Reads a request, hands it to a thread and waits for the head of its answer.
+/// Reads a request, queues it for a request thread and waits for the head of the response.
 async fn dispatch_request(
     shared: Arc<Shared>,
     request_queue: Sender<QueuedRequest>,
@@ -187,32 +193,37 @@
     match request_queue.try_send(queued) {
         Ok(()) => {}
         Err(TrySendError::Full(queued)) => {
-            let err = Error::new(Code::Overloaded, "all threads of the host are busy");
+            let err =
+                Error::new(Code::Overloaded, "all request threads are busy and the queue is full");
             reject_request(&shared, queued.request, &err.with_retry_after(OVERLOAD_RETRY_AFTER_MS));
         }
-        // The threads are gone; the request is dropped and answered below.
+        // The threads have ended; the request is dropped and the code below responds with status
+        // 500.
         Err(TrySendError::Disconnected(_)) => {}
     }
     let response = reply_receiver.await.unwrap_or_else(|_| {
-        // The thread panicked, or the process ends.
+        // The request thread panicked or the process is ending.
         callers::head(500).map(|()| ReplyBody::Whole(Bytes::new()))
     });
     response.map(|body| AnswerBody::from(body).on_end(move || drop(in_flight_guard)))
 }
 
-/// Reads a body within its bounds of size and time.
+/// Reads a body within the limits on its size and arrival time.
+///
+/// Returns `Overloaded` if too many large bodies are being read, `TooSlow` if the body does not
+/// arrive in time, and `TooLarge` if it exceeds the size limit.
 async fn read_body(shared: &Shared, headers: &HeaderMap, body: Incoming) -> Result<Bytes> {
     let limits = &shared.settings.limits;
     let content_length = headers.get(CONTENT_LENGTH).and_then(|v| v.to_str().ok()?.parse().ok());
     let body_reads = CounterGuard::new(&shared.body_reads);
     let is_large = content_length.map_or(!body.is_end_stream(), |n: usize| n > SMALL_BODY_BYTES);
-    // What bodies on their way take of the memory is bounded.
+    // Bounds the memory that partially received bodies occupy.
     if is_large && body_reads.0.load(Ordering::Acquire) as usize > limits.threads.div_ceil(2) {
-        let err = Error::new(Code::Overloaded, "too many bodies are on their way");
+        let err = Error::new(Code::Overloaded, "too many request bodies are being read");
         return Err(err.with_retry_after(OVERLOAD_RETRY_AFTER_MS));
     }
     let timeout_error = |_| {
-        let message = format!("the body took longer than {} ms", limits.body_timeout_ms);
+        let message = format!("the body did not arrive within {} ms", limits.body_timeout_ms);
         Error::new(Code::TooSlow, message)
     };
     let body_read = collect_body(body, limits.max_body_bytes);
@@ -225,7 +236,8 @@
     let mut collected = Vec::new();
     let mut total_bytes = 0;
     while let Some(frame) = body.frame().await {
-        let frame = frame.map_err(|_| outcome::bad_body("the body ends early"))?;
+        let frame =
+            frame.map_err(|_| outcome::bad_body("the body could not be read to its end"))?;
         let Some(data) = frame.data_ref() else { continue };
         total_bytes += data.len();
         if total_bytes <= max_bytes {
@@ -235,14 +247,15 @@
         }
     }
     match total_bytes > max_bytes {
-        true => {
-            Err(Error::new(Code::TooLarge, format!("the body is larger than {max_bytes} bytes")))
-        }
+        true => Err(Error::new(
+            Code::TooLarge,
+            format!("the body exceeds the limit of {max_bytes} bytes"),
+        )),
         false => Ok(collected.into()),
     }
 }
 
-/// Carries requests until the accept loop is gone.
+/// Processes queued requests until the accept loop has ended. Runs on each request thread.
 pub fn process_requests(
     shared: Arc<Shared>,
     requests: Receiver<QueuedRequest>,
@@ -257,7 +270,7 @@
     }
 }
 
-/// Counts something for as long as it lives.
+/// Increments a counter for as long as the guard lives.
 struct CounterGuard<'a>(&'a AtomicU64);
 
 impl<'a> CounterGuard<'a> {
@@ -273,7 +286,7 @@
     }
 }
 
-/// Room within a workspace's limits, given back when dropped.
+/// Permission for one request under the limits of a workspace, released on drop.
 struct WorkspacePermit<'a> {
     shared: &'a Shared,
     workspace: WorkspaceId,
@@ -292,7 +305,7 @@
     drop(outcome::send_refusal(request, &headers, err));
 }
 
-/// What a path is.
+/// The API path of a request.
 enum ApiPath {
     Health,
     Ready,
@@ -326,7 +339,9 @@
     };
     match *request.method() == method {
         true => Ok(api_path),
-        false => Err(Error::new(Code::BadMethod, format!("{path} takes {method}"))),
+        false => {
+            Err(Error::new(Code::BadMethod, format!("{path} supports only the method {method}")))
+        }
     }
 }
 
@@ -364,13 +379,14 @@
         }
         Err(err) => outcome::send_refusal(request, &headers, &err),
     };
-    // An operator that has left asks again.
+    // An operator that disconnected can repeat the request.
     drop(send_result);
 }
 
-/// Finds the workspace of a request.
+/// Returns the workspace that the bearer key of a request belongs to.
 fn authenticate(view: &View, request: &Request) -> Result<WorkspaceId> {
-    let missing_key = || Error::new(Code::NoKey, "the request carries no bearer key");
+    let missing_key =
+        || Error::new(Code::NoKey, "the request has no bearer key in the Authorization header");
     let key = admin::bearer_key(request).ok_or_else(missing_key)?;
     Ok(view.workspace_by_key_digest(&digest(key.as_bytes()))?.0.clone())
 }
@@ -410,7 +426,9 @@
     permit: Option<WorkspacePermit<'a>>,
 }
 
-/// Checks a caller's request as early as it can be checked.
+/// Performs the checks that precede routing: whether the host accepts requests, the caller's key,
+/// whether the body was received, whether bills can be stored (chat only), and the limits of the
+/// workspace (chat and services). Each admitted request adds to the retry budget.
 fn admit<'a>(
     shared: &'a Shared,
     request: &mut Request,
@@ -434,13 +452,13 @@
     match shared.limits().try_acquire(shared.now(), workspace) {
         Admission::Granted => Ok(WorkspacePermit { shared, workspace: workspace.clone() }),
         Admission::Refused { retry_after_ms } => {
-            let message = format!("the limits of {workspace} are reached on this host");
+            let message = format!("workspace {workspace} has reached its limits on this host");
             Err(Error::new(Code::OverLimit, message).with_retry_after(retry_after_ms))
         }
     }
 }
 
-/// Answers the small calls: models, sessions and tickets.
+/// Responds to the requests that need no endpoint: models, sessions and tickets.
 fn handle_small_request(
     caller: &Caller<'_>,
     request: Request,
@@ -460,12 +478,13 @@
         Ok(value) => outcome::send_json(request, &headers, 200, value),
         Err(err) => outcome::send_refusal(request, &headers, err),
     };
-    // A caller that has left asks again.
+    // A caller that disconnected can repeat the request.
     drop(send_result);
     (labels, result.map(|_| ()))
 }
 
-/// Lists what a workspace may name as `model`: routes, and models with an allowed version.
+/// Lists the names that a workspace may use as `model`: all routes, and the models whose serving
+/// version the workspace allows.
 fn list_models(caller: &Caller<'_>, view: &View) -> serde_json::Value {
     let is_allowed = |model_spec: &tidetrack_core::config::Model| {
         let workspace = view.workspaces.get(&caller.workspace);
@@ -486,15 +505,18 @@
     json!({"object": "list", "data": entries.collect::<Vec<_>>()})
 }
 
-/// Starts a session before its first request, so that two first requests meet one version.
+/// Creates a session before its first request, so that two concurrent first requests use the same
+/// version.
 fn create_session(caller: &Caller<'_>, view: &View, body: &[u8]) -> Result<SessionResponse> {
     let session_request: SessionRequest =
         serde_json::from_slice(body).map_err(outcome::bad_body)?;
     let route: RouteId = session_request.model.parse()?;
-    let no_key_ring = || Error::new(Code::NotReady, "no key ring yet");
+    let no_key_ring =
+        || Error::new(Code::NotReady, "the host has no key ring for sessions and tickets yet");
     let ring = view.key_ring.as_ref().ok_or_else(no_key_ring)?;
     let workspace = view.workspaces.get(&caller.workspace);
-    let workspace = workspace.ok_or_else(|| Error::new(Code::NoKey, "the workspace is gone"))?;
+    let workspace = workspace
+        .ok_or_else(|| Error::new(Code::NoKey, "the workspace of the API key no longer exists"))?;
     let model = match view.policies.get(&route) {
         Some(policy) => policy.spec.fallback.first().cloned(),
         None => session_request
@@ -512,7 +534,7 @@
         version_fraction,
         caller.shared.wait_for_confirmation(),
     )?;
-    // Nothing runs yet: the credit is taken again by each of the session's requests.
+    // No request runs yet: each request of the session acquires its own credit.
     if let Some(credit) = &choice.credit {
         credit.refund();
     }
@@ -528,9 +550,13 @@
 
 fn create_ticket(caller: &Caller<'_>, view: &View) -> Result<TicketResponse> {
     if caller.shared.is_leaving.load(Ordering::Acquire) {
-        return Err(Error::new(Code::Draining, "the host is leaving; ask another"));
+        return Err(Error::new(
+            Code::Draining,
+            "the host is shutting down; send the request to another host",
+        ));
     }
-    let no_key_ring = || Error::new(Code::NotReady, "no key ring yet");
+    let no_key_ring =
+        || Error::new(Code::NotReady, "the host has no key ring for sessions and tickets yet");
     let ring = view.key_ring.as_ref().ok_or_else(no_key_ring)?;
     let ticket = caller.shared.tickets().issue(caller.shared.now(), &caller.workspace)?;
     Ok(TicketResponse { ticket: ticket.to_token(ring) })
