--- a/crates/tidetrack-router/src/control.rs
+++ b/crates/tidetrack-router/src/control.rs
@@ -1,7 +1,7 @@
-//! The control thread: it alone owns the node's state.
+//! The control thread, the only owner of the node's state.
 //!
-//! It takes messages, lets the core decide, does what the core wants done by telling other threads,
-//! and publishes the view that traffic decides on.
+//! It receives messages, passes them to the core for decisions, delegates the resulting actions to
+//! other threads, and publishes the view that requests are routed by.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -28,161 +28,162 @@
 use crate::platform_io::StateWrite;
 use crate::shared::{ReadPlan, Shared};
 
-/// Roll-outs are looked at this often.
+/// Interval between evaluations of the roll-outs.
 const ROLLOUT_CHECK_INTERVAL: Millis = Millis(300);
 
-/// Views are built at most this often.
+/// Minimum time between two builds of the view.
 const MIN_VIEW_BUILD_INTERVAL: Millis = Millis(50);
 
-/// Messages for the control thread.
+/// A message for the control thread.
 pub enum ControlMsg {
-    /// Time has passed.
+    /// Periodic timer.
     Tick,
-    /// Another host exchanges.
+    /// Request half of an exchange, received from another host.
     PeerExchange {
-        /// Its half.
+        /// The request half.
         half: Exchange,
-        /// Takes ours.
+        /// Receives the reply half of this host.
         reply: Sender<Exchange>,
     },
-    /// A host replied to an exchange.
+    /// Reply to an exchange that this host requested.
     PeerReply {
-        /// Who.
+        /// Host that replied.
         to: HostId,
-        /// When it was asked.
+        /// Time at which the request was sent.
         sent_at: Millis,
-        /// What was asked with.
+        /// Nonce of the request.
         nonce: u64,
-        /// Its half.
+        /// The reply half.
         reply: Exchange,
     },
-    /// An exchange failed.
+    /// An exchange that this host requested failed.
     PeerFailed {
-        /// With whom.
+        /// Host that did not reply.
         to: HostId,
     },
-    /// A probe came back.
+    /// Result of a probe that another host made on behalf of this host.
     ProbeFinished {
-        /// Who was called.
+        /// Host that was probed.
         target: HostId,
-        /// Whether it answered.
+        /// Whether the other host could connect to the target.
         is_reachable: bool,
     },
-    /// A full list of the configuration.
+    /// The full list of configuration objects, read from the object API.
     List {
-        /// When it was asked for.
+        /// Time at which the request was sent.
         requested_at: Millis,
-        /// At which revision.
+        /// Revision of the list.
         revision: u64,
-        /// The objects.
+        /// All objects of the configuration.
         entries: Vec<Entry>,
     },
-    /// Changes of the configuration.
+    /// Configuration changes, read from the object API.
     Changes {
-        /// When they were asked for.
+        /// Time at which the request was sent.
         requested_at: Millis,
-        /// The changes.
+        /// The range of changes.
         delta: Delta,
     },
     /// The platform's list of hosts and endpoints.
     Hosts(Vec<ListedHost>),
-    /// Something seen of a version.
+    /// Outcomes observed for a version.
     RecordCounts {
-        /// The version.
+        /// Version that the outcomes belong to.
         version: VersionRef,
-        /// Its generation.
+        /// Generation of the version.
         generation: u64,
-        /// Whether a roll-out of it is not done.
+        /// Whether the version is the canary of an unfinished roll-out.
         is_canary: bool,
-        /// What was seen.
+        /// Counts to add to those of this host.
         counts: VersionCounts,
     },
-    /// A narrowing fact.
+    /// A fact that bars a version or an endpoint.
     AddFact(Fact),
-    /// An endpoint said that it is leaving.
+    /// Name of an endpoint that reported that it is shutting down.
     EndpointLeaving(String),
-    /// A state of a roll-out was written, at the version given.
+    /// Result of writing the state of a roll-out.
     StateWritten {
-        /// The roll-out.
+        /// Roll-out whose state was written.
         rollout: RolloutId,
-        /// The new version.
+        /// Version of the written object; 0 if the write failed.
         version: u64,
-        /// The state.
+        /// The written state.
         state: RolloutState,
     },
-    /// Asks which incarnations are gone; the keeper of the bills is told.
+    /// Requests which incarnations are gone. The result is sent to the bill replicator.
     FindGoneIncarnations {
-        /// Of these.
+        /// Incarnations to check.
         incarnations: Vec<Incarnation>,
     },
-    /// Asks for the host's address for callers, if that incarnation lives.
+    /// Requests a host's address for callers.
     Locate {
-        /// Who.
+        /// Incarnation to look up.
         incarnation: Incarnation,
-        /// Takes the answer.
+        /// Receives the address as `ip:port`, or `None` if the incarnation is not live.
         reply: Sender<Option<String>>,
     },
-    /// Says to all that this host is leaving, or has left.
+    /// Announces to all hosts that this host is leaving or has left.
     Announce(MemberState),
-    /// Asks for the host's state.
+    /// Requests the status of this host.
     Status(Sender<Status>),
-    /// Ends the thread.
+    /// Ends the control thread.
     Stop,
 }
 
-/// What a host shows of itself.
+/// Status of a host, as shown on its status page.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Status {
-    /// This life of the host.
+    /// Incarnation of the host.
     pub incarnation: Incarnation,
-    /// Its failure domain.
+    /// Failure domain of the host.
     pub failure_domain: String,
-    /// The configuration up to this revision is what traffic decides on.
+    /// Revision of the configuration that requests are routed by.
     #[serde(rename = "in_force")]
     pub applied_revision: u64,
-    /// Milliseconds since it was confirmed to be the newest.
+    /// Milliseconds since the configuration was last confirmed to be the newest; `None` if it never
+    /// was.
     #[serde(rename = "confirmed_ms_ago")]
     pub confirmation_age_ms: Option<u64>,
-    /// Whether it keeps a watch on the object API.
+    /// Whether the host watches the object API for its failure domain.
     #[serde(rename = "watcher")]
     pub is_watcher: bool,
-    /// All hosts known, with how they are seen.
+    /// All known hosts with their states as this host sees them.
     pub members: Vec<Member>,
-    /// Milliseconds since each link was last heard.
+    /// Milliseconds since the last message from each linked host.
     #[serde(rename = "links")]
     pub link_silences_ms: BTreeMap<HostId, u64>,
-    /// Narrowing facts.
+    /// Facts that bar versions and endpoints.
     pub facts: Vec<Fact>,
-    /// Where roll-outs stand.
+    /// State of each roll-out.
     pub rollouts: Vec<RolloutStatus>,
-    /// Rates that this host may use, by workspace.
+    /// Request rate per second that this host may use, by workspace.
     #[serde(rename = "shares")]
     pub workspace_rates: BTreeMap<String, f64>,
-    /// Requests in flight.
+    /// Number of requests in flight.
     pub in_flight: u64,
-    /// Bills that are not in the object API yet.
+    /// Number of bills that are not in the object API yet.
     #[serde(rename = "bills_pending")]
     pub pending_bills: u64,
 }
 
-/// Where a roll-out stands, as a host sees it.
+/// State of a roll-out as a host sees it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RolloutStatus {
-    /// Its name.
+    /// Name of the roll-out.
     pub name: String,
-    /// The version rolled out.
+    /// Canary version, to which the roll-out moves requests.
     pub to: VersionRef,
-    /// The accepted state; absent before it is started.
+    /// State stored in the object API; `None` before the roll-out starts.
     pub state: Option<RolloutState>,
-    /// What is known of the new version.
+    /// Total counts of the canary version from all hosts.
     #[serde(rename = "new")]
     pub canary: VersionCounts,
-    /// What is known of the proven version.
+    /// Total counts of the stable version from all hosts.
     #[serde(rename = "proven")]
     pub stable: VersionCounts,
 }
 
-/// The control thread's state.
+/// State of the control thread.
 pub struct Control {
     shared: Arc<Shared>,
     node: Node,
@@ -199,18 +200,19 @@
     counted_credits: BTreeMap<(VersionRef, u64), u64>,
 }
 
-/// What the control thread tells others through.
+/// Channels through which the control thread sends work to other threads.
 pub struct ControlOutputs {
     /// Calls to other hosts.
     pub peer_jobs: Sender<PeerJob>,
-    /// The keeper of the bills.
+    /// Messages for the bill replicator.
     pub bill_messages: Sender<BillMsg>,
-    /// The writer of roll-out states.
+    /// Roll-out states to write to the object API.
     pub state_writes: Sender<StateWrite>,
 }
 
 impl Control {
-    /// Makes the thread's state.
+    /// Creates the state of the control thread. The node shares its limits and suspects with the
+    /// request threads.
     pub fn new(shared: Arc<Shared>, mut node: Node, outputs: ControlOutputs) -> Control {
         node.limits = shared.limits.clone();
         node.suspects = shared.suspects.clone();
@@ -231,14 +233,15 @@
         }
     }
 
-    /// Takes messages until told to stop.
+    /// Handles messages until `Stop` is received or all senders are dropped.
     pub fn run(mut self, messages: Receiver<ControlMsg>) {
         while let Ok(message) = messages.recv() {
             if matches!(message, ControlMsg::Stop) {
                 return;
             }
             self.handle_message(message);
-            // A narrowing fact is in force at once; what widens may wait for the next view.
+            // A new fact bars its subject immediately; other changes may wait for the next
+            // scheduled view.
             if self.node.facts.seq() != self.facts_seq {
                 self.facts_seq = self.node.facts.seq();
                 self.view_built_at = Millis(0);
@@ -252,7 +255,7 @@
         match message {
             ControlMsg::Tick => self.tick(now),
             ControlMsg::PeerExchange { half, reply } => {
-                // A caller that has given up needs no answer.
+                // The receiver is gone if the requesting host has disconnected.
                 let _ = reply.send(self.node.on_exchange(now, half));
             }
             ControlMsg::PeerReply { to, sent_at, nonce, reply } => {
@@ -323,11 +326,12 @@
                 call: ProbeCall { target, address: target_address },
             },
         };
-        // The peers' thread is gone only when the process ends.
+        // The peers thread ends only with the process.
         let _ = self.peer_jobs.send(job);
     }
 
-    /// Builds a new view if something changed, and tells traffic and the platform's thread.
+    /// Builds and publishes a new view if something changed, and updates the admission state and
+    /// the plan for the thread that reads the configuration.
     fn publish_view(&mut self, now: Millis) {
         if now - self.view_built_at >= MIN_VIEW_BUILD_INTERVAL && self.node.take_changed() {
             self.view_built_at = now;
@@ -338,12 +342,14 @@
                 self.shared.log(Event::ConfigApplied, &format!("revision {revision}"));
             }
         }
-        // What is known counts once traffic decides on it.
+        // The configuration counts as applied once requests are routed by it, so readiness is taken
+        // from the published view.
         let ready = self.shared.view.load().revision > 0;
         self.shared.admission.tick(now, self.node.confirmation(), ready);
         self.shared.admission.set_read_plan(ReadPlan {
             is_watcher: self.node.is_watcher(),
-            // After a pause the answer to a short read is the first that tells.
+            // After a pause of the process, the response to a read without a wait is the earliest
+            // confirmation of the configuration.
             needs_poll: self.node.needs_poll(now) || self.shared.admission.is_unconfirmed(now),
             is_alone: self.node.live_host_count() <= 1,
             complete_to: self.node.store.complete_to(),
@@ -361,7 +367,7 @@
         self.node.set_seeds(seeds.collect());
     }
 
-    /// Bars an endpoint as it is declared now; a later declaration admits it again.
+    /// Bars an endpoint up to its current declaration; a later declaration admits it again.
     fn withdraw_leaving_endpoint(&mut self, name: &str) {
         let Ok(endpoint) = name.parse() else { return };
         let declared = self.node.store.iter().filter(|e| {
@@ -374,7 +380,8 @@
         }
     }
 
-    /// Tells the keeper of the bills who may hold them, when the members changed.
+    /// Sends the list of hosts that may hold bills to the bill replicator whenever the members
+    /// change.
     fn update_holders(&mut self) {
         let epoch = self.node.members.epoch();
         if self.holders_epoch == Some(epoch) {
@@ -389,7 +396,7 @@
         let _ = self.bill_messages.send(BillMsg::Holders(holders.collect()));
     }
 
-    /// Counts the credits spent since the last look as requests started.
+    /// Adds the credits spent since the last call to the counts of started requests.
     fn record_spent_credits(&mut self) {
         let view = self.shared.view.load();
         for rollout in &view.rollouts {
@@ -431,7 +438,7 @@
             self.pending_writes.insert(rollout.id.clone(), rollout.state_version);
             let expected_version = rollout.state_version;
             let job = StateWrite { rollout: rollout.id.clone(), expected_version, state };
-            // The writer's thread is gone only when the process ends.
+            // The thread that writes roll-out states ends only with the process.
             let _ = self.state_writes.send(job);
         }
     }
@@ -442,9 +449,11 @@
             return;
         }
         let key = ObjectKey::new(ObjectKind::RolloutState, rollout);
-        let body = serde_json::to_string(state).expect("a state has text keys");
+        let body = serde_json::to_string(state).expect("a roll-out state serializes to JSON");
         let entry = Entry { key, version, body: Some(body.into()) };
-        // Ahead of the watch: the entry counts, and the run stays as whole as it was.
+        // The entry is applied before the watch delivers it. The range starts at the maximum
+        // revision, so that it does not advance the revision up to which the configuration is
+        // complete.
         let delta = Delta { from: u64::MAX, to: 0, entries: vec![entry] };
         self.node.on_object_written(delta);
     }
--- a/crates/tidetrack-router/src/router.rs
+++ b/crates/tidetrack-router/src/router.rs
@@ -1,4 +1,4 @@
-//! One router: starts the threads, and stops them as planned.
+//! A router: starts its threads and shuts them down in order.
 
 use std::net::TcpListener;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -32,25 +32,26 @@
 use crate::upstream::Upstream;
 use crate::{loads, platform_io, rating, server, upstream};
 
-/// The control thread looks around this often.
+/// Interval of the control thread's timer.
 const TICK_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Tickets are swept this often.
+/// Interval at which expired tickets are removed.
 const TICKET_SWEEP_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Stack of a thread that carries requests, in bytes.
+/// Stack size of a request thread in bytes.
 const TRAFFIC_STACK_BYTES: usize = 256 * 1024;
 
-/// Stack of the other threads, in bytes.
+/// Base stack size of the other threads in bytes; some use a multiple of it.
 const DEFAULT_STACK_BYTES: usize = 256 * 1024;
 
-/// Threads that cancel attempts.
+/// Number of threads that send cancellations of attempts to endpoints.
 const CANCEL_THREADS: usize = 2;
 
-/// Pause between looks at whether a planned stop has come to its end.
+/// Interval at which a shutdown checks whether requests have ended and bills are stored.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Bills must stand or be held within this time at a planned stop.
+/// Time within which a shutdown must get every bill written to the object API or held by another
+/// host.
 const FINAL_FLUSH_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A running router.
@@ -69,14 +70,19 @@
 }
 
 fn listen(address: &str) -> Result<TcpListener> {
-    let listener = TcpListener::bind(address).with_context(|| format!("listen on {address}"))?;
-    // Accepted sockets inherit the option; a stream's small events would wait otherwise.
+    let listener =
+        TcpListener::bind(address).with_context(|| format!("cannot listen on {address}"))?;
+    // Accepted sockets inherit TCP_NODELAY. Without it, Nagle's algorithm would delay the small
+    // events of a stream.
     socket2::SockRef::from(&listener).set_tcp_nodelay(true)?;
     Ok(listener)
 }
 
 impl Router {
-    /// Starts a router; it serves when this returns, and is ready once it has a configuration.
+    /// Starts a router. It serves connections when this returns and is ready once it has a
+    /// configuration.
+    ///
+    /// Returns an error if an address cannot be bound or a thread cannot be started.
     pub fn start(settings: Settings, logger: slog::Logger) -> Result<Router> {
         let caller_socket = listen(&settings.caller_address)?;
         let peer_socket = listen(&settings.peer_address)?;
@@ -222,31 +228,33 @@
         })
     }
 
-    /// Gets the address for callers.
+    /// Returns the address that serves callers, as `ip:port`.
     pub fn caller_address(&self) -> &str {
         &self.caller_address
     }
 
-    /// Gets the address for other hosts.
+    /// Returns the address that serves other hosts, as `ip:port`.
     pub fn peer_address(&self) -> &str {
         &self.peer_address
     }
 
-    /// Gets what the threads share.
+    /// Returns the state shared by the threads.
     pub fn shared(&self) -> &Arc<Shared> {
         &self.shared
     }
 
-    /// Stops as planned: says so, lets requests end, makes every bill stand or be held.
+    /// Shuts down in order: announces that the host is leaving, waits for requests in flight, and
+    /// waits until every bill is written to the object API or held by another host.
     ///
-    /// Gives back whether all of it came about within the settings' times.
+    /// Returns whether the requests ended within `drain_timeout_ms` and the bills were stored
+    /// within `FINAL_FLUSH_TIMEOUT`.
     pub fn stop(mut self) -> bool {
         let shared = self.shared.clone();
         let times = shared.settings.times.clone();
         shared.log(Event::Stopping, "");
         shared.is_leaving.store(true, Ordering::Release);
         let _ = shared.control.send(ControlMsg::Announce(MemberState::Leaving));
-        // Balancers see readiness say no before requests are refused.
+        // Load balancers must see that the host is not ready before it rejects requests.
         std::thread::sleep(Duration::from_millis(times.stop_grace_ms));
         shared.admission.drain();
         let drained = wait_until(Duration::from_millis(times.drain_timeout_ms), || {
@@ -254,7 +262,8 @@
         });
         let is_billing_flushed = wait_until(FINAL_FLUSH_TIMEOUT, || shared.billing.flush());
         let _ = shared.control.send(ControlMsg::Announce(MemberState::Dead));
-        // One beat of the links carries the farewell; without it the peer_socket find out by silence.
+        // Waits for one heartbeat, which carries the announcement. Without it, the other hosts
+        // would detect the departure only by the missing heartbeats.
         std::thread::sleep(Duration::from_millis(shared.settings.control.heartbeat_ms));
         shared.log(Event::Stopped, &format!("drained={drained} bills_safe={is_billing_flushed}"));
         self.shut_down();
@@ -267,7 +276,7 @@
         let _ = self.bill_messages.send(BillMsg::Stop);
         let _ = self.shared.control.send(ControlMsg::Stop);
         for thread in self.threads.drain(..) {
-            // A panic of the control thread was printed when it happened.
+            // A panic of the control thread was already printed when it occurred.
             drop(thread.join());
         }
     }
