--- a/crates/tidetrack-router/src/peers.rs
+++ b/crates/tidetrack-router/src/peers.rs
@@ -1,7 +1,8 @@
-//! Calls between hosts, over `jsonrpsee` on long-lived connections.
+//! Calls between hosts, over long-lived `jsonrpsee` connections.
 //!
-//! One thread runs the async runtime that the library needs; it hands over by channels and decides
-//! nothing. Every call and reply is sealed with the settings' key ring.
+//! One thread runs the async runtime that the library needs. It only passes messages through
+//! channels and makes no decisions. Every call and reply is signed with the key ring of the
+//! settings.
 
 use std::collections::HashMap;
 use std::net::TcpListener;
@@ -34,65 +35,66 @@
 use crate::control::ControlMsg;
 use crate::logging;
 
-/// A connection must be made within this time.
+/// Time within which a connection to another host must be established.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// A call must be answered within this time.
+/// Time within which another host must reply to a call.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Most connections that other hosts may open here.
+/// Maximum number of connections that other hosts may open to this host.
 const MAX_CONNECTIONS: u32 = 128;
 
-/// Largest message, in bytes.
+/// Maximum size of a message in bytes.
 const MAX_MESSAGE_BYTES: u32 = 4 << 20;
 
-/// Connections kept open to others.
+/// Maximum number of cached connections to other hosts. When it is reached, the cache is cleared
+/// before the next connection is added.
 const MAX_CLIENTS: usize = 24;
 
-/// A call that another thread wants made.
+/// A call to another host, requested by another thread of this host.
 pub enum PeerJob {
-    /// Exchange what changed.
+    /// Exchange changed state with a host.
     Exchange {
-        /// With whom.
+        /// Host to exchange with.
         to: HostId,
-        /// `ip:port`.
+        /// Address of the host as `ip:port`.
         address: String,
-        /// When it was asked for.
+        /// Time at which the control thread requested the exchange.
         sent_at: Millis,
-        /// What to say.
+        /// Request half of the exchange.
         half: Exchange,
     },
-    /// Have bills held.
+    /// Ask a host to hold bills.
     Hold {
-        /// `ip:port` of the holder.
+        /// Address of the holder as `ip:port`.
         address: String,
-        /// The bills.
+        /// The bills to hold and to drop.
         call: HoldCall,
-        /// The call's number for the keeper of the bills.
+        /// Number by which the bill replicator identifies the call.
         batch: u64,
     },
-    /// Have `target` called by another host.
+    /// Ask another host to connect to a target.
     Probe {
-        /// `ip:port` of who is asked.
+        /// Address of the host that makes the probe, as `ip:port`.
         via: String,
-        /// Who is to be called.
+        /// Target of the probe.
         call: ProbeCall,
     },
 }
 
-/// What the thread needs.
+/// Parameters of the peers thread.
 pub struct PeerServiceParams {
-    /// This host.
+    /// ID of this host; exchanges addressed to another host are rejected.
     pub host: HostId,
-    /// The keys.
+    /// Keys that sign and verify calls and replies.
     pub keys: KeyRing,
-    /// Jobs of the other threads.
+    /// Calls requested by other threads.
     pub jobs: Receiver<PeerJob>,
-    /// The control thread.
+    /// Channel to the control thread.
     pub control: Sender<ControlMsg>,
-    /// The keeper of the bills.
+    /// Channel to the bill replicator.
     pub bill_messages: Sender<BillMsg>,
-    /// The log.
+    /// Logger for rejected calls.
     pub logger: slog::Logger,
 }
 
@@ -105,7 +107,10 @@
     clients: Mutex<HashMap<String, Arc<Client>>>,
 }
 
-/// Starts the thread on a bound listener. It ends when all senders of jobs are gone.
+/// Starts the peers thread on a bound listener and waits until it serves. The thread ends when all
+/// senders of jobs are dropped.
+///
+/// Returns an error if the thread, its runtime or the server cannot be started.
 pub fn start(params: PeerServiceParams, listener: TcpListener) -> anyhow::Result<()> {
     listener.set_nonblocking(true)?;
     let thread = std::thread::Builder::new().name("peers".into()).stack_size(512 * 1024);
@@ -117,7 +122,7 @@
             Err(err) => drop(started_tx.send(Err(err.into()))),
         }
     })?;
-    started.recv().context("the thread for calls between hosts ended")?
+    started.recv().context("the thread for calls between hosts ended before its server started")?
 }
 
 async fn run(
@@ -143,7 +148,7 @@
         let service = service.clone();
         tokio::spawn(async move { service.run_job(job).await });
     }
-    // The process ends; a server that has stopped already says so, which changes nothing.
+    // The process is ending; an error only says that the server has stopped already.
     let _ = server.stop();
 }
 
@@ -209,12 +214,15 @@
         call: ExchangeCall,
     ) -> std::result::Result<Exchange, ErrorObjectOwned> {
         if call.to != self.host {
-            return Err(rpc_error(format!("this is {}, not {}", self.host, call.to)));
+            return Err(rpc_error(format!(
+                "this is host {}, but the call is addressed to host {}",
+                self.host, call.to
+            )));
         }
         let (reply_sender, reply_receiver) = flume::bounded(1);
         let message = ControlMsg::PeerExchange { half: call.half, reply: reply_sender };
-        self.control.send(message).map_err(|_| rpc_error("the host ends"))?;
-        reply_receiver.recv_async().await.map_err(|_| rpc_error("the host ends"))
+        self.control.send(message).map_err(|_| rpc_error("the host is shutting down"))?;
+        reply_receiver.recv_async().await.map_err(|_| rpc_error("the host is shutting down"))
     }
 
     async fn run_job(&self, job: PeerJob) {
@@ -226,7 +234,7 @@
                     Ok(reply) => ControlMsg::PeerReply { to, sent_at, nonce, reply },
                     Err(_) => ControlMsg::PeerFailed { to },
                 };
-                // The control thread is gone only when the process ends.
+                // The control thread ends only with the process.
                 let _ = self.control.send(message);
             }
             PeerJob::Hold { address, batch, call } => {
@@ -243,7 +251,8 @@
         }
     }
 
-    /// Calls a method of another host.
+    /// Calls a method of another host and verifies the signature of the reply. The cached
+    /// connection is dropped if the call fails.
     async fn call<Q: Serialize, R: DeserializeOwned>(
         &self,
         address: &str,
@@ -267,7 +276,7 @@
         self.clients.lock().expect("no holder of the lock panics")
     }
 
-    /// Gets the connection to a host, or makes one.
+    /// Returns the cached connection to a host, or opens a new one.
     async fn client(&self, address: &str) -> anyhow::Result<Arc<Client>> {
         let existing = self.lock().get(address).cloned();
         if let Some(client) = existing.filter(|c| c.is_connected()) {
--- a/crates/tidetrack-router/src/platform_io.rs
+++ b/crates/tidetrack-router/src/platform_io.rs
@@ -1,7 +1,8 @@
-//! The threads that talk with the object API: one reads the configuration, one the list of hosts, one
-//! writes roll-out states.
+//! Threads that call the object API: one reads the configuration, one reads the list of hosts and
+//! one writes roll-out states.
 //!
-//! The list of hosts grows with the fleet and can wait; a change of the configuration cannot.
+//! The list of hosts has its own thread because it grows with the fleet and must not delay a change
+//! of the configuration.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -19,28 +20,31 @@
 use crate::control::ControlMsg;
 use crate::shared::{ReadPlan, Shared};
 
-/// A watch waits so long for a change.
+/// Time in milliseconds that a watch waits for a change.
 const WATCH_TIMEOUT_MS: u64 = 1_000;
 
-/// Pause between looks at whether something is to be read.
+/// Interval between checks whether a read is due.
 const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Pauses after failures, doubling from the first to the last.
+/// Minimum and maximum backoff in milliseconds. Each pause after a failed read is random between
+/// the minimum and an upper bound that doubles with every failure. A failed write is followed by
+/// the minimum.
 const BACKOFF_RANGE_MS: (u64, u64) = (100, 2_000);
 
-/// A roll-out's state to write.
+/// A roll-out state to be written to the object API.
 pub struct StateWrite {
-    /// The roll-out.
+    /// Roll-out whose state is written.
     pub rollout: RolloutId,
-    /// The version that the write expects.
+    /// Object version that the write requires; the write fails if the object has another version.
     pub expected_version: u64,
-    /// The state.
+    /// State to write.
     pub state: RolloutState,
 }
 
 /// Reads the list of hosts until `stop` is closed.
 ///
-/// The time to the next read counts from the end of the last: a slow one is not begun again at once.
+/// The interval is measured from the end of a read, so that a slow read is not repeated
+/// immediately.
 pub fn hosts_loop(shared: Arc<Shared>, stop: Receiver<()>) {
     let interval = Duration::from_millis(shared.settings.times.hosts_read_interval_ms);
     let mut read_at: Option<Instant> = None;
@@ -52,12 +56,13 @@
             match shared.platform.hosts() {
                 Ok(hosts) => {
                     is_unreachable = false;
-                    // The control thread is gone only when the process ends.
+                    // The control thread ends only with the process.
                     let _ = shared.control.send(ControlMsg::Hosts(hosts));
                 }
                 Err(err) if !is_unreachable => {
                     is_unreachable = true;
-                    shared.log(Event::PlatformLost, &format!("the list of hosts: {err}"));
+                    shared
+                        .log(Event::PlatformLost, &format!("cannot read the list of hosts: {err}"));
                 }
                 Err(_) => {}
             }
@@ -82,7 +87,8 @@
                     shared.log(Event::PlatformBack, "");
                 }
                 failures = 0;
-                // A watch waits at the object API; whoever reads once waits until that is taken in.
+                // A watch waits at the object API. After a read without a wait, the control thread
+                // needs time to apply the result.
                 if read_plan.is_long_poll() {
                     Duration::ZERO
                 } else {
@@ -106,10 +112,11 @@
     }
 }
 
-/// Reads what is due; tells whether anything was read.
+/// Reads the configuration if a read is due and reports whether it did.
 ///
-/// `read_revision` is the revision up to which everything was handed to the control thread. It takes that in
-/// in order but later: to ask by its own revision alone would read the same changes again.
+/// `read_revision` is the revision up to which changes were sent to the control thread. The control
+/// thread applies them later, in order; requesting changes from its revision alone would read the
+/// same changes again.
 fn read_config(shared: &Shared, read_plan: ReadPlan, read_revision: &mut u64) -> Result<bool> {
     let requested_at = shared.now();
     let after_revision = read_plan.complete_to.max(*read_revision);
@@ -123,7 +130,8 @@
     match shared.platform.watch_config(after_revision, wait) {
         Ok(delta) => {
             *read_revision = after_revision.max(delta.to);
-            // A watch says what was newest when it answered; what it was asked at is the safe side.
+            // A watch reports the newest revision at the time of its response. The time of the
+            // request is earlier, so the confirmation is never dated too late.
             let _ = shared.control.send(ControlMsg::Changes { requested_at, delta });
             Ok(true)
         }
@@ -140,12 +148,14 @@
     Ok(true)
 }
 
-/// Writes roll-out states until all senders are gone.
+/// Writes roll-out states until all senders are dropped, and reports each result to the control
+/// thread.
 pub fn state_write_loop(shared: Arc<Shared>, state_writes: Receiver<StateWrite>) {
     for state_write in state_writes {
         let name =
             config_object_name(&ObjectKey::new(ObjectKind::RolloutState, &state_write.rollout));
-        let body = serde_json::to_string(&state_write.state).expect("a state has text keys");
+        let body =
+            serde_json::to_string(&state_write.state).expect("a roll-out state serializes to JSON");
         let write_result =
             shared.platform.write_confirmed(&name, state_write.expected_version, &body);
         let version = write_result.map_or(0, |w| w.version);
