--- a/crates/tidetrack-router/src/lib.rs
+++ b/crates/tidetrack-router/src/lib.rs
@@ -1,10 +1,11 @@
-//! The entry host's process: it takes callers' requests, decides with `tidetrack-core` and talks with
-//! endpoints, the platform and other hosts.
+//! The router process: accepts requests from callers, decides with `tidetrack-core` and
+//! communicates with endpoints, the platform and other hosts.
 //!
-//! One thread owns the control state (`control`); a pool of threads carries traffic (`server`,
-//! `chat`, `services`), and one event loop serves callers' connections (`server`) and asks endpoints for
-//! them (`errands`); one thread runs the calls between hosts (`peers`); one keeps the bills
-//! (`billing`). They meet in `shared` and by `flume` channels.
+//! One thread owns the control state (`control`). A pool of threads processes requests (`server`,
+//! `chat`, `services`). One event loop serves the connections of callers (`server`) and sends
+//! requests to endpoints (`errands`). One thread runs the calls between hosts (`peers`) and one
+//! runs the bill replicator (`billing`). The threads share state in `shared` and communicate
+//! through `flume` channels.
 
 #![forbid(unsafe_code)]
 #![warn(rust_2018_idioms)]
--- a/crates/tidetrack-router/src/logging.rs
+++ b/crates/tidetrack-router/src/logging.rs
@@ -1,16 +1,18 @@
-//! Logs: JSON lines with numbered events.
+//! Logging of numbered events as JSON lines.
 
 use slog::{o, Drain, Level, Logger};
 
 use tidetrack_core::events::Event;
 
-/// The levels that settings may name.
+/// Log levels accepted in the settings.
 pub const LEVELS: [&str; 4] = ["debug", "info", "warning", "error"];
 
-/// Lines that may wait to be written; more are dropped and counted by the drain.
+/// Maximum number of queued log lines. When the queue is full, lines are dropped and the drain
+/// reports their number.
 const QUEUE_CAPACITY: usize = 4096;
 
-/// Makes a logger that writes JSON lines of `level` and above to standard error.
+/// Creates a logger that writes JSON lines of `level` and above to standard error. An unknown level
+/// counts as `info`.
 pub fn logger(level: &str, host: &str) -> Logger {
     let level = match level {
         "debug" => Level::Debug,
@@ -24,12 +26,12 @@
     Logger::root(drain, o!("host" => host.to_string()))
 }
 
-/// Makes a logger that writes nothing.
+/// Creates a logger that discards all lines.
 pub fn discarding_logger() -> Logger {
     Logger::root(slog::Discard, o!())
 }
 
-/// Writes one event.
+/// Writes an event to the log; its level depends on the event.
 pub fn log(logger: &Logger, event: Event, detail: &str) {
     let number = event.to_string();
     match event {
--- a/crates/tidetrack-router/src/main.rs
+++ b/crates/tidetrack-router/src/main.rs
@@ -1,4 +1,4 @@
-//! `tidetrack-router --settings FILE`: one entry host's process.
+//! `tidetrack-router --settings FILE` runs a router process.
 
 use std::process::ExitCode;
 
@@ -23,8 +23,8 @@
 fn run() -> Result<bool> {
     let args: Vec<String> = std::env::args().collect();
     let mut options = Options::new();
-    options.optopt("", "settings", "the settings, in TOML", "FILE");
-    options.optflag("", "check", "check the settings and end");
+    options.optopt("", "settings", "path of the settings file in TOML", "FILE");
+    options.optflag("", "check", "check the settings file and exit");
     options.optflag("h", "help", "print this help");
     let usage = options.usage("tidetrack-router --settings FILE");
     let matches = options.parse(&args[1..]).map_err(|e| anyhow!("{e}\n{usage}"))?;
@@ -32,11 +32,13 @@
         println!("{usage}");
         return Ok(true);
     }
-    let file = matches.opt_str("settings").ok_or_else(|| anyhow!("no --settings\n{usage}"))?;
+    let file = matches
+        .opt_str("settings")
+        .ok_or_else(|| anyhow!("the flag --settings is missing\n{usage}"))?;
     let text = std::fs::read_to_string(&file).with_context(|| file.clone())?;
     let settings = Settings::from_toml(&file, &text)?;
     if matches.opt_present("check") {
-        println!("{file}: good");
+        println!("{file}: valid");
         return Ok(true);
     }
     let mut signals = Signals::new([SIGTERM, SIGINT])?;
--- a/crates/tidetrack-router/src/metrics.rs
+++ b/crates/tidetrack-router/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics through OpenTelemetry, shown as Prometheus text.
+//! Metrics of the router, recorded with OpenTelemetry and rendered as Prometheus text.
 
 use opentelemetry::metrics::{Counter, Histogram, MeterProvider};
 use opentelemetry::KeyValue;
@@ -7,16 +7,16 @@
 
 use tidetrack_plane::metrics;
 
-/// Bounds of the histograms in milliseconds.
+/// Bucket boundaries of the histograms in milliseconds.
 const HISTOGRAM_BOUNDS_MS: [f64; 14] = [
     1.0, 2.5, 5.0, 10.0, 25.0, 50.0, 100.0, 200.0, 380.0, 500.0, 1_000.0, 2_500.0, 10_000.0,
     30_000.0,
 ];
 
-/// The instruments of one router.
+/// The metric instruments of one router.
 pub struct Metrics {
     registry: Registry,
-    /// Keeps the instruments connected to the registry.
+    /// Dropping the provider would disconnect the instruments from the registry.
     _provider: SdkMeterProvider,
     requests: Counter<u64>,
     objective: Counter<u64>,
@@ -27,16 +27,16 @@
     events: Counter<u64>,
 }
 
-/// What a finished request is counted under.
+/// Labels under which a finished request is counted.
 #[derive(Clone, Debug, Default)]
 pub struct RequestLabels {
-    /// The workspace.
+    /// Workspace of the caller; empty if the caller was not identified.
     pub workspace: String,
-    /// The route or service.
+    /// Route or service of the request.
     pub route: String,
-    /// The version that answered, if any.
+    /// Version that responded; empty if none did.
     pub version: String,
-    /// The failure domain of the endpoint, if any.
+    /// Failure domain of the endpoint that responded; empty if none did.
     pub failure_domain: String,
 }
 
@@ -52,7 +52,7 @@
 }
 
 impl Metrics {
-    /// Makes the instruments.
+    /// Creates the instruments and their registry.
     pub fn new() -> anyhow::Result<Metrics> {
         let (registry, provider) = metrics::registry()?;
         let meter = provider.meter("tidetrack");
@@ -72,14 +72,14 @@
         })
     }
 
-    /// Counts a finished request under its result code; `TT-0` is success.
+    /// Counts a finished request under its result code; `TT-0` means success.
     pub fn record_request(&self, labels: &RequestLabels, code: &str) {
         let mut key_values = labels.key_values();
         key_values.push(KeyValue::new("code", code.to_string()));
         self.requests.add(1, &key_values);
     }
 
-    /// Counts a request against its objective.
+    /// Counts a request that met or missed an objective.
     pub fn record_objective(&self, labels: &RequestLabels, objective: &str, is_met: bool) {
         let mut key_values = labels.key_values();
         key_values.push(KeyValue::new("objective", objective.to_string()));
@@ -87,29 +87,29 @@
         self.objective.add(1, &key_values);
     }
 
-    /// Counts tokens and cost.
+    /// Adds the tokens and the cost of a request; the cost is in millionths of the currency unit.
     pub fn record_usage(&self, labels: &RequestLabels, tokens: u64, cost: u64) {
         let key_values = labels.key_values();
         self.tokens.add(tokens, &key_values);
         self.cost.add(cost, &key_values);
     }
 
-    /// Records the time to the first token.
+    /// Records the time to the first token in milliseconds.
     pub fn record_first_token(&self, labels: &RequestLabels, ms: f64) {
         self.first_token.record(ms, &[KeyValue::new("route", labels.route.clone())]);
     }
 
-    /// Records how long a bill waited for a safe place.
+    /// Records the time in milliseconds until a bill was stored in a second place.
     pub fn record_bill_wait(&self, ms: f64) {
         self.bill_wait.record(ms, &[]);
     }
 
-    /// Counts something that happened, by name.
+    /// Counts an event by name.
     pub fn count_event(&self, name: &'static str) {
         self.events.add(1, &[KeyValue::new("event", name)]);
     }
 
-    /// Renders all metrics as Prometheus text.
+    /// Renders all metrics in the Prometheus text format.
     pub fn render(&self) -> anyhow::Result<Vec<u8>> {
         metrics::render(&self.registry)
     }
--- a/crates/tidetrack-router/src/settings.rs
+++ b/crates/tidetrack-router/src/settings.rs
@@ -1,4 +1,4 @@
-//! The router's settings, in TOML.
+//! Settings of the router, read from TOML.
 
 use serde::{Deserialize, Serialize};
 
@@ -10,50 +10,52 @@
 use tidetrack_core::node::NodeOptions;
 use tidetrack_core::traffic::suspects::SuspectOptions;
 
-/// Least characters of a secret.
+/// Minimum length of a secret in bytes.
 const MIN_SECRET_LEN: usize = 16;
 
-/// The settings of one router.
+/// Settings of one router.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// The host's name.
+    /// Name of the host.
     pub host: HostId,
-    /// The host's failure domain.
+    /// Failure domain of the host.
     pub failure_domain: FailureDomain,
-    /// Where callers are served, as `ip:port`.
+    /// Address on which callers are served, as `ip:port`.
     pub caller_address: String,
-    /// Where other hosts are served, as `ip:port`.
+    /// Address on which other hosts are served, as `ip:port`.
     pub peer_address: String,
-    /// Address that other hosts are told for callers, if it is another.
+    /// Address for callers that is advertised to other hosts as `ip:port`; `None` advertises the
+    /// address that is listened on.
     #[serde(default)]
     pub advertised_caller_address: Option<String>,
-    /// Address that other hosts are told, if it is another.
+    /// Address for other hosts that is advertised to them as `ip:port`; `None` advertises the
+    /// address that is listened on.
     #[serde(default)]
     pub advertised_peer_address: Option<String>,
-    /// The object API, as `ip:port`.
+    /// Address of the object API as `ip:port`.
     #[serde(rename = "platform")]
     pub platform_address: String,
-    /// The rating service, as `ip:port`.
+    /// Address of the rating service as `ip:port`; `None` disables rating.
     #[serde(rename = "rating", default)]
     pub rating_address: Option<String>,
-    /// Keys of the calls between hosts.
+    /// Keys that sign and verify the calls between hosts.
     pub peer_keys: KeyRing,
-    /// SHA-256 digest of the key for operators' calls, in hexadecimal.
+    /// SHA-256 digest of the operator key, as 64 hexadecimal digits.
     pub operator_key_digest: String,
-    /// Limits of this process.
+    /// Limits on the resources of the process.
     #[serde(default)]
     pub limits: ProcessLimits,
-    /// Times of this process.
+    /// Intervals and timeouts of the process.
     #[serde(default)]
     pub times: Times,
-    /// Times and sizes of the control state.
+    /// Timing and size options of the node, such as the heartbeat between hosts.
     #[serde(default)]
     pub control: NodeOptions,
-    /// How requests are treated under which endpoints crash.
+    /// Options for requests that may have crashed endpoints.
     #[serde(default)]
     pub suspects: SuspectOptions,
-    /// Log lines below this are left out: `debug`, `info`, `warning` or `error`.
+    /// Minimum level of log lines that are written: `debug`, `info`, `warning` or `error`.
     #[serde(default = "default_level")]
     pub log_level: String,
 }
@@ -62,22 +64,22 @@
     "info".into()
 }
 
-/// Limits of one process.
+/// Limits on the resources of one process.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ProcessLimits {
-    /// Threads that carry requests: requests at a time.
+    /// Number of request threads, which is the number of requests processed concurrently.
     pub threads: usize,
-    /// Requests that wait for a thread.
+    /// Maximum number of requests queued for a request thread.
     #[serde(rename = "waiting")]
     pub max_queued_requests: usize,
-    /// Connections of callers.
+    /// Maximum number of connections from callers.
     #[serde(rename = "connections")]
     pub max_connections: usize,
-    /// Largest body in bytes.
+    /// Maximum size of a request body in bytes.
     #[serde(rename = "body_bytes")]
     pub max_body_bytes: usize,
-    /// Milliseconds for a body to arrive.
+    /// Time in milliseconds within which a request body must arrive.
     #[serde(rename = "body_ms")]
     pub body_timeout_ms: u64,
 }
@@ -94,26 +96,28 @@
     }
 }
 
-/// Times of one process, in milliseconds.
+/// Intervals and timeouts of one process, in milliseconds.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Times {
-    /// Segments of the ledger are written this often.
+    /// Interval at which segments of the ledger are written.
     #[serde(rename = "flush_ms")]
     pub flush_interval_ms: u64,
-    /// A bill may wait so long for a safe place.
+    /// Maximum time that a request waits until its bill is stored in a second place.
     #[serde(rename = "bill_ms")]
     pub max_bill_wait_ms: u64,
-    /// A planned stop goes on taking requests for so long, until balancers have noticed.
+    /// Time for which a shutdown still accepts requests, so that load balancers notice that the
+    /// host is not ready.
     #[serde(rename = "grace_ms")]
     pub stop_grace_ms: u64,
-    /// A planned stop waits so long for requests in flight.
+    /// Maximum time that a shutdown waits for requests in flight.
     #[serde(rename = "drain_ms")]
     pub drain_timeout_ms: u64,
-    /// Endpoints' loads are read this often at most, one endpoint at a time.
+    /// Interval at which the load of one endpoint is read; the endpoints take turns. An endpoint
+    /// with a recent report is skipped.
     #[serde(rename = "load_ms")]
     pub load_read_interval_ms: u64,
-    /// The list of hosts is read this often.
+    /// Interval at which the list of hosts is read.
     #[serde(rename = "hosts_ms")]
     pub hosts_read_interval_ms: u64,
 }
@@ -132,7 +136,10 @@
 }
 
 impl Settings {
-    /// Reads settings from TOML text; every fault is named with its line.
+    /// Reads settings from TOML text.
+    ///
+    /// Returns `BadSettings` with all faults found. Parse faults carry their line; faults of valid
+    /// TOML with invalid values name the setting.
     pub fn from_toml(file: &str, text: &str) -> Result<Settings> {
         let settings: Settings =
             read_toml(file, text).map_err(|faults| faults_error(Code::BadSettings, &faults))?;
@@ -143,7 +150,7 @@
         }
     }
 
-    /// Lists what reads well and makes no sense.
+    /// Lists the values that parse but are invalid.
     fn faults(&self, file: &str) -> Vec<Fault> {
         let mut faults = Vec::new();
         let mut add_fault = |message: String| {
@@ -160,29 +167,33 @@
         for (name, address) in addresses {
             if let Some(address) = address {
                 if address.parse::<std::net::SocketAddr>().is_err() {
-                    add_fault(format!("{name}: {address:?} is not ip:port"));
+                    add_fault(format!("{name}: {address:?} is not an ip:port address"));
                 }
             }
         }
         if self.peer_keys.current.secret.len() < MIN_SECRET_LEN {
-            add_fault(format!("peer_keys.current: shorter than {MIN_SECRET_LEN} characters"));
+            add_fault(format!(
+                "peer_keys.current: the secret is shorter than {MIN_SECRET_LEN} bytes"
+            ));
         }
         if self.operator_key_digest.len() != 64 {
-            add_fault("operator_key_digest: not 64 hexadecimal digits".to_string());
+            add_fault("operator_key_digest: must have 64 hexadecimal digits".to_string());
         }
         if self.limits.threads == 0 {
-            add_fault("limits.threads: none would carry a request".to_string());
+            add_fault("limits.threads: must be at least 1, or no request is processed".to_string());
         }
         if self.suspects.bar_threshold == 0 {
-            add_fault("suspects.barred_from: every request would be barred".to_string());
+            add_fault(
+                "suspects.barred_from: must be at least 1, or every request is barred".to_string(),
+            );
         }
         if self.suspects.max_suspects == 0 || self.suspects.max_suspects_per_caller == 0 {
             add_fault(
-                "suspects.most, suspects.most_of_caller: none would be remembered".to_string(),
+                "suspects.most, suspects.most_of_caller: must be at least 1, or no suspect is stored".to_string(),
             );
         }
         if !crate::logging::LEVELS.contains(&self.log_level.as_str()) {
-            add_fault(format!("log_level: one of {:?} is taken", crate::logging::LEVELS));
+            add_fault(format!("log_level: must be one of {:?}", crate::logging::LEVELS));
         }
         faults
     }
@@ -195,7 +206,7 @@
     #[test]
     fn all_parse_faults_name_file_and_line() {
         let text = "host = \"a\"\nfailure_domian = \"x\"\n[limits]\nthreads = \"many\"\n";
-        let err = Settings::from_toml("r.toml", text).expect_err("faults");
+        let err = Settings::from_toml("r.toml", text).expect_err("invalid settings");
         assert_eq!(err.code, Code::BadSettings);
         assert!(err.message.contains("r.toml:2:"), "{err}");
         assert!(err.message.contains("`failure_domain`"), "{err}");
@@ -207,9 +218,10 @@
         let example = include_str!("../../../examples/routers/router-1.toml");
         let parse_with = |more: &str| Settings::from_toml("r.toml", &format!("{example}\n{more}"));
 
-        let valid =
-            parse_with("[suspects]\nbarred_from = 5\nbarred_for = 60000\n").expect("settings");
-        let error = parse_with("[suspects]\nbarred_from = 0\nmost = 0\n").expect_err("faults");
+        let valid = parse_with("[suspects]\nbarred_from = 5\nbarred_for = 60000\n")
+            .expect("valid settings");
+        let error =
+            parse_with("[suspects]\nbarred_from = 0\nmost = 0\n").expect_err("invalid settings");
 
         assert_eq!(valid.suspects.bar_threshold, 5);
         assert!(error.message.contains("barred_from") && error.message.contains("most"), "{error}");
--- a/crates/tidetrack-router/src/timers.rs
+++ b/crates/tidetrack-router/src/timers.rs
@@ -1,7 +1,8 @@
-//! The timer service: one thread that runs closures when they are due.
+//! Timer service: one thread that runs closures when they are due.
 //!
-//! Parts subscribe to a period, or ask for one call after a while. The closures only send on
-//! channels or make short calls; whatever takes long belongs to the thread that is told.
+//! Other modules subscribe with a period or schedule a single call after a delay. All closures
+//! share the thread, so they must be short: a closure sends a message to another thread for work
+//! that takes longer.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashSet};
@@ -13,7 +14,7 @@
 
 type Job = Box<dyn FnMut() -> Reschedule + Send>;
 
-/// Whether a job is to be run again.
+/// Whether and when a job runs again.
 enum Reschedule {
     After(Duration),
     Never,
@@ -24,11 +25,11 @@
     Cancel(u64),
 }
 
-/// Names a pending call, to cancel it.
+/// Identifies a scheduled call, so that it can be cancelled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TimerId(u64);
 
-/// A handle on the timer service. The service ends when the last handle is gone.
+/// Handle of the timer service. The service ends when the last handle is dropped.
 #[derive(Clone)]
 pub struct Timers {
     commands: Sender<Command>,
@@ -36,7 +37,7 @@
 }
 
 impl Timers {
-    /// Starts the service.
+    /// Starts the timer thread. Returns an error if the thread cannot be started.
     pub fn start() -> std::io::Result<Timers> {
         let (tx, rx) = flume::unbounded();
         let thread = std::thread::Builder::new().name("timers".into()).stack_size(64 * 1024);
@@ -44,13 +45,13 @@
         Ok(Timers { commands: tx, next_id: Arc::default() })
     }
 
-    /// Calls `f` every `period`, for as long as it gives back `true`.
+    /// Calls `f` every `period` for as long as it returns `true`.
     pub fn subscribe(&self, period: Duration, mut f: impl FnMut() -> bool + Send + 'static) {
         let job = move || if f() { Reschedule::After(period) } else { Reschedule::Never };
         self.schedule(Instant::now() + period, Box::new(job));
     }
 
-    /// Calls `f` once after `delay`.
+    /// Calls `f` once after `delay`. The returned ID cancels the call.
     pub fn run_after(&self, delay: Duration, f: impl FnOnce() + Send + 'static) -> TimerId {
         let mut f = Some(f);
         let job = move || {
@@ -64,7 +65,7 @@
 
     /// Cancels a call that has not been made yet.
     pub fn cancel(&self, id: TimerId) {
-        // A service that has ended makes no more calls anyway.
+        // If the service has ended, it makes no more calls.
         let _ = self.commands.send(Command::Cancel(id.0));
     }
 
@@ -129,7 +130,7 @@
         return;
     }
     match (scheduled.job)() {
-        // Counted from now: after a pause of the process, missed periods are not made up for.
+        // The period starts now, so that periods missed during a pause of the process are skipped.
         Reschedule::After(period) => {
             queue.push(Reverse(ScheduledJob { due_at: Instant::now() + period, ..scheduled }))
         }
@@ -145,11 +146,11 @@
 
     #[test]
     fn calls_run_in_order_of_due_time_and_cancelled_calls_do_not_run() {
-        let timers = Timers::start().expect("a thread");
+        let timers = Timers::start().expect("the timer thread starts");
         let (tx, rx) = flume::unbounded();
         let send = |n: u32| {
             let tx = tx.clone();
-            move || tx.send(n).expect("the test listens")
+            move || tx.send(n).expect("the receiver is alive")
         };
         timers.run_after(Duration::from_millis(40), send(2));
         let cancelled = timers.run_after(Duration::from_millis(20), send(9));
@@ -160,12 +161,12 @@
 
     #[test]
     fn subscription_ends_when_closure_returns_false() {
-        let timers = Timers::start().expect("a thread");
+        let timers = Timers::start().expect("the timer thread starts");
         let (tx, rx) = flume::unbounded();
         let mut remaining = 3;
         timers.subscribe(Duration::from_millis(1), move || {
             remaining -= 1;
-            tx.send(remaining).expect("the test listens");
+            tx.send(remaining).expect("the receiver is alive");
             remaining > 0
         });
         assert_eq!(rx.iter().collect::<Vec<_>>(), [2, 1, 0]);
