--- a/crates/tidetrack-router/src/router.rs
+++ b/crates/tidetrack-router/src/router.rs
@@ -159,9 +159,9 @@
         };
         spawn("bills", DEFAULT_STACK_BYTES, move || replicator_thread.run(&billing, bills_rx))?;
         let write_results = bills_tx.clone();
-        let log = logger.clone();
+        let writer_logger = logger.clone();
         spawn("segments", DEFAULT_STACK_BYTES, move || {
-            billing::write_loop(platform, segments_rx, write_results, log);
+            billing::write_loop(platform, segments_rx, write_results, writer_logger);
         })?;
         let outputs = ControlOutputs {
             peer_jobs: jobs_tx,
--- a/crates/tidetrack-router/src/server.rs
+++ b/crates/tidetrack-router/src/server.rs
@@ -145,13 +145,14 @@
         head_timeout: HEAD_TIMEOUT,
         idle_timeout: IDLE_TIMEOUT,
     };
-    let (accept_shared, close_shared, closes) = (shared.clone(), shared.clone(), Closes::default());
+    let (accept_shared, close_shared, close_log) =
+        (shared.clone(), shared.clone(), Closes::default());
     ServerOptions {
         most_connections: limits.max_connections,
         limits: Rc::new(move || caller_limits),
         accept_failed: Rc::new(move |err| accept_shared.log(Event::AcceptFailed, &err.to_string())),
         closed: Rc::new(move |closed| {
-            if let Some(suppressed_count) = closes.take(closed) {
+            if let Some(suppressed_count) = close_log.take(closed) {
                 let detail = format!("{closed} more_before={suppressed_count}");
                 close_shared.log(Event::CallerClosed, &detail);
             }
@@ -408,13 +409,13 @@
         Ok(Admitted { workspace, body, permit }) => {
             let caller =
                 Caller { shared, upstream, id: id.clone(), workspace, began: queued.received_at };
-            let outcome_result = match api_path {
+            let labeled_result = match api_path {
                 ApiPath::Chat => chat::run(&caller, queued.request, &body),
                 ApiPath::Service => services::run(&caller, queued.request, body),
-                _ => handle_small_request(&caller, queued.request, &body, api_path),
+                _ => handle_local_request(&caller, queued.request, &body, api_path),
             };
             drop(permit);
-            outcome_result
+            labeled_result
         }
     };
     outcome::note(shared, &id, &labels, &result);
@@ -459,7 +460,7 @@
 }
 
 /// Responds to the requests that need no endpoint: models, sessions and tickets.
-fn handle_small_request(
+fn handle_local_request(
     caller: &Caller<'_>,
     request: Request,
     body: &[u8],
