--- a/crates/tidetrack-router/src/billing.rs
+++ b/crates/tidetrack-router/src/billing.rs
@@ -16,9 +16,9 @@
 use tidetrack_core::ledger::{Bill, Segment};
 use tidetrack_wire::platform::{PlatformClient, LEDGER_PREFIX};
 
-use crate::control::Msg;
+use crate::control::ControlMsg;
 use crate::logging;
-use crate::peers::Job;
+use crate::peers::PeerJob;
 use crate::shared::Clock;
 
 /// Maximum time between two polls of the replicator's actions when no message arrives.
@@ -147,9 +147,9 @@
     /// Clock whose time is passed to the replicator.
     pub clock: Clock,
     /// Jobs for the thread that calls other hosts.
-    pub jobs: Sender<Job>,
+    pub jobs: Sender<PeerJob>,
     /// Messages to the control thread.
-    pub control: Sender<Msg>,
+    pub control: Sender<ControlMsg>,
     /// Segments for the writer thread.
     pub segments: Sender<Segment>,
 }
@@ -224,7 +224,7 @@
     fn execute(&self, action: ReplicatorAction, waiters: &mut Waiters) {
         match action {
             ReplicatorAction::Hold { holder, batch, call } => {
-                let _ = self.jobs.send(Job::Hold { address: holder, batch, call });
+                let _ = self.jobs.send(PeerJob::Hold { address: holder, batch, call });
             }
             ReplicatorAction::Write(segment) => {
                 let _ = self.segments.send(segment);
@@ -235,8 +235,8 @@
                     let _ = replicated.send(());
                 }
             }
-            ReplicatorAction::CheckGone(of) => {
-                let _ = self.control.send(Msg::Gone { of });
+            ReplicatorAction::CheckGone(incarnations) => {
+                let _ = self.control.send(ControlMsg::FindGoneIncarnations { incarnations });
             }
             ReplicatorAction::Flushed(is_safe) => {
                 for flush in waiters.flushes.drain(..) {
--- a/crates/tidetrack-router/src/chat/attempts.rs
+++ b/crates/tidetrack-router/src/chat/attempts.rs
@@ -95,7 +95,7 @@
 
     /// Takes one retry from the host's retry budget. Returns false if the budget is exhausted.
     fn acquire_retry(&self) -> bool {
-        let mut retries = self.shared().retries.lock().expect("no holder of the lock panics");
+        let mut retries = self.shared().retry_budget.lock().expect("no holder of the lock panics");
         retries.try_acquire()
     }
 
@@ -109,7 +109,7 @@
         min_score: Option<f64>,
         sink: &mut ResponseSink,
     ) -> Result<bool> {
-        let freshness = self.shared().confirm();
+        let freshness = self.shared().wait_for_confirmation();
         self.shared().suspects.check(self.shared().now(), self.fingerprint)?;
         let view = self.shared().view.load_full();
         let workspace = self.workspace(&view)?;
@@ -166,7 +166,7 @@
             Err(_) => return,
         };
         let is_canary = chosen.credit.is_some();
-        self.shared().count(&chosen.version, chosen.generation, is_canary, counts);
+        self.shared().record_counts(&chosen.version, chosen.generation, is_canary, counts);
     }
 
     /// Returns the caller's workspace, or an error if it has been deleted since authentication.
--- a/crates/tidetrack-router/src/chat/buffered.rs
+++ b/crates/tidetrack-router/src/chat/buffered.rs
@@ -64,13 +64,13 @@
         if response.text.trim().is_empty() {
             return false;
         }
-        let Some(addr) = self.shared().settings.rating.as_deref() else { return false };
+        let Some(addr) = self.shared().settings.rating_address.as_deref() else { return false };
         let request = self.rating_request(&response.chosen, &response.text);
         let Ok(score) = rating::fetch_score(addr, &request, JUDGE_TIMEOUT_S) else { return false };
         let mut counts = VersionCounts::default();
         counts.add_rating(score);
         let ChosenVersion { version, generation, credit, .. } = &response.chosen;
-        self.shared().count(version, *generation, credit.is_some(), counts);
+        self.shared().record_counts(version, *generation, credit.is_some(), counts);
         score >= min_score
     }
 
--- a/crates/tidetrack-router/src/chat/mod.rs
+++ b/crates/tidetrack-router/src/chat/mod.rs
@@ -24,7 +24,7 @@
 use tidetrack_wire::headers;
 
 use crate::callers::Request;
-use crate::metrics::Labels;
+use crate::metrics::RequestLabels;
 use crate::outcome::{self, header_value, ResponseHeaders};
 use crate::shared::Shared;
 use crate::upstream::Upstream;
@@ -64,7 +64,7 @@
     wants_usage: bool,
     /// Priority set by the caller; 0 by default. It is also passed to the endpoint.
     priority: i64,
-    labels: Labels,
+    labels: RequestLabels,
     /// Line items of the bill for the responses received so far, including rejected ones.
     line_items: Vec<LineItem>,
     /// Time from receipt of the request to the first token sent, in milliseconds; `None` until
@@ -86,9 +86,14 @@
 
 /// Processes a chat request and sends the response. Returns the labels under which its metrics are
 /// recorded, and the error that was sent, if any.
-pub fn run(context: &RequestContext<'_>, request: Request, body: &[u8]) -> (Labels, Result<()>) {
+pub fn run(
+    context: &RequestContext<'_>,
+    request: Request,
+    body: &[u8],
+) -> (RequestLabels, Result<()>) {
     let headers = ResponseHeaders::new(&context.id, &request);
-    let mut labels = Labels { workspace: context.workspace.to_string(), ..Labels::default() };
+    let mut labels =
+        RequestLabels { workspace: context.workspace.to_string(), ..RequestLabels::default() };
     let view = context.shared.view.load_full();
     let call = Call::parse(context, &view, &request, body);
     let mut sink = ResponseSink { request: Some(request), headers, stream: None };
@@ -161,10 +166,10 @@
             wants_usage: chat.stream_options.as_ref().is_some_and(|o| o.include_usage),
             priority: parse_number_header(request, headers::PRIORITY).unwrap_or(0),
             version_fraction,
-            labels: Labels {
+            labels: RequestLabels {
                 workspace: context.workspace.to_string(),
                 route: route.to_string(),
-                ..Labels::default()
+                ..RequestLabels::default()
             },
             fingerprint: Fingerprint::of(&RequestIdentity {
                 workspace: Some(&context.workspace),
@@ -242,7 +247,7 @@
         let (plan, policy_error) =
             policy.decide(&features, &fallback_loads(view, &policy.spec.fallback, self.shared()));
         if let Some(err) = policy_error {
-            self.shared().metrics.event("policy_failed");
+            self.shared().metrics.count_event("policy_failed");
             self.shared().log(Event::PolicyFailed, &format!("{}: {err}", self.route));
         }
         let script_choice = header_value(request, headers::SCRIPT_CHOICE);
@@ -277,7 +282,7 @@
             (Tokens(usage.prompt_tokens), Tokens(usage.completion_tokens));
         let cost =
             version.spec.price_in.cost_of(tokens_in) + version.spec.price_out.cost_of(tokens_out);
-        self.shared().metrics.usage(&self.labels, usage.total_tokens, cost.0);
+        self.shared().metrics.record_usage(&self.labels, usage.total_tokens, cost.0);
         self.line_items.push(LineItem(chosen.version.clone(), tokens_in, tokens_out, cost));
     }
 
@@ -289,7 +294,7 @@
             Bill(self.context.id.number, self.context.workspace.clone(), line_items, outcome);
         let store_started_at = Instant::now();
         let result = self.shared().billing.store(bill);
-        self.shared().metrics.bill_wait(store_started_at.elapsed().as_secs_f64() * 1_000.0);
+        self.shared().metrics.record_bill_wait(store_started_at.elapsed().as_secs_f64() * 1_000.0);
         result
     }
 
@@ -326,7 +331,7 @@
     fn record_first_token(&self) {
         let ms = self.context.received_at.elapsed().as_secs_f64() * 1_000.0;
         self.first_token_ms.set(Some(ms));
-        self.shared().metrics.first_token(&self.labels, ms);
+        self.shared().metrics.record_first_token(&self.labels, ms);
     }
 
     /// Counts the request for each objective of its workspace and route. It meets an objective if
@@ -338,7 +343,7 @@
                 let name = format!("{}/{}", objective.workspace, objective.route);
                 let limit = objective.first_token_ms as f64;
                 let in_time = self.first_token_ms.get().is_some_and(|ms| ms <= limit);
-                self.shared().metrics.objective(&self.labels, &name, succeeded && in_time);
+                self.shared().metrics.record_objective(&self.labels, &name, succeeded && in_time);
             }
         }
     }
--- a/crates/tidetrack-router/src/control.rs
+++ b/crates/tidetrack-router/src/control.rs
@@ -1,7 +1,7 @@
-//! The control thread: it alone owns the node's state.
+//! The control thread, the only owner of the node's state.
 //!
-//! It takes messages, lets the core decide, does what the core wants done by telling other threads,
-//! and publishes the view that traffic decides on.
+//! It receives messages, passes them to the core for decisions, delegates the resulting actions to
+//! other threads, and publishes the view that requests are routed by.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -24,332 +24,351 @@
 use tidetrack_wire::platform::{ListedHost, ListedState};
 
 use crate::billing::BillMsg;
-use crate::peers::Job;
-use crate::platform_io::StateJob;
-use crate::shared::{PlatformDuty, Shared};
+use crate::peers::PeerJob;
+use crate::platform_io::StateWrite;
+use crate::shared::{ReadPlan, Shared};
 
-/// Roll-outs are looked at this often.
-const DUTY_EVERY: Millis = Millis(300);
+/// Interval between evaluations of the roll-outs.
+const ROLLOUT_CHECK_INTERVAL: Millis = Millis(300);
 
-/// Views are built at most this often.
-const BUILD_EVERY: Millis = Millis(50);
+/// Minimum time between two builds of the view.
+const MIN_VIEW_BUILD_INTERVAL: Millis = Millis(50);
 
-/// Messages for the control thread.
-pub enum Msg {
-    /// Time has passed.
+/// A message for the control thread.
+pub enum ControlMsg {
+    /// Periodic timer.
     Tick,
-    /// Another host exchanges.
+    /// Request half of an exchange, received from another host.
     PeerExchange {
-        /// Its half.
+        /// The request half.
         half: Exchange,
-        /// Takes ours.
+        /// Receives the reply half of this host.
         reply: Sender<Exchange>,
     },
-    /// A host replied to an exchange.
+    /// Reply to an exchange that this host requested.
     PeerReply {
-        /// Who.
+        /// Host that replied.
         to: HostId,
-        /// When it was asked.
+        /// Time at which the request was sent.
         sent_at: Millis,
-        /// What was asked with.
+        /// Nonce of the request.
         nonce: u64,
-        /// Its half.
+        /// The reply half.
         reply: Exchange,
     },
-    /// An exchange failed.
+    /// An exchange that this host requested failed.
     PeerFailed {
-        /// With whom.
+        /// Host that did not reply.
         to: HostId,
     },
-    /// A probe came back.
-    Probed {
-        /// Who was called.
+    /// Result of a probe that another host made on behalf of this host.
+    ProbeFinished {
+        /// Host that was probed.
         target: HostId,
-        /// Whether it answered.
-        reached: bool,
+        /// Whether the other host could connect to the target.
+        is_reachable: bool,
     },
-    /// A full list of the configuration.
+    /// The full list of configuration objects, read from the object API.
     List {
-        /// When it was asked for.
-        asked_at: Millis,
-        /// At which revision.
+        /// Time at which the request was sent.
+        requested_at: Millis,
+        /// Revision of the list.
         revision: u64,
-        /// The objects.
+        /// All objects of the configuration.
         entries: Vec<Entry>,
     },
-    /// Changes of the configuration.
+    /// Configuration changes, read from the object API.
     Changes {
-        /// When they were asked for.
-        asked_at: Millis,
-        /// The changes.
+        /// Time at which the request was sent.
+        requested_at: Millis,
+        /// The range of changes.
         delta: Delta,
     },
     /// The platform's list of hosts and endpoints.
     Hosts(Vec<ListedHost>),
-    /// Something seen of a version.
-    Count {
-        /// The version.
+    /// Outcomes observed for a version.
+    RecordCounts {
+        /// Version that the outcomes belong to.
         version: VersionRef,
-        /// Its generation.
+        /// Generation of the version.
         generation: u64,
-        /// Whether a roll-out of it is not done.
-        unproven: bool,
-        /// What was seen.
+        /// Whether the version is the canary of an unfinished roll-out.
+        is_canary: bool,
+        /// Counts to add to those of this host.
         counts: VersionCounts,
     },
-    /// A narrowing fact.
-    Learn(Fact),
-    /// An endpoint said that it is leaving.
+    /// A fact that bars a version or an endpoint.
+    AddFact(Fact),
+    /// Name of an endpoint that reported that it is shutting down.
     EndpointLeaving(String),
-    /// A state of a roll-out was written, at the version given.
+    /// Result of writing the state of a roll-out.
     StateWritten {
-        /// The roll-out.
+        /// Roll-out whose state was written.
         rollout: RolloutId,
-        /// The new version.
+        /// Version of the written object; 0 if the write failed.
         version: u64,
-        /// The state.
+        /// The written state.
         state: RolloutState,
     },
-    /// Asks which incarnations are gone; the keeper of the bills is told.
-    Gone {
-        /// Of these.
-        of: Vec<Incarnation>,
+    /// Requests which incarnations are gone. The result is sent to the bill replicator.
+    FindGoneIncarnations {
+        /// Incarnations to check.
+        incarnations: Vec<Incarnation>,
     },
-    /// Asks for the host's address for callers, if that incarnation lives.
+    /// Requests a host's address for callers.
     Locate {
-        /// Who.
+        /// Incarnation to look up.
         incarnation: Incarnation,
-        /// Takes the answer.
+        /// Receives the address as `ip:port`, or `None` if the incarnation is not live.
         reply: Sender<Option<String>>,
     },
-    /// Says to all that this host is leaving, or has left.
+    /// Announces to all hosts that this host is leaving or has left.
     Announce(MemberState),
-    /// Asks for the host's state.
+    /// Requests the status of this host.
     Status(Sender<Status>),
-    /// Ends the thread.
+    /// Ends the control thread.
     Stop,
 }
 
-/// What a host shows of itself.
+/// Status of a host, as shown on its status page.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Status {
-    /// This life of the host.
+    /// Incarnation of the host.
     pub incarnation: Incarnation,
-    /// Its failure domain.
+    /// Failure domain of the host.
     pub failure_domain: String,
-    /// The configuration up to this revision is what traffic decides on.
-    pub in_force: u64,
-    /// Milliseconds since it was confirmed to be the newest.
-    pub confirmed_ms_ago: Option<u64>,
-    /// Whether it keeps a watch on the object API.
-    pub watcher: bool,
-    /// All hosts known, with how they are seen.
+    /// Revision of the configuration that requests are routed by.
+    #[serde(rename = "in_force")]
+    pub applied_revision: u64,
+    /// Milliseconds since the configuration was last confirmed to be the newest; `None` if it never
+    /// was.
+    #[serde(rename = "confirmed_ms_ago")]
+    pub confirmation_age_ms: Option<u64>,
+    /// Whether the host watches the object API for its failure domain.
+    #[serde(rename = "watcher")]
+    pub is_watcher: bool,
+    /// All known hosts with their states as this host sees them.
     pub members: Vec<Member>,
-    /// Milliseconds since each link was last heard.
-    pub links: BTreeMap<HostId, u64>,
-    /// Narrowing facts.
+    /// Milliseconds since the last message from each linked host.
+    #[serde(rename = "links")]
+    pub link_silences_ms: BTreeMap<HostId, u64>,
+    /// Facts that bar versions and endpoints.
     pub facts: Vec<Fact>,
-    /// Where roll-outs stand.
+    /// State of each roll-out.
     pub rollouts: Vec<RolloutStatus>,
-    /// Rates that this host may use, by workspace.
-    pub shares: BTreeMap<String, f64>,
-    /// Requests in flight.
+    /// Request rate per second that this host may use, by workspace.
+    #[serde(rename = "shares")]
+    pub workspace_rates: BTreeMap<String, f64>,
+    /// Number of requests in flight.
     pub in_flight: u64,
-    /// Bills that are not in the object API yet.
-    pub bills_pending: u64,
+    /// Number of bills that are not in the object API yet.
+    #[serde(rename = "bills_pending")]
+    pub pending_bills: u64,
 }
 
-/// Where a roll-out stands, as a host sees it.
+/// State of a roll-out as a host sees it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RolloutStatus {
-    /// Its name.
+    /// Name of the roll-out.
     pub name: String,
-    /// The version rolled out.
+    /// Canary version, to which the roll-out moves requests.
     pub to: VersionRef,
-    /// The accepted state; absent before it is started.
+    /// State stored in the object API; `None` before the roll-out starts.
     pub state: Option<RolloutState>,
-    /// What is known of the new version.
-    pub new: VersionCounts,
-    /// What is known of the proven version.
-    pub proven: VersionCounts,
+    /// Total counts of the canary version from all hosts.
+    #[serde(rename = "new")]
+    pub canary: VersionCounts,
+    /// Total counts of the stable version from all hosts.
+    #[serde(rename = "proven")]
+    pub stable: VersionCounts,
 }
 
-/// The control thread's state.
+/// State of the control thread.
 pub struct Control {
     shared: Arc<Shared>,
     node: Node,
-    builder: ViewBuilder,
-    jobs: Sender<Job>,
-    bills: Sender<BillMsg>,
-    states: Sender<StateJob>,
+    view_builder: ViewBuilder,
+    peer_jobs: Sender<PeerJob>,
+    bill_messages: Sender<BillMsg>,
+    state_writes: Sender<StateWrite>,
     holders_epoch: Option<u64>,
-    duty_at: Millis,
-    built_at: Millis,
+    rollouts_checked_at: Millis,
+    view_built_at: Millis,
     facts_seq: u64,
-    rollout_since: BTreeMap<RolloutId, (u64, Millis)>,
-    writing: BTreeMap<RolloutId, u64>,
-    spent: BTreeMap<(VersionRef, u64), u64>,
+    rollout_state_since: BTreeMap<RolloutId, (u64, Millis)>,
+    pending_writes: BTreeMap<RolloutId, u64>,
+    counted_credits: BTreeMap<(VersionRef, u64), u64>,
 }
 
-/// What the control thread tells others through.
-pub struct Outlets {
+/// Channels through which the control thread sends work to other threads.
+pub struct ControlOutputs {
     /// Calls to other hosts.
-    pub jobs: Sender<Job>,
-    /// The keeper of the bills.
-    pub bills: Sender<BillMsg>,
-    /// The writer of roll-out states.
-    pub states: Sender<StateJob>,
+    pub peer_jobs: Sender<PeerJob>,
+    /// Messages for the bill replicator.
+    pub bill_messages: Sender<BillMsg>,
+    /// Roll-out states to write to the object API.
+    pub state_writes: Sender<StateWrite>,
 }
 
 impl Control {
-    /// Makes the thread's state.
-    pub fn new(shared: Arc<Shared>, mut node: Node, outlets: Outlets) -> Control {
+    /// Creates the state of the control thread. The node shares its limits and suspects with the
+    /// request threads.
+    pub fn new(shared: Arc<Shared>, mut node: Node, outputs: ControlOutputs) -> Control {
         node.limits = shared.limits.clone();
         node.suspects = shared.suspects.clone();
         Control {
             shared,
             node,
-            builder: ViewBuilder::default(),
-            jobs: outlets.jobs,
-            bills: outlets.bills,
-            states: outlets.states,
+            view_builder: ViewBuilder::default(),
+            peer_jobs: outputs.peer_jobs,
+            bill_messages: outputs.bill_messages,
+            state_writes: outputs.state_writes,
             holders_epoch: None,
-            duty_at: Millis(0),
-            built_at: Millis(0),
+            rollouts_checked_at: Millis(0),
+            view_built_at: Millis(0),
             facts_seq: 0,
-            rollout_since: BTreeMap::new(),
-            writing: BTreeMap::new(),
-            spent: BTreeMap::new(),
+            rollout_state_since: BTreeMap::new(),
+            pending_writes: BTreeMap::new(),
+            counted_credits: BTreeMap::new(),
         }
     }
 
-    /// Takes messages until told to stop.
-    pub fn run(mut self, messages: Receiver<Msg>) {
-        while let Ok(msg) = messages.recv() {
-            if matches!(msg, Msg::Stop) {
+    /// Handles messages until `Stop` is received or all senders are dropped.
+    pub fn run(mut self, messages: Receiver<ControlMsg>) {
+        while let Ok(message) = messages.recv() {
+            if matches!(message, ControlMsg::Stop) {
                 return;
             }
-            self.take(msg);
-            // A narrowing fact is in force at once; what widens may wait for the next view.
+            self.handle_message(message);
+            // A new fact bars its subject immediately; other changes may wait for the next
+            // scheduled view.
             if self.node.facts.seq() != self.facts_seq {
                 self.facts_seq = self.node.facts.seq();
-                self.built_at = Millis(0);
-                self.publish(self.shared.now());
+                self.view_built_at = Millis(0);
+                self.publish_view(self.shared.now());
             }
         }
     }
 
-    fn take(&mut self, msg: Msg) {
+    fn handle_message(&mut self, message: ControlMsg) {
         let now = self.shared.now();
-        match msg {
-            Msg::Tick => self.tick(now),
-            Msg::PeerExchange { half, reply } => {
-                // A caller that has given up needs no answer.
+        match message {
+            ControlMsg::Tick => self.tick(now),
+            ControlMsg::PeerExchange { half, reply } => {
+                // The receiver is gone if the requesting host has disconnected.
                 let _ = reply.send(self.node.on_exchange(now, half));
             }
-            Msg::PeerReply { to, sent_at, nonce, reply } => {
+            ControlMsg::PeerReply { to, sent_at, nonce, reply } => {
                 self.node.on_reply(now, &to, sent_at, nonce, reply);
             }
-            Msg::PeerFailed { to } => self.node.on_exchange_failed(&to),
-            Msg::Probed { target, reached } => self.node.on_probe(now, &target, reached),
-            Msg::List { asked_at, revision, entries } => {
-                self.node.on_list(asked_at, revision, entries);
-                self.publish(now);
+            ControlMsg::PeerFailed { to } => self.node.on_exchange_failed(&to),
+            ControlMsg::ProbeFinished { target, is_reachable } => {
+                self.node.on_probe(now, &target, is_reachable)
             }
-            Msg::Changes { asked_at, delta } => {
-                self.node.on_changes(asked_at, delta);
-                self.publish(now);
+            ControlMsg::List { requested_at, revision, entries } => {
+                self.node.on_list(requested_at, revision, entries);
+                self.publish_view(now);
             }
-            Msg::Hosts(hosts) => self.take_hosts(hosts),
-            Msg::Count { version, generation, unproven, counts } => {
-                self.node.record_counts(&version, generation, unproven, &counts);
+            ControlMsg::Changes { requested_at, delta } => {
+                self.node.on_changes(requested_at, delta);
+                self.publish_view(now);
             }
-            Msg::Learn(fact) => {
+            ControlMsg::Hosts(hosts) => self.apply_hosts(hosts),
+            ControlMsg::RecordCounts { version, generation, is_canary, counts } => {
+                self.node.record_counts(&version, generation, is_canary, &counts);
+            }
+            ControlMsg::AddFact(fact) => {
                 self.node.add_fact(fact);
             }
-            Msg::EndpointLeaving(name) => self.endpoint_leaving(&name),
-            Msg::StateWritten { rollout, version, state } => {
-                self.state_written(&rollout, version, &state);
+            ControlMsg::EndpointLeaving(name) => self.withdraw_leaving_endpoint(&name),
+            ControlMsg::StateWritten { rollout, version, state } => {
+                self.finish_state_write(&rollout, version, &state);
             }
-            Msg::Gone { of } => {
-                let gone = of.into_iter().filter(|i| self.node.members.is_gone(i)).collect();
-                let _ = self.bills.send(BillMsg::IncarnationsGone(gone));
+            ControlMsg::FindGoneIncarnations { incarnations } => {
+                let gone_incarnations =
+                    incarnations.into_iter().filter(|i| self.node.members.is_gone(i)).collect();
+                let _ = self.bill_messages.send(BillMsg::IncarnationsGone(gone_incarnations));
             }
-            Msg::Locate { incarnation, reply } => {
-                let _ = reply.send(self.locate(&incarnation));
+            ControlMsg::Locate { incarnation, reply } => {
+                let _ = reply.send(self.locate_caller_address(&incarnation));
             }
-            Msg::Announce(state) => self.node.announce(state),
-            Msg::Status(reply) => {
+            ControlMsg::Announce(state) => self.node.announce(state),
+            ControlMsg::Status(reply) => {
                 let _ = reply.send(self.status(now));
             }
-            Msg::Stop => {}
+            ControlMsg::Stop => {}
         }
     }
 
     fn tick(&mut self, now: Millis) {
-        self.count_spent();
+        self.record_spent_credits();
         for action in self.node.tick(now) {
-            self.act(now, action);
+            self.perform_action(now, action);
         }
-        self.choose_holders();
-        if now - self.duty_at >= DUTY_EVERY {
-            self.duty_at = now;
+        self.update_holders();
+        if now - self.rollouts_checked_at >= ROLLOUT_CHECK_INTERVAL {
+            self.rollouts_checked_at = now;
             let view = self.shared.view.load_full();
             self.node.quarantine_bad_versions(&view);
-            self.rollouts(now, &view);
+            self.advance_rollouts(now, &view);
         }
-        self.publish(now);
+        self.publish_view(now);
     }
 
-    fn act(&mut self, now: Millis, action: Action) {
+    fn perform_action(&mut self, now: Millis, action: Action) {
         let job = match action {
             Action::Log(event, text) => return self.shared.log(event, &text),
             Action::Exchange { to, address, message } => {
-                Job::Exchange { to, address, sent_at: now, half: message }
-            }
-            Action::Probe { via_address, target, target_address, .. } => {
-                Job::Probe { via: via_address, call: ProbeCall { target, address: target_address } }
+                PeerJob::Exchange { to, address, sent_at: now, half: message }
             }
+            Action::Probe { via_address, target, target_address, .. } => PeerJob::Probe {
+                via: via_address,
+                call: ProbeCall { target, address: target_address },
+            },
         };
-        // The peers' thread is gone only when the process ends.
-        let _ = self.jobs.send(job);
+        // The peers thread ends only with the process.
+        let _ = self.peer_jobs.send(job);
     }
 
-    /// Builds a new view if something changed, and tells traffic and the platform's thread.
-    fn publish(&mut self, now: Millis) {
-        if now - self.built_at >= BUILD_EVERY && self.node.take_changed() {
-            self.built_at = now;
-            let view = self.node.view(now, &mut self.builder);
+    /// Builds and publishes a new view if something changed, and updates the admission state and
+    /// the plan for the thread that reads the configuration.
+    fn publish_view(&mut self, now: Millis) {
+        if now - self.view_built_at >= MIN_VIEW_BUILD_INTERVAL && self.node.take_changed() {
+            self.view_built_at = now;
+            let view = self.node.view(now, &mut self.view_builder);
             let old = self.shared.view.swap(Arc::new(view));
             let revision = self.node.store.complete_to();
             if old.revision != revision {
                 self.shared.log(Event::ConfigApplied, &format!("revision {revision}"));
             }
         }
-        // What is known counts once traffic decides on it.
+        // The configuration counts as applied once requests are routed by it, so readiness is taken
+        // from the published view.
         let ready = self.shared.view.load().revision > 0;
-        self.shared.gate.tick(now, self.node.confirmation(), ready);
-        self.shared.gate.set_duty(PlatformDuty {
-            watcher: self.node.is_watcher(),
-            // After a pause the answer to a short read is the first that tells.
-            poll: self.node.needs_poll(now) || self.shared.gate.is_unconfirmed(now),
-            alone: self.node.live_host_count() <= 1,
+        self.shared.admission.tick(now, self.node.confirmation(), ready);
+        self.shared.admission.set_read_plan(ReadPlan {
+            is_watcher: self.node.is_watcher(),
+            // After a pause of the process, the response to a read without a wait is the earliest
+            // confirmation of the configuration.
+            needs_poll: self.node.needs_poll(now) || self.shared.admission.is_unconfirmed(now),
+            is_alone: self.node.live_host_count() <= 1,
             complete_to: self.node.store.complete_to(),
         });
     }
 
-    fn take_hosts(&mut self, hosts: Vec<ListedHost>) {
-        let leaving = |h: &&ListedHost| h.role == "endpoint" && h.state == ListedState::Leaving;
-        for host in hosts.iter().filter(leaving) {
-            self.endpoint_leaving(&host.name);
+    fn apply_hosts(&mut self, hosts: Vec<ListedHost>) {
+        let is_leaving_endpoint =
+            |h: &&ListedHost| h.role == "endpoint" && h.state == ListedState::Leaving;
+        for host in hosts.iter().filter(is_leaving_endpoint) {
+            self.withdraw_leaving_endpoint(&host.name);
         }
         let routers = hosts.into_iter().filter(|h| h.role == "router");
         let seeds = routers.filter_map(|h| Some((h.name.parse().ok()?, h.address)));
         self.node.set_seeds(seeds.collect());
     }
 
-    /// Bars an endpoint as it is declared now; a later declaration admits it again.
-    fn endpoint_leaving(&mut self, name: &str) {
+    /// Bars an endpoint up to its current declaration; a later declaration admits it again.
+    fn withdraw_leaving_endpoint(&mut self, name: &str) {
         let Ok(endpoint) = name.parse() else { return };
         let declared = self.node.store.iter().filter(|e| {
             matches!(e.key.kind, ObjectKind::Pool | ObjectKind::Service)
@@ -361,8 +380,9 @@
         }
     }
 
-    /// Tells the keeper of the bills who may hold them, when the members changed.
-    fn choose_holders(&mut self) {
+    /// Sends the list of hosts that may hold bills to the bill replicator whenever the members
+    /// change.
+    fn update_holders(&mut self) {
         let epoch = self.node.members.epoch();
         if self.holders_epoch == Some(epoch) {
             return;
@@ -373,70 +393,75 @@
             incarnation: m.incarnation.clone(),
             address: m.peer_address.clone(),
         });
-        let _ = self.bills.send(BillMsg::Holders(holders.collect()));
+        let _ = self.bill_messages.send(BillMsg::Holders(holders.collect()));
     }
 
-    /// Counts the credits spent since the last look as requests started.
-    fn count_spent(&mut self) {
+    /// Adds the credits spent since the last call to the counts of started requests.
+    fn record_spent_credits(&mut self) {
         let view = self.shared.view.load();
         for rollout in &view.rollouts {
             let version = &rollout.spec.to;
             let Some(v) = view.versions.get(version) else { continue };
             let generation = v.spec.generation;
-            let Some(credits) = self.builder.credits(version, generation) else { continue };
-            let spent = credits.spent();
-            let told = self.spent.entry((version.clone(), generation)).or_default();
-            if spent > *told {
-                let counts = VersionCounts { started: spent - *told, ..VersionCounts::default() };
-                *told = spent;
+            let Some(credits) = self.view_builder.credits(version, generation) else { continue };
+            let spent_credits = credits.spent();
+            let counted = self.counted_credits.entry((version.clone(), generation)).or_default();
+            if spent_credits > *counted {
+                let counts =
+                    VersionCounts { started: spent_credits - *counted, ..VersionCounts::default() };
+                *counted = spent_credits;
                 self.node.record_counts(version, generation, true, &counts);
             }
         }
     }
 
-    fn rollouts(&mut self, now: Millis, view: &View) {
+    fn advance_rollouts(&mut self, now: Millis, view: &View) {
         for rollout in &view.rollouts {
-            let since = self.rollout_since.entry(rollout.id.clone()).or_insert((0, now));
-            if since.0 != rollout.state_version {
-                *since = (rollout.state_version, now);
+            let state_since =
+                self.rollout_state_since.entry(rollout.id.clone()).or_insert((0, now));
+            if state_since.0 != rollout.state_version {
+                *state_since = (rollout.state_version, now);
                 if let Some(state) = &rollout.state {
                     let text = format!("{} {:?} stage {}", rollout.id, state.phase, state.stage);
                     self.shared.log(Event::RolloutMoved, &text);
                 }
             }
-            let since = since.1;
-            if self.writing.get(&rollout.id) == Some(&rollout.state_version) {
+            let state_since = state_since.1;
+            if self.pending_writes.get(&rollout.id) == Some(&rollout.state_version) {
                 continue;
             }
-            let Some(mut state) = self.node.rollout_update(now, view, rollout, since) else {
+            let Some(mut state) = self.node.rollout_update(now, view, rollout, state_since) else {
                 continue;
             };
-            state.operation_id = format!("{}-{}-{}", self.shared.own, rollout.state_version, now.0);
-            self.writing.insert(rollout.id.clone(), rollout.state_version);
-            let expected = rollout.state_version;
-            let job = StateJob { rollout: rollout.id.clone(), expected, state };
-            // The writer's thread is gone only when the process ends.
-            let _ = self.states.send(job);
+            state.operation_id =
+                format!("{}-{}-{}", self.shared.incarnation, rollout.state_version, now.0);
+            self.pending_writes.insert(rollout.id.clone(), rollout.state_version);
+            let expected_version = rollout.state_version;
+            let job = StateWrite { rollout: rollout.id.clone(), expected_version, state };
+            // The thread that writes roll-out states ends only with the process.
+            let _ = self.state_writes.send(job);
         }
     }
 
-    fn state_written(&mut self, rollout: &RolloutId, version: u64, state: &RolloutState) {
-        self.writing.remove(rollout);
+    fn finish_state_write(&mut self, rollout: &RolloutId, version: u64, state: &RolloutState) {
+        self.pending_writes.remove(rollout);
         if version == 0 {
             return;
         }
         let key = ObjectKey::new(ObjectKind::RolloutState, rollout);
-        let body = serde_json::to_string(state).expect("a state has text keys");
+        let body = serde_json::to_string(state).expect("a roll-out state serializes to JSON");
         let entry = Entry { key, version, body: Some(body.into()) };
-        // Ahead of the watch: the entry counts, and the run stays as whole as it was.
+        // The entry is applied before the watch delivers it. The range starts at the maximum
+        // revision, so that it does not advance the revision up to which the configuration is
+        // complete.
         let delta = Delta { from: u64::MAX, to: 0, entries: vec![entry] };
         self.node.on_object_written(delta);
     }
 
-    fn locate(&self, incarnation: &Incarnation) -> Option<String> {
+    fn locate_caller_address(&self, incarnation: &Incarnation) -> Option<String> {
         let member = self.node.members.lookup(&incarnation.host)?;
-        let lives = member.incarnation == *incarnation && member.is_live();
-        lives.then(|| member.caller_address.clone())
+        let is_live = member.incarnation == *incarnation && member.is_live();
+        is_live.then(|| member.caller_address.clone())
     }
 
     fn status(&self, now: Millis) -> Status {
@@ -449,23 +474,28 @@
             name: r.id.to_string(),
             to: r.spec.to.clone(),
             state: r.state.clone(),
-            new: counts(&r.spec.to),
-            proven: counts(&r.spec.from),
+            canary: counts(&r.spec.to),
+            stable: counts(&r.spec.from),
         });
         let shares = self.shared.limits().rates(now);
         Status {
-            incarnation: self.shared.own.clone(),
+            incarnation: self.shared.incarnation.clone(),
             failure_domain: self.shared.settings.failure_domain.to_string(),
-            in_force: view.revision,
-            confirmed_ms_ago: self.node.confirmation_age(now).map(|a| a.0),
-            watcher: self.node.is_watcher(),
+            applied_revision: view.revision,
+            confirmation_age_ms: self.node.confirmation_age(now).map(|a| a.0),
+            is_watcher: self.node.is_watcher(),
             members: self.node.members.iter().cloned().collect(),
-            links: self.node.link_silences(now).into_iter().map(|(h, a)| (h, a.0)).collect(),
+            link_silences_ms: self
+                .node
+                .link_silences(now)
+                .into_iter()
+                .map(|(h, a)| (h, a.0))
+                .collect(),
             facts: self.node.facts.iter().collect(),
             rollouts: rollouts.collect(),
-            shares: shares.into_iter().map(|(w, r)| (w.to_string(), r)).collect(),
+            workspace_rates: shares.into_iter().map(|(w, r)| (w.to_string(), r)).collect(),
             in_flight: self.shared.in_flight.load(std::sync::atomic::Ordering::Relaxed),
-            bills_pending: self.shared.billing.pending(),
+            pending_bills: self.shared.billing.pending(),
         }
     }
 }
--- a/crates/tidetrack-router/src/loads.rs
+++ b/crates/tidetrack-router/src/loads.rs
@@ -12,7 +12,7 @@
 use tidetrack_core::units::{Millis, Tokens};
 use tidetrack_wire::endpoint::LoadReport;
 
-use crate::control::Msg;
+use crate::control::ControlMsg;
 use crate::shared::Shared;
 
 /// Timeout in seconds of a load request.
@@ -23,7 +23,7 @@
 
 /// Requests the load of one endpoint per interval, in rotation, until `stop` is closed.
 pub fn run(shared: Arc<Shared>, stop: Receiver<()>) {
-    let interval = Duration::from_millis(shared.settings.times.load_ms.max(1));
+    let interval = Duration::from_millis(shared.settings.times.load_read_interval_ms.max(1));
     let mut endpoint_index = 0usize;
     while stop.recv_timeout(interval) != Err(RecvTimeoutError::Disconnected) {
         let view = shared.view.load();
@@ -50,6 +50,6 @@
     let capacity = Tokens(report.capacity_tokens);
     endpoint.state.record_load_report(shared.now(), report.work, capacity);
     if report.leaving {
-        let _ = shared.control.send(Msg::EndpointLeaving(endpoint.id.to_string()));
+        let _ = shared.control.send(ControlMsg::EndpointLeaving(endpoint.id.to_string()));
     }
 }
--- a/crates/tidetrack-router/src/outcome.rs
+++ b/crates/tidetrack-router/src/outcome.rs
@@ -11,7 +11,7 @@
 use tidetrack_wire::headers;
 
 use crate::callers::{self, BodySender, Request};
-use crate::metrics::Labels;
+use crate::metrics::RequestLabels;
 use crate::shared::Shared;
 
 /// Appends a header. A value that is not a valid header value is replaced by an empty one.
@@ -123,14 +123,19 @@
 }
 
 /// Records the outcome of a request in the metrics and the log.
-pub fn record_outcome(shared: &Shared, id: &RequestId, labels: &Labels, outcome: &Result<()>) {
+pub fn record_outcome(
+    shared: &Shared,
+    id: &RequestId,
+    labels: &RequestLabels,
+    outcome: &Result<()>,
+) {
     match outcome {
         Ok(()) => {
-            shared.metrics.request(labels, "TT-0");
+            shared.metrics.record_request(labels, "TT-0");
             shared.log(Event::RequestDone, &id.to_string());
         }
         Err(err) => {
-            shared.metrics.request(labels, &err.code.to_string());
+            shared.metrics.record_request(labels, &err.code.to_string());
             let executed = format!("{:?}", err.executed).to_lowercase();
             shared.log(Event::RequestRefused, &format!("{id} {err} ran={executed}"));
         }
--- a/crates/tidetrack-router/src/rating.rs
+++ b/crates/tidetrack-router/src/rating.rs
@@ -65,23 +65,23 @@
 /// fit the queue is dropped and counted.
 pub fn submit(shared: &Shared, job: RatingJob) {
     let is_sampled = hash_fraction("rate", &job.rating_request.request) < STABLE_RATED_SHARE;
-    let should_rate = shared.settings.rating.is_some() && (job.is_canary || is_sampled);
-    if should_rate && shared.ratings.try_send(job).is_err() {
-        shared.metrics.event("rating_left_out");
+    let should_rate = shared.settings.rating_address.is_some() && (job.is_canary || is_sampled);
+    if should_rate && shared.rating_jobs.try_send(job).is_err() {
+        shared.metrics.count_event("rating_left_out");
     }
 }
 
 /// Rates responses until all senders have been dropped.
 pub fn run(shared: Arc<Shared>, jobs: Receiver<RatingJob>) {
     for job in jobs {
-        let Some(address) = shared.settings.rating.as_deref() else { continue };
+        let Some(address) = shared.settings.rating_address.as_deref() else { continue };
         match fetch_score(address, &job.rating_request, RATING_TIMEOUT_SECONDS) {
             Ok(score) => {
                 let mut counts = VersionCounts::default();
                 counts.add_rating(score);
-                shared.count(&job.version, job.generation, job.is_canary, counts);
+                shared.record_counts(&job.version, job.generation, job.is_canary, counts);
             }
-            Err(_) => shared.metrics.event("rating_failed"),
+            Err(_) => shared.metrics.count_event("rating_failed"),
         }
     }
 }
--- a/crates/tidetrack-router/src/services.rs
+++ b/crates/tidetrack-router/src/services.rs
@@ -20,8 +20,8 @@
 
 use crate::callers::Request;
 use crate::chat::RequestContext;
-use crate::control::Msg;
-use crate::metrics::Labels;
+use crate::control::ControlMsg;
+use crate::metrics::RequestLabels;
 use crate::outcome::{self, header_value, ResponseHeaders};
 use crate::upstream::{Attempt, AttemptParams};
 
@@ -76,16 +76,21 @@
     content_type: String,
     body: Vec<u8>,
     fingerprint: Fingerprint,
-    labels: Labels,
+    labels: RequestLabels,
     deadline: Instant,
 }
 
 /// Processes a service call and sends the response. Returns the labels under which its metrics are
 /// recorded, and the error that was sent, if any.
-pub fn run(context: &RequestContext<'_>, request: Request, body: Vec<u8>) -> (Labels, Result<()>) {
+pub fn run(
+    context: &RequestContext<'_>,
+    request: Request,
+    body: Vec<u8>,
+) -> (RequestLabels, Result<()>) {
     let view = context.shared.view.load_full();
     let mut headers = ResponseHeaders::new(&context.id, &request);
-    let mut labels = Labels { workspace: context.workspace.to_string(), ..Labels::default() };
+    let mut labels =
+        RequestLabels { workspace: context.workspace.to_string(), ..RequestLabels::default() };
     let result = resolve_service(context, &view, &request).and_then(|(name, service, path)| {
         labels.route = name.to_string();
         let fingerprint = Fingerprint::of(&RequestIdentity {
@@ -177,7 +182,7 @@
             let no_key_ring = || Error::new(Code::NotReady, "the key ring has not been loaded yet");
             let ring = view.key_ring.as_ref().ok_or_else(no_key_ring)?;
             let ticket = Ticket::from_token(token.trim(), &self.context.workspace, ring)?;
-            let is_issued_here = ticket.issued_by == self.context.shared.own;
+            let is_issued_here = ticket.issued_by == self.context.shared.incarnation;
             return Ok(is_issued_here.then_some(ExecutionGuard::Ticket(ticket)));
         }
         match header_value(request, headers::IDEMPOTENCY_KEY) {
@@ -248,7 +253,7 @@
                 && !matches!(err.code, Code::Overloaded | Code::CrashesEndpoints)
                 && Instant::now() < self.deadline;
             let should_retry = should_retry && {
-                let retries = self.context.shared.retries.lock();
+                let retries = self.context.shared.retry_budget.lock();
                 retries.expect("no holder of the lock panics").try_acquire()
             };
             if !should_retry {
@@ -268,7 +273,7 @@
         is_repeatable: bool,
     ) -> Result<ServiceResponse> {
         let shared = self.context.shared;
-        shared.confirm();
+        shared.wait_for_confirmation();
         shared.suspects.check(shared.now(), self.fingerprint)?;
         let salt = rendezvous("endpoint", &self.context.id.to_string());
         let placement_request = PlacementRequest {
@@ -334,7 +339,7 @@
         let mut forwarded_request =
             minreq::Request::new(method, format!("http://{address}{}", request.url()))
                 .with_body(self.body.clone())
-                .with_header(headers::FORWARDED, shared.own.to_string());
+                .with_header(headers::FORWARDED, shared.incarnation.to_string());
         for name in ["Authorization", "Content-Type", headers::TICKET, headers::CALLER_REQUEST_ID] {
             if let Some(value) = header_value(request, name) {
                 forwarded_request = forwarded_request.with_header(name, value);
@@ -366,7 +371,7 @@
         let ring = view.key_ring.as_ref().ok_or_else(no_key_ring)?;
         let ticket = Ticket::from_token(token.trim(), &self.context.workspace, ring)?;
         let (reply_sender, reply_receiver) = flume::bounded(1);
-        let msg = Msg::Locate { incarnation: ticket.issued_by, reply: reply_sender };
+        let msg = ControlMsg::Locate { incarnation: ticket.issued_by, reply: reply_sender };
         let host_stopping = || Error::new(Code::Draining, "the host is shutting down");
         shared.control.send(msg).map_err(|_| host_stopping())?;
         reply_receiver.recv().map_err(|_| host_stopping())
--- a/crates/tidetrack-router/src/upstream.rs
+++ b/crates/tidetrack-router/src/upstream.rs
@@ -26,7 +26,7 @@
 use tidetrack_wire::endpoint::{parse_load_header, AttemptRequest};
 use tidetrack_wire::headers;
 
-use crate::control::Msg;
+use crate::control::ControlMsg;
 use crate::endpoint_client::{BodyPart, EndpointRequest, Reply};
 use crate::shared::Shared;
 
@@ -234,7 +234,8 @@
         }
         if header(headers::LEAVING).is_some() {
             self.endpoint.state.set_leaving(true);
-            let _ = self.shared.control.send(Msg::EndpointLeaving(self.endpoint.id.to_string()));
+            let _ =
+                self.shared.control.send(ControlMsg::EndpointLeaving(self.endpoint.id.to_string()));
         }
         let is_from_endpoint = header(headers::ATTEMPT).is_some();
         match reply.head.status {
@@ -256,7 +257,7 @@
     /// Records a failed attempt and cancels it at the endpoint if it may still be running.
     pub fn record_failure(&mut self, err: &Error) {
         if err.code == Code::WrongAnswer {
-            self.shared.metrics.event("answer_mismatch");
+            self.shared.metrics.count_event("answer_mismatch");
             self.shared.log(Event::AnswerMismatch, &self.id);
         }
         // A refusal does not mean that the endpoint is unhealthy, and the caller may have set the
@@ -274,7 +275,7 @@
         {
             self.record_crash();
         }
-        self.shared.metrics.event("attempt_failed");
+        self.shared.metrics.count_event("attempt_failed");
         self.shared.log(Event::AttemptFailed, &format!("{} {err}", self.id));
         self.finish(err.executed != Executed::No);
     }
@@ -291,7 +292,7 @@
         state.record_unreachable(now);
         let suspects = &self.shared.suspects;
         let crashes = suspects.record_crash(now, self.fingerprint, id, failure_domain, sent_at);
-        self.shared.metrics.event("endpoint_crashed");
+        self.shared.metrics.count_event("endpoint_crashed");
         let text = format!("{} {id} fingerprint={} crashes={crashes}", self.id, self.fingerprint);
         self.shared.log(Event::EndpointCrashed, &text);
     }
