--- a/crates/tidetrack-router/src/server.rs
+++ b/crates/tidetrack-router/src/server.rs
@@ -123,10 +123,10 @@
     let local = LocalSet::new();
     local.block_on(&runtime, async move {
         let listener = tokio::net::TcpListener::from_std(listener)?;
-        let (_stage, stage_seen) = watch::channel(StopStage::Serving);
+        let (_stage_sender, stage_receiver) = watch::channel(StopStage::Serving);
         let opts = server_options(shared, request_queue);
         tokio::task::spawn_local(errands::run(endpoint_requests));
-        tokio::task::spawn_local(accept_loop(listener, opts, Rc::default(), stage_seen));
+        tokio::task::spawn_local(accept_loop(listener, opts, Rc::default(), stage_receiver));
         // The sender is dropped only when the process ends, which also means stop.
         let _ = stop_signal.stop_receiver.recv_async().await;
         std::io::Result::Ok(())
