--- a/crates/tidetrack-core/tests/bill_replicator.rs
+++ b/crates/tidetrack-core/tests/bill_replicator.rs
@@ -1,17 +1,17 @@
-//! What a host's bills go through when their holder changes while many are pending.
+//! Replication of a host's bills when their holder changes while many bills are pending.
 //!
-//! What users would see: answers whose last byte comes late or not at all, after a failure domain is
-//! lost while the object API cannot be written. Order of events: thousands of bills are pending; the
-//! holder goes; the next one is given all of them anew, oldest first, and the few bills that requests
-//! wait for come last; a call that is too large for the path is given up and made again in the same
-//! size. Evidence: the bills of the calls below.
+//! Guards against responses whose last byte is late or missing after a failure domain is lost while
+//! the object API cannot be written. With thousands of bills pending, the holder fails and the next
+//! holder is sent all of them again, oldest first. The few bills that requests wait for are sent
+//! last, and a call that is too large for the network path times out and is retried with the same
+//! size. The tests check the bills in each call.
 
 use tidetrack_core::bill_replicator::{BillReplicator, HoldCall, Holder, ReplicatorAction};
 use tidetrack_core::ids::Incarnation;
 use tidetrack_core::ledger::{Bill, BillOutcome, LineItem};
 use tidetrack_core::units::{Micros, Millis, Tokens};
 
-/// Bills pending when the holder goes: about a minute of a busy host's.
+/// Number of bills pending when the holder fails: about a minute of the bills of a busy host.
 const PENDING_BILLS: u64 = 5_000;
 
 fn bill(number: u64) -> Bill {
@@ -26,7 +26,7 @@
     }
 }
 
-/// Gets the one call to a holder among the actions.
+/// Returns the batch number and the content of the only hold call among the actions.
 fn hold_call(actions: &[ReplicatorAction]) -> (u64, &HoldCall) {
     let hold_calls: Vec<(u64, &HoldCall)> = actions
         .iter()
@@ -39,10 +39,10 @@
     hold_calls[0]
 }
 
-/// Makes a keeper whose bills are all held by `b`, at 1,000 ms.
+/// Returns a replicator whose bills are all held by `b`, at 1,000 ms.
 fn replicator_with_held_bills() -> BillReplicator {
     let origin: Incarnation = "a~1".parse().expect("an incarnation");
-    // No segment is written: the object API cannot be reached.
+    // No segment is written, as if the object API were unreachable.
     let mut replicator = BillReplicator::new(Millis(0), origin, Millis(1_000_000));
     replicator.set_holders(vec![holder("b~1")]);
     (1..=PENDING_BILLS).for_each(|n| replicator.add_bill(bill(n)));
@@ -99,7 +99,7 @@
     let mut held_again = 0;
 
     for round in 0..40 {
-        // As many new bills as a call may carry come meanwhile.
+        // In each round, as many new bills arrive as one call may carry.
         (0..2_000).for_each(|n| replicator.add_bill(bill(PENDING_BILLS + 1 + round * 2_000 + n)));
         let now = Millis(2_000 + 300 * round);
         let actions = replicator.poll_actions(now);
@@ -111,7 +111,7 @@
     assert_eq!(held_again, PENDING_BILLS as usize);
 }
 
-/// Makes a keeper with bills pending that holds as many for a host that is gone.
+/// Returns a replicator with pending bills of its own that holds as many for a failed host.
 fn replicator_with_bills_of(failed_origin: &Incarnation) -> BillReplicator {
     let mut replicator = replicator_with_held_bills();
     let bills = (1..=PENDING_BILLS).map(bill).collect();
@@ -120,7 +120,7 @@
     replicator
 }
 
-/// Gives the keeper the bills of a host that is gone, and lets the write of its segment fail.
+/// Lets the replicator take over the bills of a failed host, and fails the write of their segment.
 fn fail_segment_write(replicator: &mut BillReplicator, failed_origin: &Incarnation) {
     replicator.take_over(std::slice::from_ref(failed_origin));
     let actions = replicator.poll_actions(Millis(2_000));
--- a/crates/tidetrack-core/tests/cold_start.rs
+++ b/crates/tidetrack-core/tests/cold_start.rs
@@ -1,4 +1,5 @@
-//! A whole fleet that starts at once: who asks the store, and when all know what they need.
+//! A whole fleet that starts at once: which hosts read the store, and when all hosts have the data
+//! they need.
 
 mod support;
 
@@ -15,14 +16,15 @@
     rollouts,
 };
 
-/// A configuration of 1,400 routes.
+/// Size in bytes of a configuration with 1,400 routes.
 const CATALOG_BYTES: u64 = 337_000;
 
-/// When half of the hosts knew the endpoints and the configuration as each read them for itself, in milliseconds after
-/// the start. Messages take up to 50 ms more here than on links.
+/// Time after the start within which half of the hosts have the endpoints and the configuration, in
+/// milliseconds. This is the time it took when each host read them from the store itself. Messages
+/// take up to 50 ms longer here than on real links.
 const MAX_HALF_KNOWN_MS: u64 = 900;
 
-/// Longest that a fleet is given to know all.
+/// Time after the start at which the simulation ends, in milliseconds.
 const START_TIMEOUT_MS: u64 = 4_000;
 
 fn start_config(hosts: u32, well_connected_hosts: u32) -> ColdStartConfig {
@@ -37,15 +39,16 @@
     }
 }
 
-/// What a start took.
+/// Measurements of one start of a fleet.
 #[derive(Debug)]
 struct StartResult {
-    /// When half of the hosts knew all, and all of them.
+    /// Time at which half of the hosts had all data, in milliseconds.
     half_known_at: u64,
+    /// Time at which all hosts had all data, in milliseconds.
     all_known_at: u64,
-    /// Reads of the store.
+    /// Number of fetches from the store.
     store_calls: usize,
-    /// Messages that a host sent.
+    /// Number of messages per host.
     messages_per_host: usize,
 }
 
@@ -73,10 +76,10 @@
     }
 }
 
-/// What was seen: 295 hosts that were killed together asked the store the same, 3.2 calls each at full price, and knew
-/// the configuration after 0.9 s: 295 copies of 337 KB on the store's link; 2,469 requests were refused until then.
-/// Cause: each host that started listed every kind for itself. Evidence: the counts of such a start, 295 lists of the
-/// configuration and 590 reads of changes.
+/// Guards against a start at which each host lists every kind from the store itself. When 295 hosts
+/// were killed together, each made 3.2 calls to the store at full cost, for 295 lists of the
+/// configuration and 590 reads of changes in all. With 295 copies of 337 KB on the store's link,
+/// the hosts had the configuration after 0.9 s, and 2,469 requests were refused until then.
 #[test]
 fn a_fleet_that_starts_at_once_reads_the_store_from_few_hosts() {
     for (hosts, well_connected_hosts, seed) in [(295, 18, 1), (295, 18, 2), (540, 30, 3)] {
@@ -87,25 +90,26 @@
             result.half_known_at <= MAX_HALF_KNOWN_MS && result.all_known_at < START_TIMEOUT_MS,
             "{hosts} hosts: {result:?}"
         );
-        // Four times what rounds of eight messages would be.
+        // Four times the number of messages in regular rounds of eight.
         assert!(result.messages_per_host <= 512, "{hosts} hosts: {result:?}");
-        // Each for itself would be two for each host.
+        // If each host read the store itself, there would be two fetches per host.
         assert!(result.store_calls <= hosts as usize / 2, "{hosts} hosts: {result:?}");
     }
 }
 
-/// Strong links spare time, not answers: where there are none, those that all know read first, and a few others.
+/// Hosts with fast links shorten the start but are not required: without any, the seeds and a few
+/// other hosts read the store first.
 #[test]
 fn a_fleet_of_slow_links_starts_too() {
     let result = run_cold_start(&start_config(91, 0), 1);
     println!("{result:?}");
 
     assert!(result.all_known_at < START_TIMEOUT_MS, "{result:?}");
-    // Each for itself would be two for each host.
+    // If each host read the store itself, there would be two fetches per host.
     assert!(result.store_calls <= 91 * 3 / 2, "{result:?}");
 }
 
-/// A host whose word is lost, or that knows only hosts which are gone, reads the store.
+/// A host that cannot fetch anything from the other hosts reads the store.
 #[test]
 fn a_host_that_reaches_no_other_host_reads_the_store() {
     let mut config = start_config(12, 0);
@@ -125,8 +129,8 @@
     assert!(fleet.store_calls >= 12 * kind_count, "{}", fleet.store_calls);
 }
 
-/// A caller that wants its answer soon is not kept from asking elsewhere, and nobody is held by a host that is not
-/// about to know anything.
+/// A request with a short deadline is held so briefly that its caller can try another host, and a
+/// host whose bootstrap time is over holds no requests.
 #[test]
 fn a_request_is_held_during_bootstrap_for_part_of_its_remaining_time() {
     let hold_time_ms =
@@ -142,7 +146,8 @@
     assert_eq!((near_bootstrap_end, after_bootstrap), (100, 0));
 }
 
-/// Guards against a host that is ready while it holds all endpoints until it has read the roll-outs.
+/// Guards against a host that reports that it has endpoints while it still withholds all of them
+/// until it has read the roll-outs.
 #[test]
 fn a_starting_host_has_endpoints_once_it_may_send_requests_to_one() {
     let freshness = freshness_confirmed_at(0);
@@ -165,7 +170,8 @@
     );
 }
 
-/// Guards against holding the only version of a service for the moment between the list and its revision.
+/// Guards against withholding the only version of a service between the list of endpoints and its
+/// revision.
 #[test]
 fn endpoints_of_the_only_version_of_a_service_serve_as_soon_as_they_are_listed() {
     let freshness = freshness_confirmed_at(0);
--- a/crates/tidetrack-core/tests/expired_entries.rs
+++ b/crates/tidetrack-core/tests/expired_entries.rs
@@ -1,18 +1,20 @@
-//! Endpoints that leave while a host has lost the store that the others reach.
+//! Endpoints that leave while one host has lost the store and the other hosts still reach it.
 //!
-//! What users saw: an endpoint that had said that it leaves got a request 4 s later, over a host that was
-//! ready again for 0.3 s.
+//! Guards against requests to an endpoint that has left. An endpoint that had announced that it was
+//! leaving got a request 4 s later, through a host that had been ready again for 0.3 s.
 //!
-//! Order of events: large replies filled the host's link, and one of its calls to the store failed. It took
-//! the store for away. The entries of endpoints that went in that time were kept, as they would be back if
-//! the store had been away for their heartbeats too; until all kinds had been read again, and 2.3 s longer.
+//! Large replies filled the host's link and one of its calls to the store failed, so it considered
+//! the store unreachable. It kept the entries of endpoints that left during that time, because in
+//! an outage of the store the endpoints' heartbeats would be missing too, and the entries would
+//! return. It kept them until all kinds had been read again, and for 2.3 s more.
 //!
-//! Cause: a host's own loss of the store was taken for an outage of the store, although reads that other
-//! hosts told of, and its own of another kind, showed that the store answered.
+//! The fault was that a host's own loss of the store was treated as an outage of the store,
+//! although reads reported by other hosts, and the host's own reads of another kind, showed that
+//! the store was reachable.
 //!
-//! Evidence: of the record, the host's time unready (74.0 to 78.0 s), the endpoint's leaving (74.5 s) and the
-//! request (78.3 s); of the code, the first three tests here: the endpoint that left was still believed in.
-//! That the host had lost the store at that time is inferred, its log was not kept.
+//! The records show that the host was not ready from 74.0 to 78.0 s, that the endpoint left at 74.5
+//! s, and that the request was sent at 78.3 s. That the host had lost the store is inferred, as its
+//! log was not kept. The first three tests reproduce the fault in the code.
 
 mod support;
 
@@ -26,13 +28,13 @@
 
 use support::{id, last_published_view, message_from, record, with_endpoints};
 
-/// Time between inputs; a busy host has one every few milliseconds.
+/// Interval between inputs, in milliseconds. A busy host receives one every few milliseconds.
 const INPUT_INTERVAL_MS: u64 = 50;
 
-/// Time between reads of the configuration.
+/// Interval between reads of the configuration, in milliseconds.
 const READ_INTERVAL_MS: u64 = 1_000;
 
-/// Word of another host that read the configuration just now.
+/// Returns a message from another host that has just read the configuration.
 fn peer_proof(now: u64) -> Input {
     let update =
         PeerUpdate { proof: Some(ProofReport { version: 3, age_ms: 0 }), ..PeerUpdate::default() };
@@ -42,7 +44,7 @@
     }))
 }
 
-/// A host on a moving clock.
+/// A host on a simulated clock.
 struct Host {
     fleet_state: FleetState,
     freshness: Freshness,
@@ -65,7 +67,8 @@
         }
     }
 
-    /// Lets time pass; `read_input` makes what tells of a read of the store.
+    /// Advances the clock to `until`, in milliseconds. `read_input` returns the input for a read of
+    /// the store, if there is one.
     fn run_until(&mut self, until: u64, read_input: impl Fn(u64) -> Option<Input>) {
         while self.now < until {
             self.now += INPUT_INTERVAL_MS;
@@ -92,7 +95,7 @@
     host.handle_input(Input::EndpointRemoved(id("o1")));
     host.run_until(6_500, peer_read);
 
-    assert!(!host.knows_endpoint("o1"), "an endpoint that left is still asked");
+    assert!(!host.knows_endpoint("o1"), "an endpoint that left still gets requests");
     assert!(host.knows_endpoint("o2"));
 }
 
@@ -108,7 +111,7 @@
     host.handle_input(Input::StoreReachable);
     host.run_until(8_500, peer_read);
 
-    assert!(!host.knows_endpoint("o1"), "an endpoint that left is still asked");
+    assert!(!host.knows_endpoint("o1"), "an endpoint that left still gets requests");
     assert!(host.knows_endpoint("o2"));
 }
 
@@ -123,7 +126,7 @@
     host.handle_input(Input::EndpointRemoved(id("o1")));
     host.run_until(6_500, read_input);
 
-    assert!(!host.knows_endpoint("o1"), "an endpoint that left is still asked");
+    assert!(!host.knows_endpoint("o1"), "an endpoint that left still gets requests");
 }
 
 #[test]
@@ -134,14 +137,15 @@
     host.handle_input(Input::StoreUnreachable);
     host.run_until(15_000, |_| None);
 
-    // Others are served a moment before this host, and list what has not come back yet.
+    // Another host reads the store just before this one, and the list lacks entries that have not
+    // returned yet.
     host.handle_input(peer_proof(15_000));
     host.run_until(15_500, peer_read);
     host.handle_input(Input::EndpointList(vec![record("o2", "v1")]));
     host.handle_input(Input::StoreReachable);
     host.run_until(16_500, peer_read);
 
-    assert!(host.knows_endpoint("o1"), "its entry has time to come back");
+    assert!(host.knows_endpoint("o1"), "the entry is dropped before it could return");
     assert!(host.knows_endpoint("o2"));
 }
 
--- a/crates/tidetrack-core/tests/feeds.rs
+++ b/crates/tidetrack-core/tests/feeds.rs
@@ -1,4 +1,4 @@
-//! Where a host gets changes that it lacks, and when it asks again.
+//! From which source a host fetches missing changes, and when it fetches them again.
 
 mod support;
 
@@ -17,21 +17,22 @@
 
 use support::{catalog, id, last_published_view, with_endpoints, without_rollout};
 
-/// Time between messages of other hosts that tell of the change.
+/// Interval between the messages in which other hosts report the change, in milliseconds.
 const REPORT_INTERVAL_MS: u64 = 50;
 
 fn reporting_host() -> SocketAddr {
     "10.1.0.7:7340".parse().expect("an address")
 }
 
-/// A host that knows all changes of the configuration up to revision 10.
+/// Returns the feeds of a host that knows all changes of the configuration up to revision 10.
 fn caught_up_feeds() -> FeedTracker {
     let mut feeds = FeedTracker::default();
     feeds.record_complete(Millis(0), FeedKind::Catalog, 10, Some(10));
     feeds
 }
 
-/// Lets hosts tell of revision 12 for a while; lists what is asked for and when.
+/// Reports revision 12 of the configuration at each interval in `from..to`. Returns the fetches and
+/// their times in milliseconds.
 fn report_revision(
     feeds: &mut FeedTracker,
     from: u64,
@@ -55,7 +56,7 @@
 fn a_change_that_is_being_received_is_not_requested_again() {
     let mut feeds = caught_up_feeds();
 
-    // Of a large reply on a narrow link a part comes every 200 ms, for three seconds.
+    // A part of a large reply arrives over a slow link every 200 ms, for three seconds.
     let fetches = report_revision(&mut feeds, 0, 3_000, |feeds, now| {
         if now > 0 && now % 200 == 0 {
             feeds.record_incoming(Millis(now), FeedKind::Catalog);
@@ -77,7 +78,7 @@
         }
     });
 
-    let second_fetch = fetches.get(1).expect("a second try");
+    let second_fetch = fetches.get(1).expect("a second fetch");
     assert!((800..=900).contains(&second_fetch.0), "{fetches:?}");
 }
 
@@ -92,9 +93,10 @@
     assert_eq!(are_store_reads, [false, false, true, false, true], "{fetches:?}");
 }
 
-/// What was seen: 295 hosts read the changes of endpoints from the store 801 times in a day, none of them after a
-/// host that had not given them, mostly while endpoints started or left one after another. Cause: a host that was
-/// given some changes lacked later ones by then, and was held to lack them since it lacked the first.
+/// Guards against needless reads of the store while endpoints start or leave one after another: 295
+/// hosts made 801 such reads in a day, although no host had failed to relay the changes. A host
+/// that received some changes already lacked later ones, and these were treated as missing since
+/// the first change was missing.
 #[test]
 fn the_store_is_not_read_while_other_hosts_relay_consecutive_changes() {
     let mut feeds = caught_up_feeds();
@@ -107,7 +109,7 @@
         sources.extend(
             host_fetches.into_iter().chain(feeds.due_store_reads(Millis(now))).map(|c| c.source),
         );
-        // What is given a moment later lacks the changes of that moment.
+        // The reply lacks the newest change, which was made after the reply was sent.
         if now % 200 == 0 {
             feeds.record_complete(
                 Millis(now),
@@ -153,12 +155,12 @@
     assert_eq!(due(&mut already_updated), Vec::new());
 }
 
-/// What was seen: after 104 of 295 hosts had been cut off, 204 hosts read the roll-outs of the store within two seconds
-/// for the versions of endpoints that had come back. Cause: each asked the host that watches once, and read for itself
-/// if that one did not know yet.
+/// Guards against many hosts reading the store at once: after a partition of 104 of 295 hosts had
+/// ended, 204 hosts read the roll-outs from the store within two seconds, to learn about the
+/// versions of the returning endpoints. Each queried the watcher once, and read the store itself if
+/// the watcher did not have the revision yet.
 #[test]
-fn a_required_revision_is_requested_from_hosts_that_have_it_and_read_from_the_store_after_a_stagger_delay(
-) {
+fn a_required_revision_is_requested_from_hosts_that_have_it_before_the_store() {
     let mut feeds = FeedTracker::default();
     feeds.record_complete(Millis(0), FeedKind::Rollouts, 10, Some(10));
     feeds.request_revision(Millis(0), FeedKind::Rollouts, 12, Some(Millis(600)));
@@ -183,7 +185,8 @@
     assert!(first_store_read.is_some_and(|(at, _)| *at >= 1_500), "{fetches:?}");
 }
 
-/// Of a large fleet one in ten has asked when word of the first answer has gone round, and all within a second.
+/// In a large fleet, one host in ten has sent its request by the time the first response has
+/// reached all hosts, and all hosts may send theirs within a second.
 #[test]
 fn few_of_many_hosts_send_a_request_at_once() {
     for (hosts, max_early) in [(1, 1), (7, 7), (90, 18), (295, 29), (540, 54)] {
@@ -192,7 +195,7 @@
             fractions.map(|fraction| stagger_delay(fraction, hosts)).collect();
 
         let early = delays.iter().filter(|delay| **delay <= Millis(450)).count();
-        assert!((1..=max_early).contains(&early), "{hosts} hosts, {early} at first");
+        assert!((1..=max_early).contains(&early), "{hosts} hosts, {early} within 450 ms");
         assert!(delays.iter().all(|delay| *delay <= Millis(900)), "{delays:?}");
     }
 }
@@ -218,7 +221,10 @@
     slow_limiter.end(REPLY_BYTES);
 
     assert_eq!((slow_replies, fast_replies), (1, 7));
-    assert!(slow_limiter.try_begin(REPLY_BYTES), "the first one is out");
+    assert!(
+        slow_limiter.try_begin(REPLY_BYTES),
+        "no reply is allowed after the first one has ended"
+    );
 }
 
 #[test]
@@ -231,8 +237,9 @@
     assert_eq!(small_replies, 60);
 }
 
-/// A host that had lost the store read a configuration in which a key had been given, and for 10 ms denied
-/// requests with it by the one before: its proof was young already, and the configuration not yet shown.
+/// Guards against a host that denies requests with a valid key: it had lost the store, then read a
+/// configuration with a new key, and for 10 ms still decided by the previous one. The proof was
+/// already fresh, but the new configuration was not published yet.
 #[test]
 fn a_proof_takes_effect_only_after_its_configuration_is_published() {
     let freshness = Freshness::default();
@@ -253,10 +260,11 @@
     assert!(confirmed_at.is_some_and(|confirmed_at| confirmed_at > published_at), "{actions:?}");
 }
 
-/// A request reached an endpoint 3.4 s after its entry had gone. The host had lost the store for a while, so
-/// it kept the entry for 2.3 s after the store's return, and for longer, as it looked at that only when
-/// nothing at all had come in for 100 ms. Evidence: the entry's end and the store's return in the log, 2.6 s
-/// before the request, and no word of the host's between.
+/// Guards against sending requests to an endpoint after its entry has expired; one was sent 3.4 s
+/// after. The host had lost the store for a while and kept the entry for 2.3 s after the store
+/// returned. It kept it even longer because it checked for expired entries only after 100 ms
+/// without any input. In the log, the store returned 2.6 s before the request, and the host logged
+/// nothing between.
 #[test]
 fn an_expired_entry_is_dropped_in_time_on_a_busy_host() {
     let freshness = Freshness::default();
@@ -265,7 +273,7 @@
     fleet_state.handle_input(Millis(1_500), Input::EndpointRemoved(id("o1")), &freshness);
     fleet_state.handle_input(Millis(2_000), Input::StoreReachable, &freshness);
 
-    // Something comes in every 20 ms.
+    // The host receives an input every 20 ms.
     let mut last_view = None;
     for now in (2_000..5_000).step_by(20) {
         let actions = fleet_state.handle_input(
@@ -278,5 +286,8 @@
 
     let last_view = last_view.expect("a view without the entry");
     let endpoints = last_view.services[&id::<ServiceId>("llm")].stable_pool.endpoints();
-    assert!(endpoints.iter().all(|e| e.id != id::<EndpointId>("o1")), "it is still asked");
+    assert!(
+        endpoints.iter().all(|e| e.id != id::<EndpointId>("o1")),
+        "the endpoint with the expired entry still gets requests"
+    );
 }
--- a/crates/tidetrack-core/tests/properties.rs
+++ b/crates/tidetrack-core/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Properties of declarations, tokens, the store and bills, over drawn inputs.
+//! Property tests of declarations, session tokens, the store, bills and policy programs.
 
 use proptest::prelude::*;
 
@@ -19,7 +19,8 @@
     "[a-zA-Z0-9._-]{1,64}"
 }
 
-/// What a store holds, without regard to how it came there.
+/// Returns the entries of a store in the order of its iterator, which does not depend on the order
+/// of insertion.
 fn sorted_entries(store: &Store) -> Vec<Entry> {
     store.iter().cloned().collect()
 }
--- a/crates/tidetrack-core/tests/slow_link.rs
+++ b/crates/tidetrack-core/tests/slow_link.rs
@@ -1,11 +1,12 @@
 //! A host behind a slow link catches up with a large configuration.
 //!
-//! What users would see: a small host decides on an old configuration for good, and a withdrawal comes
-//! to it more than a second late. Order of events: some thousand objects change; every host that this
-//! one exchanges with says that it has them; this one asks each in turn, and every answer carries the
-//! same run of changes. The copies share the link, none ends within a call's patience, all are begun
-//! again, and what is small and urgent waits behind them. Evidence: the bytes begun are several times
-//! the configuration's, four copies are on their way at a time, and calls fail though nothing is lost.
+//! Guards against a host that keeps using an old configuration and receives a withdrawal more than
+//! a second late. It comes about when some thousand objects change and the host requests them from
+//! every host that has them, so that each reply carries the same range of changes. The copies share
+//! the link, none completes before the call times out, all are started again, and small urgent
+//! messages queue behind them. In this state, the bytes started are several times the size of the
+//! configuration, four copies are transferred at a time, and calls fail although no message is
+//! lost.
 
 use std::collections::BTreeMap;
 
@@ -18,25 +19,26 @@
 use tidetrack_core::store::{Delta, Entry};
 use tidetrack_core::units::Millis;
 
-/// A call between hosts is given up after this time, as the router's are.
+/// Timeout of a call between hosts, in milliseconds. The router uses the same value.
 const CALL_TIMEOUT_MS: u64 = 1_500;
 
-/// The control thread's tick.
+/// Tick interval of the control thread, in milliseconds.
 const TICK_INTERVAL_MS: u64 = 25;
 
-/// Hosts, the one behind the slow link included.
+/// Number of hosts, including the one behind the slow link.
 const HOSTS: usize = 8;
 
-/// The host behind the slow link.
+/// Index of the host behind the slow link.
 const SLOW_HOST: usize = 0;
 
-/// Bytes of an object, about a version with its prices and limits.
+/// Size of an object in bytes: about that of a version with its prices and limits.
 const OBJECT_BYTES: usize = 600;
 
-/// The configuration changes at this time; by then all hosts know each other.
+/// Time in milliseconds until all hosts know each other; then the configuration changes.
 const SETTLE_TIME_MS: u64 = 10_000;
 
-/// Host clocks begin here: a node takes 0 for long ago.
+/// Start of the hosts' clocks in milliseconds. It is not 0 because a node takes a time of 0 as long
+/// past.
 const CLOCK_START_MS: u64 = 1_000_000;
 
 fn host_id(i: usize) -> HostId {
@@ -75,7 +77,8 @@
     Fact { subject: Subject::Withdrawn(version()), generation: 1 }
 }
 
-/// What a host that nobody else meets says of `count` others' requests on a version.
+/// Returns a message that carries the evidence of `count` observers about a version, each with one
+/// started request. Its sender exchanges messages with nobody else.
 fn evidence(count: u64) -> Exchange {
     let evidence_item = |n: u64| {
         let observer = format!("host-{n:04}~1").parse().expect("an incarnation");
@@ -103,7 +106,7 @@
     "m@1".parse().expect("a version")
 }
 
-/// A message on its way over the slow link.
+/// A message that is being transferred.
 struct Transfer {
     call: u64,
     to: usize,
@@ -112,7 +115,7 @@
     message: Exchange,
 }
 
-/// A call that was not answered yet.
+/// A call that waits for its reply.
 struct PendingCall {
     from: usize,
     to: HostId,
@@ -120,16 +123,17 @@
     nonce: u64,
 }
 
-/// How a link serves what is on its way.
+/// How a link divides its bandwidth among transfers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum LinkSharing {
-    /// All connections alike.
+    /// All transfers get equal shares.
     EqualShares,
-    /// In the order in which it was sent, as a queue before the link does.
+    /// Transfers are served in the order in which they were sent, as by a queue in front of the
+    /// link.
     FirstInFirstOut,
 }
 
-/// Hosts of which one is behind a slow link, the same both ways.
+/// Hosts of which one is behind a slow link, with the same bandwidth in both directions.
 struct Network {
     now: u64,
     nodes: Vec<Node>,
@@ -138,10 +142,11 @@
     transfers: Vec<Transfer>,
     bytes_per_ms: f64,
     sharing: LinkSharing,
-    /// Paused hosts take nothing and say nothing.
+    /// Index of a paused host, which receives and sends nothing.
     paused: Option<usize>,
-    /// Bytes of objects begun towards the slow host, most copies on their way at a time, failed calls.
+    /// Bytes of objects in the messages that were sent to the slow host, complete or not.
     object_bytes_started: usize,
+    /// Maximum number of messages with objects that were in transfer to the slow host at a time.
     max_concurrent_copies: usize,
     failed_calls: usize,
 }
@@ -163,7 +168,7 @@
         }
     }
 
-    /// Makes a fleet whose hosts know each other and have the first configuration.
+    /// Returns a network whose hosts know each other and have the first configuration.
     fn new_settled(bits_per_second: u64, sharing: LinkSharing) -> Network {
         let mut network = Network::new(bits_per_second, sharing);
         for node in &mut network.nodes {
@@ -176,14 +181,15 @@
         network
     }
 
-    /// Gives all other hosts a run of changes, as if each had read it from the object API.
+    /// Applies `count` changes at all hosts but the slow one, as if each had read them from the
+    /// object API. Returns the last revision.
     fn apply_change(&mut self, count: u64) -> u64 {
         let from = self.nodes[1].store.complete_to();
         let (to, entries) = (from + count, objects(count, from));
-        let asked_at = self.clock();
+        let requested_at = self.clock();
         for (i, node) in self.nodes.iter_mut().enumerate() {
             if i != SLOW_HOST {
-                node.on_changes(asked_at, Delta { from, to, entries: entries.clone() });
+                node.on_changes(requested_at, Delta { from, to, entries: entries.clone() });
             }
         }
         to
@@ -199,7 +205,8 @@
         }
     }
 
-    /// Runs until something is so; gives back how long it took.
+    /// Runs while `condition` holds, for at most `max_ms`. Returns the time in milliseconds until
+    /// it ceased to hold, or `None` if it still holds at the end.
     fn time_while(
         &mut self,
         max_ms: u64,
@@ -217,16 +224,16 @@
 
     fn step(&mut self) {
         self.now += 1;
-        let expired: Vec<u64> = self
+        let timed_out: Vec<u64> = self
             .calls
             .iter()
             .filter(|(_, c)| self.now >= c.sent_at + CALL_TIMEOUT_MS)
             .map(|(id, _)| *id)
             .collect();
-        for id in expired {
-            let call = self.calls.remove(&id).expect("it was listed");
-            // The connection is closed: what is left of its message is not sent.
-            self.transfers.retain(|f| f.call != id);
+        for id in timed_out {
+            let call = self.calls.remove(&id).expect("the call was listed as timed out");
+            // The connection is closed, so the rest of its message is not sent.
+            self.transfers.retain(|t| t.call != id);
             self.failed_calls += 1;
             self.nodes[call.from].on_exchange_failed(&call.to);
         }
@@ -249,21 +256,22 @@
     }
 
     fn send(&mut self, call: u64, from: usize, to: usize, is_reply: bool, message: Exchange) {
-        let bytes = serde_json::to_string(&message).expect("JSON").len();
+        let bytes = serde_json::to_string(&message).expect("the message serializes as JSON").len();
         if to == SLOW_HOST {
             self.object_bytes_started += message.changes.as_ref().map_or(0, Delta::body_bytes);
         }
         let uses_slow_link = from == SLOW_HOST || to == SLOW_HOST;
-        // Other links carry a message within a step.
+        // The other links transfer a message within a step.
         let remaining_bytes = if uses_slow_link { bytes as f64 } else { 0.0 };
         self.transfers.push(Transfer { call, to, remaining_bytes, is_reply, message });
     }
 
-    /// Lets each direction of the slow link carry a step's bytes, and delivers what has arrived.
+    /// Transfers the bytes of one step in each direction of the slow link, and delivers the
+    /// messages that are complete.
     fn transfer_bytes(&mut self) {
-        for inbound in [true, false] {
+        for is_inbound in [true, false] {
             let uses_direction =
-                |f: &&mut Transfer| f.remaining_bytes > 0.0 && (f.to == SLOW_HOST) == inbound;
+                |t: &&mut Transfer| t.remaining_bytes > 0.0 && (t.to == SLOW_HOST) == is_inbound;
             let mut transfers: Vec<&mut Transfer> =
                 self.transfers.iter_mut().filter(uses_direction).collect();
             let mut budget_bytes = self.bytes_per_ms;
@@ -277,12 +285,12 @@
                 budget_bytes -= transferred_bytes;
             }
         }
-        let carries_objects = |f: &&Transfer| f.to == SLOW_HOST && f.message.changes.is_some();
+        let carries_objects = |t: &&Transfer| t.to == SLOW_HOST && t.message.changes.is_some();
         self.max_concurrent_copies =
             self.max_concurrent_copies.max(self.transfers.iter().filter(carries_objects).count());
         let arrived: Vec<Transfer> = self
             .transfers
-            .extract_if(.., |f| f.remaining_bytes <= 0.0 && self.paused != Some(f.to))
+            .extract_if(.., |t| t.remaining_bytes <= 0.0 && self.paused != Some(t.to))
             .collect();
         arrived.into_iter().for_each(|transfer| self.deliver(transfer));
     }
@@ -305,21 +313,23 @@
     }
 }
 
-/// What a host behind a slow link met.
+/// How a host behind a slow link received a change and a withdrawal.
 #[derive(Debug)]
 struct CatchUpResult {
-    /// Bytes of objects begun towards it, by the bytes of the change.
+    /// Bytes of objects that were sent to the host, divided by the size of the change.
     object_bytes_ratio: f64,
-    /// Most messages with objects on their way at a time.
+    /// Maximum number of messages with objects that were in transfer to the host at a time.
     max_concurrent_copies: usize,
-    /// Until it had the change, in milliseconds.
+    /// Time until the host had the whole change, in milliseconds; `None` if it never had.
     catch_up_ms: Option<u64>,
-    /// Until a withdrawal made in the middle of it had come, in milliseconds.
+    /// Time until the host received a withdrawal made during the transfer, in milliseconds; `None`
+    /// if it did not arrive.
     withdrawal_ms: Option<u64>,
     failed_calls: usize,
 }
 
-/// Changes `count` objects, and withdraws a version 300 ms later, at host `origin`.
+/// Changes `count` objects, withdraws a version at host `origin` 300 ms later, and measures how the
+/// slow host receives both.
 fn measure_catch_up(
     bits_per_second: u64,
     sharing: LinkSharing,
@@ -353,7 +363,7 @@
 fn a_large_change_is_fetched_about_once_over_a_link_of_10_mbit() {
     let result = measure_catch_up(10_000_000, LinkSharing::EqualShares, 4_000, 5);
 
-    // The change alone takes 1.9 s.
+    // The transfer of one copy of the change takes 1.9 s.
     assert!(
         result.object_bytes_ratio < 1.3
             && result.max_concurrent_copies == 1
@@ -367,7 +377,8 @@
 fn a_large_change_arrives_over_a_link_of_1_mbit() {
     let result = measure_catch_up(1_000_000, LinkSharing::EqualShares, 1_000, 5);
 
-    // The change alone takes 4.9 s; all that exceeds it is copies and calls given up.
+    // The transfer of one copy takes 4.9 s. Any time beyond that is spent on further copies and
+    // timed-out calls.
     assert!(result.object_bytes_ratio < 1.5, "{result:?}");
     assert!(result.catch_up_ms.is_some_and(|ms| ms < 9_000), "{result:?}");
 }
@@ -401,7 +412,7 @@
 
 #[test]
 fn evidence_of_a_large_fleet_reaches_a_host_behind_a_slow_link() {
-    // Two versions under roll-out, seen by 540 hosts.
+    // The evidence of 540 hosts about two versions under roll-out.
     let evidence_count = 1_080;
     let mut network = Network::new_settled(1_000_000, LinkSharing::EqualShares);
     let now = network.clock();
@@ -413,7 +424,7 @@
     let elapsed = network.time_while(60_000, |network| known_count(network) < evidence_count);
 
     println!(
-        "{evidence_count} cells: {elapsed:?}, {} known, {} calls failed",
+        "{evidence_count} items of evidence: {elapsed:?}, {} known, {} calls failed",
         known_count(&network),
         network.failed_calls
     );
--- a/crates/tidetrack-core/tests/support/fleet.rs
+++ b/crates/tidetrack-core/tests/support/fleet.rs
@@ -1,5 +1,5 @@
-//! Hosts of a fleet together, on virtual time: messages are lost, changes of the store come late, and
-//! the larger they are, the more of a host's link they take.
+//! A simulated fleet on virtual time. Messages between hosts are lost, changes of the store arrive
+//! late, and large changes take up a host's link.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -26,62 +26,66 @@
     caught_up, host, host_at, id, rollouts, with_endpoints, with_endpoints_of_incarnation,
 };
 
-/// Time between the reads of a host that proves the configuration.
+/// Interval between the reads by which a prover confirms the configuration, in milliseconds.
 pub const PROOF_READ_INTERVAL: u64 = 1_500;
 
-/// Time on the way of a message.
+/// Latency of a message between hosts, in milliseconds.
 pub const MESSAGE_DELAY: u64 = 2;
 
-/// Share of the messages that are lost.
+/// Fraction of the messages that are lost.
 pub const MESSAGE_LOSS: f64 = 0.03;
 
-/// Step of the virtual clock.
+/// Step of the virtual clock, in milliseconds.
 pub const STEP: usize = 50;
 
-/// Bytes of a change of an endpoint.
+/// Size of one endpoint change in a reply.
 pub const ENDPOINT_CHANGE_BYTES: u64 = 400;
 
-/// Pause between the words that a large reply is coming in, as the plane has it.
+/// Interval at which a host is notified that a large reply is still being received, in
+/// milliseconds. The traffic plane uses the same interval.
 pub const RECEIVING_NOTICE_INTERVAL: u64 = 200;
 
-/// Latest that a host hears of a change of a roll-out.
+/// Exclusive upper limit of the delay after which a host receives a change of a roll-out, in
+/// milliseconds.
 pub const MAX_ROLLOUT_DELAY: u64 = 600;
 
-/// Time for which a session is held after a request's start.
+/// Time for which a session keeps its version after the start of a request.
 pub const SESSION_HOLD_TIME: Millis = Millis(13_000);
 
 pub struct FleetHost {
     pub fleet_state: FleetState,
     pub freshness: Freshness,
-    /// When it proves the configuration next, if it does.
+    /// Time of the next read that confirms the configuration, in milliseconds. Only used while the
+    /// host is a prover.
     pub next_proof_read_at: u64,
     pub view: Option<Arc<FleetView>>,
 }
 
-/// Changes that come to a host.
+/// Changes on their way to a host. The first field is the index of the receiving host.
 #[derive(Clone, Debug)]
 pub enum IncomingChange {
-    /// What it asked for, up to where; `None` if that fails.
+    /// The reply to a fetch, and the revision up to which it is complete, or `None` if the fetch
+    /// fails.
     Fetched(usize, Fetch, Option<u64>),
-    /// What the store shows a host that watches it.
+    /// Changes of a kind up to a revision, which the store sends to a watcher.
     Watched(usize, FeedKind, u64),
 }
 
-/// Addresses of hosts that all know from the start.
+/// Number of seed hosts, whose addresses all hosts are configured with.
 const SEED_HOSTS: u32 = 3;
 
-/// The store's link.
+/// Bandwidth of the store's link, in a fleet that starts cold.
 const STORE_LINK: Bandwidth = Bandwidth(1_000.0);
 
-/// A fleet that starts as a whole.
+/// Configuration of a fleet whose hosts all start at once without any data.
 pub struct ColdStartConfig {
     pub hosts: u32,
     pub domains: u32,
-    /// Hosts with strong links.
+    /// Number of hosts with fast links.
     pub well_connected_hosts: u32,
     pub fast_link: Bandwidth,
     pub slow_link: Bandwidth,
-    /// Changes of endpoints that the store holds.
+    /// Number of endpoint changes in the store.
     pub endpoints: u64,
     pub catalog_bytes: u64,
 }
@@ -100,50 +104,51 @@
     pub hosts: Vec<FleetHost>,
     pub rng: StdRng,
     pub now: u64,
-    /// The store's newest revision of the endpoints.
+    /// Newest revision of the endpoints in the store.
     pub revision: u64,
-    /// What the hosts know of it.
+    /// Revision of the endpoints that each host is complete up to.
     pub known_endpoints: Vec<u64>,
-    /// The store's newest revision of the configuration, and the bytes of a change.
+    /// Newest revision of the configuration in the store, and the size of a reply with it in bytes.
     pub catalog: (u64, u64),
-    /// What the hosts know of it.
+    /// Revision of the configuration that each host is complete up to.
     pub known_catalog: Vec<u64>,
-    /// Replies with the newest configuration that each host began to get.
+    /// Number of replies with the newest configuration that were started towards each host.
     pub catalog_copies: Vec<usize>,
-    /// What each host gives to others.
+    /// Limits the replies that each host sends at once.
     pub reply_limiters: Vec<ReplyLimiter>,
-    /// The links, and the changes that are under way over them.
+    /// The links, and the changes being transferred over them.
     pub links: Links<IncomingChange>,
-    /// Hosts that do not answer others.
+    /// Hosts that do not reply to the fetches of other hosts.
     pub unresponsive: Vec<usize>,
-    /// Hosts whose machines are suspended: they do nothing, and what is sent to them is lost.
+    /// Hosts whose machines are suspended: they process nothing, and messages to them are lost.
     pub suspended: Vec<usize>,
-    /// Hosts that hear each other only; the rest hear each other.
+    /// Hosts on one side of a network partition. Messages between the two sides are lost.
     pub partitioned: Vec<usize>,
-    /// Whether the store shows those that watch it nothing.
+    /// Whether the watchers of the store receive no changes.
     pub are_watches_stalled: bool,
-    /// Whether the store fails the calls of hosts that do not watch it.
+    /// Whether fetches from the store fail. Watches continue to deliver changes.
     pub is_store_down: bool,
-    /// Calls to the store by hosts that do not watch it.
+    /// Number of fetches from the store; changes delivered to watchers are not counted.
     pub store_calls: usize,
-    /// Bytes of changes that hosts gave each other.
+    /// Bytes of changes that hosts sent in reply to each other's fetches.
     pub relayed_bytes: u64,
-    /// The roll-out as it stands in the store.
+    /// The roll-out stored in the store.
     pub rollout: Option<RolloutOrder>,
-    /// When hosts hear of the roll-out's states.
+    /// Changes of the roll-out that hosts have yet to receive: delivery time, host index and order.
     pub pending_rollouts: Vec<(u64, usize, RolloutOrder)>,
-    /// Messages sent in the last step.
+    /// Messages that are not delivered yet, with the addresses of their receivers.
     pub messages_in_transit: Vec<(SocketAddr, PeerMessage)>,
     pub messages_sent: usize,
 }
 
 impl Fleet {
-    /// Starts hosts that each have read the store.
+    /// Starts a fleet whose hosts have read the store.
     pub fn start(hosts: u32, seed: u64) -> Fleet {
         Fleet::start_with_bound(hosts, seed, DEFAULT_EXPOSURE_BOUND)
     }
 
-    /// Starts hosts that keep versions under roll-out to a bound.
+    /// Starts a fleet whose hosts have read the store and limit the exposure of canary versions to
+    /// `bound`.
     pub fn start_with_bound(hosts: u32, seed: u64, bound: ExposureBound) -> Fleet {
         let start = |n| {
             let freshness = Freshness::default();
@@ -184,8 +189,9 @@
         fleet
     }
 
-    /// Starts hosts that know nothing but three others, of which the first ones of each failure domain have strong
-    /// links. The store holds so many changes of endpoints, and a configuration of so many bytes.
+    /// Starts a fleet whose hosts know only the addresses of the seeds. The hosts with the lowest
+    /// numbers have fast links; as hosts are assigned to the failure domains in rotation, these are
+    /// spread over the domains.
     pub fn start_cold(config: &ColdStartConfig, seed: u64) -> Fleet {
         let hosts = config.hosts;
         let start = |n: u32| {
@@ -237,12 +243,12 @@
         let bytes_per_ms = |link: Bandwidth| link.bytes_in(Millis(1)) as f64;
         let link_bandwidths = (1..=hosts).map(|n| bytes_per_ms(config.link_bandwidth(n))).collect();
         fleet.set_link_bandwidths(link_bandwidths, bytes_per_ms(STORE_LINK));
-        // Of roll-outs there is none.
+        // The store contains no roll-outs.
         (0..host_count).for_each(|i| fleet.handle_input(i, caught_up(FeedKind::Rollouts, 1)));
         fleet
     }
 
-    /// Starts a host again that holds nothing of before, with the roll-out as it stands in the store.
+    /// Restarts a host without its earlier state. It receives the stored roll-out at once.
     pub fn restart(&mut self, i: usize) {
         let (n, incarnation) = (i as u32 + 1, self.now);
         let freshness = Freshness::default();
@@ -258,7 +264,8 @@
         self.handle_input(i, caught_up(FeedKind::Rollouts, self.revision));
     }
 
-    /// Lets time pass to `until`; `observe` is shown each host at each step.
+    /// Advances the clock to `until`, in milliseconds, and calls `observe` for each running host at
+    /// each step.
     pub fn run(&mut self, until: u64, mut observe: impl FnMut(u64, &FleetHost)) {
         while self.now < until {
             self.now += STEP as u64;
@@ -277,7 +284,7 @@
         }
     }
 
-    /// Lets a host read the configuration, if it proves it and the time has come.
+    /// Lets a prover confirm the configuration if its next read is due.
     pub fn read_proof(&mut self, i: usize) {
         let host = &mut self.hosts[i];
         if host.fleet_state.is_prover() && self.now >= host.next_proof_read_at {
@@ -287,7 +294,8 @@
         }
     }
 
-    /// Lets a host that watches the store see its changes.
+    /// Starts to deliver the changes that a watcher of the store lacks, at once if its link is
+    /// unlimited.
     pub fn deliver_watched_changes(&mut self, i: usize) {
         if !self.hosts[i].fleet_state.is_watcher() || self.are_watches_stalled {
             return;
@@ -311,34 +319,34 @@
         }
     }
 
-    /// Gets what a host knows of a kind.
+    /// Returns the revision of a kind that a host is complete up to.
     fn known_revision(&self, i: usize, kind: FeedKind) -> u64 {
         match kind {
             FeedKind::Catalog => self.known_catalog[i],
             FeedKind::Endpoints => self.known_endpoints[i],
-            FeedKind::Rollouts => unreachable!("hosts are told of roll-outs"),
+            FeedKind::Rollouts => unreachable!("hosts receive roll-outs directly"),
         }
     }
 
-    /// Gets the store's newest revision of a kind.
+    /// Returns the newest revision of a kind in the store.
     fn newest_revision(&self, kind: FeedKind) -> u64 {
         match kind {
             FeedKind::Catalog => self.catalog.0,
             FeedKind::Endpoints => self.revision,
-            FeedKind::Rollouts => unreachable!("hosts are told of roll-outs"),
+            FeedKind::Rollouts => unreachable!("hosts receive roll-outs directly"),
         }
     }
 
-    /// Takes note of a copy of the newest configuration that a host begins to get.
+    /// Counts a reply that is started towards a host if it contains the newest configuration.
     fn count_catalog_copy(&mut self, i: usize, kind: FeedKind, after: u64, to: Option<u64>) {
         let is_newest = to.is_some_and(|to| to > after && to == self.catalog.0);
         self.catalog_copies[i] += usize::from(kind == FeedKind::Catalog && is_newest);
     }
 
-    /// Gets the bytes of the changes of a kind after a revision.
+    /// Returns the size in bytes of the changes of a kind after the revision `after` up to `to`.
     fn change_bytes(&self, kind: FeedKind, after: u64, to: u64) -> u64 {
         match kind {
-            // Only the newest is given.
+            // Only the newest configuration is sent, not the ones between.
             FeedKind::Catalog => self.catalog.1 * u64::from(to > after),
             FeedKind::Endpoints | FeedKind::Rollouts => {
                 ENDPOINT_CHANGE_BYTES * to.saturating_sub(after)
@@ -346,10 +354,11 @@
         }
     }
 
-    /// Gives all hosts links of so many bytes a millisecond.
+    /// Sets the link bandwidths of the hosts and of the store, in bytes per millisecond.
     pub fn set_link_bandwidths(&mut self, host_bandwidths: Vec<f64>, store_bandwidth: f64) {
         const BITS_PER_BYTE: f64 = 8.0;
-        // Bytes a millisecond are thousands a second, and a link is told in millions of bits.
+        // One byte per millisecond is 1e3 bytes per second, and `Bandwidth` is in units of 1e6 bits
+        // per second.
         let limiter = |link: &f64| ReplyLimiter::new(Bandwidth(link * BITS_PER_BYTE / 1e3));
         self.reply_limiters = host_bandwidths.iter().map(limiter).collect();
         (self.links.host_bandwidths, self.links.store_bandwidth) =
@@ -372,7 +381,8 @@
         self.handle_input(i, Input::CaughtUp { kind, complete: to, changed: Some(to) });
     }
 
-    /// Gives hosts what they asked for.
+    /// Advances the links and passes completed and failed transfers to their hosts. Also notifies
+    /// the hosts that are still receiving a large reply.
     pub fn deliver_transfers(&mut self) {
         for ended in self.links.advance(self.now) {
             match ended {
@@ -386,7 +396,7 @@
                 TransferOutcome::Complete(IncomingChange::Watched(i, kind, to)) => {
                     self.record_caught_up(i, kind, to)
                 }
-                // The watch begins anew.
+                // The watcher's next step starts the transfer again.
                 TransferOutcome::TimedOut(IncomingChange::Watched(..)) => {}
             }
         }
@@ -402,8 +412,8 @@
         }
     }
 
-    /// Asks for changes at once, where the plane waits for a large reply that is coming in: so what the
-    /// decisions ask for too often is seen.
+    /// Starts a fetch at once. The traffic plane would first wait for a large reply that is being
+    /// received; without this wait, needless fetches show up in the counts.
     pub fn begin_fetch(&mut self, i: usize, fetch: Fetch) {
         let (from, to) = match fetch.source {
             FetchSource::Store => {
@@ -421,7 +431,7 @@
         let mut bytes = to.map_or(0, |to| self.change_bytes(fetch.kind, fetch.after, to));
         if let LinkEnd::Host(from) = from {
             if !self.reply_limiters[from].try_begin(bytes) {
-                // It declines, because its link has enough to do.
+                // The host declines the fetch because its link is busy.
                 (to, bytes) = (None, 0);
             }
             self.relayed_bytes += bytes;
@@ -431,7 +441,7 @@
     }
 
     pub fn deliver(&mut self) {
-        // A message is answered at once, so there is one more way within a step.
+        // A reply to a message is sent at once, so it arrives within the same step.
         for _ in 0..2 {
             for (address, message) in std::mem::take(&mut self.messages_in_transit) {
                 let to = host_at(address).filter(|i| *i < self.hosts.len());
@@ -468,7 +478,7 @@
         progress_writes.into_iter().for_each(|write| self.write_progress(write));
     }
 
-    /// Takes a write of the roll-out's progress, if it is based on the newest state.
+    /// Stores the progress of the roll-out if the write is based on the newest revision.
     pub fn write_progress(&mut self, write: ProgressWrite) {
         let Some(order) = self.rollout.clone().filter(|o| o.revision == write.revision) else {
             return;
@@ -477,7 +487,7 @@
         self.set_rollout_order(RolloutOrder { revision, progress, ..order });
     }
 
-    /// Changes the roll-out; hosts hear of it at different times.
+    /// Replaces the stored roll-out. Each host receives it after a random delay.
     pub fn set_rollout_order(&mut self, order: RolloutOrder) {
         for i in 0..self.hosts.len() {
             let at = self.now + self.rng.random_range(20..MAX_ROLLOUT_DELAY);
@@ -496,12 +506,12 @@
         }
     }
 
-    /// Sends a request of a session to a host; gets the side it goes to.
+    /// Sends a request of a session to a host and returns the release track that serves it.
     pub fn send_session_request(&mut self, i: usize, session: &str) -> ReleaseTrack {
         self.send_request(i, SessionHash::new(Some(session), "r"), SESSION_HOLD_TIME)
     }
 
-    /// Sends a request to a host; gets the side it goes to.
+    /// Sends a request to a host and returns the release track that serves it.
     pub fn send_request(
         &mut self,
         i: usize,
@@ -518,13 +528,14 @@
         track
     }
 
-    /// Changes the configuration by so many bytes.
+    /// Stores a new configuration of the given size and resets the counts of its copies.
     pub fn change_catalog(&mut self, bytes: u64) {
         self.catalog = (self.catalog.0 + 1, bytes);
         self.catalog_copies.fill(0);
     }
 
-    /// Lets time pass until all hosts know the newest configuration, or to `until`; gets the time.
+    /// Advances the clock until all hosts have the newest configuration, or to `until`. Returns the
+    /// time reached.
     pub fn run_until_catalog(&mut self, until: u64) -> u64 {
         while self.now < until && self.known_catalog.iter().any(|k| *k < self.catalog.0) {
             self.run(self.now + STEP as u64, |_, _| {});
@@ -532,7 +543,8 @@
         self.now
     }
 
-    /// Changes the store and lets time pass until all hosts know; gets how long that took.
+    /// Adds an endpoint change to the store and advances the clock until all hosts have it. Returns
+    /// the time taken, in milliseconds.
     pub fn change_endpoints(&mut self) -> u64 {
         self.revision += 1;
         let started_at = self.now;
--- a/crates/tidetrack-core/tests/support/links.rs
+++ b/crates/tidetrack-core/tests/support/links.rs
@@ -1,78 +1,81 @@
-//! Links of hosts and of the store: what is under way over a link shares its bandwidth, so a large
-//! reply takes its time, and the more come at once, the longer each takes. Large replies come in to a
-//! host one at a time, as the plane lets them: the others wait, and take nothing of the links.
+//! Simulated links of the hosts and of the store. Concurrent transfers share the bandwidth of a
+//! link, so each takes longer the more there are. A host receives one large reply at a time, as in
+//! the traffic plane; the other large replies wait and use no bandwidth.
 
-/// Time that a reply takes on a wide link, in milliseconds.
+/// Time until the head of a reply arrives over idle links, in milliseconds.
 pub const REPLY_LATENCY: u64 = 10;
 
-/// Bytes that each reply under way keeps waiting on a link: about the first window of a connection on a
-/// path of some milliseconds. What begins later waits behind them.
+/// Bytes that each transfer in progress keeps queued on a link: about the initial window of a
+/// connection over a path with a round trip of a few milliseconds. The head of a later reply waits
+/// behind them.
 const QUEUED_BYTES_PER_REPLY: f64 = 64_000.0;
 
-/// Longest time until the head of another host's reply comes, in milliseconds; then the question counts
-/// as failed, and its connection is closed.
+/// Time within which the head of another host's reply has to arrive, in milliseconds. After it, the
+/// request fails and its connection is closed.
 const HOST_HEAD_TIMEOUT: u64 = 350;
 
-/// The same for the store's.
+/// Time within which the head of a reply of the store has to arrive, in milliseconds.
 const STORE_HEAD_TIMEOUT: u64 = 1_200;
 
-/// Bytes from which a reply counts as large, as the plane has it.
+/// Size from which a reply counts as large. The traffic plane uses the same value.
 const MIN_LARGE_REPLY_BYTES: f64 = 65_536.0;
 
-/// Part of a step in which the shares of a link stay the same, in milliseconds.
+/// Length of a time slice in milliseconds. Within a slice, the shares of the links' bandwidths are
+/// constant.
 const TIME_SLICE: u64 = 10;
 
-/// A way that a link has.
+/// The sender of a reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkEnd {
-    /// A host, by its number.
+    /// A host, by its index.
     Host(usize),
     /// The store.
     Store,
 }
 
-/// A reply under way.
+/// A reply that is being transferred.
 #[derive(Clone, Debug)]
 pub struct Transfer<T> {
     from: LinkEnd,
     to: usize,
-    /// When its head comes, and its bytes begin to.
+    /// Time at which the head arrives and the transfer of the body starts.
     head_arrives_at: u64,
-    /// When it counts as failed, if its head has not come.
+    /// Time at which the transfer fails if the head has not arrived.
     head_deadline: u64,
     bytes: u64,
     remaining_bytes: f64,
     is_large: bool,
-    /// What it brings.
+    /// The content of the reply.
     pub payload: T,
 }
 
-/// How a reply came to its end.
+/// The outcome of a transfer, with its payload.
 #[derive(Clone, Debug)]
 pub enum TransferOutcome<T> {
-    /// It came whole.
+    /// The whole reply arrived.
     Complete(T),
-    /// Its head did not come in time.
+    /// The head did not arrive in time.
     TimedOut(T),
 }
 
-/// All links.
+/// The links of all hosts and of the store, and the transfers over them.
 #[derive(Clone, Debug)]
 pub struct Links<T> {
-    /// Bytes a millisecond to and from each host.
+    /// Bandwidth of each host's link in either direction, in bytes per millisecond.
     pub host_bandwidths: Vec<f64>,
-    /// Bytes a millisecond from the store.
+    /// Bandwidth from the store, in bytes per millisecond.
     pub store_bandwidth: f64,
-    /// Bytes of large replies that came to each host.
+    /// Bytes of large replies that each host has received.
     pub received_large_bytes: Vec<f64>,
-    /// What hosts gave that is not under way any more, and its bytes.
+    /// Transfers from hosts that have ended: index of the sender, and size of the whole reply in
+    /// bytes. The caller takes these entries to release the sender's reply limit.
     pub finished_sends: Vec<(usize, u64)>,
     in_progress: Vec<Transfer<T>>,
     now: u64,
 }
 
 impl<T> Links<T> {
-    /// Makes links on which nothing waits.
+    /// Creates links of unlimited bandwidth.
     pub fn unlimited(hosts: usize) -> Links<T> {
         Links {
             host_bandwidths: vec![f64::INFINITY; hosts],
@@ -91,12 +94,13 @@
         }
     }
 
-    /// Tells whether nothing waits on a host's link.
+    /// Reports whether a host's link has unlimited bandwidth.
     pub fn is_unlimited(&self, host: usize) -> bool {
         self.host_bandwidths[host].is_infinite()
     }
 
-    /// Begins a reply.
+    /// Starts a transfer. Its head waits for the bytes that earlier transfers have queued on both
+    /// links.
     pub fn begin_transfer(&mut self, now: u64, from: LinkEnd, to: usize, bytes: u64, payload: T) {
         let uploads = self.in_progress.iter().filter(|t| t.from == from).count();
         let downloads = self.in_progress.iter().filter(|t| t.to == to).count();
@@ -121,12 +125,12 @@
         self.in_progress.push(reply);
     }
 
-    /// Tells whether a large reply is coming in to a host.
+    /// Reports whether the head of a large reply has arrived at a host and its body has not.
     pub fn is_receiving_large(&self, host: usize) -> bool {
         self.in_progress.iter().any(|t| t.to == host && t.is_large && t.head_arrives_at <= self.now)
     }
 
-    /// Drops large replies to a host that wait for their turn and are not needed any more.
+    /// Drops the obsolete large replies to a host whose heads have arrived.
     pub fn drop_obsolete_large(&mut self, host: usize, is_obsolete: impl Fn(&T) -> bool) {
         for transfer in std::mem::take(&mut self.in_progress) {
             let is_receivable_large =
@@ -145,12 +149,13 @@
         }
     }
 
-    /// Lists what is under way to a host.
+    /// Returns the payloads of the transfers to a host.
     pub fn payloads_to(&self, host: usize) -> impl Iterator<Item = &T> {
         self.in_progress.iter().filter(move |t| t.to == host).map(|t| &t.payload)
     }
 
-    /// Lets time pass; gets what has come to its end, in the order in which it began.
+    /// Advances the clock to `until` and returns the transfers that have ended, in the order in
+    /// which they were started.
     pub fn advance(&mut self, until: u64) -> Vec<TransferOutcome<T>> {
         while self.now < until {
             let to = (self.now + TIME_SLICE).min(until);
@@ -174,15 +179,15 @@
     }
 
     fn advance_slice(&mut self, to: u64) {
-        // The first large one of each host has the turn.
-        let mut is_receiving_large = vec![false; self.host_bandwidths.len()];
+        // Each host receives only the first of its large replies.
+        let mut hosts_receiving_large = vec![false; self.host_bandwidths.len()];
         let is_transferring: Vec<bool> = self
             .in_progress
             .iter()
             .map(|t| {
                 let has_bytes_left = t.head_arrives_at <= to && t.remaining_bytes > 0.0;
                 has_bytes_left
-                    && !(t.is_large && std::mem::replace(&mut is_receiving_large[t.to], true))
+                    && !(t.is_large && std::mem::replace(&mut hosts_receiving_large[t.to], true))
             })
             .collect();
         let mut uploads = vec![0.0; self.host_bandwidths.len()];
--- a/crates/tidetrack-core/tests/support/mod.rs
+++ b/crates/tidetrack-core/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! What tests of the traffic decisions begin with.
+//! Fixtures shared by the tests of the traffic decisions.
 
-// Each test file uses a part of it.
+// Each test file uses only some of the fixtures.
 #![allow(dead_code)]
 
 pub mod fleet;
@@ -59,7 +59,7 @@
     }
 }
 
-pub const STALENESS_BOUND: Option<Millis> = Some(Millis(5_000));
+pub const REVOCATION_BOUND: Option<Millis> = Some(Millis(5_000));
 
 pub fn freshness_confirmed_at(confirmed_at: u64) -> Freshness {
     let freshness = Freshness::default();
@@ -98,7 +98,9 @@
     (id(&format!("h{n}")), format!("10.0.{}.{}:7", n / 250, n % 250).parse().expect("an address"))
 }
 
-/// Gets the place of the host with an address in a list of all.
+/// Returns the index, among all hosts, of the host with an address. The address is one that `host`
+/// returns. Returns `None` for an IPv6 address and for the address of `host(0)`, which has no
+/// index.
 pub fn host_at(address: SocketAddr) -> Option<usize> {
     let SocketAddr::V4(address) = address else { return None };
     let [_, _, high_byte, low_byte] = address.ip().octets();
@@ -109,14 +111,14 @@
     fleet_state_of_incarnation(n, 0)
 }
 
-/// Beliefs of one of several starts of a host.
+/// Returns the empty state of one incarnation of a host.
 pub fn fleet_state_of_incarnation(n: u32, incarnation: u64) -> FleetState {
     let ((name, address), (_, seed)) = (host(n), host(1));
     let peer_table = PeerTable::new(name.clone(), address, id("hall"), vec![seed]);
     FleetState::new(name, peer_table.with_incarnation(incarnation))
 }
 
-/// Endpoints of two versions.
+/// Returns the state of a host that knows a configuration and the endpoints of two versions.
 pub fn with_endpoints(n: u32, freshness: &Freshness) -> FleetState {
     add_endpoints(fleet_state(n), freshness)
 }
@@ -129,7 +131,7 @@
     fleet_state
 }
 
-/// A message of a host that answers none of the receiver's.
+/// Returns a message from a host that is not a reply to a message of the receiver.
 pub fn message_from(n: u32, update: PeerUpdate) -> PeerMessage {
     let (from, address) = host(n);
     PeerMessage {
@@ -146,12 +148,12 @@
     }
 }
 
-/// A list of roll-outs, all of which could be read.
+/// Returns the input for a list of roll-outs without unreadable entries.
 pub fn rollouts(orders: Vec<RolloutOrder>) -> Input {
     Input::RolloutList { orders, unreadable: Vec::new() }
 }
 
-/// The same on a later start of a host.
+/// Returns the same state as `with_endpoints`, for a given incarnation of the host.
 pub fn with_endpoints_of_incarnation(
     n: u32,
     incarnation: u64,
@@ -160,12 +162,13 @@
     add_endpoints(fleet_state_of_incarnation(n, incarnation), freshness)
 }
 
-/// All changes of a kind are known up to a revision.
+/// Returns the input which says that all changes of a kind are known up to a revision.
 pub fn caught_up(kind: FeedKind, complete: u64) -> Input {
     Input::CaughtUp { kind, complete, changed: None }
 }
 
-/// Endpoints of two versions that no roll-out names.
+/// Returns the state of a host that knows endpoints of two versions and has read that there are no
+/// roll-outs.
 pub fn without_rollout(n: u32, freshness: &Freshness) -> FleetState {
     let mut fleet_state = with_endpoints(n, freshness);
     fleet_state.handle_input(Millis(0), caught_up(FeedKind::Endpoints, 10), freshness);
--- a/crates/tidetrack-core/tests/support/rollout_simulation.rs
+++ b/crates/tidetrack-core/tests/support/rollout_simulation.rs
@@ -1,10 +1,13 @@
-//! Answers of two versions' endpoints as the hosts of a fleet see them, drawn by a seed.
+//! Simulates a roll-out: draws pseudo-random responses of the endpoints of two versions and passes
+//! them to the hosts of a fleet.
 //!
-//! An engine makes an event each 20 ms, one in three each 26 ms, and slower the more it has to do: twice as
-//! slow at a load of 250. That is how engines answered in plays of a bad roll-out whose every attempt was
-//! logged: a median of 25 ms at a load below 50, 30, 38, 47 and 60 at 100, 200, 400 and 800. Most sampled
-//! sessions meet idle endpoints, while the proven ones are at work. A plain call takes 20 ms, one in a hundred
-//! five times as long; of one of its routes one call in seven fails on any version.
+//! An engine sends an event every 20 ms, and every third endpoint sends one every 26 ms. The
+//! interval grows with the load and doubles at a load of 250. This model follows the attempts
+//! logged in runs of a bad roll-out, in which the median interval was 25 ms at a load below 50, and
+//! 30, 38, 47 and 60 ms at loads of 100, 200, 400 and 800. Most sessions of the canary sample reach
+//! idle endpoints, while the endpoints of the stable version are under load. A plain call takes 20
+//! ms, and one call in a hundred takes five times as long. On one of the routes, one call in seven
+//! fails with either version.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -17,27 +20,27 @@
 use super::fleet::{Fleet, FleetHost, STEP};
 use super::{id, order, record};
 
-/// Hosts of the fleet.
+/// Number of hosts in the fleet.
 const HOSTS: u32 = 9;
 
-/// When the version is ordered; the hosts have met by then.
+/// Time at which the roll-out is ordered, in milliseconds. By then the hosts know each other.
 const ROLLOUT_STARTS_AT: u64 = 4_000;
 
-/// Load at which an engine is twice as slow as at rest.
+/// Load at which an engine takes twice as long per event as when idle.
 const DOUBLING_LOAD: f64 = 250.0;
 
-/// Time between two restarts of hosts, on days on which they restart.
+/// Interval between two restarts in `Scenario::RestartingHosts`, in milliseconds.
 const RESTART_INTERVAL: u64 = 600;
 
-/// The time in which a day is busy.
+/// Period of high load in `Scenario::HighLoad`, in milliseconds.
 const HIGH_LOAD_TIME: std::ops::Range<u64> = 10_000..16_000;
 
-/// What a service does.
+/// The kind of service that is simulated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServiceKind {
-    /// Streams of an engine.
+    /// Streamed responses of an engine.
     Streams,
-    /// Plain calls.
+    /// Calls with a single response.
     Calls,
 }
 
@@ -49,7 +52,7 @@
         }
     }
 
-    /// Gets the answers in a second of the proven versions and of the new one.
+    /// Returns the responses per second of the stable and of the canary version, during the sample.
     fn rates(self) -> [f64; 2] {
         match self {
             ServiceKind::Streams => [80.0, 5.5],
@@ -57,7 +60,8 @@
         }
     }
 
-    /// Lists the routes, with their shares of the requests and the shares that always fail.
+    /// Returns the routes, each with its share of the requests and the share of its requests that
+    /// fails with either version.
     fn routes(self) -> &'static [(&'static str, f64, f64)] {
         match self {
             ServiceKind::Streams => &[("all", 0.2, 0.0), ("books", 0.5, 0.0), ("tags", 0.3, 0.0)],
@@ -66,26 +70,26 @@
     }
 }
 
-/// How a version does.
+/// How the responses of a version differ from those of the stable version.
 #[derive(Clone, Copy, Debug)]
 pub struct VersionBehavior {
-    /// What the service does.
+    /// The kind of service that the version belongs to.
     pub service: ServiceKind,
-    /// The share of the answers that is bad.
+    /// Share of the responses that are slow or fail.
     pub affected_share: f64,
-    /// These take so many times as long; 0 if they fail.
+    /// Factor by which the affected responses take longer; 0 if they fail.
     pub slowdown: f64,
-    /// Only those of the first route.
+    /// Whether only responses on the first route are affected.
     pub on_first_route: bool,
 }
 
 impl VersionBehavior {
-    /// A version like the proven one.
+    /// Returns a version that behaves like the stable one.
     pub fn healthy(service: ServiceKind) -> VersionBehavior {
         VersionBehavior { service, affected_share: 0.0, slowdown: 1.0, on_first_route: false }
     }
 
-    /// A version of an engine all of whose answers take so many times as long.
+    /// Returns a version of an engine whose responses all take longer by the factor `slowdown`.
     pub fn slower(slowdown: f64) -> VersionBehavior {
         VersionBehavior {
             affected_share: 1.0,
@@ -94,44 +98,46 @@
         }
     }
 
-    /// A version a share of whose answers fails.
+    /// Returns a version of which a share of the responses fails.
     pub fn failing(service: ServiceKind, affected_share: f64) -> VersionBehavior {
         VersionBehavior { affected_share, slowdown: 0.0, ..VersionBehavior::healthy(service) }
     }
 
-    /// A version a share of whose calls takes so many times as long.
+    /// Returns a version of which a share of the calls takes longer by the factor `slowdown`.
     pub fn with_slow_calls(affected_share: f64, slowdown: f64) -> VersionBehavior {
         VersionBehavior { affected_share, slowdown, ..VersionBehavior::healthy(ServiceKind::Calls) }
     }
 
-    /// The same, on the first route only.
+    /// Restricts the affected responses to the first route.
     pub fn on_first_route(self) -> VersionBehavior {
         VersionBehavior { on_first_route: true, ..self }
     }
 }
 
-/// What else happens.
+/// Conditions under which the roll-out runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scenario {
-    /// Nothing.
+    /// No disturbance.
     Undisturbed,
-    /// One in six endpoints of the new version is four times as slow, of calls one in four.
+    /// Some endpoints of the canary version take four times as long: one in six for streams, one in
+    /// four for calls.
     SlowEndpoints,
-    /// One in six endpoints of both versions fails four in ten, of calls one in four.
+    /// Some endpoints of both versions fail 40 % of their requests: one in six for streams, one in
+    /// four for calls.
     FailingEndpoints,
     /// The load of all endpoints is four times as high for six seconds.
     HighLoad,
-    /// A third of the requests.
+    /// The rate of requests is a third of the usual one.
     FewRequests,
-    /// The hosts start again one after another, all the time.
+    /// The hosts restart one after another, throughout the roll-out.
     RestartingHosts,
-    /// When all traffic has moved, the new endpoints are a third slower: they read prompts that the proven
-    /// ones keep.
+    /// After the cutover, the canary endpoints take a third longer, because they process prompts
+    /// that the stable endpoints have cached.
     ColdCaches,
 }
 
 impl Scenario {
-    /// All of them.
+    /// All scenarios.
     pub const ALL: [Scenario; 7] = [
         Scenario::Undisturbed,
         Scenario::SlowEndpoints,
@@ -143,25 +149,25 @@
     ];
 }
 
-/// A roll-out under way.
+/// A simulated roll-out in a fleet.
 pub struct RolloutSimulation {
     pub fleet: Fleet,
     rng: StdRng,
     scenario: Scenario,
     version: VersionBehavior,
-    /// Answers of the new version that hosts saw.
+    /// Number of responses of the canary version that the hosts have observed.
     pub canary_responses: usize,
 }
 
 impl RolloutSimulation {
-    /// Starts a fleet and orders the version.
+    /// Starts a fleet, runs it until the hosts know each other, and orders the roll-out.
     pub fn new(seed: u64, scenario: Scenario, version: VersionBehavior) -> RolloutSimulation {
         let mut fleet = Fleet::start(HOSTS, seed);
         (0..HOSTS as usize).for_each(|i| add_endpoints(&mut fleet, i, version.service));
         let rng = StdRng::seed_from_u64(seed + 1);
         let mut simulation =
             RolloutSimulation { fleet, rng, scenario, version, canary_responses: 0 };
-        // A version that is not ordered yet is not sent to.
+        // Without a roll-out order, the canary version gets no requests.
         while simulation.fleet.now < ROLLOUT_STARTS_AT {
             simulation.step(false);
         }
@@ -169,8 +175,8 @@
         simulation
     }
 
-    /// Plays until all hosts hold the version bad; gets the answers of its that they had seen by then, or
-    /// `None` if it was never barred.
+    /// Runs until all hosts have barred the canary version. Returns the number of its responses
+    /// that they had observed by then, or `None` if it was not barred before the deadline.
     pub fn run_until_barred(&mut self) -> Option<usize> {
         let deadline = ROLLOUT_STARTS_AT + order(1, None).duration.0;
         while self.fleet.now < deadline {
@@ -182,14 +188,15 @@
         None
     }
 
-    /// Plays to the deadline; tells whether the version was completed.
+    /// Runs to the deadline or until all hosts have barred the version. Reports whether the
+    /// roll-out was completed.
     pub fn run_to_completion(&mut self) -> bool {
         let barred = self.run_until_barred();
         let progress = self.fleet.rollout.as_ref().and_then(|o| o.progress.as_ref());
         barred.is_none() && progress.is_some_and(|p| p.state == RolloutState::Completed)
     }
 
-    /// Lets a step pass, with the answers that come in it.
+    /// Advances the fleet by one step and records the responses of that step.
     fn step(&mut self, with_canary: bool) {
         if self.scenario == Scenario::RestartingHosts
             && self.fleet.now.is_multiple_of(RESTART_INTERVAL)
@@ -210,14 +217,14 @@
         }
     }
 
-    /// Tells whether all traffic meets the new version.
+    /// Reports whether the cutover has happened, so that all requests go to the canary version.
     fn has_cut_over(&self) -> bool {
         let view = self.fleet.hosts[0].view.as_ref().expect("a view");
         let canary = view.services.get(&id("llm")).and_then(|s| s.canary.as_ref());
         canary.is_some_and(|t| t.phase_at(Millis(self.fleet.now)) == Phase::Moved)
     }
 
-    /// Draws how many answers of a rate come in one step.
+    /// Draws the number of responses in one step, for a rate in responses per second.
     fn draw_response_count(&mut self, rate: f64) -> usize {
         let rate_divisor = if self.scenario == Scenario::FewRequests { 3.0 } else { 1.0 };
         let mean = rate / rate_divisor * STEP as f64 / 1_000.0;
@@ -225,12 +232,12 @@
         whole_responses as usize + usize::from(self.rng.random::<f64>() < mean - whole_responses)
     }
 
-    /// Draws around zero, about as a normal distribution of deviation 1.
+    /// Draws a number from an approximate normal distribution with mean 0 and standard deviation 1.
     fn draw_normal(&mut self) -> f64 {
         (0..12).map(|_| self.rng.random::<f64>()).sum::<f64>() - 6.0
     }
 
-    /// Draws a route, and whether a request there fails on any version.
+    /// Draws a route, and whether the request fails regardless of the version.
     fn draw_route(&mut self) -> (&'static str, bool) {
         let routes = self.version.service.routes();
         let mut remaining = self.rng.random::<f64>();
@@ -250,7 +257,7 @@
         typical_load * if is_high_load { 4.0 } else { 1.0 } * self.draw_normal().exp()
     }
 
-    /// Gets how many times as slow an endpoint is for reasons of its own.
+    /// Returns the factor by which an endpoint takes longer because of the scenario.
     fn endpoint_slowdown(&self, n: usize, is_canary: bool) -> f64 {
         let is_faulty = n.is_multiple_of(self.faulty_endpoint_interval());
         match self.scenario {
@@ -260,7 +267,7 @@
         }
     }
 
-    /// Gets of how many endpoints one does badly on days on which some do.
+    /// Returns n if every n-th endpoint is faulty, in the scenarios with faulty endpoints.
     fn faulty_endpoint_interval(&self) -> usize {
         match self.version.service {
             ServiceKind::Streams => 6,
@@ -314,7 +321,7 @@
     }
 }
 
-/// Tells a host of the endpoints of both versions.
+/// Adds endpoints of both versions to a host. The first two of each are known already.
 fn add_endpoints(fleet: &mut Fleet, host: usize, service: ServiceKind) {
     for endpoint_number in 3..=service.endpoint_count() {
         fleet.handle_input(host, Input::Endpoint(record(&format!("o{endpoint_number}"), "v1")));
@@ -322,7 +329,7 @@
     }
 }
 
-/// Tells whether a host holds the version bad.
+/// Reports whether a host has barred the canary version.
 fn has_barred_version(host: &FleetHost) -> bool {
     let view = host.view.as_ref().expect("a view");
     view.services[&id("llm")].is_barred()
--- a/crates/tidetrack-core/tests/traffic.rs
+++ b/crates/tidetrack-core/tests/traffic.rs
@@ -1,4 +1,4 @@
-//! Decisions of the traffic plane, under a clock that the tests move.
+//! Decisions of the traffic plane, on a clock that the tests control.
 
 mod support;
 
@@ -23,7 +23,7 @@
 
 use support::{
     catalog, fleet_state, freshness_confirmed_at, host, id, last_published_view, message_from,
-    order, progress, record, with_rollout, written_states, STALENESS_BOUND,
+    order, progress, record, with_rollout, written_states, REVOCATION_BOUND,
 };
 
 fn admission_request<'a>(path: &'a str, key: Option<&'a str>) -> AdmissionRequest<'a> {
@@ -36,9 +36,9 @@
 
     let request = admission_request("/a/books/7", Some("north-key"));
     let admitted =
-        admit(Some(&catalog), &freshness_confirmed_at(0), Millis(10), STALENESS_BOUND, request);
+        admit(Some(&catalog), &freshness_confirmed_at(0), Millis(10), REVOCATION_BOUND, request);
 
-    let admitted = admitted.expect("a key that is held");
+    let admitted = admitted.expect("an admitted request with a valid key");
     assert_eq!(admitted.route.name.as_str(), "books");
     assert_eq!(admitted.rank(), 0);
 }
@@ -49,11 +49,11 @@
         None,
         &Freshness::default(),
         Millis(10),
-        STALENESS_BOUND,
+        REVOCATION_BOUND,
         admission_request("/a/", None),
     );
 
-    let refused = refused.expect_err("nothing is known");
+    let refused = refused.expect_err("a refusal without configuration");
     assert_eq!(refused.code, Code::NotReady);
     assert!(refused.retry_after_ms.is_some());
 }
@@ -67,25 +67,33 @@
             Some(&catalog),
             &freshness,
             Millis(now),
-            STALENESS_BOUND,
+            REVOCATION_BOUND,
             admission_request(path, key),
         )
         .map(|a| a.route)
     };
 
     let with_fresh_proof = admit_at(4_000, "/a/", Some("north-key"));
-    let with_stale_proof = admit_at(4_900, "/a/", Some("north-key")).expect_err("too old");
-    let unknown_key = admit_at(4_900, "/a/", Some("other-key")).expect_err("may be held by now");
-    let unknown_route =
-        admit_at(4_900, "/new/", Some("north-key")).expect_err("may be a route by now");
+    let with_stale_proof = admit_at(4_900, "/a/", Some("north-key"))
+        .expect_err("a refusal because the proof is too old");
+    let unknown_key =
+        admit_at(4_900, "/a/", Some("other-key")).expect_err("a refusal of a key that may be new");
+    let unknown_route = admit_at(4_900, "/new/", Some("north-key"))
+        .expect_err("a refusal of a route that may be new");
 
     assert!(with_fresh_proof.is_ok());
     assert_eq!(
         (with_stale_proof.code, unknown_key.code, unknown_route.code),
         (Code::Stale, Code::Stale, Code::Stale)
     );
-    assert_eq!(admit_at(1_500, "/a/", Some("x")).expect_err("nobody's").code, Code::NoKey);
-    assert_eq!(admit_at(1_500, "/new/", None).expect_err("no route").code, Code::UnknownRoute);
+    assert_eq!(
+        admit_at(1_500, "/a/", Some("x")).expect_err("a refusal of an unknown key").code,
+        Code::NoKey
+    );
+    assert_eq!(
+        admit_at(1_500, "/new/", None).expect_err("a refusal of an unknown route").code,
+        Code::UnknownRoute
+    );
 }
 
 #[test]
@@ -94,7 +102,7 @@
     let mut first_attempts: Vec<u64> = Vec::new();
     let mut further_attempts: Vec<u64> = Vec::new();
 
-    // A calm minute, a burst of failures in the middle of it.
+    // A minute with few failures, and a burst of failures from 20 s to 25 s.
     for t in 0..60_000u64 {
         if t % 20 == 0 {
             budget.record_first(Millis(t));
@@ -170,8 +178,9 @@
     assert!(endpoint_ids(&table).is_empty());
 }
 
-/// All traffic moves so late that the sample before it and everything after it keep to the bound, with a part
-/// of it left for runs that go on at the new version.
+/// The cutover is late enough that the sample before it and all requests after it stay within the
+/// exposure bound. A part of the bound is reserved for attempts that are still running on the
+/// canary version.
 #[test]
 fn a_rollout_cuts_over_within_the_exposure_bound_and_completes_before_its_deadline() {
     let mut canary = Canary::new(Millis(0), order(1, None), DEFAULT_EXPOSURE_BOUND);
@@ -188,15 +197,18 @@
         }
     }
 
-    let completed_at =
-        state_writes.iter().find(|(_, s)| *s == RolloutState::Completed).expect("it ends").0;
+    let completed_at = state_writes
+        .iter()
+        .find(|(_, s)| *s == RolloutState::Completed)
+        .expect("the roll-out is completed")
+        .0;
     let cutover_at = view.cutover_at.0;
     let exposed =
         (view.initial_sample * cutover_at as f64 + (20_000 - cutover_at) as f64) / 20_000.0;
     assert!((0.11..0.13).contains(&exposed), "{exposed}");
     assert!(
         (cutover_at + 500..19_600).contains(&completed_at),
-        "moved at {cutover_at}, {state_writes:?}"
+        "cutover at {cutover_at}, {state_writes:?}"
     );
     assert_eq!((view.phase_at(Millis(cutover_at)), canary.phase()), (Phase::Moved, Phase::Done));
     assert!(
@@ -229,8 +241,9 @@
 
     let mut canary =
         Canary::new(Millis(100_000), order(7, Some(stored_progress)), DEFAULT_EXPOSURE_BOUND);
-    let write =
-        canary.take_due_write(Millis(104_600), Millis(0), Millis(700), 2).expect("its end is due");
+    let write = canary
+        .take_due_write(Millis(104_600), Millis(0), Millis(700), 2)
+        .expect("the write of the completion is due");
 
     assert_eq!(write.progress.state, RolloutState::Completed);
 }
@@ -245,10 +258,10 @@
     assert_eq!(canary.phase(), Phase::Sample);
 }
 
-/// A session whose draw puts it on a new version.
+/// Returns a session whose hash fraction is in the canary sample.
 fn session_in_initial_sample() -> SessionHash {
     let mut sessions = (0..).map(|i| SessionHash::new(Some(&format!("s{i}")), "r"));
-    sessions.find(|s| s.hash_fraction < 0.01).expect("one in a hundred")
+    sessions.find(|s| s.hash_fraction < 0.01).expect("one session in a hundred has such a fraction")
 }
 
 #[test]
@@ -276,7 +289,7 @@
     let exposure = Exposure::default();
     let canary = Canary::new(Millis(0), order(1, None), DEFAULT_EXPOSURE_BOUND).view(Millis(0), 2);
 
-    // Requests without a session, all of which the draw would put on the new version.
+    // Requests without a session, with a hash fraction that always selects the canary version.
     let session = SessionHash { session: None, hash_fraction: 0.0 };
     let canary_requests = (0..1_000)
         .filter(|_| {
@@ -379,7 +392,8 @@
     assert!(!written_states(&actions).contains(&RolloutState::RolledBack));
 }
 
-/// Runs rounds of messages among hosts, without loss, every 250 ms.
+/// Runs the hosts in steps of 50 ms and delivers their messages without loss. Returns the other
+/// actions of each host.
 fn run_message_rounds(
     hosts: &mut [(FleetState, Freshness)],
     from: u64,
@@ -418,7 +432,7 @@
         (1..=5).map(|n| (with_rollout(n, &freshness()), freshness())).collect();
     run_message_rounds(&mut hosts, 0, 2_000);
 
-    // Two answers at each host, one of them bad: too few for any host alone.
+    // Each host observes two responses, one of which failed: too few for a verdict by one host.
     let mut actions_alone = Vec::new();
     for (i, (fleet_state, freshness)) in hosts.iter_mut().enumerate() {
         let endpoint = if i % 2 == 0 { "n1" } else { "n2" };
@@ -447,7 +461,8 @@
     let message_with_echo = |echo_ms| PeerMessage { echo_ms, ..message_from(2, update.clone()) };
 
     let without_echo = peer_table.receive(Millis(9_000), message_with_echo(None));
-    // The other host answers a message that was sent at 8,000; on the way back its own was delayed.
+    // The message replies to one sent at 8,000 ms. It was delayed on its way, so the proof is dated
+    // from that time.
     let proof = peer_table.receive(Millis(9_500), message_with_echo(Some(8_000))).expect("a proof");
 
     assert_eq!(without_echo, None);
@@ -483,7 +498,7 @@
     assert_eq!(provers, 3);
     let confirms_config =
         |a: &Vec<Action>| a.iter().any(|a| matches!(a, Action::ConfigConfirmed(_)));
-    assert!(actions.iter().all(confirms_config), "every host is passed a proof");
+    assert!(actions.iter().all(confirms_config), "a host has received no proof");
 }
 
 #[test]
@@ -591,10 +606,11 @@
     assert_eq!((while_endpoints_run, soon_after_removal, long_after_removal), (1, 1, 0));
 }
 
-/// What was seen: a stream that broke was cut for want of budget although no other endpoint had been sent
-/// its request. Cause: a send whose connection does not come up is given back some buckets after it was
-/// taken, where there was nothing to take it from. Evidence: E311 "the budget of further sends is spent"
-/// right after E302 "timed out", at a host that had sent nothing a second time.
+/// Guards against an interrupted stream that is cut off for lack of retry budget although its
+/// request was sent to no other endpoint. An attempt whose connection is not established is
+/// refunded some buckets after it was acquired; the refund was lost because it was taken from the
+/// current bucket, which was empty. The log then showed E311 (budget spent) right after E302 (timed
+/// out) at a host that had made no further attempt.
 #[test]
 fn an_attempt_that_never_connected_is_refunded_after_a_delay_too() {
     let mut budget = AttemptBudget::new(0.0, Millis(10_000));
@@ -603,7 +619,7 @@
     let granted_and_refunded: Vec<bool> = (0..6)
         .map(|n| {
             let is_granted = budget.try_acquire(second(n), FurtherAttempt::Failure);
-            // Others look at the budget before it is known.
+            // Other requests use the budget before the connection is known to have failed.
             budget.record_first(second(n) + Millis(400));
             budget.refund(second(n));
             is_granted
