--- a/crates/tidetrack-core/tests/cold_start.rs
+++ b/crates/tidetrack-core/tests/cold_start.rs
@@ -12,8 +12,8 @@
 
 use support::fleet::{ColdStartConfig, Fleet};
 use support::{
-    catalog, caught_up, fleet_state, freshness_confirmed_at, id, last_published_view, record,
-    rollouts,
+    catalog, caught_up_input, endpoint_record, fleet_state, freshness_confirmed_at, id,
+    last_published_view, rollout_list,
 };
 
 /// Size in bytes of a configuration with 1,400 routes.
@@ -153,14 +153,14 @@
     let freshness = freshness_confirmed_at(0);
     let mut fleet_state = fleet_state(2);
     fleet_state.handle_input(Millis(0), Input::Catalog(Arc::new(catalog(3))), &freshness);
-    let endpoints = vec![record("o1", "v1"), record("n1", "v2")];
+    let endpoints = vec![endpoint_record("o1", "v1"), endpoint_record("n1", "v2")];
 
     let after_list =
         fleet_state.handle_input(Millis(10), Input::EndpointList(endpoints), &freshness);
-    fleet_state.handle_input(Millis(11), caught_up(FeedKind::Endpoints, 10), &freshness);
-    fleet_state.handle_input(Millis(12), rollouts(Vec::new()), &freshness);
+    fleet_state.handle_input(Millis(11), caught_up_input(FeedKind::Endpoints, 10), &freshness);
+    fleet_state.handle_input(Millis(12), rollout_list(Vec::new()), &freshness);
     let after_rollouts =
-        fleet_state.handle_input(Millis(13), caught_up(FeedKind::Rollouts, 10), &freshness);
+        fleet_state.handle_input(Millis(13), caught_up_input(FeedKind::Rollouts, 10), &freshness);
 
     let view_before_rollouts = last_published_view(&after_list).expect("a view");
     let view_after_rollouts = last_published_view(&after_rollouts).expect("a view");
@@ -180,7 +180,7 @@
 
     let actions = fleet_state.handle_input(
         Millis(10),
-        Input::EndpointList(vec![record("o1", "v1")]),
+        Input::EndpointList(vec![endpoint_record("o1", "v1")]),
         &freshness,
     );
 
--- a/crates/tidetrack-core/tests/expired_entries.rs
+++ b/crates/tidetrack-core/tests/expired_entries.rs
@@ -26,7 +26,7 @@
 use tidetrack_core::traffic::peers::{PeerMessage, PeerUpdate, ProofReport};
 use tidetrack_core::units::Millis;
 
-use support::{id, last_published_view, message_from, record, with_endpoints};
+use support::{endpoint_record, id, last_published_view, message_from, with_endpoints};
 
 /// Interval between inputs, in milliseconds. A busy host receives one every few milliseconds.
 const INPUT_INTERVAL_MS: u64 = 50;
@@ -107,7 +107,7 @@
     host.handle_input(Input::StoreUnreachable);
 
     host.run_until(8_000, peer_read);
-    host.handle_input(Input::EndpointList(vec![record("o2", "v1")]));
+    host.handle_input(Input::EndpointList(vec![endpoint_record("o2", "v1")]));
     host.handle_input(Input::StoreReachable);
     host.run_until(8_500, peer_read);
 
@@ -141,7 +141,7 @@
     // returned yet.
     host.handle_input(peer_proof(15_000));
     host.run_until(15_500, peer_read);
-    host.handle_input(Input::EndpointList(vec![record("o2", "v1")]));
+    host.handle_input(Input::EndpointList(vec![endpoint_record("o2", "v1")]));
     host.handle_input(Input::StoreReachable);
     host.run_until(16_500, peer_read);
 
@@ -157,7 +157,7 @@
     host.handle_input(Input::StoreUnreachable);
     host.run_until(15_000, |_| None);
 
-    host.handle_input(Input::EndpointList(vec![record("o2", "v1")]));
+    host.handle_input(Input::EndpointList(vec![endpoint_record("o2", "v1")]));
     host.handle_input(Input::StoreReachable);
     host.run_until(18_000, peer_read);
 
--- a/crates/tidetrack-core/tests/exposure.rs
+++ b/crates/tidetrack-core/tests/exposure.rs
@@ -14,8 +14,9 @@
 use support::fleet::Fleet;
 use support::rollout_simulation::{RolloutSimulation, Scenario, VersionBehavior};
 use support::{
-    caught_up, freshness_confirmed_at, id, last_published_view, message_from, order, progress,
-    record, rollouts, with_endpoints, with_rollout, without_rollout,
+    caught_up_input, endpoint_record, freshness_confirmed_at, id, last_published_view,
+    message_from, rollout_list, rollout_order, rollout_progress, with_endpoints, with_rollout,
+    without_rollout,
 };
 
 /// Share of a service's requests that a bad version may get between its order and its deadline.
@@ -59,7 +60,7 @@
 fn rollout_without_verdict(hosts: u32, seed: u64) -> (usize, usize, Option<u64>) {
     let mut fleet = Fleet::start(hosts, seed);
     fleet.run(4_000, |_, _| {});
-    let ordered = order(1, None);
+    let ordered = rollout_order(1, None);
     let deadline = fleet.now + ordered.duration.0;
     fleet.set_rollout_order(ordered);
     let (mut new, mut all, mut completed) = (0, 0, None);
@@ -111,7 +112,7 @@
         fleet.run(8_700, |_, _| {});
         fleet.restart(1);
 
-        fleet.set_rollout_order(order(1, None));
+        fleet.set_rollout_order(rollout_order(1, None));
         fleet.run(12_000, |_, _| {});
         let others = 2..hosts as usize;
         let moved = sessions.iter().enumerate().filter(|(n, s)| {
@@ -137,7 +138,7 @@
         fleet.run(began + 150, |_, _| {});
         fleet.restart(1);
 
-        fleet.set_rollout_order(order(1, None));
+        fleet.set_rollout_order(rollout_order(1, None));
         fleet.run(began + 4_000, |_, _| {});
         let is_moved = |(n, session): &(usize, &String)| {
             fleet.send_session_request(2 + n % 5, session) == ReleaseTrack::Canary
@@ -157,7 +158,7 @@
 
 /// Gets the present view of a host, after a while without news.
 fn view_after(beliefs: &mut FleetState, now: u64, fresh: &Freshness) -> std::sync::Arc<FleetView> {
-    let again = Input::Endpoint(record("o1", "v1"));
+    let again = Input::Endpoint(endpoint_record("o1", "v1"));
     let actions = beliefs.handle_input(Millis(now), again, fresh);
     last_published_view(&actions).expect("a view")
 }
@@ -183,7 +184,7 @@
         tally: Tally::default(),
         baseline: Vec::new(),
     };
-    let rolled_back = || order(2, Some(progress(RolloutState::RolledBack, 4_000)));
+    let rolled_back = || rollout_order(2, Some(rollout_progress(RolloutState::RolledBack, 4_000)));
     let gone = || Input::RolloutRemoved(id("llm"));
     let both: &[&str] = &[];
     let old: &[&str] = &["o1", "o2"];
@@ -197,7 +198,12 @@
             vec![Input::Rollout(rolled_back()), gone()],
             old,
         ),
-        ("when a list of roll-outs lacks it", with_rollout(2, &fresh), vec![rollouts(vec![])], old),
+        (
+            "when a list of roll-outs lacks it",
+            with_rollout(2, &fresh),
+            vec![rollout_list(vec![])],
+            old,
+        ),
         (
             "when the order can't be read any more",
             with_rollout(2, &fresh),
@@ -208,9 +214,9 @@
             "when the order could never be read",
             with_endpoints(2, &fresh),
             vec![
-                caught_up(FeedKind::Endpoints, 10),
+                caught_up_input(FeedKind::Endpoints, 10),
                 unreadable(),
-                caught_up(FeedKind::Rollouts, 10),
+                caught_up_input(FeedKind::Rollouts, 10),
             ],
             both,
         ),
@@ -248,15 +254,15 @@
 fn a_version_that_comes_without_its_order_waits_until_the_roll_outs_are_read() {
     let fresh = freshness_confirmed_at(0);
     let mut beliefs = without_rollout(2, &fresh);
-    let third = || record("x1", "v3");
+    let third = || endpoint_record("x1", "v3");
     beliefs.handle_input(Millis(1_000), Input::Endpoint(third()), &fresh);
-    beliefs.handle_input(Millis(1_000), caught_up(FeedKind::Endpoints, 20), &fresh);
+    beliefs.handle_input(Millis(1_000), caught_up_input(FeedKind::Endpoints, 20), &fresh);
     let held = proven(&view_after(&mut beliefs, 1_300, &fresh));
 
     let asked = beliefs.handle_input(Millis(1_450), Input::Tick, &fresh);
-    beliefs.handle_input(Millis(1_500), caught_up(FeedKind::Rollouts, 19), &fresh);
+    beliefs.handle_input(Millis(1_500), caught_up_input(FeedKind::Rollouts, 19), &fresh);
     let older = proven(&view_after(&mut beliefs, 1_700, &fresh));
-    beliefs.handle_input(Millis(1_800), caught_up(FeedKind::Rollouts, 21), &fresh);
+    beliefs.handle_input(Millis(1_800), caught_up_input(FeedKind::Rollouts, 21), &fresh);
     let read = proven(&view_after(&mut beliefs, 2_000, &fresh));
 
     let reads = |a: &&Action| matches!(a, Action::Fetch(c) if c.kind == FeedKind::Rollouts && c.source == FetchSource::Store);
@@ -270,14 +276,14 @@
 fn a_version_that_comes_beside_an_older_order_waits_for_its_own() {
     let fresh = freshness_confirmed_at(0);
     let mut beliefs = without_rollout(2, &fresh);
-    let rolled_back = order(11, Some(progress(RolloutState::RolledBack, 4_000)));
+    let rolled_back = rollout_order(11, Some(rollout_progress(RolloutState::RolledBack, 4_000)));
     beliefs.handle_input(Millis(500), Input::Rollout(rolled_back), &fresh);
-    beliefs.handle_input(Millis(500), caught_up(FeedKind::Rollouts, 11), &fresh);
-    beliefs.handle_input(Millis(1_000), Input::Endpoint(record("x1", "v3")), &fresh);
-    beliefs.handle_input(Millis(1_000), caught_up(FeedKind::Endpoints, 20), &fresh);
+    beliefs.handle_input(Millis(500), caught_up_input(FeedKind::Rollouts, 11), &fresh);
+    beliefs.handle_input(Millis(1_000), Input::Endpoint(endpoint_record("x1", "v3")), &fresh);
+    beliefs.handle_input(Millis(1_000), caught_up_input(FeedKind::Endpoints, 20), &fresh);
 
     let held = proven(&view_after(&mut beliefs, 1_300, &fresh));
-    beliefs.handle_input(Millis(1_500), caught_up(FeedKind::Rollouts, 21), &fresh);
+    beliefs.handle_input(Millis(1_500), caught_up_input(FeedKind::Rollouts, 21), &fresh);
     let read = proven(&view_after(&mut beliefs, 1_700, &fresh));
 
     assert_eq!(held, ["o1", "o2"]);
@@ -289,8 +295,8 @@
 fn a_version_is_not_held_for_ever_for_want_of_news() {
     let fresh = freshness_confirmed_at(0);
     let mut beliefs = without_rollout(2, &fresh);
-    beliefs.handle_input(Millis(1_000), Input::Endpoint(record("x1", "v3")), &fresh);
-    beliefs.handle_input(Millis(1_000), caught_up(FeedKind::Endpoints, 20), &fresh);
+    beliefs.handle_input(Millis(1_000), Input::Endpoint(endpoint_record("x1", "v3")), &fresh);
+    beliefs.handle_input(Millis(1_000), caught_up_input(FeedKind::Endpoints, 20), &fresh);
 
     let soon = proven(&view_after(&mut beliefs, 5_500, &fresh));
     let later = proven(&view_after(&mut beliefs, 6_500, &fresh));
@@ -337,10 +343,10 @@
     for new in ["n1", "n2"] {
         never.handle_input(Millis(200), Input::EndpointRemoved(id(new)), &fresh);
     }
-    never.handle_input(Millis(210), rollouts(vec![]), &fresh);
+    never.handle_input(Millis(210), rollout_list(vec![]), &fresh);
 
     let last = |beliefs: &mut FleetState| {
-        let actions = beliefs.handle_input(Millis(400), rollouts(vec![]), &fresh);
+        let actions = beliefs.handle_input(Millis(400), rollout_list(vec![]), &fresh);
         proven(&last_published_view(&actions).expect("a view"))
     };
 
@@ -355,7 +361,7 @@
     let mut beliefs = with_rollout(2, &fresh);
     beliefs.handle_input(Millis(100), Input::RolloutRemoved(id("llm")), &fresh);
 
-    let again = RolloutOrder { revision: 9, ..order(9, None) };
+    let again = RolloutOrder { revision: 9, ..rollout_order(9, None) };
     let actions = beliefs.handle_input(Millis(300), Input::Rollout(again), &fresh);
 
     let view = last_published_view(&actions).expect("a view");
--- a/crates/tidetrack-core/tests/few_calls.rs
+++ b/crates/tidetrack-core/tests/few_calls.rs
@@ -14,7 +14,7 @@
 use tidetrack_core::units::{Millis, Share};
 
 use support::fleet::{Fleet, SESSION_HOLD_TIME, STEP};
-use support::{id, order, record};
+use support::{endpoint_record, id, rollout_order};
 
 /// When the version is ordered; the hosts have met by then.
 const ORDERED_AT: u64 = 4_000;
@@ -90,8 +90,8 @@
         let mut fleet = Fleet::start_with_bound(case.hosts, seed, BOUND);
         for host in 0..case.hosts as usize {
             for n in 3..=case.endpoints {
-                fleet.handle_input(host, Input::Endpoint(record(&format!("o{n}"), "v1")));
-                fleet.handle_input(host, Input::Endpoint(record(&format!("n{n}"), "v2")));
+                fleet.handle_input(host, Input::Endpoint(endpoint_record(&format!("o{n}"), "v1")));
+                fleet.handle_input(host, Input::Endpoint(endpoint_record(&format!("n{n}"), "v2")));
             }
         }
         let seed = StdRng::seed_from_u64(seed + 1);
@@ -101,8 +101,8 @@
     /// Plays a roll-out to its deadline, or until all hosts hold the version bad.
     fn run(mut self) -> Outcome {
         self.play_until(ORDERED_AT, false);
-        self.fleet.set_rollout_order(order(1, None));
-        self.play_until(ORDERED_AT + order(1, None).duration.0, true);
+        self.fleet.set_rollout_order(rollout_order(1, None));
+        self.play_until(ORDERED_AT + rollout_order(1, None).duration.0, true);
         let progress = self.fleet.rollout.as_ref().and_then(|o| o.progress.as_ref());
         self.outcome.is_completed = progress.is_some_and(|p| p.state == RolloutState::Completed);
         self.outcome
--- a/crates/tidetrack-core/tests/large_fleet.rs
+++ b/crates/tidetrack-core/tests/large_fleet.rs
@@ -13,7 +13,7 @@
 use tidetrack_core::units::Millis;
 
 use support::fleet::{Fleet, ENDPOINT_CHANGE_BYTES, STEP};
-use support::{id, last_published_view, order, record, without_rollout};
+use support::{endpoint_record, id, last_published_view, rollout_order, without_rollout};
 
 /// Age of the proof at which a host reads the configuration itself.
 const PROOF_WANTED: Millis = Millis(2_500);
@@ -92,11 +92,12 @@
     let changes = 2 * endpoints;
     while fleet.now < began + within {
         let due = changes * (fleet.now - began + STEP as u64) / within;
-        fleet.revision = fleet.revision.max(10 + due);
+        fleet.endpoints_revision = fleet.endpoints_revision.max(10 + due);
         fleet.run(fleet.now + STEP as u64, |_, _| {});
     }
-    let all_known =
-        |fleet: &Fleet| fleet.known_endpoints.iter().all(|known| *known >= fleet.revision);
+    let all_known = |fleet: &Fleet| {
+        fleet.known_endpoints.iter().all(|known| *known >= fleet.endpoints_revision)
+    };
     while !all_known(&fleet) && fleet.now < began + within + 5_000 {
         fleet.run(fleet.now + STEP as u64, |_, _| {});
     }
@@ -127,7 +128,7 @@
     fleet.run(4_000, |_, _| {});
     fleet.unresponsive = (0..12).collect();
     fleet.is_store_down = true;
-    fleet.revision += 1;
+    fleet.endpoints_revision += 1;
 
     fleet.run(14_000, |_, _| {});
 
@@ -166,7 +167,7 @@
         let proves_as_asked = |i: &usize| fleet.hosts[*i].fleet_state.is_prover() == proves;
         let host = (0..12).find(proves_as_asked).expect("a host of either sort");
         let before = fleet.store_calls;
-        fleet.handle_input(host, Input::StoreRevisionSeen(fleet.revision + 1));
+        fleet.handle_input(host, Input::StoreRevisionSeen(fleet.endpoints_revision + 1));
         fleet.store_calls - before
     };
 
@@ -212,7 +213,7 @@
     for step in 0..500 {
         fleet.run(4_000 + (step + 1) * STEP as u64, |_, _| {});
         if fleet.now == began {
-            fleet.set_rollout_order(order(1, None));
+            fleet.set_rollout_order(rollout_order(1, None));
         }
         let is_first_half = (began..began + 10_000).contains(&fleet.now);
         let now = fleet.now;
@@ -269,7 +270,7 @@
     // A service of a thousand endpoints is replaced in two seconds.
     for i in 0..1_000u64 {
         let now = Millis(1_000 + 2 * i);
-        let new = record(&format!("i-{i}"), "v1");
+        let new = endpoint_record(&format!("i-{i}"), "v1");
         let actions = beliefs.handle_input(now, Input::Endpoint(new), &fresh);
         views.extend(last_published_view(&actions).map(|view| (now, view)));
     }
--- a/crates/tidetrack-core/tests/outliers.rs
+++ b/crates/tidetrack-core/tests/outliers.rs
@@ -12,7 +12,7 @@
 use tidetrack_core::units::{Millis, Tokens};
 
 use support::fleet::{Fleet, STEP};
-use support::{id, record};
+use support::{endpoint_record, id};
 
 /// Share of the answers that a grey endpoint loses.
 const LOST_ANSWERS: f64 = 0.35;
@@ -39,7 +39,7 @@
     fn start(hosts: u32, endpoints: usize) -> Callers {
         let mut fleet = Fleet::start(hosts, 7);
         for i in 0..hosts as usize {
-            let records = (0..endpoints).map(|n| record(&format!("e{n}"), "v1")).collect();
+            let records = (0..endpoints).map(|n| endpoint_record(&format!("e{n}"), "v1")).collect();
             fleet.handle_input(i, Input::EndpointList(records));
         }
         fleet.run(4_000, |_, _| {});
--- a/crates/tidetrack-core/tests/restarts.rs
+++ b/crates/tidetrack-core/tests/restarts.rs
@@ -6,12 +6,12 @@
 use tidetrack_core::traffic::endpoints::EndpointRecord;
 use tidetrack_core::units::Millis;
 
-use support::{freshness_confirmed_at, id, last_published_view, record, without_rollout};
+use support::{endpoint_record, freshness_confirmed_at, id, last_published_view, without_rollout};
 
 /// An entry of an endpoint that started at some time.
 fn started(at: u64, version: &str) -> Input {
     let started = Some(Millis(at));
-    Input::Endpoint(EndpointRecord { started, ..record("o1", version) })
+    Input::Endpoint(EndpointRecord { started, ..endpoint_record("o1", version) })
 }
 
 /// What was promised: a restart brought a new id, so what was learnt by id was of one process. It may come under
@@ -44,8 +44,11 @@
     let fresh = freshness_confirmed_at(0);
     let mut beliefs = without_rollout(2, &fresh);
     beliefs.handle_input(Millis(100), started(2_000, "v1"), &fresh);
-    let leaving =
-        EndpointRecord { started: Some(Millis(1_000)), is_leaving: true, ..record("o1", "v1") };
+    let leaving = EndpointRecord {
+        started: Some(Millis(1_000)),
+        is_leaving: true,
+        ..endpoint_record("o1", "v1")
+    };
 
     beliefs.handle_input(Millis(200), Input::Endpoint(leaving), &fresh);
     let again = beliefs.handle_input(Millis(400), started(2_000, "v1"), &fresh);
--- a/crates/tidetrack-core/tests/support/fleet.rs
+++ b/crates/tidetrack-core/tests/support/fleet.rs
@@ -23,7 +23,8 @@
 
 use super::links::{LinkEnd, Links, TransferOutcome};
 use super::{
-    caught_up, host, host_at, id, rollouts, with_endpoints, with_endpoints_of_incarnation,
+    caught_up_input, host, host_index_of, id, rollout_list, with_endpoints,
+    with_endpoints_of_incarnation,
 };
 
 /// Interval between the reads by which a prover confirms the configuration, in milliseconds.
@@ -38,7 +39,7 @@
 /// Step of the virtual clock, in milliseconds.
 pub const STEP: usize = 50;
 
-/// Size of one endpoint change in a reply.
+/// Size of one endpoint change in a reply, in bytes.
 pub const ENDPOINT_CHANGE_BYTES: u64 = 400;
 
 /// Interval at which a host is notified that a large reply is still being received, in
@@ -52,6 +53,7 @@
 /// Time for which a session keeps its version after the start of a request.
 pub const SESSION_HOLD_TIME: Millis = Millis(13_000);
 
+/// A simulated host and the view that it published last.
 pub struct FleetHost {
     pub fleet_state: FleetState,
     pub freshness: Freshness,
@@ -91,8 +93,8 @@
 }
 
 impl ColdStartConfig {
-    fn link_bandwidth(&self, n: u32) -> Bandwidth {
-        if n <= self.well_connected_hosts {
+    fn link_bandwidth(&self, host_number: u32) -> Bandwidth {
+        if host_number <= self.well_connected_hosts {
             self.fast_link
         } else {
             self.slow_link
@@ -100,12 +102,13 @@
     }
 }
 
+/// Simulated hosts, the store they read, and the network between them.
 pub struct Fleet {
     pub hosts: Vec<FleetHost>,
     pub rng: StdRng,
     pub now: u64,
     /// Newest revision of the endpoints in the store.
-    pub revision: u64,
+    pub endpoints_revision: u64,
     /// Revision of the endpoints that each host is complete up to.
     pub known_endpoints: Vec<u64>,
     /// Newest revision of the configuration in the store, and the size of a reply with it in bytes.
@@ -150,18 +153,18 @@
     /// Starts a fleet whose hosts have read the store and limit the exposure of canary versions to
     /// `bound`.
     pub fn start_with_bound(hosts: u32, seed: u64, bound: ExposureBound) -> Fleet {
-        let start = |n| {
+        let new_host = |host_number| {
             let freshness = Freshness::default();
             freshness.record_proof(Millis(0));
-            let next_proof_read_at = u64::from(n) * 17 % PROOF_READ_INTERVAL;
-            let fleet_state = with_endpoints(n, &freshness).with_exposure_bound(bound);
+            let next_proof_read_at = u64::from(host_number) * 17 % PROOF_READ_INTERVAL;
+            let fleet_state = with_endpoints(host_number, &freshness).with_exposure_bound(bound);
             FleetHost { fleet_state, freshness, next_proof_read_at, view: None }
         };
         let mut fleet = Fleet {
-            hosts: (1..=hosts).map(start).collect(),
+            hosts: (1..=hosts).map(new_host).collect(),
             rng: StdRng::seed_from_u64(seed),
             now: 0,
-            revision: 10,
+            endpoints_revision: 10,
             known_endpoints: vec![10; hosts as usize],
             catalog: (10, 0),
             known_catalog: vec![10; hosts as usize],
@@ -180,11 +183,11 @@
             messages_in_transit: Vec::new(),
             messages_sent: 0,
         };
-        for i in 0..fleet.hosts.len() {
-            fleet.handle_input(i, caught_up(FeedKind::Endpoints, 10));
-            fleet.handle_input(i, caught_up(FeedKind::Catalog, 10));
-            fleet.handle_input(i, rollouts(Vec::new()));
-            fleet.handle_input(i, caught_up(FeedKind::Rollouts, 10));
+        for host_index in 0..fleet.hosts.len() {
+            fleet.handle_input(host_index, caught_up_input(FeedKind::Endpoints, 10));
+            fleet.handle_input(host_index, caught_up_input(FeedKind::Catalog, 10));
+            fleet.handle_input(host_index, rollout_list(Vec::new()));
+            fleet.handle_input(host_index, caught_up_input(FeedKind::Rollouts, 10));
         }
         fleet
     }
@@ -194,21 +197,21 @@
     /// spread over the domains.
     pub fn start_cold(config: &ColdStartConfig, seed: u64) -> Fleet {
         let hosts = config.hosts;
-        let start = |n: u32| {
-            let link = config.link_bandwidth(n);
-            let is_seed = n <= SEED_HOSTS;
+        let new_host = |host_number: u32| {
+            let link = config.link_bandwidth(host_number);
+            let is_seed = host_number <= SEED_HOSTS;
             let bootstrap_info = BootstrapInfo {
                 link,
                 is_seed,
-                random_fraction: hash_fraction("start", &format!("{n} {seed}")),
+                random_fraction: hash_fraction("start", &format!("{host_number} {seed}")),
             };
-            let (name, address) = host(n);
-            let seeds = (1..=SEED_HOSTS).map(|n| host(n).1).collect();
-            let failure_domain = id(&format!("hall-{}", n % config.domains));
+            let (name, address) = host(host_number);
+            let seeds = (1..=SEED_HOSTS).map(|host_number| host(host_number).1).collect();
+            let failure_domain = id(&format!("hall-{}", host_number % config.domains));
             let peer_table = PeerTable::new(name, address, failure_domain, seeds)
                 .with_well_connected(is_well_connected(link));
-            let fleet_state =
-                FleetState::new(host(n).0, peer_table).with_bootstrap(Millis(0), bootstrap_info);
+            let fleet_state = FleetState::new(host(host_number).0, peer_table)
+                .with_bootstrap(Millis(0), bootstrap_info);
             FleetHost {
                 fleet_state,
                 freshness: Freshness::default(),
@@ -218,10 +221,10 @@
         };
         let host_count = hosts as usize;
         let mut fleet = Fleet {
-            hosts: (1..=hosts).map(start).collect(),
+            hosts: (1..=hosts).map(new_host).collect(),
             rng: StdRng::seed_from_u64(seed),
             now: 0,
-            revision: config.endpoints,
+            endpoints_revision: config.endpoints,
             known_endpoints: vec![0; host_count],
             catalog: (config.endpoints, config.catalog_bytes),
             known_catalog: vec![0; host_count],
@@ -241,27 +244,35 @@
             messages_sent: 0,
         };
         let bytes_per_ms = |link: Bandwidth| link.bytes_in(Millis(1)) as f64;
-        let link_bandwidths = (1..=hosts).map(|n| bytes_per_ms(config.link_bandwidth(n))).collect();
+        let link_bandwidths = (1..=hosts)
+            .map(|host_number| bytes_per_ms(config.link_bandwidth(host_number)))
+            .collect();
         fleet.set_link_bandwidths(link_bandwidths, bytes_per_ms(STORE_LINK));
         // The store contains no roll-outs.
-        (0..host_count).for_each(|i| fleet.handle_input(i, caught_up(FeedKind::Rollouts, 1)));
+        (0..host_count).for_each(|host_index| {
+            fleet.handle_input(host_index, caught_up_input(FeedKind::Rollouts, 1))
+        });
         fleet
     }
 
     /// Restarts a host without its earlier state. It receives the stored roll-out at once.
-    pub fn restart(&mut self, i: usize) {
-        let (n, incarnation) = (i as u32 + 1, self.now);
+    pub fn restart(&mut self, host_index: usize) {
+        let (host_number, incarnation) = (host_index as u32 + 1, self.now);
         let freshness = Freshness::default();
         freshness.record_proof(Millis(self.now));
-        let fleet_state = with_endpoints_of_incarnation(n, incarnation, &freshness);
+        let fleet_state = with_endpoints_of_incarnation(host_number, incarnation, &freshness);
         let next_proof_read_at = self.now + PROOF_READ_INTERVAL;
-        self.hosts[i] = FleetHost { fleet_state, freshness, next_proof_read_at, view: None };
-        self.pending_rollouts.retain(|(_, to, _)| *to != i);
-        self.handle_input(i, caught_up(FeedKind::Endpoints, self.revision));
-        self.handle_input(i, caught_up(FeedKind::Catalog, self.catalog.0));
+        self.hosts[host_index] =
+            FleetHost { fleet_state, freshness, next_proof_read_at, view: None };
+        self.pending_rollouts.retain(|(_, to, _)| *to != host_index);
+        self.handle_input(
+            host_index,
+            caught_up_input(FeedKind::Endpoints, self.endpoints_revision),
+        );
+        self.handle_input(host_index, caught_up_input(FeedKind::Catalog, self.catalog.0));
         let orders = self.rollout.iter().cloned().collect();
-        self.handle_input(i, rollouts(orders));
-        self.handle_input(i, caught_up(FeedKind::Rollouts, self.revision));
+        self.handle_input(host_index, rollout_list(orders));
+        self.handle_input(host_index, caught_up_input(FeedKind::Rollouts, self.endpoints_revision));
     }
 
     /// Advances the clock to `until`, in milliseconds, and calls `observe` for each running host at
@@ -269,61 +280,61 @@
     pub fn run(&mut self, until: u64, mut observe: impl FnMut(u64, &FleetHost)) {
         while self.now < until {
             self.now += STEP as u64;
-            self.deliver();
+            self.deliver_messages();
             self.deliver_transfers();
             self.deliver_rollout_orders();
             let all_hosts = 0..self.hosts.len();
             let active_hosts: Vec<usize> =
-                all_hosts.filter(|i| !self.suspended.contains(i)).collect();
-            for i in active_hosts {
-                self.read_proof(i);
-                self.deliver_watched_changes(i);
-                self.handle_input(i, Input::Tick);
-                observe(self.now, &self.hosts[i]);
+                all_hosts.filter(|host_index| !self.suspended.contains(host_index)).collect();
+            for host_index in active_hosts {
+                self.read_proof(host_index);
+                self.deliver_watched_changes(host_index);
+                self.handle_input(host_index, Input::Tick);
+                observe(self.now, &self.hosts[host_index]);
             }
         }
     }
 
     /// Lets a prover confirm the configuration if its next read is due.
-    pub fn read_proof(&mut self, i: usize) {
-        let host = &mut self.hosts[i];
+    pub fn read_proof(&mut self, host_index: usize) {
+        let host = &mut self.hosts[host_index];
         if host.fleet_state.is_prover() && self.now >= host.next_proof_read_at {
             host.freshness.record_proof(Millis(self.now));
             host.next_proof_read_at = self.now + PROOF_READ_INTERVAL;
-            self.handle_input(i, Input::StoreRevisionSeen(self.revision));
+            self.handle_input(host_index, Input::StoreRevisionSeen(self.endpoints_revision));
         }
     }
 
     /// Starts to deliver the changes that a watcher of the store lacks, at once if its link is
     /// unlimited.
-    pub fn deliver_watched_changes(&mut self, i: usize) {
-        if !self.hosts[i].fleet_state.is_watcher() || self.are_watches_stalled {
+    pub fn deliver_watched_changes(&mut self, host_index: usize) {
+        if !self.hosts[host_index].fleet_state.is_watcher() || self.are_watches_stalled {
             return;
         }
         for kind in [FeedKind::Catalog, FeedKind::Endpoints] {
             let (known, newest_revision) =
-                (self.known_revision(i, kind), self.newest_revision(kind));
+                (self.known_revision(host_index, kind), self.newest_revision(kind));
             let is_kind =
                 |c: &&IncomingChange| matches!(c, IncomingChange::Watched(_, k, _) if *k == kind);
-            if known >= newest_revision || self.links.payloads_to(i).any(|c| is_kind(&c)) {
+            if known >= newest_revision || self.links.payloads_to(host_index).any(|c| is_kind(&c)) {
                 continue;
             }
-            if self.links.is_unlimited(i) {
-                self.record_caught_up(i, kind, newest_revision);
+            if self.links.is_unlimited(host_index) {
+                self.record_caught_up(host_index, kind, newest_revision);
             } else {
                 let bytes = self.change_bytes(kind, known, newest_revision);
-                self.count_catalog_copy(i, kind, known, Some(newest_revision));
-                let payload = IncomingChange::Watched(i, kind, newest_revision);
-                self.links.begin_transfer(self.now, LinkEnd::Store, i, bytes, payload);
+                self.count_catalog_copy(host_index, kind, known, Some(newest_revision));
+                let payload = IncomingChange::Watched(host_index, kind, newest_revision);
+                self.links.begin_transfer(self.now, LinkEnd::Store, host_index, bytes, payload);
             }
         }
     }
 
     /// Returns the revision of a kind that a host is complete up to.
-    fn known_revision(&self, i: usize, kind: FeedKind) -> u64 {
+    fn known_revision(&self, host_index: usize, kind: FeedKind) -> u64 {
         match kind {
-            FeedKind::Catalog => self.known_catalog[i],
-            FeedKind::Endpoints => self.known_endpoints[i],
+            FeedKind::Catalog => self.known_catalog[host_index],
+            FeedKind::Endpoints => self.known_endpoints[host_index],
             FeedKind::Rollouts => unreachable!("hosts receive roll-outs directly"),
         }
     }
@@ -332,15 +343,21 @@
     fn newest_revision(&self, kind: FeedKind) -> u64 {
         match kind {
             FeedKind::Catalog => self.catalog.0,
-            FeedKind::Endpoints => self.revision,
+            FeedKind::Endpoints => self.endpoints_revision,
             FeedKind::Rollouts => unreachable!("hosts receive roll-outs directly"),
         }
     }
 
     /// Counts a reply that is started towards a host if it contains the newest configuration.
-    fn count_catalog_copy(&mut self, i: usize, kind: FeedKind, after: u64, to: Option<u64>) {
+    fn count_catalog_copy(
+        &mut self,
+        host_index: usize,
+        kind: FeedKind,
+        after: u64,
+        to: Option<u64>,
+    ) {
         let is_newest = to.is_some_and(|to| to > after && to == self.catalog.0);
-        self.catalog_copies[i] += usize::from(kind == FeedKind::Catalog && is_newest);
+        self.catalog_copies[host_index] += usize::from(kind == FeedKind::Catalog && is_newest);
     }
 
     /// Returns the size in bytes of the changes of a kind after the revision `after` up to `to`.
@@ -365,36 +382,38 @@
             (host_bandwidths, store_bandwidth);
     }
 
-    pub fn record_caught_up(&mut self, i: usize, kind: FeedKind, to: u64) {
+    /// Records that a host is complete up to a revision of a kind, drops its transfers that this makes
+    /// obsolete, and notifies the host.
+    pub fn record_caught_up(&mut self, host_index: usize, kind: FeedKind, to: u64) {
         let known = match kind {
-            FeedKind::Catalog => &mut self.known_catalog[i],
-            FeedKind::Endpoints | FeedKind::Rollouts => &mut self.known_endpoints[i],
+            FeedKind::Catalog => &mut self.known_catalog[host_index],
+            FeedKind::Endpoints | FeedKind::Rollouts => &mut self.known_endpoints[host_index],
         };
         *known = (*known).max(to);
         let newest_revision = *known;
-        self.links.drop_obsolete_large(i, |change| match change {
+        self.links.drop_obsolete_large(host_index, |change| match change {
             IncomingChange::Fetched(_, fetch, _) => {
                 fetch.kind == kind && fetch.after < newest_revision
             }
             IncomingChange::Watched(_, k, _) => *k == kind,
         });
-        self.handle_input(i, Input::CaughtUp { kind, complete: to, changed: Some(to) });
+        self.handle_input(host_index, Input::CaughtUp { kind, complete: to, changed: Some(to) });
     }
 
     /// Advances the links and passes completed and failed transfers to their hosts. Also notifies
     /// the hosts that are still receiving a large reply.
     pub fn deliver_transfers(&mut self) {
-        for ended in self.links.advance(self.now) {
-            match ended {
-                TransferOutcome::Complete(IncomingChange::Fetched(i, fetch, Some(to))) => {
-                    self.record_caught_up(i, fetch.kind, to);
+        for outcome in self.links.advance(self.now) {
+            match outcome {
+                TransferOutcome::Complete(IncomingChange::Fetched(host_index, fetch, Some(to))) => {
+                    self.record_caught_up(host_index, fetch.kind, to);
                 }
-                TransferOutcome::Complete(IncomingChange::Fetched(i, fetch, None))
-                | TransferOutcome::TimedOut(IncomingChange::Fetched(i, fetch, _)) => {
-                    self.handle_input(i, Input::FetchFailed(fetch));
+                TransferOutcome::Complete(IncomingChange::Fetched(host_index, fetch, None))
+                | TransferOutcome::TimedOut(IncomingChange::Fetched(host_index, fetch, _)) => {
+                    self.handle_input(host_index, Input::FetchFailed(fetch));
                 }
-                TransferOutcome::Complete(IncomingChange::Watched(i, kind, to)) => {
-                    self.record_caught_up(i, kind, to)
+                TransferOutcome::Complete(IncomingChange::Watched(host_index, kind, to)) => {
+                    self.record_caught_up(host_index, kind, to)
                 }
                 // The watcher's next step starts the transfer again.
                 TransferOutcome::TimedOut(IncomingChange::Watched(..)) => {}
@@ -404,51 +423,66 @@
             self.reply_limiters[from].end(bytes);
         }
         if self.now.is_multiple_of(RECEIVING_NOTICE_INTERVAL) {
-            let is_receiving = |i: &usize| self.links.is_receiving_large(*i);
+            let is_receiving = |host_index: &usize| self.links.is_receiving_large(*host_index);
             let receiving_hosts: Vec<usize> = (0..self.hosts.len()).filter(is_receiving).collect();
-            receiving_hosts
-                .into_iter()
-                .for_each(|i| self.handle_input(i, Input::ReplyStarted(FeedKind::Catalog)));
+            receiving_hosts.into_iter().for_each(|host_index| {
+                self.handle_input(host_index, Input::ReplyStarted(FeedKind::Catalog))
+            });
         }
     }
 
     /// Starts a fetch at once. The traffic plane would first wait for a large reply that is being
     /// received; without this wait, needless fetches show up in the counts.
-    pub fn begin_fetch(&mut self, i: usize, fetch: Fetch) {
-        let (from, to) = match fetch.source {
+    pub fn begin_fetch(&mut self, host_index: usize, fetch: Fetch) {
+        let (sender, to_revision) = match fetch.source {
             FetchSource::Store => {
                 self.store_calls += 1;
                 (LinkEnd::Store, (!self.is_store_down).then_some(self.newest_revision(fetch.kind)))
             }
             FetchSource::Host(address) => {
-                let from = host_at(address).filter(|i| *i < self.hosts.len());
-                let from = from.expect("a host of the fleet");
-                let is_responsive = !self.unresponsive.contains(&from);
-                (LinkEnd::Host(from), is_responsive.then(|| self.known_revision(from, fetch.kind)))
+                let sender =
+                    host_index_of(address).filter(|host_index| *host_index < self.hosts.len());
+                let sender = sender.expect("a host of the fleet");
+                let is_responsive = !self.unresponsive.contains(&sender);
+                (
+                    LinkEnd::Host(sender),
+                    is_responsive.then(|| self.known_revision(sender, fetch.kind)),
+                )
             }
         };
-        let mut to = to;
-        let mut bytes = to.map_or(0, |to| self.change_bytes(fetch.kind, fetch.after, to));
-        if let LinkEnd::Host(from) = from {
-            if !self.reply_limiters[from].try_begin(bytes) {
+        let mut to_revision = to_revision;
+        let mut bytes = to_revision
+            .map_or(0, |to_revision| self.change_bytes(fetch.kind, fetch.after, to_revision));
+        if let LinkEnd::Host(sender) = sender {
+            if !self.reply_limiters[sender].try_begin(bytes) {
                 // The host declines the fetch because its link is busy.
-                (to, bytes) = (None, 0);
+                (to_revision, bytes) = (None, 0);
             }
             self.relayed_bytes += bytes;
         }
-        self.count_catalog_copy(i, fetch.kind, fetch.after, to);
-        self.links.begin_transfer(self.now, from, i, bytes, IncomingChange::Fetched(i, fetch, to));
+        self.count_catalog_copy(host_index, fetch.kind, fetch.after, to_revision);
+        self.links.begin_transfer(
+            self.now,
+            sender,
+            host_index,
+            bytes,
+            IncomingChange::Fetched(host_index, fetch, to_revision),
+        );
     }
 
-    pub fn deliver(&mut self) {
+    /// Delivers the messages in transit, except those that are lost.
+    pub fn deliver_messages(&mut self) {
         // A reply to a message is sent at once, so it arrives within the same step.
         for _ in 0..2 {
             for (address, message) in std::mem::take(&mut self.messages_in_transit) {
-                let to = host_at(address).filter(|i| *i < self.hosts.len());
-                let is_in_partition =
-                    |i: Option<usize>| i.is_some_and(|i| self.partitioned.contains(&i));
-                let is_separated = is_in_partition(to) != is_in_partition(host_at(message.address));
-                let to = to.filter(|i| !is_separated && !self.suspended.contains(i));
+                let to = host_index_of(address).filter(|host_index| *host_index < self.hosts.len());
+                let is_in_partition = |host_index: Option<usize>| {
+                    host_index.is_some_and(|host_index| self.partitioned.contains(&host_index))
+                };
+                let is_separated =
+                    is_in_partition(to) != is_in_partition(host_index_of(message.address));
+                let to =
+                    to.filter(|host_index| !is_separated && !self.suspended.contains(host_index));
                 if let Some(to) = to.filter(|_| self.rng.random::<f64>() >= MESSAGE_LOSS) {
                     self.handle_input(to, Input::PeerMessageReceived(Box::new(message)));
                 }
@@ -456,9 +490,10 @@
         }
     }
 
-    pub fn handle_input(&mut self, i: usize, input: Input) {
+    /// Passes an input to a host and carries out the resulting actions.
+    pub fn handle_input(&mut self, host_index: usize, input: Input) {
         let (mut fetches, mut progress_writes) = (Vec::new(), Vec::new());
-        let host = &mut self.hosts[i];
+        let host = &mut self.hosts[host_index];
         for action in
             host.fleet_state.handle_input(Millis(self.now + MESSAGE_DELAY), input, &host.freshness)
         {
@@ -474,7 +509,7 @@
                 _ => {}
             }
         }
-        fetches.into_iter().for_each(|fetch| self.begin_fetch(i, fetch));
+        fetches.into_iter().for_each(|fetch| self.begin_fetch(host_index, fetch));
         progress_writes.into_iter().for_each(|write| self.write_progress(write));
     }
 
@@ -489,39 +524,40 @@
 
     /// Replaces the stored roll-out. Each host receives it after a random delay.
     pub fn set_rollout_order(&mut self, order: RolloutOrder) {
-        for i in 0..self.hosts.len() {
-            let at = self.now + self.rng.random_range(20..MAX_ROLLOUT_DELAY);
-            self.pending_rollouts.push((at, i, order.clone()));
+        for host_index in 0..self.hosts.len() {
+            let delivery_time = self.now + self.rng.random_range(20..MAX_ROLLOUT_DELAY);
+            self.pending_rollouts.push((delivery_time, host_index, order.clone()));
         }
         self.rollout = Some(order);
     }
 
+    /// Delivers the roll-out orders whose delivery time has come.
     pub fn deliver_rollout_orders(&mut self) {
         let now = self.now;
-        let (ready, later) =
+        let (due_orders, remaining_orders) =
             std::mem::take(&mut self.pending_rollouts).into_iter().partition(|t| t.0 <= now);
-        self.pending_rollouts = later;
-        for (_, i, order) in ready {
-            self.handle_input(i, Input::Rollout(order));
+        self.pending_rollouts = remaining_orders;
+        for (_, host_index, order) in due_orders {
+            self.handle_input(host_index, Input::Rollout(order));
         }
     }
 
     /// Sends a request of a session to a host and returns the release track that serves it.
-    pub fn send_session_request(&mut self, i: usize, session: &str) -> ReleaseTrack {
-        self.send_request(i, SessionHash::new(Some(session), "r"), SESSION_HOLD_TIME)
+    pub fn send_session_request(&mut self, host_index: usize, session: &str) -> ReleaseTrack {
+        self.send_request(host_index, SessionHash::new(Some(session), "r"), SESSION_HOLD_TIME)
     }
 
     /// Sends a request to a host and returns the release track that serves it.
     pub fn send_request(
         &mut self,
-        i: usize,
+        host_index: usize,
         session: SessionHash,
-        hold_for: Millis,
+        hold_time: Millis,
     ) -> ReleaseTrack {
-        let host = &self.hosts[i];
+        let host = &self.hosts[host_index];
         let view = host.view.as_ref().expect("a view");
         let service = &view.services[&id::<ServiceId>("llm")];
-        let track = service.side(Millis(self.now), session, hold_for);
+        let track = service.side(Millis(self.now), session, hold_time);
         if track == ReleaseTrack::Canary {
             service.exposure.record_canary_attempt(false);
         }
@@ -546,9 +582,9 @@
     /// Adds an endpoint change to the store and advances the clock until all hosts have it. Returns
     /// the time taken, in milliseconds.
     pub fn change_endpoints(&mut self) -> u64 {
-        self.revision += 1;
+        self.endpoints_revision += 1;
         let started_at = self.now;
-        while self.known_endpoints.iter().any(|k| *k < self.revision) {
+        while self.known_endpoints.iter().any(|k| *k < self.endpoints_revision) {
             self.run(self.now + STEP as u64, |_, _| {});
             assert!(self.now < started_at + 10_000, "{:?}", self.known_endpoints);
         }
--- a/crates/tidetrack-core/tests/support/links.rs
+++ b/crates/tidetrack-core/tests/support/links.rs
@@ -162,20 +162,20 @@
             self.advance_slice(to);
             self.now = to;
         }
-        let mut ended = Vec::new();
+        let mut outcomes = Vec::new();
         for transfer in std::mem::take(&mut self.in_progress) {
             if transfer.head_arrives_at > transfer.head_deadline && transfer.head_deadline <= until
             {
                 self.record_finished_send(&transfer);
-                ended.push(TransferOutcome::TimedOut(transfer.payload));
+                outcomes.push(TransferOutcome::TimedOut(transfer.payload));
             } else if transfer.head_arrives_at <= until && transfer.remaining_bytes <= 0.0 {
                 self.record_finished_send(&transfer);
-                ended.push(TransferOutcome::Complete(transfer.payload));
+                outcomes.push(TransferOutcome::Complete(transfer.payload));
             } else {
                 self.in_progress.push(transfer);
             }
         }
-        ended
+        outcomes
     }
 
     fn advance_slice(&mut self, to: u64) {
--- a/crates/tidetrack-core/tests/support/mod.rs
+++ b/crates/tidetrack-core/tests/support/mod.rs
@@ -23,6 +23,7 @@
 use tidetrack_core::traffic::view::FleetView;
 use tidetrack_core::units::Millis;
 
+/// Parses a name or identifier.
 pub fn id<T: std::str::FromStr<Err: std::fmt::Debug>>(text: &str) -> T {
     text.parse().expect("a valid name")
 }
@@ -59,15 +60,17 @@
     }
 }
 
+/// Maximum age of a proof up to which keys are accepted.
 pub const REVOCATION_BOUND: Option<Millis> = Some(Millis(5_000));
 
+/// Returns the freshness of a configuration that a read begun at `confirmed_at` has confirmed.
 pub fn freshness_confirmed_at(confirmed_at: u64) -> Freshness {
     let freshness = Freshness::default();
     freshness.record_proof(Millis(confirmed_at));
     freshness
 }
 
-pub fn record(name: &str, version: &str) -> EndpointRecord {
+pub fn endpoint_record(name: &str, version: &str) -> EndpointRecord {
     EndpointRecord {
         id: id(name),
         service: id("llm"),
@@ -80,7 +83,7 @@
     }
 }
 
-pub fn order(revision: u64, progress: Option<RolloutProgress>) -> RolloutOrder {
+pub fn rollout_order(revision: u64, progress: Option<RolloutProgress>) -> RolloutOrder {
     RolloutOrder {
         service: id("llm"),
         version: id("v2"),
@@ -90,50 +93,58 @@
     }
 }
 
-pub fn progress(state: RolloutState, elapsed: u64) -> RolloutProgress {
+pub fn rollout_progress(state: RolloutState, elapsed: u64) -> RolloutProgress {
     RolloutProgress { state, version: id("v2"), elapsed: Millis(elapsed), sample: None }
 }
 
-pub fn host(n: u32) -> (HostId, SocketAddr) {
-    (id(&format!("h{n}")), format!("10.0.{}.{}:7", n / 250, n % 250).parse().expect("an address"))
+/// Returns the name and the address of a host.
+pub fn host(host_number: u32) -> (HostId, SocketAddr) {
+    (
+        id(&format!("h{host_number}")),
+        format!("10.0.{}.{}:7", host_number / 250, host_number % 250).parse().expect("an address"),
+    )
 }
 
 /// Returns the index, among all hosts, of the host with an address. The address is one that `host`
 /// returns. Returns `None` for an IPv6 address and for the address of `host(0)`, which has no
 /// index.
-pub fn host_at(address: SocketAddr) -> Option<usize> {
+pub fn host_index_of(address: SocketAddr) -> Option<usize> {
     let SocketAddr::V4(address) = address else { return None };
     let [_, _, high_byte, low_byte] = address.ip().octets();
     (usize::from(high_byte) * 250 + usize::from(low_byte)).checked_sub(1)
 }
 
-pub fn fleet_state(n: u32) -> FleetState {
-    fleet_state_of_incarnation(n, 0)
+pub fn fleet_state(host_number: u32) -> FleetState {
+    fleet_state_of_incarnation(host_number, 0)
 }
 
 /// Returns the empty state of one incarnation of a host.
-pub fn fleet_state_of_incarnation(n: u32, incarnation: u64) -> FleetState {
-    let ((name, address), (_, seed)) = (host(n), host(1));
+pub fn fleet_state_of_incarnation(host_number: u32, incarnation: u64) -> FleetState {
+    let ((name, address), (_, seed)) = (host(host_number), host(1));
     let peer_table = PeerTable::new(name.clone(), address, id("hall"), vec![seed]);
     FleetState::new(name, peer_table.with_incarnation(incarnation))
 }
 
 /// Returns the state of a host that knows a configuration and the endpoints of two versions.
-pub fn with_endpoints(n: u32, freshness: &Freshness) -> FleetState {
-    add_endpoints(fleet_state(n), freshness)
+pub fn with_endpoints(host_number: u32, freshness: &Freshness) -> FleetState {
+    add_endpoints(fleet_state(host_number), freshness)
 }
 
 fn add_endpoints(mut fleet_state: FleetState, freshness: &Freshness) -> FleetState {
-    let endpoints =
-        vec![record("o1", "v1"), record("o2", "v1"), record("n1", "v2"), record("n2", "v2")];
+    let endpoints = vec![
+        endpoint_record("o1", "v1"),
+        endpoint_record("o2", "v1"),
+        endpoint_record("n1", "v2"),
+        endpoint_record("n2", "v2"),
+    ];
     fleet_state.handle_input(Millis(0), Input::Catalog(Arc::new(catalog(3))), freshness);
     fleet_state.handle_input(Millis(0), Input::EndpointList(endpoints), freshness);
     fleet_state
 }
 
 /// Returns a message from a host that is not a reply to a message of the receiver.
-pub fn message_from(n: u32, update: PeerUpdate) -> PeerMessage {
-    let (from, address) = host(n);
+pub fn message_from(host_number: u32, update: PeerUpdate) -> PeerMessage {
+    let (from, address) = host(host_number);
     PeerMessage {
         from,
         incarnation: 0,
@@ -149,40 +160,42 @@
 }
 
 /// Returns the input for a list of roll-outs without unreadable entries.
-pub fn rollouts(orders: Vec<RolloutOrder>) -> Input {
+pub fn rollout_list(orders: Vec<RolloutOrder>) -> Input {
     Input::RolloutList { orders, unreadable: Vec::new() }
 }
 
 /// Returns the same state as `with_endpoints`, for a given incarnation of the host.
 pub fn with_endpoints_of_incarnation(
-    n: u32,
+    host_number: u32,
     incarnation: u64,
     freshness: &Freshness,
 ) -> FleetState {
-    add_endpoints(fleet_state_of_incarnation(n, incarnation), freshness)
+    add_endpoints(fleet_state_of_incarnation(host_number, incarnation), freshness)
 }
 
 /// Returns the input which says that all changes of a kind are known up to a revision.
-pub fn caught_up(kind: FeedKind, complete: u64) -> Input {
+pub fn caught_up_input(kind: FeedKind, complete: u64) -> Input {
     Input::CaughtUp { kind, complete, changed: None }
 }
 
 /// Returns the state of a host that knows endpoints of two versions and has read that there are no
 /// roll-outs.
-pub fn without_rollout(n: u32, freshness: &Freshness) -> FleetState {
-    let mut fleet_state = with_endpoints(n, freshness);
-    fleet_state.handle_input(Millis(0), caught_up(FeedKind::Endpoints, 10), freshness);
-    fleet_state.handle_input(Millis(0), rollouts(Vec::new()), freshness);
-    fleet_state.handle_input(Millis(0), caught_up(FeedKind::Rollouts, 10), freshness);
+pub fn without_rollout(host_number: u32, freshness: &Freshness) -> FleetState {
+    let mut fleet_state = with_endpoints(host_number, freshness);
+    fleet_state.handle_input(Millis(0), caught_up_input(FeedKind::Endpoints, 10), freshness);
+    fleet_state.handle_input(Millis(0), rollout_list(Vec::new()), freshness);
+    fleet_state.handle_input(Millis(0), caught_up_input(FeedKind::Rollouts, 10), freshness);
     fleet_state
 }
 
-pub fn with_rollout(n: u32, freshness: &Freshness) -> FleetState {
-    let mut fleet_state = with_endpoints(n, freshness);
-    fleet_state.handle_input(Millis(0), rollouts(vec![order(1, None)]), freshness);
+/// Returns the state of a host that knows endpoints of two versions and a roll-out of the second one.
+pub fn with_rollout(host_number: u32, freshness: &Freshness) -> FleetState {
+    let mut fleet_state = with_endpoints(host_number, freshness);
+    fleet_state.handle_input(Millis(0), rollout_list(vec![rollout_order(1, None)]), freshness);
     fleet_state
 }
 
+/// Returns the roll-out states that the actions write, in order.
 pub fn written_states(actions: &[Action]) -> Vec<RolloutState> {
     let state = |a: &Action| match a {
         Action::WriteProgress(write) => Some(write.progress.state),
@@ -191,6 +204,7 @@
     actions.iter().filter_map(state).collect()
 }
 
+/// Returns the view that the last publishing action publishes, or `None` if no action does.
 pub fn last_published_view(actions: &[Action]) -> Option<Arc<FleetView>> {
     let view = |a: &Action| match a {
         Action::PublishView(view) => Some(view.clone()),
--- a/crates/tidetrack-core/tests/support/rollout_simulation.rs
+++ b/crates/tidetrack-core/tests/support/rollout_simulation.rs
@@ -18,7 +18,7 @@
 use tidetrack_core::units::Millis;
 
 use super::fleet::{Fleet, FleetHost, STEP};
-use super::{id, order, record};
+use super::{endpoint_record, id, rollout_order};
 
 /// Number of hosts in the fleet.
 const HOSTS: u32 = 9;
@@ -171,14 +171,14 @@
         while simulation.fleet.now < ROLLOUT_STARTS_AT {
             simulation.step(false);
         }
-        simulation.fleet.set_rollout_order(order(1, None));
+        simulation.fleet.set_rollout_order(rollout_order(1, None));
         simulation
     }
 
     /// Runs until all hosts have barred the canary version. Returns the number of its responses
     /// that they had observed by then, or `None` if it was not barred before the deadline.
     pub fn run_until_barred(&mut self) -> Option<usize> {
-        let deadline = ROLLOUT_STARTS_AT + order(1, None).duration.0;
+        let deadline = ROLLOUT_STARTS_AT + rollout_order(1, None).duration.0;
         while self.fleet.now < deadline {
             self.step(true);
             if self.fleet.hosts.iter().all(has_barred_version) {
@@ -324,8 +324,14 @@
 /// Adds endpoints of both versions to a host. The first two of each are known already.
 fn add_endpoints(fleet: &mut Fleet, host: usize, service: ServiceKind) {
     for endpoint_number in 3..=service.endpoint_count() {
-        fleet.handle_input(host, Input::Endpoint(record(&format!("o{endpoint_number}"), "v1")));
-        fleet.handle_input(host, Input::Endpoint(record(&format!("n{endpoint_number}"), "v2")));
+        fleet.handle_input(
+            host,
+            Input::Endpoint(endpoint_record(&format!("o{endpoint_number}"), "v1")),
+        );
+        fleet.handle_input(
+            host,
+            Input::Endpoint(endpoint_record(&format!("n{endpoint_number}"), "v2")),
+        );
     }
 }
 
--- a/crates/tidetrack-core/tests/traffic.rs
+++ b/crates/tidetrack-core/tests/traffic.rs
@@ -22,8 +22,8 @@
 use tidetrack_core::units::{Millis, Share};
 
 use support::{
-    catalog, fleet_state, freshness_confirmed_at, host, id, last_published_view, message_from,
-    order, progress, record, with_rollout, written_states, REVOCATION_BOUND,
+    catalog, endpoint_record, fleet_state, freshness_confirmed_at, host, id, last_published_view,
+    message_from, rollout_order, rollout_progress, with_rollout, written_states, REVOCATION_BOUND,
 };
 
 fn admission_request<'a>(path: &'a str, key: Option<&'a str>) -> AdmissionRequest<'a> {
@@ -142,11 +142,11 @@
 #[test]
 fn entries_that_expired_during_a_store_outage_are_kept_for_a_grace_period() {
     let mut table = EndpointTable::default();
-    table.replace(Millis(0), vec![record("e1", "v1"), record("e2", "v1")]);
+    table.replace(Millis(0), vec![endpoint_record("e1", "v1"), endpoint_record("e2", "v1")]);
 
     table.mark_store_unreachable();
     table.mark_store_reachable(Millis(10_000));
-    table.replace(Millis(10_000), vec![record("e1", "v1")]);
+    table.replace(Millis(10_000), vec![endpoint_record("e1", "v1")]);
     table.sweep(Millis(11_500));
     let ids_in_grace_period = endpoint_ids(&table);
     table.sweep(Millis(12_500));
@@ -158,7 +158,7 @@
 #[test]
 fn entries_removed_while_the_store_is_reachable_are_dropped_at_once() {
     let mut table = EndpointTable::default();
-    table.replace(Millis(0), vec![record("e1", "v1"), record("e2", "v1")]);
+    table.replace(Millis(0), vec![endpoint_record("e1", "v1"), endpoint_record("e2", "v1")]);
 
     table.remove(Millis(100), &id("e1"));
     table.replace(Millis(200), vec![]);
@@ -169,7 +169,7 @@
 #[test]
 fn a_leaving_entry_is_not_kept_through_an_outage() {
     let mut table = EndpointTable::default();
-    let leaving = EndpointRecord { is_leaving: true, ..record("e1", "v1") };
+    let leaving = EndpointRecord { is_leaving: true, ..endpoint_record("e1", "v1") };
     table.replace(Millis(0), vec![leaving]);
 
     table.mark_store_unreachable();
@@ -183,7 +183,7 @@
 /// canary version.
 #[test]
 fn a_rollout_cuts_over_within_the_exposure_bound_and_completes_before_its_deadline() {
-    let mut canary = Canary::new(Millis(0), order(1, None), DEFAULT_EXPOSURE_BOUND);
+    let mut canary = Canary::new(Millis(0), rollout_order(1, None), DEFAULT_EXPOSURE_BOUND);
     let view = canary.view(Millis(500), 2);
     let mut revision = 1;
     let mut state_writes = Vec::new();
@@ -193,7 +193,7 @@
             assert_eq!(write.revision, revision);
             revision += 1;
             state_writes.push((t, write.progress.state));
-            canary.update(Millis(t), order(revision, Some(write.progress)));
+            canary.update(Millis(t), rollout_order(revision, Some(write.progress)));
         }
     }
 
@@ -220,8 +220,9 @@
 #[test]
 fn the_configured_bound_determines_the_sample_and_the_cutover_time() {
     let bound_with_share = |share| ExposureBound { share: Share(share), ..DEFAULT_EXPOSURE_BOUND };
-    let view =
-        |share| Canary::new(Millis(0), order(1, None), bound_with_share(share)).view(Millis(0), 2);
+    let view = |share| {
+        Canary::new(Millis(0), rollout_order(1, None), bound_with_share(share)).view(Millis(0), 2)
+    };
 
     let (small_share, large_share) = (view(0.05), view(0.3));
 
@@ -237,10 +238,13 @@
 
 #[test]
 fn a_host_that_starts_during_a_rollout_resumes_from_the_stored_progress() {
-    let stored_progress = progress(RolloutState::InProgress, 15_000);
+    let stored_progress = rollout_progress(RolloutState::InProgress, 15_000);
 
-    let mut canary =
-        Canary::new(Millis(100_000), order(7, Some(stored_progress)), DEFAULT_EXPOSURE_BOUND);
+    let mut canary = Canary::new(
+        Millis(100_000),
+        rollout_order(7, Some(stored_progress)),
+        DEFAULT_EXPOSURE_BOUND,
+    );
     let write = canary
         .take_due_write(Millis(104_600), Millis(0), Millis(700), 2)
         .expect("the write of the completion is due");
@@ -250,10 +254,11 @@
 
 #[test]
 fn progress_of_an_earlier_order_is_ignored() {
-    let mut earlier_progress = progress(RolloutState::Completed, 15_000);
+    let mut earlier_progress = rollout_progress(RolloutState::Completed, 15_000);
     earlier_progress.version = id("v1");
 
-    let canary = Canary::new(Millis(0), order(7, Some(earlier_progress)), DEFAULT_EXPOSURE_BOUND);
+    let canary =
+        Canary::new(Millis(0), rollout_order(7, Some(earlier_progress)), DEFAULT_EXPOSURE_BOUND);
 
     assert_eq!(canary.phase(), Phase::Sample);
 }
@@ -267,7 +272,8 @@
 #[test]
 fn an_active_session_stays_on_the_stable_version_on_another_host_too() {
     let (first_host, second_host) = (Exposure::default(), Exposure::default());
-    let canary = Canary::new(Millis(0), order(1, None), DEFAULT_EXPOSURE_BOUND).view(Millis(0), 2);
+    let canary =
+        Canary::new(Millis(0), rollout_order(1, None), DEFAULT_EXPOSURE_BOUND).view(Millis(0), 2);
     let session = session_in_initial_sample();
     let track_at = |e: &Exposure, now| {
         e.choose_track(Millis(now), session, Some(&canary), true, Millis(5_000))
@@ -287,7 +293,8 @@
 #[test]
 fn the_canary_share_of_a_host_is_bounded_for_any_hash_fractions() {
     let exposure = Exposure::default();
-    let canary = Canary::new(Millis(0), order(1, None), DEFAULT_EXPOSURE_BOUND).view(Millis(0), 2);
+    let canary =
+        Canary::new(Millis(0), rollout_order(1, None), DEFAULT_EXPOSURE_BOUND).view(Millis(0), 2);
 
     // Requests without a session, with a hash fraction that always selects the canary version.
     let session = SessionHash { session: None, hash_fraction: 0.0 };
@@ -533,10 +540,13 @@
 fn after_completion_only_the_canary_version_serves() {
     let freshness = freshness_confirmed_at(0);
     let mut fleet_state = with_rollout(2, &freshness);
-    let completed = progress(RolloutState::Completed, 18_000);
+    let completed = rollout_progress(RolloutState::Completed, 18_000);
 
-    let actions =
-        fleet_state.handle_input(Millis(9), Input::Rollout(order(5, Some(completed))), &freshness);
+    let actions = fleet_state.handle_input(
+        Millis(9),
+        Input::Rollout(rollout_order(5, Some(completed))),
+        &freshness,
+    );
 
     let view = last_published_view(&actions).expect("a new view");
     let service = &view.services[&id::<ServiceId>("llm")];
@@ -550,11 +560,19 @@
 fn a_barred_version_stays_barred_during_the_next_rollout() {
     let freshness = freshness_confirmed_at(0);
     let mut fleet_state = with_rollout(2, &freshness);
-    let barred = progress(RolloutState::RolledBack, 4_000);
-    fleet_state.handle_input(Millis(4_000), Input::Rollout(order(5, Some(barred))), &freshness);
+    let barred = rollout_progress(RolloutState::RolledBack, 4_000);
+    fleet_state.handle_input(
+        Millis(4_000),
+        Input::Rollout(rollout_order(5, Some(barred))),
+        &freshness,
+    );
 
-    let next_order = RolloutOrder { version: id("v3"), ..order(6, None) };
-    fleet_state.handle_input(Millis(4_100), Input::Endpoint(record("x1", "v3")), &freshness);
+    let next_order = RolloutOrder { version: id("v3"), ..rollout_order(6, None) };
+    fleet_state.handle_input(
+        Millis(4_100),
+        Input::Endpoint(endpoint_record("x1", "v3")),
+        &freshness,
+    );
     let actions = fleet_state.handle_input(Millis(4_200), Input::Rollout(next_order), &freshness);
 
     let view = last_published_view(&actions).expect("a new view");
@@ -570,13 +588,17 @@
 fn a_barred_version_may_be_ordered_again() {
     let freshness = freshness_confirmed_at(0);
     let mut fleet_state = with_rollout(2, &freshness);
-    let barred = progress(RolloutState::RolledBack, 4_000);
-    fleet_state.handle_input(Millis(4_000), Input::Rollout(order(5, Some(barred))), &freshness);
-    let intermediate_order = RolloutOrder { version: id("v3"), ..order(6, None) };
+    let barred = rollout_progress(RolloutState::RolledBack, 4_000);
+    fleet_state.handle_input(
+        Millis(4_000),
+        Input::Rollout(rollout_order(5, Some(barred))),
+        &freshness,
+    );
+    let intermediate_order = RolloutOrder { version: id("v3"), ..rollout_order(6, None) };
     fleet_state.handle_input(Millis(4_100), Input::Rollout(intermediate_order), &freshness);
 
     let actions =
-        fleet_state.handle_input(Millis(4_200), Input::Rollout(order(7, None)), &freshness);
+        fleet_state.handle_input(Millis(4_200), Input::Rollout(rollout_order(7, None)), &freshness);
 
     let view = last_published_view(&actions).expect("a new view");
     assert_eq!(view.services[&id::<ServiceId>("llm")].canary_pool.endpoints().len(), 2);
@@ -586,7 +608,7 @@
 fn a_superseded_version_is_forgotten_once_no_endpoint_has_run_it_for_a_while() {
     let freshness = freshness_confirmed_at(0);
     let mut fleet_state = with_rollout(2, &freshness);
-    let next_order = RolloutOrder { version: id("v3"), ..order(6, None) };
+    let next_order = RolloutOrder { version: id("v3"), ..rollout_order(6, None) };
     fleet_state.handle_input(Millis(4_200), Input::Rollout(next_order), &freshness);
     let reported_barred_count = |fleet_state: &mut FleetState, at: u64| {
         let actions = fleet_state.handle_input(Millis(at), Input::Tick, &freshness);
--- a/crates/tidetrack-core/tests/under_load.rs
+++ b/crates/tidetrack-core/tests/under_load.rs
@@ -15,7 +15,7 @@
 use tidetrack_core::units::Millis;
 
 use support::fleet::{Fleet, SESSION_HOLD_TIME, STEP};
-use support::{id, order, record};
+use support::{endpoint_record, id, rollout_order};
 
 /// When the version is ordered; the hosts have met by then.
 const ORDERED_AT: u64 = 4_000;
@@ -96,15 +96,15 @@
         let mut fleet = Fleet::start(size.hosts, seed);
         for i in 0..size.hosts as usize {
             for n in 3..=size.endpoints {
-                fleet.handle_input(i, Input::Endpoint(record(&format!("o{n}"), "v1")));
-                fleet.handle_input(i, Input::Endpoint(record(&format!("n{n}"), "v2")));
+                fleet.handle_input(i, Input::Endpoint(endpoint_record(&format!("o{n}"), "v1")));
+                fleet.handle_input(i, Input::Endpoint(endpoint_record(&format!("n{n}"), "v2")));
             }
         }
         let shift = seed as usize;
         let seed = StdRng::seed_from_u64(seed + 1);
         let mut play = Play { fleet, seed, size, fails, shift, runs: Vec::new(), sent: 0, bad: 0 };
         play.fleet.run(ORDERED_AT, |_, _| {});
-        play.fleet.set_rollout_order(order(1, None));
+        play.fleet.set_rollout_order(rollout_order(1, None));
         play
     }
 
@@ -119,7 +119,7 @@
 
     /// Plays until all hosts hold the version bad; gets the part of the roll-out's time that has passed.
     fn until_barred(&mut self) -> Option<f64> {
-        let duration = order(1, None).duration.0;
+        let duration = rollout_order(1, None).duration.0;
         while self.fleet.now < ORDERED_AT + duration {
             self.step();
             if self.is_barred() {
