--- a/crates/tidetrack-core/tests/endpoint_limits.rs
+++ b/crates/tidetrack-core/tests/endpoint_limits.rs
@@ -13,7 +13,7 @@
 use tidetrack_core::traffic::control::Input;
 use tidetrack_core::units::{Millis, Rate};
 
-use support::fleet::{Fleet, STEP};
+use support::fleet::{Fleet, CLOCK_STEP_MS};
 use support::id;
 
 /// Time after which hosts in touch know what one of them learned, in milliseconds.
@@ -59,7 +59,7 @@
                 fleet.handle_input(host, Input::LimitReported(id(LIMITED), named));
             }
         }
-        fleet.run(fleet.now + STEP as u64, |_, _| {});
+        fleet.run(fleet.now + CLOCK_STEP_MS as u64, |_, _| {});
     }
     came
 }
--- a/crates/tidetrack-core/tests/expired_entries.rs
+++ b/crates/tidetrack-core/tests/expired_entries.rs
@@ -26,7 +26,7 @@
 use tidetrack_core::traffic::peers::{PeerMessage, PeerUpdate, ProofReport};
 use tidetrack_core::units::Millis;
 
-use support::{endpoint_record, id, last_published_view, message_from, with_endpoints};
+use support::{endpoint_record, id, last_published_view, message_from, state_with_endpoints};
 
 /// Interval between inputs, in milliseconds. A busy host receives one every few milliseconds.
 const INPUT_INTERVAL_MS: u64 = 50;
@@ -55,7 +55,7 @@
 impl Host {
     fn new() -> Host {
         let freshness = Freshness::default();
-        let (fleet_state, known_endpoints) = (with_endpoints(1, &freshness), BTreeSet::new());
+        let (fleet_state, known_endpoints) = (state_with_endpoints(1, &freshness), BTreeSet::new());
         Host { fleet_state, freshness, now: 0, known_endpoints }
     }
 
--- a/crates/tidetrack-core/tests/exposure.rs
+++ b/crates/tidetrack-core/tests/exposure.rs
@@ -15,8 +15,8 @@
 use support::rollout_simulation::{RolloutSimulation, Scenario, VersionBehavior};
 use support::{
     caught_up_input, endpoint_record, freshness_confirmed_at, id, last_published_view,
-    message_from, rollout_list, rollout_order, rollout_progress, with_endpoints, with_rollout,
-    without_rollout,
+    message_from, rollout_list, rollout_order, rollout_progress, state_with_endpoints,
+    state_with_rollout, state_without_rollout,
 };
 
 /// Share of a service's requests that a bad version may get between its order and its deadline.
@@ -190,29 +190,29 @@
     let old: &[&str] = &["o1", "o2"];
     let unreadable = || Input::RolloutList { orders: Vec::new(), unreadable: vec![id("llm")] };
     let cases: Vec<(&str, FleetState, Vec<Input>, &[&str])> = vec![
-        ("before a list of roll-outs", with_endpoints(2, &fresh), vec![], both),
-        ("when the order is removed", with_rollout(2, &fresh), vec![gone()], old),
+        ("before a list of roll-outs", state_with_endpoints(2, &fresh), vec![], both),
+        ("when the order is removed", state_with_rollout(2, &fresh), vec![gone()], old),
         (
             "when the order is removed after the version was rolled back",
-            with_rollout(2, &fresh),
+            state_with_rollout(2, &fresh),
             vec![Input::Rollout(rolled_back()), gone()],
             old,
         ),
         (
             "when a list of roll-outs lacks it",
-            with_rollout(2, &fresh),
+            state_with_rollout(2, &fresh),
             vec![rollout_list(vec![])],
             old,
         ),
         (
             "when the order can't be read any more",
-            with_rollout(2, &fresh),
+            state_with_rollout(2, &fresh),
             vec![unreadable(), Input::RolloutUnreadable(id("llm"))],
             old,
         ),
         (
             "when the order could never be read",
-            with_endpoints(2, &fresh),
+            state_with_endpoints(2, &fresh),
             vec![
                 caught_up_input(FeedKind::Endpoints, 10),
                 unreadable(),
@@ -222,13 +222,13 @@
         ),
         (
             "when others hold the version bad",
-            without_rollout(2, &fresh),
+            state_without_rollout(2, &fresh),
             vec![word_of(PeerUpdate { barred_versions: vec![barred()], ..PeerUpdate::default() })],
             old,
         ),
         (
             "when others tell of its roll-out",
-            without_rollout(2, &fresh),
+            state_without_rollout(2, &fresh),
             vec![word_of(PeerUpdate { tallies: vec![told()], ..PeerUpdate::default() })],
             old,
         ),
@@ -253,7 +253,7 @@
 #[test]
 fn a_version_that_comes_without_its_order_waits_until_the_roll_outs_are_read() {
     let fresh = freshness_confirmed_at(0);
-    let mut beliefs = without_rollout(2, &fresh);
+    let mut beliefs = state_without_rollout(2, &fresh);
     let third = || endpoint_record("x1", "v3");
     beliefs.handle_input(Millis(1_000), Input::Endpoint(third()), &fresh);
     beliefs.handle_input(Millis(1_000), caught_up_input(FeedKind::Endpoints, 20), &fresh);
@@ -275,7 +275,7 @@
 #[test]
 fn a_version_that_comes_beside_an_older_order_waits_for_its_own() {
     let fresh = freshness_confirmed_at(0);
-    let mut beliefs = without_rollout(2, &fresh);
+    let mut beliefs = state_without_rollout(2, &fresh);
     let rolled_back = rollout_order(11, Some(rollout_progress(RolloutState::RolledBack, 4_000)));
     beliefs.handle_input(Millis(500), Input::Rollout(rolled_back), &fresh);
     beliefs.handle_input(Millis(500), caught_up_input(FeedKind::Rollouts, 11), &fresh);
@@ -294,7 +294,7 @@
 #[test]
 fn a_version_is_not_held_for_ever_for_want_of_news() {
     let fresh = freshness_confirmed_at(0);
-    let mut beliefs = without_rollout(2, &fresh);
+    let mut beliefs = state_without_rollout(2, &fresh);
     beliefs.handle_input(Millis(1_000), Input::Endpoint(endpoint_record("x1", "v3")), &fresh);
     beliefs.handle_input(Millis(1_000), caught_up_input(FeedKind::Endpoints, 20), &fresh);
 
@@ -308,7 +308,7 @@
 #[test]
 fn a_version_is_held_on_others_word_for_as_long_as_they_tell() {
     let fresh = freshness_confirmed_at(0);
-    let mut beliefs = without_rollout(2, &fresh);
+    let mut beliefs = state_without_rollout(2, &fresh);
     let tally = Tally::default();
     let told = TallyReport {
         service: id("llm"),
@@ -334,12 +334,12 @@
 #[test]
 fn the_only_version_of_a_service_serves_without_a_roll_out() {
     let fresh = freshness_confirmed_at(0);
-    let mut removed = with_rollout(2, &fresh);
+    let mut removed = state_with_rollout(2, &fresh);
     removed.handle_input(Millis(100), Input::RolloutRemoved(id("llm")), &fresh);
     for old in ["o1", "o2"] {
         removed.handle_input(Millis(200), Input::EndpointRemoved(id(old)), &fresh);
     }
-    let mut never = with_endpoints(3, &fresh);
+    let mut never = state_with_endpoints(3, &fresh);
     for new in ["n1", "n2"] {
         never.handle_input(Millis(200), Input::EndpointRemoved(id(new)), &fresh);
     }
@@ -358,7 +358,7 @@
 #[test]
 fn an_order_that_is_made_again_after_it_was_removed_begins_a_trial() {
     let fresh = freshness_confirmed_at(0);
-    let mut beliefs = with_rollout(2, &fresh);
+    let mut beliefs = state_with_rollout(2, &fresh);
     beliefs.handle_input(Millis(100), Input::RolloutRemoved(id("llm")), &fresh);
 
     let again = RolloutOrder { revision: 9, ..rollout_order(9, None) };
--- a/crates/tidetrack-core/tests/feeds.rs
+++ b/crates/tidetrack-core/tests/feeds.rs
@@ -15,7 +15,7 @@
 use tidetrack_core::traffic::stagger::stagger_delay;
 use tidetrack_core::units::{Bandwidth, Millis};
 
-use support::{catalog, id, last_published_view, with_endpoints, without_rollout};
+use support::{catalog, id, last_published_view, state_with_endpoints, state_without_rollout};
 
 /// Interval between the messages in which other hosts report the change, in milliseconds.
 const REPORT_INTERVAL_MS: u64 = 50;
@@ -243,7 +243,7 @@
 #[test]
 fn a_proof_takes_effect_only_after_its_configuration_is_published() {
     let freshness = Freshness::default();
-    let mut fleet_state = with_endpoints(1, &freshness);
+    let mut fleet_state = state_with_endpoints(1, &freshness);
 
     let mut actions =
         fleet_state.handle_input(Millis(10), Input::Catalog(Arc::new(catalog(4))), &freshness);
@@ -268,7 +268,7 @@
 #[test]
 fn an_expired_entry_is_dropped_in_time_on_a_busy_host() {
     let freshness = Freshness::default();
-    let mut fleet_state = without_rollout(1, &freshness);
+    let mut fleet_state = state_without_rollout(1, &freshness);
     fleet_state.handle_input(Millis(1_000), Input::StoreUnreachable, &freshness);
     fleet_state.handle_input(Millis(1_500), Input::EndpointRemoved(id("o1")), &freshness);
     fleet_state.handle_input(Millis(2_000), Input::StoreReachable, &freshness);
--- a/crates/tidetrack-core/tests/few_calls.rs
+++ b/crates/tidetrack-core/tests/few_calls.rs
@@ -13,7 +13,7 @@
 use tidetrack_core::traffic::judge::{AttemptOutcome, ObservedResponse};
 use tidetrack_core::units::{Millis, Share};
 
-use support::fleet::{Fleet, SESSION_HOLD_TIME, STEP};
+use support::fleet::{Fleet, CLOCK_STEP_MS, SESSION_HOLD_TIME};
 use support::{endpoint_record, id, rollout_order};
 
 /// When the version is ordered; the hosts have met by then.
@@ -110,8 +110,8 @@
 
     fn play_until(&mut self, until: u64, is_ordered: bool) {
         while self.fleet.now < until && !self.outcome.is_barred {
-            self.fleet.run(self.fleet.now + STEP as u64, |_, _| {});
-            let mean = self.case.rate * STEP as f64 / 1_000.0;
+            self.fleet.run(self.fleet.now + CLOCK_STEP_MS as u64, |_, _| {});
+            let mean = self.case.rate * CLOCK_STEP_MS as f64 / 1_000.0;
             let calls = mean as usize + usize::from(self.seed.random::<f64>() < mean.fract());
             (0..calls).for_each(|_| self.call(is_ordered));
             self.outcome.is_barred = is_ordered && self.is_barred();
--- a/crates/tidetrack-core/tests/large_fleet.rs
+++ b/crates/tidetrack-core/tests/large_fleet.rs
@@ -12,8 +12,8 @@
 use tidetrack_core::traffic::freshness::Freshness;
 use tidetrack_core::units::Millis;
 
-use support::fleet::{Fleet, ENDPOINT_CHANGE_BYTES, STEP};
-use support::{endpoint_record, id, last_published_view, rollout_order, without_rollout};
+use support::fleet::{Fleet, CLOCK_STEP_MS, ENDPOINT_CHANGE_BYTES};
+use support::{endpoint_record, id, last_published_view, rollout_order, state_without_rollout};
 
 /// Age of the proof at which a host reads the configuration itself.
 const PROOF_WANTED: Millis = Millis(2_500);
@@ -91,15 +91,15 @@
     let began = fleet.now;
     let changes = 2 * endpoints;
     while fleet.now < began + within {
-        let due = changes * (fleet.now - began + STEP as u64) / within;
+        let due = changes * (fleet.now - began + CLOCK_STEP_MS as u64) / within;
         fleet.endpoints_revision = fleet.endpoints_revision.max(10 + due);
-        fleet.run(fleet.now + STEP as u64, |_, _| {});
+        fleet.run(fleet.now + CLOCK_STEP_MS as u64, |_, _| {});
     }
     let all_known = |fleet: &Fleet| {
         fleet.known_endpoints.iter().all(|known| *known >= fleet.endpoints_revision)
     };
     while !all_known(&fleet) && fleet.now < began + within + 5_000 {
-        fleet.run(fleet.now + STEP as u64, |_, _| {});
+        fleet.run(fleet.now + CLOCK_STEP_MS as u64, |_, _| {});
     }
 
     let (calls, given) = (fleet.store_calls - calls, fleet.relayed_bytes - given);
@@ -211,7 +211,7 @@
     let began = 9_000;
     let mut moves = Moves::default();
     for step in 0..500 {
-        fleet.run(4_000 + (step + 1) * STEP as u64, |_, _| {});
+        fleet.run(4_000 + (step + 1) * CLOCK_STEP_MS as u64, |_, _| {});
         if fleet.now == began {
             fleet.set_rollout_order(rollout_order(1, None));
         }
@@ -265,7 +265,7 @@
 #[test]
 fn many_changes_of_endpoints_make_few_views() {
     let fresh = Freshness::default();
-    let mut beliefs = without_rollout(1, &fresh);
+    let mut beliefs = state_without_rollout(1, &fresh);
     let mut views = Vec::new();
     // A service of a thousand endpoints is replaced in two seconds.
     for i in 0..1_000u64 {
--- a/crates/tidetrack-core/tests/outliers.rs
+++ b/crates/tidetrack-core/tests/outliers.rs
@@ -11,7 +11,7 @@
 use tidetrack_core::traffic::control::Input;
 use tidetrack_core::units::{Millis, Tokens};
 
-use support::fleet::{Fleet, STEP};
+use support::fleet::{Fleet, CLOCK_STEP_MS};
 use support::{endpoint_record, id};
 
 /// Share of the answers that a grey endpoint loses.
@@ -56,9 +56,9 @@
         let until = self.fleet.now + ms;
         let mut went = Went::default();
         while self.fleet.now < until {
-            self.fleet.run(self.fleet.now + STEP as u64, |_, _| {});
+            self.fleet.run(self.fleet.now + CLOCK_STEP_MS as u64, |_, _| {});
             for host in 0..self.fleet.hosts.len() {
-                if self.draws.random::<f64>() < a_second * STEP as f64 / 1_000.0 {
+                if self.draws.random::<f64>() < a_second * CLOCK_STEP_MS as f64 / 1_000.0 {
                     self.send(host, &mut went);
                 }
             }
--- a/crates/tidetrack-core/tests/restarts.rs
+++ b/crates/tidetrack-core/tests/restarts.rs
@@ -6,7 +6,9 @@
 use tidetrack_core::traffic::endpoints::EndpointRecord;
 use tidetrack_core::units::Millis;
 
-use support::{endpoint_record, freshness_confirmed_at, id, last_published_view, without_rollout};
+use support::{
+    endpoint_record, freshness_confirmed_at, id, last_published_view, state_without_rollout,
+};
 
 /// An entry of an endpoint that started at some time.
 fn started(at: u64, version: &str) -> Input {
@@ -19,7 +21,7 @@
 #[test]
 fn an_endpoint_that_starts_again_begins_anew() {
     let fresh = freshness_confirmed_at(0);
-    let mut beliefs = without_rollout(2, &fresh);
+    let mut beliefs = state_without_rollout(2, &fresh);
     let mut view_after = |at: u64, input: Input| {
         let mut actions = beliefs.handle_input(Millis(at), input, &fresh);
         actions.extend(beliefs.handle_input(Millis(at + 200), Input::Tick, &fresh));
@@ -42,7 +44,7 @@
 #[test]
 fn news_of_an_earlier_start_that_comes_late_changes_nothing() {
     let fresh = freshness_confirmed_at(0);
-    let mut beliefs = without_rollout(2, &fresh);
+    let mut beliefs = state_without_rollout(2, &fresh);
     beliefs.handle_input(Millis(100), started(2_000, "v1"), &fresh);
     let leaving = EndpointRecord {
         started: Some(Millis(1_000)),
--- a/crates/tidetrack-core/tests/support/fleet.rs
+++ b/crates/tidetrack-core/tests/support/fleet.rs
@@ -23,8 +23,8 @@
 
 use super::links::{LinkEnd, Links, TransferOutcome};
 use super::{
-    caught_up_input, host, host_index_of, id, rollout_list, with_endpoints,
-    with_endpoints_of_incarnation,
+    caught_up_input, host, host_index_of, id, rollout_list, state_with_endpoints,
+    state_with_endpoints_of_incarnation,
 };
 
 /// Interval between the reads by which a prover confirms the configuration, in milliseconds.
@@ -37,7 +37,7 @@
 pub const MESSAGE_LOSS: f64 = 0.03;
 
 /// Step of the virtual clock, in milliseconds.
-pub const STEP: usize = 50;
+pub const CLOCK_STEP_MS: usize = 50;
 
 /// Size of one endpoint change in a reply, in bytes.
 pub const ENDPOINT_CHANGE_BYTES: u64 = 400;
@@ -157,7 +157,8 @@
             let freshness = Freshness::default();
             freshness.record_proof(Millis(0));
             let next_proof_read_at = u64::from(host_number) * 17 % PROOF_READ_INTERVAL;
-            let fleet_state = with_endpoints(host_number, &freshness).with_exposure_bound(bound);
+            let fleet_state =
+                state_with_endpoints(host_number, &freshness).with_exposure_bound(bound);
             FleetHost { fleet_state, freshness, next_proof_read_at, view: None }
         };
         let mut fleet = Fleet {
@@ -260,7 +261,7 @@
         let (host_number, incarnation) = (host_index as u32 + 1, self.now);
         let freshness = Freshness::default();
         freshness.record_proof(Millis(self.now));
-        let fleet_state = with_endpoints_of_incarnation(host_number, incarnation, &freshness);
+        let fleet_state = state_with_endpoints_of_incarnation(host_number, incarnation, &freshness);
         let next_proof_read_at = self.now + PROOF_READ_INTERVAL;
         self.hosts[host_index] =
             FleetHost { fleet_state, freshness, next_proof_read_at, view: None };
@@ -279,7 +280,7 @@
     /// each step.
     pub fn run(&mut self, until: u64, mut observe: impl FnMut(u64, &FleetHost)) {
         while self.now < until {
-            self.now += STEP as u64;
+            self.now += CLOCK_STEP_MS as u64;
             self.deliver_messages();
             self.deliver_transfers();
             self.deliver_rollout_orders();
@@ -574,7 +575,7 @@
     /// time reached.
     pub fn run_until_catalog(&mut self, until: u64) -> u64 {
         while self.now < until && self.known_catalog.iter().any(|k| *k < self.catalog.0) {
-            self.run(self.now + STEP as u64, |_, _| {});
+            self.run(self.now + CLOCK_STEP_MS as u64, |_, _| {});
         }
         self.now
     }
@@ -585,7 +586,7 @@
         self.endpoints_revision += 1;
         let started_at = self.now;
         while self.known_endpoints.iter().any(|k| *k < self.endpoints_revision) {
-            self.run(self.now + STEP as u64, |_, _| {});
+            self.run(self.now + CLOCK_STEP_MS as u64, |_, _| {});
             assert!(self.now < started_at + 10_000, "{:?}", self.known_endpoints);
         }
         self.now - started_at
--- a/crates/tidetrack-core/tests/support/mod.rs
+++ b/crates/tidetrack-core/tests/support/mod.rs
@@ -60,7 +60,7 @@
     }
 }
 
-/// Maximum age of a proof up to which keys are accepted.
+/// Time within which a revoked key has to be rejected.
 pub const REVOCATION_BOUND: Option<Millis> = Some(Millis(5_000));
 
 /// Returns the freshness of a configuration that a read begun at `confirmed_at` has confirmed.
@@ -126,7 +126,7 @@
 }
 
 /// Returns the state of a host that knows a configuration and the endpoints of two versions.
-pub fn with_endpoints(host_number: u32, freshness: &Freshness) -> FleetState {
+pub fn state_with_endpoints(host_number: u32, freshness: &Freshness) -> FleetState {
     add_endpoints(fleet_state(host_number), freshness)
 }
 
@@ -164,8 +164,8 @@
     Input::RolloutList { orders, unreadable: Vec::new() }
 }
 
-/// Returns the same state as `with_endpoints`, for a given incarnation of the host.
-pub fn with_endpoints_of_incarnation(
+/// Returns the same state as `state_with_endpoints`, for a given incarnation of the host.
+pub fn state_with_endpoints_of_incarnation(
     host_number: u32,
     incarnation: u64,
     freshness: &Freshness,
@@ -180,8 +180,8 @@
 
 /// Returns the state of a host that knows endpoints of two versions and has read that there are no
 /// roll-outs.
-pub fn without_rollout(host_number: u32, freshness: &Freshness) -> FleetState {
-    let mut fleet_state = with_endpoints(host_number, freshness);
+pub fn state_without_rollout(host_number: u32, freshness: &Freshness) -> FleetState {
+    let mut fleet_state = state_with_endpoints(host_number, freshness);
     fleet_state.handle_input(Millis(0), caught_up_input(FeedKind::Endpoints, 10), freshness);
     fleet_state.handle_input(Millis(0), rollout_list(Vec::new()), freshness);
     fleet_state.handle_input(Millis(0), caught_up_input(FeedKind::Rollouts, 10), freshness);
@@ -189,8 +189,8 @@
 }
 
 /// Returns the state of a host that knows endpoints of two versions and a roll-out of the second one.
-pub fn with_rollout(host_number: u32, freshness: &Freshness) -> FleetState {
-    let mut fleet_state = with_endpoints(host_number, freshness);
+pub fn state_with_rollout(host_number: u32, freshness: &Freshness) -> FleetState {
+    let mut fleet_state = state_with_endpoints(host_number, freshness);
     fleet_state.handle_input(Millis(0), rollout_list(vec![rollout_order(1, None)]), freshness);
     fleet_state
 }
--- a/crates/tidetrack-core/tests/support/rollout_simulation.rs
+++ b/crates/tidetrack-core/tests/support/rollout_simulation.rs
@@ -17,7 +17,7 @@
 use tidetrack_core::traffic::judge::{AttemptOutcome, ObservedResponse};
 use tidetrack_core::units::Millis;
 
-use super::fleet::{Fleet, FleetHost, STEP};
+use super::fleet::{Fleet, FleetHost, CLOCK_STEP_MS};
 use super::{endpoint_record, id, rollout_order};
 
 /// Number of hosts in the fleet.
@@ -205,7 +205,7 @@
             self.fleet.restart(host);
             add_endpoints(&mut self.fleet, host, self.version.service);
         }
-        self.fleet.run(self.fleet.now + STEP as u64, |_, _| {});
+        self.fleet.run(self.fleet.now + CLOCK_STEP_MS as u64, |_, _| {});
         let [stable, canary] = self.version.service.rates();
         let [stable, canary] =
             if self.has_cut_over() { [0.0, stable + canary] } else { [stable, canary] };
@@ -227,7 +227,7 @@
     /// Draws the number of responses in one step, for a rate in responses per second.
     fn draw_response_count(&mut self, rate: f64) -> usize {
         let rate_divisor = if self.scenario == Scenario::FewRequests { 3.0 } else { 1.0 };
-        let mean = rate / rate_divisor * STEP as f64 / 1_000.0;
+        let mean = rate / rate_divisor * CLOCK_STEP_MS as f64 / 1_000.0;
         let whole_responses = mean.floor();
         whole_responses as usize + usize::from(self.rng.random::<f64>() < mean - whole_responses)
     }
@@ -250,16 +250,16 @@
     }
 
     fn draw_load(&mut self, is_canary: bool) -> f64 {
-        let has_sample = is_canary && !self.has_cut_over();
-        let typical_load: f64 = if has_sample { 20.0 } else { 150.0 };
+        let is_sampling = is_canary && !self.has_cut_over();
+        let typical_load: f64 = if is_sampling { 20.0 } else { 150.0 };
         let is_high_load =
             self.scenario == Scenario::HighLoad && HIGH_LOAD_TIME.contains(&self.fleet.now);
         typical_load * if is_high_load { 4.0 } else { 1.0 } * self.draw_normal().exp()
     }
 
     /// Returns the factor by which an endpoint takes longer because of the scenario.
-    fn endpoint_slowdown(&self, n: usize, is_canary: bool) -> f64 {
-        let is_faulty = n.is_multiple_of(self.faulty_endpoint_interval());
+    fn endpoint_slowdown(&self, endpoint_number: usize, is_canary: bool) -> f64 {
+        let is_faulty = endpoint_number.is_multiple_of(self.faulty_endpoint_interval());
         match self.scenario {
             Scenario::SlowEndpoints if is_canary && is_faulty => 4.0,
             Scenario::ColdCaches if is_canary && self.has_cut_over() => 1.33,
--- a/crates/tidetrack-core/tests/suspects.rs
+++ b/crates/tidetrack-core/tests/suspects.rs
@@ -15,7 +15,7 @@
 };
 use tidetrack_core::units::Millis;
 
-use support::fleet::{Fleet, STEP};
+use support::fleet::{Fleet, CLOCK_STEP_MS};
 use support::id;
 
 /// Time after which hosts in touch know what one of them learned, in milliseconds.
@@ -202,7 +202,7 @@
             played.late += usize::from(third.is_some_and(|at| fleet.now > at + CONTACT_MS));
             third = third.or((played.crashes == 3).then_some(now));
         }
-        fleet.run(fleet.now + STEP as u64, |_, _| {});
+        fleet.run(fleet.now + CLOCK_STEP_MS as u64, |_, _| {});
     }
     (fleet, played)
 }
--- a/crates/tidetrack-core/tests/traffic.rs
+++ b/crates/tidetrack-core/tests/traffic.rs
@@ -23,7 +23,8 @@
 
 use support::{
     catalog, endpoint_record, fleet_state, freshness_confirmed_at, host, id, last_published_view,
-    message_from, rollout_order, rollout_progress, with_rollout, written_states, REVOCATION_BOUND,
+    message_from, rollout_order, rollout_progress, state_with_rollout, written_states,
+    REVOCATION_BOUND,
 };
 
 fn admission_request<'a>(path: &'a str, key: Option<&'a str>) -> AdmissionRequest<'a> {
@@ -329,7 +330,7 @@
 #[test]
 fn a_bad_version_is_barred_at_once_and_its_rollback_is_written() {
     let freshness = freshness_confirmed_at(0);
-    let mut fleet_state = with_rollout(2, &freshness);
+    let mut fleet_state = state_with_rollout(2, &freshness);
     (0..40).for_each(|_| {
         drop(fleet_state.handle_input(
             Millis(10),
@@ -357,7 +358,7 @@
 #[test]
 fn one_bad_endpoint_does_not_bar_a_version() {
     let freshness = freshness_confirmed_at(0);
-    let mut fleet_state = with_rollout(2, &freshness);
+    let mut fleet_state = state_with_rollout(2, &freshness);
 
     let mut actions = Vec::new();
     for _ in 0..10 {
@@ -379,7 +380,7 @@
 #[test]
 fn a_canary_version_as_faulty_as_the_stable_one_is_not_barred() {
     let freshness = freshness_confirmed_at(0);
-    let mut fleet_state = with_rollout(2, &freshness);
+    let mut fleet_state = state_with_rollout(2, &freshness);
 
     let mut actions = Vec::new();
     for i in 0..60 {
@@ -436,7 +437,7 @@
 fn hosts_bar_a_version_on_their_combined_tallies() {
     let freshness = || freshness_confirmed_at(0);
     let mut hosts: Vec<(FleetState, Freshness)> =
-        (1..=5).map(|n| (with_rollout(n, &freshness()), freshness())).collect();
+        (1..=5).map(|n| (state_with_rollout(n, &freshness()), freshness())).collect();
     run_message_rounds(&mut hosts, 0, 2_000);
 
     // Each host observes two responses, one of which failed: too few for a verdict by one host.
@@ -468,8 +469,8 @@
     let message_with_echo = |echo_ms| PeerMessage { echo_ms, ..message_from(2, update.clone()) };
 
     let without_echo = peer_table.receive(Millis(9_000), message_with_echo(None));
-    // The message replies to one sent at 8,000 ms. It was delayed on its way, so the proof is dated
-    // from that time.
+    // The message echoes a message sent at 8,000 ms. The time that it was on its way is unknown, so the
+    // age of the proof is subtracted from 8,000 ms.
     let proof = peer_table.receive(Millis(9_500), message_with_echo(Some(8_000))).expect("a proof");
 
     assert_eq!(without_echo, None);
@@ -479,8 +480,8 @@
 #[test]
 fn a_proof_of_another_version_is_ignored() {
     let mut hosts = vec![
-        (with_rollout(1, &freshness_confirmed_at(0)), freshness_confirmed_at(0)),
-        (with_rollout(2, &freshness_confirmed_at(0)), freshness_confirmed_at(0)),
+        (state_with_rollout(1, &freshness_confirmed_at(0)), freshness_confirmed_at(0)),
+        (state_with_rollout(2, &freshness_confirmed_at(0)), freshness_confirmed_at(0)),
     ];
     let newer = Input::Catalog(Arc::new(catalog(4)));
     let freshness = freshness_confirmed_at(0);
@@ -497,7 +498,7 @@
 fn a_few_provers_confirm_the_configuration_for_all_hosts() {
     let freshness = || freshness_confirmed_at(0);
     let mut hosts: Vec<(FleetState, Freshness)> =
-        (1..=20).map(|n| (with_rollout(n, &freshness()), freshness())).collect();
+        (1..=20).map(|n| (state_with_rollout(n, &freshness()), freshness())).collect();
 
     let actions = run_message_rounds(&mut hosts, 0, 4_000);
 
@@ -539,7 +540,7 @@
 #[test]
 fn after_completion_only_the_canary_version_serves() {
     let freshness = freshness_confirmed_at(0);
-    let mut fleet_state = with_rollout(2, &freshness);
+    let mut fleet_state = state_with_rollout(2, &freshness);
     let completed = rollout_progress(RolloutState::Completed, 18_000);
 
     let actions = fleet_state.handle_input(
@@ -559,7 +560,7 @@
 #[test]
 fn a_barred_version_stays_barred_during_the_next_rollout() {
     let freshness = freshness_confirmed_at(0);
-    let mut fleet_state = with_rollout(2, &freshness);
+    let mut fleet_state = state_with_rollout(2, &freshness);
     let barred = rollout_progress(RolloutState::RolledBack, 4_000);
     fleet_state.handle_input(
         Millis(4_000),
@@ -587,7 +588,7 @@
 #[test]
 fn a_barred_version_may_be_ordered_again() {
     let freshness = freshness_confirmed_at(0);
-    let mut fleet_state = with_rollout(2, &freshness);
+    let mut fleet_state = state_with_rollout(2, &freshness);
     let barred = rollout_progress(RolloutState::RolledBack, 4_000);
     fleet_state.handle_input(
         Millis(4_000),
@@ -607,7 +608,7 @@
 #[test]
 fn a_superseded_version_is_forgotten_once_no_endpoint_has_run_it_for_a_while() {
     let freshness = freshness_confirmed_at(0);
-    let mut fleet_state = with_rollout(2, &freshness);
+    let mut fleet_state = state_with_rollout(2, &freshness);
     let next_order = RolloutOrder { version: id("v3"), ..rollout_order(6, None) };
     fleet_state.handle_input(Millis(4_200), Input::Rollout(next_order), &freshness);
     let reported_barred_count = |fleet_state: &mut FleetState, at: u64| {
--- a/crates/tidetrack-core/tests/under_load.rs
+++ b/crates/tidetrack-core/tests/under_load.rs
@@ -14,7 +14,7 @@
 use tidetrack_core::traffic::view::PickedEndpoint;
 use tidetrack_core::units::Millis;
 
-use support::fleet::{Fleet, SESSION_HOLD_TIME, STEP};
+use support::fleet::{Fleet, CLOCK_STEP_MS, SESSION_HOLD_TIME};
 use support::{endpoint_record, id, rollout_order};
 
 /// When the version is ordered; the hosts have met by then.
@@ -136,9 +136,9 @@
     }
 
     fn step(&mut self) {
-        self.fleet.run(self.fleet.now + STEP as u64, |_, _| {});
+        self.fleet.run(self.fleet.now + CLOCK_STEP_MS as u64, |_, _| {});
         self.end_runs();
-        let requests = self.size.rate * STEP / 1_000;
+        let requests = self.size.rate * CLOCK_STEP_MS / 1_000;
         (0..requests).for_each(|_| self.request());
     }
 
