--- a/crates/tidetrack-core/tests/traffic.rs
+++ b/crates/tidetrack-core/tests/traffic.rs
@@ -578,11 +578,11 @@
 
     let view = last_published_view(&actions).expect("a new view");
     let service = &view.services[&id::<ServiceId>("llm")];
-    let endpoint_ids = |pool: &PoolView| -> Vec<String> {
+    let pool_endpoint_ids = |pool: &PoolView| -> Vec<String> {
         pool.endpoints().iter().map(|e| e.id.to_string()).collect()
     };
-    assert_eq!(endpoint_ids(&service.stable_pool), ["o1", "o2"]);
-    assert_eq!(endpoint_ids(&service.canary_pool), ["x1"]);
+    assert_eq!(pool_endpoint_ids(&service.stable_pool), ["o1", "o2"]);
+    assert_eq!(pool_endpoint_ids(&service.canary_pool), ["x1"]);
 }
 
 #[test]
