--- a/crates/tidetrack-core/tests/exposure.rs
+++ b/crates/tidetrack-core/tests/exposure.rs
@@ -11,11 +11,12 @@
 use tidetrack_core::traffic::view::FleetView;
 use tidetrack_core::units::Millis;
 
-use support::answers::{Day, Play, Version};
 use support::fleet::Fleet;
+use support::rollout_simulation::{RolloutSimulation, Scenario, VersionBehavior};
 use support::{
-    caught_up, fresh_since, id, message_of, order, progress, record, rollouts, view_of,
-    with_endpoints, with_rollout, without_rollout,
+    caught_up_input, endpoint_record, freshness_confirmed_at, id, last_published_view,
+    message_from, rollout_list, rollout_order, rollout_progress, state_with_endpoints,
+    state_with_rollout, state_without_rollout,
 };
 
 /// Share of a service's requests that a bad version may get between its order and its deadline.
@@ -37,13 +38,16 @@
 #[test]
 fn a_slow_version_is_barred_within_its_first_answers() {
     let mut late = Vec::new();
-    for (version, seeds) in
-        [(Version::slower(4.5), 0..8), (Version::slower(2.05), 0..8), (Version::slower(1.75), 0..8)]
-    {
+    for (version, seeds) in [
+        (VersionBehavior::slower(4.5), 0..8),
+        (VersionBehavior::slower(2.05), 0..8),
+        (VersionBehavior::slower(1.75), 0..8),
+    ] {
         for seed in seeds {
-            let seen = Play::new(seed, Day::Calm, version).until_barred();
+            let seen =
+                RolloutSimulation::new(seed, Scenario::Undisturbed, version).run_until_barred();
             if seen.is_none_or(|n| n > ANSWERS_TO_BAR) {
-                late.push((version.times, seed, seen));
+                late.push((version.slowdown, seed, seen));
             }
         }
     }
@@ -56,15 +60,15 @@
 fn rollout_without_verdict(hosts: u32, seed: u64) -> (usize, usize, Option<u64>) {
     let mut fleet = Fleet::start(hosts, seed);
     fleet.run(4_000, |_, _| {});
-    let ordered = order(1, None);
+    let ordered = rollout_order(1, None);
     let deadline = fleet.now + ordered.duration.0;
-    fleet.order(ordered);
+    fleet.set_rollout_order(ordered);
     let (mut new, mut all, mut completed) = (0, 0, None);
     while fleet.now < deadline {
         fleet.run(fleet.now + 50, |_, _| {});
         for n in 0..5 {
             let at = (all * 7 + n) % hosts as usize;
-            let side = fleet.request(at, &format!("s{all}"));
+            let side = fleet.send_session_request(at, &format!("s{all}"));
             new += usize::from(side == ReleaseTrack::Canary);
             all += 1;
         }
@@ -103,17 +107,17 @@
         fleet.run(8_000, |_, _| {});
         let sessions: Vec<String> = (0..2_000).map(|n| format!("s{n}")).collect();
         for session in &sessions {
-            fleet.request(1, session);
+            fleet.send_session_request(1, session);
         }
         fleet.run(8_700, |_, _| {});
         fleet.restart(1);
 
-        fleet.order(order(1, None));
+        fleet.set_rollout_order(rollout_order(1, None));
         fleet.run(12_000, |_, _| {});
         let others = 2..hosts as usize;
         let moved = sessions.iter().enumerate().filter(|(n, s)| {
             let at = others.start + n % others.len();
-            fleet.request(at, s) == ReleaseTrack::Canary
+            fleet.send_session_request(at, s) == ReleaseTrack::Canary
         });
 
         assert_eq!(moved.count(), 0, "{hosts} hosts");
@@ -129,15 +133,15 @@
         fleet.run(began, |_, _| {});
         let sessions: Vec<String> = (0..200).map(|n| format!("s{seed}-{n}")).collect();
         for session in &sessions {
-            fleet.request(1, session);
+            fleet.send_session_request(1, session);
         }
         fleet.run(began + 150, |_, _| {});
         fleet.restart(1);
 
-        fleet.order(order(1, None));
+        fleet.set_rollout_order(rollout_order(1, None));
         fleet.run(began + 4_000, |_, _| {});
         let is_moved = |(n, session): &(usize, &String)| {
-            fleet.request(2 + n % 5, session) == ReleaseTrack::Canary
+            fleet.send_session_request(2 + n % 5, session) == ReleaseTrack::Canary
         };
         moved += sessions.iter().enumerate().filter(is_moved).count();
     }
@@ -154,14 +158,14 @@
 
 /// Gets the present view of a host, after a while without news.
 fn view_after(beliefs: &mut FleetState, now: u64, fresh: &Freshness) -> std::sync::Arc<FleetView> {
-    let again = Input::Endpoint(record("o1", "v1"));
+    let again = Input::Endpoint(endpoint_record("o1", "v1"));
     let actions = beliefs.handle_input(Millis(now), again, fresh);
-    view_of(&actions).expect("a view")
+    last_published_view(&actions).expect("a view")
 }
 
 /// What another host tells of the version under roll-out.
 fn word_of(news: PeerUpdate) -> Input {
-    Input::PeerMessageReceived(Box::new(message_of(7, news)))
+    Input::PeerMessageReceived(Box::new(message_from(7, news)))
 }
 
 /// What was seen: hosts that stop and start in series, others that lose all kinds of the store at once, beside a
@@ -171,7 +175,7 @@
 /// be read. Evidence: the views below; which of it the record's hosts met is not known.
 #[test]
 fn a_host_that_knows_no_roll_out_takes_no_unproven_version_for_proven() {
-    let fresh = fresh_since(0);
+    let fresh = freshness_confirmed_at(0);
     let barred = || BarredVersion { service: id("llm"), version: id("v2") };
     let told = || TallyReport {
         service: id("llm"),
@@ -180,46 +184,51 @@
         tally: Tally::default(),
         baseline: Vec::new(),
     };
-    let rolled_back = || order(2, Some(progress(RolloutState::RolledBack, 4_000)));
+    let rolled_back = || rollout_order(2, Some(rollout_progress(RolloutState::RolledBack, 4_000)));
     let gone = || Input::RolloutRemoved(id("llm"));
     let both: &[&str] = &[];
     let old: &[&str] = &["o1", "o2"];
     let unreadable = || Input::RolloutList { orders: Vec::new(), unreadable: vec![id("llm")] };
     let cases: Vec<(&str, FleetState, Vec<Input>, &[&str])> = vec![
-        ("before a list of roll-outs", with_endpoints(2, &fresh), vec![], both),
-        ("when the order is removed", with_rollout(2, &fresh), vec![gone()], old),
+        ("before a list of roll-outs", state_with_endpoints(2, &fresh), vec![], both),
+        ("when the order is removed", state_with_rollout(2, &fresh), vec![gone()], old),
         (
             "when the order is removed after the version was rolled back",
-            with_rollout(2, &fresh),
+            state_with_rollout(2, &fresh),
             vec![Input::Rollout(rolled_back()), gone()],
             old,
         ),
-        ("when a list of roll-outs lacks it", with_rollout(2, &fresh), vec![rollouts(vec![])], old),
+        (
+            "when a list of roll-outs lacks it",
+            state_with_rollout(2, &fresh),
+            vec![rollout_list(vec![])],
+            old,
+        ),
         (
             "when the order can't be read any more",
-            with_rollout(2, &fresh),
+            state_with_rollout(2, &fresh),
             vec![unreadable(), Input::RolloutUnreadable(id("llm"))],
             old,
         ),
         (
             "when the order could never be read",
-            with_endpoints(2, &fresh),
+            state_with_endpoints(2, &fresh),
             vec![
-                caught_up(FeedKind::Endpoints, 10),
+                caught_up_input(FeedKind::Endpoints, 10),
                 unreadable(),
-                caught_up(FeedKind::Rollouts, 10),
+                caught_up_input(FeedKind::Rollouts, 10),
             ],
             both,
         ),
         (
             "when others hold the version bad",
-            without_rollout(2, &fresh),
+            state_without_rollout(2, &fresh),
             vec![word_of(PeerUpdate { barred_versions: vec![barred()], ..PeerUpdate::default() })],
             old,
         ),
         (
             "when others tell of its roll-out",
-            without_rollout(2, &fresh),
+            state_without_rollout(2, &fresh),
             vec![word_of(PeerUpdate { tallies: vec![told()], ..PeerUpdate::default() })],
             old,
         ),
@@ -243,17 +252,17 @@
 /// for it may be away, and the order and the endpoints come by different ways.
 #[test]
 fn a_version_that_comes_without_its_order_waits_until_the_roll_outs_are_read() {
-    let fresh = fresh_since(0);
-    let mut beliefs = without_rollout(2, &fresh);
-    let third = || record("x1", "v3");
+    let fresh = freshness_confirmed_at(0);
+    let mut beliefs = state_without_rollout(2, &fresh);
+    let third = || endpoint_record("x1", "v3");
     beliefs.handle_input(Millis(1_000), Input::Endpoint(third()), &fresh);
-    beliefs.handle_input(Millis(1_000), caught_up(FeedKind::Endpoints, 20), &fresh);
+    beliefs.handle_input(Millis(1_000), caught_up_input(FeedKind::Endpoints, 20), &fresh);
     let held = proven(&view_after(&mut beliefs, 1_300, &fresh));
 
     let asked = beliefs.handle_input(Millis(1_450), Input::Tick, &fresh);
-    beliefs.handle_input(Millis(1_500), caught_up(FeedKind::Rollouts, 19), &fresh);
+    beliefs.handle_input(Millis(1_500), caught_up_input(FeedKind::Rollouts, 19), &fresh);
     let older = proven(&view_after(&mut beliefs, 1_700, &fresh));
-    beliefs.handle_input(Millis(1_800), caught_up(FeedKind::Rollouts, 21), &fresh);
+    beliefs.handle_input(Millis(1_800), caught_up_input(FeedKind::Rollouts, 21), &fresh);
     let read = proven(&view_after(&mut beliefs, 2_000, &fresh));
 
     let reads = |a: &&Action| matches!(a, Action::Fetch(c) if c.kind == FeedKind::Rollouts && c.source == FetchSource::Store);
@@ -265,16 +274,16 @@
 /// The order before the one that brings a version does not speak for it.
 #[test]
 fn a_version_that_comes_beside_an_older_order_waits_for_its_own() {
-    let fresh = fresh_since(0);
-    let mut beliefs = without_rollout(2, &fresh);
-    let rolled_back = order(11, Some(progress(RolloutState::RolledBack, 4_000)));
+    let fresh = freshness_confirmed_at(0);
+    let mut beliefs = state_without_rollout(2, &fresh);
+    let rolled_back = rollout_order(11, Some(rollout_progress(RolloutState::RolledBack, 4_000)));
     beliefs.handle_input(Millis(500), Input::Rollout(rolled_back), &fresh);
-    beliefs.handle_input(Millis(500), caught_up(FeedKind::Rollouts, 11), &fresh);
-    beliefs.handle_input(Millis(1_000), Input::Endpoint(record("x1", "v3")), &fresh);
-    beliefs.handle_input(Millis(1_000), caught_up(FeedKind::Endpoints, 20), &fresh);
+    beliefs.handle_input(Millis(500), caught_up_input(FeedKind::Rollouts, 11), &fresh);
+    beliefs.handle_input(Millis(1_000), Input::Endpoint(endpoint_record("x1", "v3")), &fresh);
+    beliefs.handle_input(Millis(1_000), caught_up_input(FeedKind::Endpoints, 20), &fresh);
 
     let held = proven(&view_after(&mut beliefs, 1_300, &fresh));
-    beliefs.handle_input(Millis(1_500), caught_up(FeedKind::Rollouts, 21), &fresh);
+    beliefs.handle_input(Millis(1_500), caught_up_input(FeedKind::Rollouts, 21), &fresh);
     let read = proven(&view_after(&mut beliefs, 1_700, &fresh));
 
     assert_eq!(held, ["o1", "o2"]);
@@ -284,10 +293,10 @@
 /// A host that can read nothing and hears nobody has only what it knows.
 #[test]
 fn a_version_is_not_held_for_ever_for_want_of_news() {
-    let fresh = fresh_since(0);
-    let mut beliefs = without_rollout(2, &fresh);
-    beliefs.handle_input(Millis(1_000), Input::Endpoint(record("x1", "v3")), &fresh);
-    beliefs.handle_input(Millis(1_000), caught_up(FeedKind::Endpoints, 20), &fresh);
+    let fresh = freshness_confirmed_at(0);
+    let mut beliefs = state_without_rollout(2, &fresh);
+    beliefs.handle_input(Millis(1_000), Input::Endpoint(endpoint_record("x1", "v3")), &fresh);
+    beliefs.handle_input(Millis(1_000), caught_up_input(FeedKind::Endpoints, 20), &fresh);
 
     let soon = proven(&view_after(&mut beliefs, 5_500, &fresh));
     let later = proven(&view_after(&mut beliefs, 6_500, &fresh));
@@ -298,8 +307,8 @@
 /// What others tell of a roll-out ends with it: a host may never hear of an order that was short.
 #[test]
 fn a_version_is_held_on_others_word_for_as_long_as_they_tell() {
-    let fresh = fresh_since(0);
-    let mut beliefs = without_rollout(2, &fresh);
+    let fresh = freshness_confirmed_at(0);
+    let mut beliefs = state_without_rollout(2, &fresh);
     let tally = Tally::default();
     let told = TallyReport {
         service: id("llm"),
@@ -324,21 +333,21 @@
 /// that no order was ever made for.
 #[test]
 fn the_only_version_of_a_service_serves_without_a_roll_out() {
-    let fresh = fresh_since(0);
-    let mut removed = with_rollout(2, &fresh);
+    let fresh = freshness_confirmed_at(0);
+    let mut removed = state_with_rollout(2, &fresh);
     removed.handle_input(Millis(100), Input::RolloutRemoved(id("llm")), &fresh);
     for old in ["o1", "o2"] {
         removed.handle_input(Millis(200), Input::EndpointRemoved(id(old)), &fresh);
     }
-    let mut never = with_endpoints(3, &fresh);
+    let mut never = state_with_endpoints(3, &fresh);
     for new in ["n1", "n2"] {
         never.handle_input(Millis(200), Input::EndpointRemoved(id(new)), &fresh);
     }
-    never.handle_input(Millis(210), rollouts(vec![]), &fresh);
+    never.handle_input(Millis(210), rollout_list(vec![]), &fresh);
 
     let last = |beliefs: &mut FleetState| {
-        let actions = beliefs.handle_input(Millis(400), rollouts(vec![]), &fresh);
-        proven(&view_of(&actions).expect("a view"))
+        let actions = beliefs.handle_input(Millis(400), rollout_list(vec![]), &fresh);
+        proven(&last_published_view(&actions).expect("a view"))
     };
 
     assert_eq!(last(&mut removed), ["n1", "n2"]);
@@ -348,14 +357,14 @@
 /// The next order of the same version begins its trial, after one that was removed.
 #[test]
 fn an_order_that_is_made_again_after_it_was_removed_begins_a_trial() {
-    let fresh = fresh_since(0);
-    let mut beliefs = with_rollout(2, &fresh);
+    let fresh = freshness_confirmed_at(0);
+    let mut beliefs = state_with_rollout(2, &fresh);
     beliefs.handle_input(Millis(100), Input::RolloutRemoved(id("llm")), &fresh);
 
-    let again = RolloutOrder { revision: 9, ..order(9, None) };
+    let again = RolloutOrder { revision: 9, ..rollout_order(9, None) };
     let actions = beliefs.handle_input(Millis(300), Input::Rollout(again), &fresh);
 
-    let view = view_of(&actions).expect("a view");
+    let view = last_published_view(&actions).expect("a view");
     assert_eq!(view.services[&id("llm")].canary_pool.endpoints().len(), 2);
     assert_eq!(proven(&view), ["o1", "o2"]);
 }
--- a/crates/tidetrack-core/tests/outliers.rs
+++ b/crates/tidetrack-core/tests/outliers.rs
@@ -11,8 +11,8 @@
 use tidetrack_core::traffic::control::Input;
 use tidetrack_core::units::{Millis, Tokens};
 
-use support::fleet::{Fleet, STEP};
-use support::{id, record};
+use support::fleet::{Fleet, CLOCK_STEP_MS};
+use support::{endpoint_record, id};
 
 /// Share of the answers that a grey endpoint loses.
 const LOST_ANSWERS: f64 = 0.35;
@@ -39,8 +39,8 @@
     fn start(hosts: u32, endpoints: usize) -> Callers {
         let mut fleet = Fleet::start(hosts, 7);
         for i in 0..hosts as usize {
-            let records = (0..endpoints).map(|n| record(&format!("e{n}"), "v1")).collect();
-            fleet.take(i, Input::EndpointList(records));
+            let records = (0..endpoints).map(|n| endpoint_record(&format!("e{n}"), "v1")).collect();
+            fleet.handle_input(i, Input::EndpointList(records));
         }
         fleet.run(4_000, |_, _| {});
         Callers { fleet, draws: StdRng::seed_from_u64(8), grey: Vec::new(), usual: 0.0 }
@@ -56,9 +56,9 @@
         let until = self.fleet.now + ms;
         let mut went = Went::default();
         while self.fleet.now < until {
-            self.fleet.run(self.fleet.now + STEP as u64, |_, _| {});
+            self.fleet.run(self.fleet.now + CLOCK_STEP_MS as u64, |_, _| {});
             for host in 0..self.fleet.hosts.len() {
-                if self.draws.random::<f64>() < a_second * STEP as f64 / 1_000.0 {
+                if self.draws.random::<f64>() < a_second * CLOCK_STEP_MS as f64 / 1_000.0 {
                     self.send(host, &mut went);
                 }
             }
--- a/crates/tidetrack-core/tests/under_load.rs
+++ b/crates/tidetrack-core/tests/under_load.rs
@@ -14,8 +14,8 @@
 use tidetrack_core::traffic::view::PickedEndpoint;
 use tidetrack_core::units::Millis;
 
-use support::fleet::{Fleet, HOLD_FOR, STEP};
-use support::{id, order, record};
+use support::fleet::{Fleet, CLOCK_STEP_MS, SESSION_HOLD_TIME};
+use support::{endpoint_record, id, rollout_order};
 
 /// When the version is ordered; the hosts have met by then.
 const ORDERED_AT: u64 = 4_000;
@@ -96,15 +96,15 @@
         let mut fleet = Fleet::start(size.hosts, seed);
         for i in 0..size.hosts as usize {
             for n in 3..=size.endpoints {
-                fleet.take(i, Input::Endpoint(record(&format!("o{n}"), "v1")));
-                fleet.take(i, Input::Endpoint(record(&format!("n{n}"), "v2")));
+                fleet.handle_input(i, Input::Endpoint(endpoint_record(&format!("o{n}"), "v1")));
+                fleet.handle_input(i, Input::Endpoint(endpoint_record(&format!("n{n}"), "v2")));
             }
         }
         let shift = seed as usize;
         let seed = StdRng::seed_from_u64(seed + 1);
         let mut play = Play { fleet, seed, size, fails, shift, runs: Vec::new(), sent: 0, bad: 0 };
         play.fleet.run(ORDERED_AT, |_, _| {});
-        play.fleet.order(order(1, None));
+        play.fleet.set_rollout_order(rollout_order(1, None));
         play
     }
 
@@ -119,7 +119,7 @@
 
     /// Plays until all hosts hold the version bad; gets the part of the roll-out's time that has passed.
     fn until_barred(&mut self) -> Option<f64> {
-        let duration = order(1, None).duration.0;
+        let duration = rollout_order(1, None).duration.0;
         while self.fleet.now < ORDERED_AT + duration {
             self.step();
             if self.is_barred() {
@@ -136,9 +136,9 @@
     }
 
     fn step(&mut self) {
-        self.fleet.run(self.fleet.now + STEP as u64, |_, _| {});
+        self.fleet.run(self.fleet.now + CLOCK_STEP_MS as u64, |_, _| {});
         self.end_runs();
-        let requests = self.size.rate * STEP / 1_000;
+        let requests = self.size.rate * CLOCK_STEP_MS / 1_000;
         (0..requests).for_each(|_| self.request());
     }
 
@@ -151,7 +151,7 @@
             run.endpoint.state.end_work(WORK);
             run.endpoint.state.record_outcome(Millis(now), !run.failed);
             self.bad += usize::from(run.failed && run.side == ReleaseTrack::Canary);
-            self.fleet.take(run.host, Input::ResponseObserved(observed(&run)));
+            self.fleet.handle_input(run.host, Input::ResponseObserved(observed(&run)));
         }
     }
 
@@ -163,7 +163,7 @@
         let view = self.fleet.hosts[host].view.clone().expect("a view");
         let service = &view.services[&id("llm")];
         let who = SessionHash::new(Some(&name), "r");
-        let side = service.side(now, who, HOLD_FOR);
+        let side = service.side(now, who, SESSION_HOLD_TIME);
         if service.pool(side).endpoints().is_empty() {
             return;
         }
