--- a/crates/tidetrack-core/tests/endpoint_limits.rs
+++ b/crates/tidetrack-core/tests/endpoint_limits.rs
@@ -17,57 +17,58 @@
 use support::id;
 
 /// Time after which hosts in touch know what one of them learned, in milliseconds.
-const CONTACT_MS: u64 = 3_000;
+const PROPAGATION_MS: u64 = 3_000;
 
 /// The time over which requests are counted, in milliseconds.
 const WINDOW_MS: u64 = 4_000;
 
 /// The endpoint that names a limit.
-const LIMITED: &str = "o1";
+const LIMITED_ENDPOINT: &str = "o1";
 
 /// Requests in a window that are allowed, as the users' pages have it.
-fn allowed(limit: f64) -> usize {
+fn max_requests_per_window(limit: f64) -> usize {
     (1.5 * limit * WINDOW_MS as f64 / 1_000.0) as usize + 5
 }
 
-fn live_at(fleet: &Fleet, host: usize) -> Arc<EndpointState> {
+fn endpoint_state_at(fleet: &Fleet, host: usize) -> Arc<EndpointState> {
     let view = fleet.hosts[host].view.as_ref().expect("a view");
     let service = &view.services[&id::<ServiceId>("llm")];
-    let limited: EndpointId = id(LIMITED);
+    let limited: EndpointId = id(LIMITED_ENDPOINT);
     let found = service.stable_pool.endpoints().iter().find(|e| e.id == limited);
     found.expect("the endpoint is listed").state.clone()
 }
 
 /// Lets hosts send to the endpoint whatever they may for some time; its answers name `limit`. Gets when requests came.
-fn send(fleet: &mut Fleet, for_ms: u64, limit: Option<f64>) -> Vec<u64> {
-    let until = fleet.now + for_ms;
-    let mut came = Vec::new();
-    while fleet.now < until {
+fn send_requests(fleet: &mut Fleet, duration_ms: u64, limit: Option<f64>) -> Vec<u64> {
+    let ends_at = fleet.now + duration_ms;
+    let mut send_times = Vec::new();
+    while fleet.now < ends_at {
         for host in 0..fleet.hosts.len() {
             if fleet.suspended.contains(&host) {
                 continue;
             }
-            let live = live_at(fleet, host);
+            let endpoint_state = endpoint_state_at(fleet, host);
             let has_request = fleet.seed.random::<f64>() < 0.5;
-            if !has_request || !live.can_send(Millis(fleet.now)) {
+            if !has_request || !endpoint_state.can_send(Millis(fleet.now)) {
                 continue;
             }
-            live.record_send(Millis(fleet.now));
-            came.push(fleet.now);
-            let named = limit.map(Rate);
-            if live.update_reported_limit(named) {
-                fleet.take(host, Input::LimitReported(id(LIMITED), named));
+            endpoint_state.record_send(Millis(fleet.now));
+            send_times.push(fleet.now);
+            let reported_limit = limit.map(Rate);
+            if endpoint_state.update_reported_limit(reported_limit) {
+                fleet.take(host, Input::LimitReported(id(LIMITED_ENDPOINT), reported_limit));
             }
         }
         fleet.run(fleet.now + STEP as u64, |_, _| {});
     }
-    came
+    send_times
 }
 
-fn most_in_window(came: &[u64], from: u64) -> usize {
-    let after: Vec<u64> = came.iter().copied().filter(|at| *at >= from).collect();
-    let within = |at: &u64| after.iter().filter(|a| (*at..*at + WINDOW_MS).contains(a)).count();
-    after.iter().map(within).max().unwrap_or(0)
+fn max_in_any_window(send_times: &[u64], from: u64) -> usize {
+    let sent_after: Vec<u64> = send_times.iter().copied().filter(|at| *at >= from).collect();
+    let count_in_window =
+        |at: &u64| sent_after.iter().filter(|a| (*at..*at + WINDOW_MS).contains(a)).count();
+    sent_after.iter().map(count_in_window).max().unwrap_or(0)
 }
 
 /// Guards against shares that add up to more than the limit.
@@ -76,89 +77,113 @@
     for (hosts, limit) in [(7, 1.0), (7, 20.0), (67, 1.6), (67, 30.0), (295, 1.0), (295, 20.0)] {
         let mut fleet = Fleet::start(hosts, 3);
         fleet.run(4_000, |_, _| {});
-        let named_at = fleet.now;
-
-        let came = send(&mut fleet, 12_000, Some(limit));
-
-        let most = most_in_window(&came, named_at + CONTACT_MS);
-        let least = limit * WINDOW_MS as f64 / 1_000.0 * 0.5;
-        println!("{hosts} hosts, {limit} a second: {most} in 4 s, {} allowed", allowed(limit));
-        assert!(most <= allowed(limit), "{hosts} hosts, {limit} a second: {most}");
-        assert!(most as f64 >= least, "{hosts} hosts, {limit} a second: {most}");
+        let limit_reported_at = fleet.now;
+
+        let send_times = send_requests(&mut fleet, 12_000, Some(limit));
+
+        let max_count = max_in_any_window(&send_times, limit_reported_at + PROPAGATION_MS);
+        let min_expected = limit * WINDOW_MS as f64 / 1_000.0 * 0.5;
+        println!(
+            "{hosts} hosts, {limit} a second: {max_count} in 4 s, {} allowed",
+            max_requests_per_window(limit)
+        );
+        assert!(
+            max_count <= max_requests_per_window(limit),
+            "{hosts} hosts, {limit} a second: {max_count}"
+        );
+        assert!(max_count as f64 >= min_expected, "{hosts} hosts, {limit} a second: {max_count}");
     }
 }
 
 #[test]
-fn a_limit_ends_for_all_hosts_when_an_answer_names_none() {
+fn a_limit_ends_on_all_hosts_when_a_response_names_none() {
     let mut fleet = Fleet::start(67, 4);
     fleet.run(4_000, |_, _| {});
-    send(&mut fleet, 5_000, Some(2.0));
+    send_requests(&mut fleet, 5_000, Some(2.0));
 
-    send(&mut fleet, CONTACT_MS, None);
+    send_requests(&mut fleet, PROPAGATION_MS, None);
 
     let now = Millis(fleet.now);
-    let may_send = (0..67).filter(|host| live_at(&fleet, *host).can_send(now)).count();
-    assert_eq!(may_send, 67);
+    let unlimited_hosts =
+        (0..67).filter(|host| endpoint_state_at(&fleet, *host).can_send(now)).count();
+    assert_eq!(unlimited_hosts, 67);
 }
 
 /// Guards against a limit that stays for ever where the hosts that held its shares are gone.
 #[test]
-fn other_hosts_take_over_the_share_of_one_that_ended() {
+fn other_hosts_take_over_the_share_of_a_restarted_host() {
     let mut fleet = Fleet::start(7, 5);
     fleet.run(4_000, |_, _| {});
-    send(&mut fleet, 4_000, Some(1.0));
+    send_requests(&mut fleet, 4_000, Some(1.0));
     let now = Millis(fleet.now);
-    let holds = |fleet: &Fleet, host: usize| live_at(fleet, host).next_send_at(now).is_some();
-    let holder = (0..7).find(|host| holds(&fleet, *host)).expect("a host has the share");
+    let has_share =
+        |fleet: &Fleet, host: usize| endpoint_state_at(fleet, host).next_send_at(now).is_some();
+    let holder = (0..7).find(|host| has_share(&fleet, *host)).expect("a host has the share");
 
     fleet.restart(holder);
-    let came = send(&mut fleet, 12_000, Some(1.0));
+    let send_times = send_requests(&mut fleet, 12_000, Some(1.0));
 
-    let most = most_in_window(&came, fleet.now - 12_000 + CONTACT_MS);
-    assert!((3..=allowed(1.0)).contains(&most), "{most}");
+    let max_count = max_in_any_window(&send_times, fleet.now - 12_000 + PROPAGATION_MS);
+    assert!((3..=max_requests_per_window(1.0)).contains(&max_count), "{max_count}");
 }
 
 /// Guards against a machine that takes all shares after a suspension, as it has lost sight of all other hosts.
 #[test]
-fn a_host_that_was_suspended_leaves_the_others_their_shares() {
+fn a_resumed_host_does_not_take_the_shares_of_other_hosts() {
     for (hosts, limit) in [(7, 1.0), (67, 4.0), (295, 4.0)] {
         let mut fleet = Fleet::start(hosts, 7);
         fleet.run(4_000, |_, _| {});
-        send(&mut fleet, 4_000, Some(limit));
+        send_requests(&mut fleet, 4_000, Some(limit));
         fleet.suspended = (0..hosts as usize).step_by(4).collect();
-        send(&mut fleet, 8_000, Some(limit));
+        send_requests(&mut fleet, 8_000, Some(limit));
 
         fleet.suspended.clear();
         let resumed_at = fleet.now;
-        let came = send(&mut fleet, CONTACT_MS + 2 * WINDOW_MS, Some(limit));
-
-        let (at_once, most) =
-            (most_in_window(&came, resumed_at), most_in_window(&came, resumed_at + CONTACT_MS));
-        println!("{hosts} hosts, {limit} a second: {at_once} in 4 s at first, then {most}");
-        assert!(at_once <= allowed(limit), "{hosts} hosts, {limit} a second: {at_once} at once");
-        assert!(most <= allowed(limit), "{hosts} hosts, {limit} a second: {most}");
+        let send_times = send_requests(&mut fleet, PROPAGATION_MS + 2 * WINDOW_MS, Some(limit));
+
+        let (max_after_resume, max_count) = (
+            max_in_any_window(&send_times, resumed_at),
+            max_in_any_window(&send_times, resumed_at + PROPAGATION_MS),
+        );
+        println!(
+            "{hosts} hosts, {limit} a second: {max_after_resume} in 4 s at first, then {max_count}"
+        );
+        assert!(
+            max_after_resume <= max_requests_per_window(limit),
+            "{hosts} hosts, {limit} a second: {max_after_resume} at once"
+        );
+        assert!(
+            max_count <= max_requests_per_window(limit),
+            "{hosts} hosts, {limit} a second: {max_count}"
+        );
     }
 }
 
 /// Guards against a limit that each part of a fleet takes as a whole, once a cut has parted them.
 #[test]
-fn a_few_hosts_that_are_cut_off_do_not_take_the_whole_limit() {
+fn partitioned_hosts_do_not_use_the_full_limit_on_both_sides() {
     for (hosts, limit) in [(7, 4.0), (67, 8.0), (295, 20.0)] {
         let mut fleet = Fleet::start(hosts, 8);
         fleet.run(4_000, |_, _| {});
-        send(&mut fleet, 4_000, Some(limit));
+        send_requests(&mut fleet, 4_000, Some(limit));
         fleet.cut_off = (0..hosts as usize * 2 / 5).collect();
 
-        let came = send(&mut fleet, 20_000, Some(limit));
-
-        let most = most_in_window(&came, fleet.now - 20_000);
-        println!("{hosts} hosts, {limit} a second: {most} in 4 s, {} allowed", allowed(limit));
-        assert!(most <= allowed(limit), "{hosts} hosts, {limit} a second: {most}");
+        let send_times = send_requests(&mut fleet, 20_000, Some(limit));
+
+        let max_count = max_in_any_window(&send_times, fleet.now - 20_000);
+        println!(
+            "{hosts} hosts, {limit} a second: {max_count} in 4 s, {} allowed",
+            max_requests_per_window(limit)
+        );
+        assert!(
+            max_count <= max_requests_per_window(limit),
+            "{hosts} hosts, {limit} a second: {max_count}"
+        );
     }
 }
 
 #[test]
-fn a_pool_that_takes_no_more_for_now_refuses_at_once_with_the_time_of_the_next_send() {
+fn a_pool_at_its_limit_refuses_at_once_with_the_time_of_the_next_send() {
     let mut fleet = Fleet::start(1, 6);
     fleet.run(1_000, |_, _| {});
     let now = Millis(fleet.now);
--- a/crates/tidetrack-core/tests/restarts.rs
+++ b/crates/tidetrack-core/tests/endpoint_restarts.rs
@@ -9,7 +9,7 @@
 use support::{fresh_since, id, record, view_of, without_rollout};
 
 /// An entry of an endpoint that started at some time.
-fn started(at: u64, version: &str) -> Input {
+fn record_started_at(at: u64, version: &str) -> Input {
     let started = Some(Millis(at));
     Input::Endpoint(EndpointRecord { started, ..record("o1", version) })
 }
@@ -17,21 +17,21 @@
 /// What was promised: a restart brought a new id, so what was learnt by id was of one process. It may come under
 /// the same id now. Evidence: the endpoint that failed before its restart stayed ejected after it.
 #[test]
-fn an_endpoint_that_starts_again_begins_anew() {
-    let fresh = fresh_since(0);
-    let mut beliefs = without_rollout(2, &fresh);
+fn a_restarted_endpoint_gets_a_new_state() {
+    let freshness = fresh_since(0);
+    let mut fleet_state = without_rollout(2, &freshness);
     let mut view_after = |at: u64, input: Input| {
-        let mut actions = beliefs.handle_input(Millis(at), input, &fresh);
-        actions.extend(beliefs.handle_input(Millis(at + 200), Input::Tick, &fresh));
+        let mut actions = fleet_state.handle_input(Millis(at), input, &freshness);
+        actions.extend(fleet_state.handle_input(Millis(at + 200), Input::Tick, &freshness));
         view_of(&actions).expect("a view")
     };
-    let view = view_after(100, started(1_000, "v1"));
+    let view = view_after(100, record_started_at(1_000, "v1"));
     let before = &view.services[&id("llm")].stable_pool.endpoints()[2];
     assert_eq!(before.id.as_str(), "o1");
     (0..10).for_each(|_| before.state.record_outcome(Millis(300), false));
     before.state.begin_work(500);
 
-    let view = view_after(400, started(2_000, "v1"));
+    let view = view_after(400, record_started_at(2_000, "v1"));
 
     let after = &view.services[&id("llm")].stable_pool.endpoints()[2];
     assert!(before.state.is_ejected(Millis(600)) && before.state.is_leaving());
@@ -40,17 +40,17 @@
 }
 
 #[test]
-fn news_of_an_earlier_start_that_comes_late_changes_nothing() {
-    let fresh = fresh_since(0);
-    let mut beliefs = without_rollout(2, &fresh);
-    beliefs.handle_input(Millis(100), started(2_000, "v1"), &fresh);
+fn a_delayed_update_of_an_earlier_incarnation_is_ignored() {
+    let freshness = fresh_since(0);
+    let mut fleet_state = without_rollout(2, &freshness);
+    fleet_state.handle_input(Millis(100), record_started_at(2_000, "v1"), &freshness);
     let leaving =
         EndpointRecord { started: Some(Millis(1_000)), is_leaving: true, ..record("o1", "v1") };
 
-    beliefs.handle_input(Millis(200), Input::Endpoint(leaving), &fresh);
-    let again = beliefs.handle_input(Millis(400), started(2_000, "v1"), &fresh);
+    fleet_state.handle_input(Millis(200), Input::Endpoint(leaving), &freshness);
+    let actions = fleet_state.handle_input(Millis(400), record_started_at(2_000, "v1"), &freshness);
 
-    let view = view_of(&again).expect("a view");
-    let proven = view.services[&id("llm")].stable_pool.endpoints();
-    assert!(proven.iter().any(|e| e.id.as_str() == "o1" && !e.state.is_leaving()));
+    let view = view_of(&actions).expect("a view");
+    let stable_endpoints = view.services[&id("llm")].stable_pool.endpoints();
+    assert!(stable_endpoints.iter().any(|e| e.id.as_str() == "o1" && !e.state.is_leaving()));
 }
--- a/crates/tidetrack-core/tests/exposure.rs
+++ b/crates/tidetrack-core/tests/exposure.rs
@@ -19,14 +19,14 @@
 };
 
 /// Share of a service's requests that a bad version may get between its order and its deadline.
-const SHARE: f64 = 0.15;
+const MAX_CANARY_SHARE: f64 = 0.15;
 
 /// Requests that it may get beyond that.
-const ALLOWANCE: f64 = 30.0;
+const CANARY_REQUEST_ALLOWANCE: f64 = 30.0;
 
 /// Answers of a version, all slow, after which it may go on to get requests for a while: 50 bad ones, and
 /// what comes in 5 s at the sample's rate of 6 a second, less what spreads the verdict (1 s) and is at work.
-const ANSWERS_TO_BAR: usize = 60;
+const MAX_RESPONSES_UNTIL_BARRED: usize = 60;
 
 /// What was seen: a bad version got a thousand and more requests on a fleet of nine hosts, from hosts in all
 /// failure domains, for seconds after its fiftieth bad answer; their logs name deadlines at its endpoints, and
@@ -35,45 +35,45 @@
 /// from there slowness was not counted. Evidence: the log's evidence lines of such a roll-out (bad 0 to 2 of 16
 /// to 21, moved at 13.5 s); the same answers compared at equal load are 1.5 to 4.5 times as slow, every one.
 #[test]
-fn a_slow_version_is_barred_within_its_first_answers() {
-    let mut late = Vec::new();
+fn a_slow_version_is_barred_within_its_first_responses() {
+    let mut late_cases = Vec::new();
     for (version, seeds) in
         [(Version::slower(4.5), 0..8), (Version::slower(2.05), 0..8), (Version::slower(1.75), 0..8)]
     {
         for seed in seeds {
-            let seen = Play::new(seed, Day::Calm, version).until_barred();
-            if seen.is_none_or(|n| n > ANSWERS_TO_BAR) {
-                late.push((version.times, seed, seen));
+            let canary_responses = Play::new(seed, Day::Calm, version).until_barred();
+            if canary_responses.is_none_or(|n| n > MAX_RESPONSES_UNTIL_BARRED) {
+                late_cases.push((version.times, seed, canary_responses));
             }
         }
     }
 
-    assert!(late.is_empty(), "times, seed, answers when barred: {late:?}");
+    assert!(late_cases.is_empty(), "times, seed, answers when barred: {late_cases:?}");
 }
 
 /// Plays a roll-out of 20 s without any verdict; gets the requests that met the new version from the order to
 /// the deadline, all of them, and when it was completed.
-fn rollout_without_verdict(hosts: u32, seed: u64) -> (usize, usize, Option<u64>) {
+fn run_rollout_without_verdict(hosts: u32, seed: u64) -> (usize, usize, Option<u64>) {
     let mut fleet = Fleet::start(hosts, seed);
     fleet.run(4_000, |_, _| {});
-    let ordered = order(1, None);
-    let deadline = fleet.now + ordered.duration.0;
-    fleet.order(ordered);
-    let (mut new, mut all, mut completed) = (0, 0, None);
+    let rollout_order = order(1, None);
+    let deadline = fleet.now + rollout_order.duration.0;
+    fleet.order(rollout_order);
+    let (mut canary_requests, mut total_requests, mut completed_at) = (0, 0, None);
     while fleet.now < deadline {
         fleet.run(fleet.now + 50, |_, _| {});
         for n in 0..5 {
-            let at = (all * 7 + n) % hosts as usize;
-            let side = fleet.request(at, &format!("s{all}"));
-            new += usize::from(side == ReleaseTrack::Canary);
-            all += 1;
+            let host_index = (total_requests * 7 + n) % hosts as usize;
+            let track = fleet.request(host_index, &format!("s{total_requests}"));
+            canary_requests += usize::from(track == ReleaseTrack::Canary);
+            total_requests += 1;
         }
         let state = fleet.rollout.as_ref().and_then(|o| o.progress.as_ref()).map(|p| p.state);
-        if state == Some(RolloutState::Completed) && completed.is_none() {
-            completed = Some(fleet.now);
+        if state == Some(RolloutState::Completed) && completed_at.is_none() {
+            completed_at = Some(fleet.now);
         }
     }
-    (new, all, completed.map(|at| deadline - at))
+    (canary_requests, total_requests, completed_at.map(|at| deadline - at))
 }
 
 /// What was seen: as above, and a version that is bad only under a load that the day never brought. Cause: all
@@ -81,14 +81,19 @@
 /// without a verdict had 0.47 to 0.5 of the requests, where 0.15 may be bad. Evidence: plays of a version that
 /// is bad under load, without any other trouble: 1,598 of 3,228 requests, not one bad answer seen by any host.
 #[test]
-fn a_version_without_a_verdict_gets_its_share_and_no_more_before_the_deadline() {
+fn a_version_without_a_verdict_stays_within_its_exposure_limit_before_the_deadline() {
     for (hosts, seed) in [(7, 1), (9, 2), (67, 3)] {
-        let (new, all, completed) = rollout_without_verdict(hosts, seed);
-
-        let allowed = SHARE * all as f64 + ALLOWANCE;
-        assert!((new as f64) <= allowed, "{hosts} hosts: {new} of {all}, {allowed} are allowed");
-        let ahead = completed.expect("a version that is not bad is completed");
-        assert!(ahead >= 300, "{hosts} hosts: completed {ahead} ms before the deadline");
+        let (canary_requests, total_requests, completed_at) =
+            run_rollout_without_verdict(hosts, seed);
+
+        let max_canary_requests =
+            MAX_CANARY_SHARE * total_requests as f64 + CANARY_REQUEST_ALLOWANCE;
+        assert!((canary_requests as f64) <= max_canary_requests, "{hosts} hosts: {canary_requests} of {total_requests}, {max_canary_requests} are allowed");
+        let lead_time_ms = completed_at.expect("a version that is not bad is completed");
+        assert!(
+            lead_time_ms >= 300,
+            "{hosts} hosts: completed {lead_time_ms} ms before the deadline"
+        );
     }
 }
 
@@ -97,7 +102,7 @@
 /// knew that was killed before it ended with it. Evidence: in a log of such a play a session's request at a host, its
 /// kill, the order, and the session's next request at another host, which had heard of the session from nobody.
 #[test]
-fn a_session_at_work_at_a_host_that_is_killed_stays_on_its_version() {
+fn an_active_session_of_a_killed_host_stays_on_its_version() {
     for (hosts, seed) in [(7, 1), (67, 2)] {
         let mut fleet = Fleet::start(hosts, seed);
         fleet.run(8_000, |_, _| {});
@@ -110,58 +115,62 @@
 
         fleet.order(order(1, None));
         fleet.run(12_000, |_, _| {});
-        let others = 2..hosts as usize;
-        let moved = sessions.iter().enumerate().filter(|(n, s)| {
-            let at = others.start + n % others.len();
-            fleet.request(at, s) == ReleaseTrack::Canary
+        let other_hosts = 2..hosts as usize;
+        let changed_sessions = sessions.iter().enumerate().filter(|(n, s)| {
+            let host_index = other_hosts.start + n % other_hosts.len();
+            fleet.request(host_index, s) == ReleaseTrack::Canary
         });
 
-        assert_eq!(moved.count(), 0, "{hosts} hosts");
+        assert_eq!(changed_sessions.count(), 0, "{hosts} hosts");
     }
 }
 
 /// Guards against sessions that change their version because their host was killed between two rounds of messages.
 #[test]
-fn a_session_of_a_host_that_is_killed_between_two_rounds_stays_on_its_version() {
-    let mut moved = 0;
-    for (seed, began) in (1..=10).zip((8_000..).step_by(50)) {
+fn a_session_of_a_host_killed_between_gossip_rounds_stays_on_its_version() {
+    let mut changed_sessions = 0;
+    for (seed, sessions_start_at) in (1..=10).zip((8_000..).step_by(50)) {
         let mut fleet = Fleet::start(7, seed);
-        fleet.run(began, |_, _| {});
+        fleet.run(sessions_start_at, |_, _| {});
         let sessions: Vec<String> = (0..200).map(|n| format!("s{seed}-{n}")).collect();
         for session in &sessions {
             fleet.request(1, session);
         }
-        fleet.run(began + 150, |_, _| {});
+        fleet.run(sessions_start_at + 150, |_, _| {});
         fleet.restart(1);
 
         fleet.order(order(1, None));
-        fleet.run(began + 4_000, |_, _| {});
-        let is_moved = |(n, session): &(usize, &String)| {
+        fleet.run(sessions_start_at + 4_000, |_, _| {});
+        let has_changed_version = |(n, session): &(usize, &String)| {
             fleet.request(2 + n % 5, session) == ReleaseTrack::Canary
         };
-        moved += sessions.iter().enumerate().filter(is_moved).count();
+        changed_sessions += sessions.iter().enumerate().filter(has_changed_version).count();
     }
 
-    assert_eq!(moved, 0);
+    assert_eq!(changed_sessions, 0);
 }
 
 /// Lists the versions' endpoints that a view gives to requests of the service, proven ones.
-fn proven(view: &FleetView) -> Vec<String> {
+fn stable_ids(view: &FleetView) -> Vec<String> {
     let service = view.services.get(&id("llm"));
     let endpoints = service.map_or(&[][..], |s| s.stable_pool.endpoints());
     endpoints.iter().map(|e| e.id.to_string()).collect()
 }
 
 /// Gets the present view of a host, after a while without news.
-fn view_after(beliefs: &mut FleetState, now: u64, fresh: &Freshness) -> std::sync::Arc<FleetView> {
-    let again = Input::Endpoint(record("o1", "v1"));
-    let actions = beliefs.handle_input(Millis(now), again, fresh);
+fn view_after_update(
+    fleet_state: &mut FleetState,
+    now: u64,
+    freshness: &Freshness,
+) -> std::sync::Arc<FleetView> {
+    let unchanged_record = Input::Endpoint(record("o1", "v1"));
+    let actions = fleet_state.handle_input(Millis(now), unchanged_record, freshness);
     view_of(&actions).expect("a view")
 }
 
 /// What another host tells of the version under roll-out.
-fn word_of(news: PeerUpdate) -> Input {
-    Input::PeerMessageReceived(Box::new(message_of(7, news)))
+fn received_update(update: PeerUpdate) -> Input {
+    Input::PeerMessageReceived(Box::new(message_of(7, update)))
 }
 
 /// What was seen: hosts that stop and start in series, others that lose all kinds of the store at once, beside a
@@ -170,192 +179,212 @@
 /// list of roll-outs, when an order is removed, and when a list lacks it, as it does for an entry that cannot
 /// be read. Evidence: the views below; which of it the record's hosts met is not known.
 #[test]
-fn a_host_that_knows_no_roll_out_takes_no_unproven_version_for_proven() {
-    let fresh = fresh_since(0);
-    let barred = || BarredVersion { service: id("llm"), version: id("v2") };
-    let told = || TallyReport {
+fn a_host_without_a_rollout_order_does_not_treat_a_canary_version_as_stable() {
+    let freshness = fresh_since(0);
+    let barred_version = || BarredVersion { service: id("llm"), version: id("v2") };
+    let tally_report = || TallyReport {
         service: id("llm"),
         version: id("v2"),
         age_ms: 4_000,
         tally: Tally::default(),
         baseline: Vec::new(),
     };
-    let rolled_back = || order(2, Some(progress(RolloutState::RolledBack, 4_000)));
-    let gone = || Input::RolloutRemoved(id("llm"));
-    let both: &[&str] = &[];
-    let old: &[&str] = &["o1", "o2"];
+    let rolled_back_order = || order(2, Some(progress(RolloutState::RolledBack, 4_000)));
+    let order_removed = || Input::RolloutRemoved(id("llm"));
+    let no_endpoints: &[&str] = &[];
+    let stable_endpoints: &[&str] = &["o1", "o2"];
     let unreadable = || Input::RolloutList { orders: Vec::new(), unreadable: vec![id("llm")] };
     let cases: Vec<(&str, FleetState, Vec<Input>, &[&str])> = vec![
-        ("before a list of roll-outs", with_endpoints(2, &fresh), vec![], both),
-        ("when the order is removed", with_rollout(2, &fresh), vec![gone()], old),
+        ("before a list of roll-outs", with_endpoints(2, &freshness), vec![], no_endpoints),
+        (
+            "when the order is removed",
+            with_rollout(2, &freshness),
+            vec![order_removed()],
+            stable_endpoints,
+        ),
         (
             "when the order is removed after the version was rolled back",
-            with_rollout(2, &fresh),
-            vec![Input::Rollout(rolled_back()), gone()],
-            old,
+            with_rollout(2, &freshness),
+            vec![Input::Rollout(rolled_back_order()), order_removed()],
+            stable_endpoints,
+        ),
+        (
+            "when a list of roll-outs lacks it",
+            with_rollout(2, &freshness),
+            vec![rollouts(vec![])],
+            stable_endpoints,
         ),
-        ("when a list of roll-outs lacks it", with_rollout(2, &fresh), vec![rollouts(vec![])], old),
         (
             "when the order can't be read any more",
-            with_rollout(2, &fresh),
+            with_rollout(2, &freshness),
             vec![unreadable(), Input::RolloutUnreadable(id("llm"))],
-            old,
+            stable_endpoints,
         ),
         (
             "when the order could never be read",
-            with_endpoints(2, &fresh),
+            with_endpoints(2, &freshness),
             vec![
                 caught_up(FeedKind::Endpoints, 10),
                 unreadable(),
                 caught_up(FeedKind::Rollouts, 10),
             ],
-            both,
+            no_endpoints,
         ),
         (
             "when others hold the version bad",
-            without_rollout(2, &fresh),
-            vec![word_of(PeerUpdate { barred_versions: vec![barred()], ..PeerUpdate::default() })],
-            old,
+            without_rollout(2, &freshness),
+            vec![received_update(PeerUpdate {
+                barred_versions: vec![barred_version()],
+                ..PeerUpdate::default()
+            })],
+            stable_endpoints,
         ),
         (
             "when others tell of its roll-out",
-            without_rollout(2, &fresh),
-            vec![word_of(PeerUpdate { tallies: vec![told()], ..PeerUpdate::default() })],
-            old,
+            without_rollout(2, &freshness),
+            vec![received_update(PeerUpdate {
+                tallies: vec![tally_report()],
+                ..PeerUpdate::default()
+            })],
+            stable_endpoints,
         ),
     ];
 
-    let mut wrong = Vec::new();
-    for (case, mut beliefs, inputs, expected) in cases {
+    let mut failed_cases = Vec::new();
+    for (case, mut fleet_state, inputs, expected) in cases {
         for input in inputs {
-            beliefs.handle_input(Millis(100), input, &fresh);
+            fleet_state.handle_input(Millis(100), input, &freshness);
         }
-        let proven = proven(&view_after(&mut beliefs, 400, &fresh));
-        if proven != expected {
-            wrong.push((case, proven));
+        let shown = stable_ids(&view_after_update(&mut fleet_state, 400, &freshness));
+        if shown != expected {
+            failed_cases.push((case, shown));
         }
     }
 
-    assert!(wrong.is_empty(), "{wrong:?}");
+    assert!(failed_cases.is_empty(), "{failed_cases:?}");
 }
 
 /// Endpoints of a version may be heard of before the order that brings them: the hosts that watch the store
 /// for it may be away, and the order and the endpoints come by different ways.
 #[test]
-fn a_version_that_comes_without_its_order_waits_until_the_roll_outs_are_read() {
-    let fresh = fresh_since(0);
-    let mut beliefs = without_rollout(2, &fresh);
-    let third = || record("x1", "v3");
-    beliefs.handle_input(Millis(1_000), Input::Endpoint(third()), &fresh);
-    beliefs.handle_input(Millis(1_000), caught_up(FeedKind::Endpoints, 20), &fresh);
-    let held = proven(&view_after(&mut beliefs, 1_300, &fresh));
-
-    let asked = beliefs.handle_input(Millis(1_450), Input::Tick, &fresh);
-    beliefs.handle_input(Millis(1_500), caught_up(FeedKind::Rollouts, 19), &fresh);
-    let older = proven(&view_after(&mut beliefs, 1_700, &fresh));
-    beliefs.handle_input(Millis(1_800), caught_up(FeedKind::Rollouts, 21), &fresh);
-    let read = proven(&view_after(&mut beliefs, 2_000, &fresh));
-
-    let reads = |a: &&Action| matches!(a, Action::Fetch(c) if c.kind == FeedKind::Rollouts && c.source == FetchSource::Store);
-    assert_eq!(asked.iter().filter(reads).count(), 1);
-    assert_eq!((held.len(), older.len()), (4, 4));
-    assert_eq!(read, ["n1", "n2", "o1", "o2", "x1"]);
+fn a_version_without_a_known_order_is_withheld_until_the_rollouts_are_read() {
+    let freshness = fresh_since(0);
+    let mut fleet_state = without_rollout(2, &freshness);
+    let v3_record = || record("x1", "v3");
+    fleet_state.handle_input(Millis(1_000), Input::Endpoint(v3_record()), &freshness);
+    fleet_state.handle_input(Millis(1_000), caught_up(FeedKind::Endpoints, 20), &freshness);
+    let before_read = stable_ids(&view_after_update(&mut fleet_state, 1_300, &freshness));
+
+    let actions = fleet_state.handle_input(Millis(1_450), Input::Tick, &freshness);
+    fleet_state.handle_input(Millis(1_500), caught_up(FeedKind::Rollouts, 19), &freshness);
+    let after_older_read = stable_ids(&view_after_update(&mut fleet_state, 1_700, &freshness));
+    fleet_state.handle_input(Millis(1_800), caught_up(FeedKind::Rollouts, 21), &freshness);
+    let after_current_read = stable_ids(&view_after_update(&mut fleet_state, 2_000, &freshness));
+
+    let is_rollout_store_fetch = |a: &&Action| matches!(a, Action::Fetch(c) if c.kind == FeedKind::Rollouts && c.source == FetchSource::Store);
+    assert_eq!(actions.iter().filter(is_rollout_store_fetch).count(), 1);
+    assert_eq!((before_read.len(), after_older_read.len()), (4, 4));
+    assert_eq!(after_current_read, ["n1", "n2", "o1", "o2", "x1"]);
 }
 
 /// The order before the one that brings a version does not speak for it.
 #[test]
-fn a_version_that_comes_beside_an_older_order_waits_for_its_own() {
-    let fresh = fresh_since(0);
-    let mut beliefs = without_rollout(2, &fresh);
-    let rolled_back = order(11, Some(progress(RolloutState::RolledBack, 4_000)));
-    beliefs.handle_input(Millis(500), Input::Rollout(rolled_back), &fresh);
-    beliefs.handle_input(Millis(500), caught_up(FeedKind::Rollouts, 11), &fresh);
-    beliefs.handle_input(Millis(1_000), Input::Endpoint(record("x1", "v3")), &fresh);
-    beliefs.handle_input(Millis(1_000), caught_up(FeedKind::Endpoints, 20), &fresh);
-
-    let held = proven(&view_after(&mut beliefs, 1_300, &fresh));
-    beliefs.handle_input(Millis(1_500), caught_up(FeedKind::Rollouts, 21), &fresh);
-    let read = proven(&view_after(&mut beliefs, 1_700, &fresh));
-
-    assert_eq!(held, ["o1", "o2"]);
-    assert_eq!(read, ["o1", "o2", "x1"]);
+fn a_version_with_only_an_older_order_is_withheld_until_the_rollouts_are_read() {
+    let freshness = fresh_since(0);
+    let mut fleet_state = without_rollout(2, &freshness);
+    let rolled_back_order = order(11, Some(progress(RolloutState::RolledBack, 4_000)));
+    fleet_state.handle_input(Millis(500), Input::Rollout(rolled_back_order), &freshness);
+    fleet_state.handle_input(Millis(500), caught_up(FeedKind::Rollouts, 11), &freshness);
+    fleet_state.handle_input(Millis(1_000), Input::Endpoint(record("x1", "v3")), &freshness);
+    fleet_state.handle_input(Millis(1_000), caught_up(FeedKind::Endpoints, 20), &freshness);
+
+    let before_read = stable_ids(&view_after_update(&mut fleet_state, 1_300, &freshness));
+    fleet_state.handle_input(Millis(1_500), caught_up(FeedKind::Rollouts, 21), &freshness);
+    let after_current_read = stable_ids(&view_after_update(&mut fleet_state, 1_700, &freshness));
+
+    assert_eq!(before_read, ["o1", "o2"]);
+    assert_eq!(after_current_read, ["o1", "o2", "x1"]);
 }
 
 /// A host that can read nothing and hears nobody has only what it knows.
 #[test]
-fn a_version_is_not_held_for_ever_for_want_of_news() {
-    let fresh = fresh_since(0);
-    let mut beliefs = without_rollout(2, &fresh);
-    beliefs.handle_input(Millis(1_000), Input::Endpoint(record("x1", "v3")), &fresh);
-    beliefs.handle_input(Millis(1_000), caught_up(FeedKind::Endpoints, 20), &fresh);
+fn a_version_is_not_withheld_forever_without_updates() {
+    let freshness = fresh_since(0);
+    let mut fleet_state = without_rollout(2, &freshness);
+    fleet_state.handle_input(Millis(1_000), Input::Endpoint(record("x1", "v3")), &freshness);
+    fleet_state.handle_input(Millis(1_000), caught_up(FeedKind::Endpoints, 20), &freshness);
 
-    let soon = proven(&view_after(&mut beliefs, 5_500, &fresh));
-    let later = proven(&view_after(&mut beliefs, 6_500, &fresh));
+    let before_timeout = stable_ids(&view_after_update(&mut fleet_state, 5_500, &freshness));
+    let after_timeout = stable_ids(&view_after_update(&mut fleet_state, 6_500, &freshness));
 
-    assert_eq!((soon.len(), later.len()), (4, 5));
+    assert_eq!((before_timeout.len(), after_timeout.len()), (4, 5));
 }
 
 /// What others tell of a roll-out ends with it: a host may never hear of an order that was short.
 #[test]
-fn a_version_is_held_on_others_word_for_as_long_as_they_tell() {
-    let fresh = fresh_since(0);
-    let mut beliefs = without_rollout(2, &fresh);
+fn a_version_is_withheld_while_other_hosts_report_its_rollout() {
+    let freshness = fresh_since(0);
+    let mut fleet_state = without_rollout(2, &freshness);
     let tally = Tally::default();
-    let told = TallyReport {
+    let tally_report = TallyReport {
         service: id("llm"),
         version: id("v2"),
         age_ms: 4_000,
         tally,
         baseline: Vec::new(),
     };
-    beliefs.handle_input(
+    fleet_state.handle_input(
         Millis(100),
-        word_of(PeerUpdate { tallies: vec![told], ..PeerUpdate::default() }),
-        &fresh,
+        received_update(PeerUpdate { tallies: vec![tally_report], ..PeerUpdate::default() }),
+        &freshness,
     );
 
-    let soon = proven(&view_after(&mut beliefs, 2_500, &fresh));
-    let later = proven(&view_after(&mut beliefs, 3_500, &fresh));
+    let before_timeout = stable_ids(&view_after_update(&mut fleet_state, 2_500, &freshness));
+    let after_timeout = stable_ids(&view_after_update(&mut fleet_state, 3_500, &freshness));
 
-    assert_eq!((soon.len(), later.len()), (2, 4));
+    assert_eq!((before_timeout.len(), after_timeout.len()), (2, 4));
 }
 
 /// Nobody is left to be held apart: a service whose order was removed goes on with what it has, and so does one
 /// that no order was ever made for.
 #[test]
 fn the_only_version_of_a_service_serves_without_a_roll_out() {
-    let fresh = fresh_since(0);
-    let mut removed = with_rollout(2, &fresh);
-    removed.handle_input(Millis(100), Input::RolloutRemoved(id("llm")), &fresh);
-    for old in ["o1", "o2"] {
-        removed.handle_input(Millis(200), Input::EndpointRemoved(id(old)), &fresh);
+    let freshness = fresh_since(0);
+    let mut with_removed_order = with_rollout(2, &freshness);
+    with_removed_order.handle_input(Millis(100), Input::RolloutRemoved(id("llm")), &freshness);
+    for stable in ["o1", "o2"] {
+        with_removed_order.handle_input(
+            Millis(200),
+            Input::EndpointRemoved(id(stable)),
+            &freshness,
+        );
     }
-    let mut never = with_endpoints(3, &fresh);
-    for new in ["n1", "n2"] {
-        never.handle_input(Millis(200), Input::EndpointRemoved(id(new)), &fresh);
+    let mut without_order = with_endpoints(3, &freshness);
+    for canary in ["n1", "n2"] {
+        without_order.handle_input(Millis(200), Input::EndpointRemoved(id(canary)), &freshness);
     }
-    never.handle_input(Millis(210), rollouts(vec![]), &fresh);
+    without_order.handle_input(Millis(210), rollouts(vec![]), &freshness);
 
-    let last = |beliefs: &mut FleetState| {
-        let actions = beliefs.handle_input(Millis(400), rollouts(vec![]), &fresh);
-        proven(&view_of(&actions).expect("a view"))
+    let published_ids = |fleet_state: &mut FleetState| {
+        let actions = fleet_state.handle_input(Millis(400), rollouts(vec![]), &freshness);
+        stable_ids(&view_of(&actions).expect("a view"))
     };
 
-    assert_eq!(last(&mut removed), ["n1", "n2"]);
-    assert_eq!(last(&mut never), ["o1", "o2"]);
+    assert_eq!(published_ids(&mut with_removed_order), ["n1", "n2"]);
+    assert_eq!(published_ids(&mut without_order), ["o1", "o2"]);
 }
 
 /// The next order of the same version begins its trial, after one that was removed.
 #[test]
-fn an_order_that_is_made_again_after_it_was_removed_begins_a_trial() {
-    let fresh = fresh_since(0);
-    let mut beliefs = with_rollout(2, &fresh);
-    beliefs.handle_input(Millis(100), Input::RolloutRemoved(id("llm")), &fresh);
+fn a_new_order_after_a_removed_one_starts_a_canary() {
+    let freshness = fresh_since(0);
+    let mut fleet_state = with_rollout(2, &freshness);
+    fleet_state.handle_input(Millis(100), Input::RolloutRemoved(id("llm")), &freshness);
 
-    let again = RolloutOrder { revision: 9, ..order(9, None) };
-    let actions = beliefs.handle_input(Millis(300), Input::Rollout(again), &fresh);
+    let new_order = RolloutOrder { revision: 9, ..order(9, None) };
+    let actions = fleet_state.handle_input(Millis(300), Input::Rollout(new_order), &freshness);
 
     let view = view_of(&actions).expect("a view");
     assert_eq!(view.services[&id("llm")].canary_pool.endpoints().len(), 2);
-    assert_eq!(proven(&view), ["o1", "o2"]);
+    assert_eq!(stable_ids(&view), ["o1", "o2"]);
 }
--- a/crates/tidetrack-core/tests/large_fleet.rs
+++ b/crates/tidetrack-core/tests/large_fleet.rs
@@ -16,30 +16,30 @@
 use support::{id, order, record, view_of, without_rollout};
 
 /// Age of the proof at which a host reads the configuration itself.
-const PROOF_WANTED: Millis = Millis(2_500);
+const MAX_PROOF_AGE: Millis = Millis(2_500);
 
 #[test]
 fn proofs_of_a_few_hosts_keep_a_large_fleet_from_reading_the_configuration() {
     let mut fleet = Fleet::start(83, 1);
     fleet.run(3_000, |_, _| {});
-    let mut too_old = 0;
-    let mut looks = 0;
+    let mut stale_count = 0;
+    let mut samples = 0;
 
     fleet.run(13_000, |now, host| {
-        looks += 1;
+        samples += 1;
         let age = host.fresh.age(Millis(now)).expect("a proof");
-        too_old += usize::from(age >= PROOF_WANTED);
+        stale_count += usize::from(age >= MAX_PROOF_AGE);
     });
 
     let provers = fleet.hosts.iter().filter(|h| h.beliefs.is_prover()).count();
     assert_eq!(provers, 3);
     // A message and its repetition may both be lost.
-    assert!(too_old * 500 < looks, "{too_old} of {looks}");
+    assert!(stale_count * 500 < samples, "{stale_count} of {samples}");
 }
 
 #[test]
-fn messages_of_a_host_do_not_grow_with_the_fleet() {
-    let sent_by_one = |hosts: u32| {
+fn messages_per_host_do_not_grow_with_the_fleet() {
+    let messages_per_host_and_second = |hosts: u32| {
         let mut fleet = Fleet::start(hosts, 2);
         fleet.run(3_000, |_, _| {});
         fleet.sent = 0;
@@ -47,81 +47,87 @@
         fleet.sent as f64 / f64::from(hosts) / 5.0
     };
 
-    let (some, many) = (sent_by_one(20), sent_by_one(120));
+    let (small_fleet_rate, large_fleet_rate) =
+        (messages_per_host_and_second(20), messages_per_host_and_second(120));
 
-    println!("messages a host and second: {some:.1} of 20 hosts, {many:.1} of 120");
-    assert!(many < some * 1.1, "{some} {many}");
+    println!("messages a host and second: {small_fleet_rate:.1} of 20 hosts, {large_fleet_rate:.1} of 120");
+    assert!(large_fleet_rate < small_fleet_rate * 1.1, "{small_fleet_rate} {large_fleet_rate}");
 }
 #[test]
-fn a_fleet_that_starts_is_known_to_all_of_its_hosts_within_seconds() {
+fn hosts_of_a_starting_fleet_know_each_other_within_seconds() {
     let mut fleet = Fleet::start(83, 3);
 
     fleet.run(3_500, |_, _| {});
 
-    let heard: Vec<usize> = fleet.hosts.iter().map(|h| h.beliefs.peers().len()).collect();
-    assert!(heard.iter().all(|n| *n >= 80), "{heard:?}");
+    let known_hosts: Vec<usize> = fleet.hosts.iter().map(|h| h.beliefs.peers().len()).collect();
+    assert!(known_hosts.iter().all(|n| *n >= 80), "{known_hosts:?}");
 }
 
 #[test]
-fn changes_reach_a_large_fleet_from_the_few_that_watch_the_store() {
+fn changes_reach_a_large_fleet_from_a_few_watchers() {
     let mut fleet = Fleet::start(83, 4);
     fleet.run(4_000, |_, _| {});
 
-    let took: Vec<u64> = (0..20).map(|_| fleet.change()).collect();
+    let latencies_ms: Vec<u64> = (0..20).map(|_| fleet.change()).collect();
 
     let watchers = fleet.hosts.iter().filter(|h| h.beliefs.is_watcher()).count();
     assert_eq!(watchers, 2);
-    assert!(took.iter().all(|ms| *ms <= 1_000), "{took:?}");
+    assert!(latencies_ms.iter().all(|ms| *ms <= 1_000), "{latencies_ms:?}");
     assert!(fleet.calls <= 20, "{} calls", fleet.calls);
 }
 
 /// Endpoints of a service that start again under their ids, each twice in two seconds, one after another.
-const STORM: (u64, u64) = (160, 2_000);
+const RESTART_BURST: (u64, u64) = (160, 2_000);
 
 /// What was seen: while endpoints started one after another, most of 295 hosts read the changes from the store. The
 /// figures are told by the test; what is given to a host is each change once and a half.
 #[test]
-fn endpoints_that_all_start_again_twice_are_known_to_hundreds_of_hosts_by_a_few_calls() {
+fn a_burst_of_endpoint_restarts_reaches_hundreds_of_hosts_with_few_store_calls() {
     const HOSTS: u32 = 300;
-    let (endpoints, within) = STORM;
+    let (endpoints, burst_ms) = RESTART_BURST;
     let mut fleet = Fleet::start(HOSTS, 5);
     fleet.run(10_000, |_, _| {});
-    let (calls, given) = (fleet.calls, fleet.given_bytes);
+    let (calls, relayed_bytes) = (fleet.calls, fleet.given_bytes);
 
-    let began = fleet.now;
+    let started_at = fleet.now;
     let changes = 2 * endpoints;
-    while fleet.now < began + within {
-        let due = changes * (fleet.now - began + STEP as u64) / within;
-        fleet.revision = fleet.revision.max(10 + due);
+    while fleet.now < started_at + burst_ms {
+        let changes_so_far = changes * (fleet.now - started_at + STEP as u64) / burst_ms;
+        fleet.revision = fleet.revision.max(10 + changes_so_far);
         fleet.run(fleet.now + STEP as u64, |_, _| {});
     }
-    let all_known = |fleet: &Fleet| fleet.known.iter().all(|known| *known >= fleet.revision);
-    while !all_known(&fleet) && fleet.now < began + within + 5_000 {
+    let all_hosts_know = |fleet: &Fleet| fleet.known.iter().all(|known| *known >= fleet.revision);
+    while !all_hosts_know(&fleet) && fleet.now < started_at + burst_ms + 5_000 {
         fleet.run(fleet.now + STEP as u64, |_, _| {});
     }
 
-    let (calls, given) = (fleet.calls - calls, fleet.given_bytes - given);
-    let after = fleet.now - began - within;
-    println!("{calls} calls to the store, {given} bytes given, all known {after} ms later");
+    let (calls, relayed_bytes) = (fleet.calls - calls, fleet.given_bytes - relayed_bytes);
+    let delay_ms = fleet.now - started_at - burst_ms;
+    println!(
+        "{calls} calls to the store, {relayed_bytes} bytes given, all known {delay_ms} ms later"
+    );
     assert!(calls <= HOSTS as usize / 10, "{calls} calls");
-    assert!(after <= 2_000, "{after} ms");
-    assert!(given <= u64::from(HOSTS) * changes * ENDPOINT_BYTES * 3 / 2, "{given} bytes");
+    assert!(delay_ms <= 2_000, "{delay_ms} ms");
+    assert!(
+        relayed_bytes <= u64::from(HOSTS) * changes * ENDPOINT_BYTES * 3 / 2,
+        "{relayed_bytes} bytes"
+    );
 }
 
 #[test]
-fn a_host_reads_the_store_itself_when_no_host_gives_it_a_change() {
+fn a_host_reads_the_store_when_no_other_host_relays_a_change() {
     let mut fleet = Fleet::start(12, 5);
     fleet.run(4_000, |_, _| {});
     fleet.deaf = (0..12).collect();
 
-    let took = fleet.change();
+    let latency_ms = fleet.change();
 
-    assert!(took <= 1_000, "{took} ms");
+    assert!(latency_ms <= 1_000, "{latency_ms} ms");
     assert!((1..=10).contains(&fleet.calls), "{} calls", fleet.calls);
 }
 
 #[test]
-fn a_host_that_can_get_a_change_nowhere_asks_the_store_now_and_then() {
+fn a_host_without_any_source_of_a_change_retries_the_store_at_a_low_rate() {
     let mut fleet = Fleet::start(12, 6);
     fleet.run(4_000, |_, _| {});
     fleet.deaf = (0..12).collect();
@@ -137,7 +143,7 @@
 /// A host that watches the store may be away from it and not know, and then all its failure domain heard of
 /// no endpoint any more. Evidence: `platform/tests/endpoint_news.rs`.
 #[test]
-fn endpoints_are_known_in_time_though_those_that_watch_see_nothing() {
+fn endpoint_changes_arrive_in_time_although_the_watchers_see_none() {
     let mut fleet = Fleet::start(67, 7);
     fleet.run(4_000, |_, _| {});
     fleet.are_watchers_blind = true;
@@ -147,10 +153,10 @@
         fleet.run(fleet.now + 130 * n, |_, _| {});
         fleet.change()
     };
-    let took: Vec<u64> = (0..20).map(change).collect();
+    let latencies_ms: Vec<u64> = (0..20).map(change).collect();
 
-    println!("{took:?} ms, {} calls", fleet.calls);
-    assert!(took.iter().all(|ms| *ms <= 2_500), "{took:?}");
+    println!("{latencies_ms:?} ms, {} calls", fleet.calls);
+    assert!(latencies_ms.iter().all(|ms| *ms <= 2_500), "{latencies_ms:?}");
     assert!(fleet.calls <= 60, "{} calls, of three hosts for 20 changes", fleet.calls);
 }
 
@@ -158,198 +164,203 @@
 /// hears no others for a while, on a full link, is ready by a read of its own; its news of endpoints are then
 /// as old as its proof was. Evidence: the users' record of the request and of readiness.
 #[test]
-fn a_host_that_has_to_prove_the_configuration_itself_reads_the_endpoints_at_once() {
+fn a_host_that_makes_its_own_proof_reads_the_endpoints_at_once() {
     let mut fleet = Fleet::start(12, 8);
     fleet.run(4_000, |_, _| {});
-    let mut calls_at_once = |proves: bool| {
-        let proves_as_asked = |i: &usize| fleet.hosts[*i].beliefs.is_prover() == proves;
-        let host = (0..12).find(proves_as_asked).expect("a host of either sort");
+    let mut immediate_store_calls = |is_prover: bool| {
+        let has_requested_role = |i: &usize| fleet.hosts[*i].beliefs.is_prover() == is_prover;
+        let host = (0..12).find(has_requested_role).expect("a host of either sort");
         let before = fleet.calls;
         fleet.take(host, Input::StoreRevisionSeen(fleet.revision + 1));
         fleet.calls - before
     };
 
-    let (of_prover, of_other) = (calls_at_once(true), calls_at_once(false));
+    let (calls_of_prover, calls_of_other_host) =
+        (immediate_store_calls(true), immediate_store_calls(false));
 
-    assert_eq!(of_prover, 0, "those that watch mostly bring it");
-    assert_eq!(of_other, 1);
+    assert_eq!(calls_of_prover, 0, "those that watch mostly bring it");
+    assert_eq!(calls_of_other_host, 1);
 }
 
 /// A session whose requests follow each other, each at some host.
 struct Session {
     name: String,
     next_at: u64,
-    last: Option<ReleaseTrack>,
+    last_track: Option<ReleaseTrack>,
 }
 
 /// What sessions met in a roll-out.
 #[derive(Debug, Default)]
-struct Moves {
+struct VersionChanges {
     /// Requests in the first half that met the new version after the old one.
-    early: usize,
+    early_changes: usize,
     /// Requests that met the old version after the new one.
-    back: usize,
+    reverted_changes: usize,
     /// Requests of the first half that met the new version, and all of it.
-    sampled: usize,
-    all: usize,
+    canary_requests: usize,
+    total_requests: usize,
 }
 
 /// Plays a roll-out of 20 s under sessions whose requests come from 0.05 to 4 s after each other.
-fn sessions_in_a_rollout(hosts: u32, sessions: usize, seed: u64) -> Moves {
+fn run_sessions_through_rollout(hosts: u32, sessions: usize, seed: u64) -> VersionChanges {
     let mut fleet = Fleet::start(hosts, seed);
     fleet.run(4_000, |_, _| {});
-    let mut seed = StdRng::seed_from_u64(seed + 1);
-    let mut all: Vec<Session> = (0..sessions)
+    let mut rng = StdRng::seed_from_u64(seed + 1);
+    let mut active_sessions: Vec<Session> = (0..sessions)
         .map(|n| Session {
             name: format!("s{n}"),
-            next_at: seed.random_range(0..8_000),
-            last: None,
+            next_at: rng.random_range(0..8_000),
+            last_track: None,
         })
         .collect();
-    let began = 9_000;
-    let mut moves = Moves::default();
+    let started_at = 9_000;
+    let mut changes = VersionChanges::default();
     for step in 0..500 {
         fleet.run(4_000 + (step + 1) * STEP as u64, |_, _| {});
-        if fleet.now == began {
+        if fleet.now == started_at {
             fleet.order(order(1, None));
         }
-        let is_first_half = (began..began + 10_000).contains(&fleet.now);
+        let is_first_half = (started_at..started_at + 10_000).contains(&fleet.now);
         let now = fleet.now;
-        for session in all.iter_mut().filter(|s| s.next_at <= now) {
-            let at = seed.random_range(0..hosts as usize);
-            let side = fleet.request(at, &session.name);
-            let is_early = is_first_half
-                && side == ReleaseTrack::Canary
-                && session.last == Some(ReleaseTrack::Stable);
-            moves.early += usize::from(is_early);
-            moves.back += usize::from(
-                side == ReleaseTrack::Stable && session.last == Some(ReleaseTrack::Canary),
+        for session in active_sessions.iter_mut().filter(|s| s.next_at <= now) {
+            let host_index = rng.random_range(0..hosts as usize);
+            let track = fleet.request(host_index, &session.name);
+            let is_early_change = is_first_half
+                && track == ReleaseTrack::Canary
+                && session.last_track == Some(ReleaseTrack::Stable);
+            changes.early_changes += usize::from(is_early_change);
+            changes.reverted_changes += usize::from(
+                track == ReleaseTrack::Stable && session.last_track == Some(ReleaseTrack::Canary),
             );
-            moves.sampled += usize::from(is_first_half && side == ReleaseTrack::Canary);
-            moves.all += usize::from(is_first_half);
-            session.last = Some(side);
+            changes.canary_requests += usize::from(is_first_half && track == ReleaseTrack::Canary);
+            changes.total_requests += usize::from(is_first_half);
+            session.last_track = Some(track);
             // Some requests are short calls right after each other.
-            let pause = if seed.random::<f64>() < 0.5 { 50..250 } else { 200..4_000 };
-            session.next_at = fleet.now + seed.random_range(pause);
+            let pause_ms = if rng.random::<f64>() < 0.5 { 50..250 } else { 200..4_000 };
+            session.next_at = fleet.now + rng.random_range(pause_ms);
             // Now and then a reader begins a new session.
-            if seed.random::<f64>() < 0.15 {
+            if rng.random::<f64>() < 0.15 {
                 session.name.push('x');
-                session.last = None;
+                session.last_track = None;
             }
         }
     }
-    moves
+    changes
 }
 
 #[test]
 fn sessions_keep_their_version_through_a_rollout_of_a_large_fleet() {
-    let all: Vec<Moves> = (1..=4).map(|seed| sessions_in_a_rollout(83, 900, seed)).collect();
-
-    println!("{all:?}");
-    assert!(all.iter().all(|m| m.early <= 3 && m.back <= 3), "{all:?}");
-    assert!(all.iter().map(|m| m.early).sum::<usize>() <= 1, "{all:?}");
-    assert!(all.iter().all(|m| m.sampled >= 20), "{all:?}");
+    let outcomes: Vec<VersionChanges> =
+        (1..=4).map(|seed| run_sessions_through_rollout(83, 900, seed)).collect();
+
+    println!("{outcomes:?}");
+    assert!(
+        outcomes.iter().all(|m| m.early_changes <= 3 && m.reverted_changes <= 3),
+        "{outcomes:?}"
+    );
+    assert!(outcomes.iter().map(|m| m.early_changes).sum::<usize>() <= 1, "{outcomes:?}");
+    assert!(outcomes.iter().all(|m| m.canary_requests >= 20), "{outcomes:?}");
 }
 
 #[test]
 fn sessions_keep_their_version_through_a_rollout_of_a_small_fleet() {
-    let moves = sessions_in_a_rollout(7, 300, 8);
+    let changes = run_sessions_through_rollout(7, 300, 8);
 
-    println!("{moves:?}");
-    assert!(moves.early <= 3 && moves.back <= 3, "{moves:?}");
-    assert!(moves.sampled * 100 <= moves.all * 14, "{moves:?}");
+    println!("{changes:?}");
+    assert!(changes.early_changes <= 3 && changes.reverted_changes <= 3, "{changes:?}");
+    assert!(changes.canary_requests * 100 <= changes.total_requests * 14, "{changes:?}");
 }
 
 #[test]
-fn many_changes_of_endpoints_make_few_views() {
-    let fresh = Freshness::default();
-    let mut beliefs = without_rollout(1, &fresh);
+fn many_endpoint_changes_publish_few_views() {
+    let freshness = Freshness::default();
+    let mut fleet_state = without_rollout(1, &freshness);
     let mut views = Vec::new();
     // A service of a thousand endpoints is replaced in two seconds.
     for i in 0..1_000u64 {
         let now = Millis(1_000 + 2 * i);
         let new = record(&format!("i-{i}"), "v1");
-        let actions = beliefs.handle_input(now, Input::Endpoint(new), &fresh);
+        let actions = fleet_state.handle_input(now, Input::Endpoint(new), &freshness);
         views.extend(view_of(&actions).map(|view| (now, view)));
     }
-    let last = view_of(&beliefs.handle_input(Millis(3_100), Input::Tick, &fresh));
+    let last_view = view_of(&fleet_state.handle_input(Millis(3_100), Input::Tick, &freshness));
 
     assert!(views.len() <= 21, "{} views", views.len());
-    let shown = last.expect("a view of the last changes");
-    assert_eq!(shown.services[&id::<ServiceId>("llm")].stable_pool.endpoints().len(), 1_004);
+    let final_view = last_view.expect("a view of the last changes");
+    assert_eq!(final_view.services[&id::<ServiceId>("llm")].stable_pool.endpoints().len(), 1_004);
 }
 
 /// Hosts of a fleet with a wide link, and all of them.
-const WIDE_HOSTS: usize = 8;
-const LINKED_HOSTS: usize = 67;
+const FAST_HOSTS: usize = 8;
+const FLEET_HOSTS: usize = 67;
 
 /// Bytes a millisecond of a wide host's link, a small one's (10 Mbit/s), and of the store's.
-const WIDE: f64 = 25_000.0;
-const NARROW: f64 = 1_250.0;
-const OF_STORE: f64 = 125_000.0;
+const FAST_LINK: f64 = 25_000.0;
+const SLOW_LINK: f64 = 1_250.0;
+const STORE_LINK: f64 = 125_000.0;
 
 /// Bytes of a configuration of some thousand routes.
-const LARGE: u64 = 1_000_000;
+const LARGE_CATALOG_BYTES: u64 = 1_000_000;
 
 /// What a large change did to a fleet.
 #[derive(Debug)]
-struct LargeChange {
+struct LargeChangeOutcome {
     /// Copies that hosts began to get: by the host with the most, and by all.
-    most_copies: usize,
-    copies: usize,
+    max_copies_per_host: usize,
+    total_copies: usize,
     /// Hosts that began to get so many copies: none, one, two, three, more.
     hosts_by_copies: [usize; 5],
     /// What came of it over the hosts' links, in whole copies.
-    came: f64,
+    received_copies: f64,
     /// Calls to the store by hosts that do not watch it.
     calls: usize,
     /// Time until an endpoint's change half a second later is known everywhere, in milliseconds.
-    small_took: u64,
+    endpoint_change_ms: u64,
     /// Time until the large one is.
-    large_took: u64,
+    catalog_change_ms: u64,
 }
 
 /// Plays a change of the configuration in a fleet of a few wide hosts and many narrow ones, and one of
 /// an endpoint while it is on its way.
-fn large_change(seed: u64) -> LargeChange {
-    let mut fleet = Fleet::start(LINKED_HOSTS as u32, seed);
-    let mut links = vec![NARROW; LINKED_HOSTS];
+fn run_large_change(seed: u64) -> LargeChangeOutcome {
+    let mut fleet = Fleet::start(FLEET_HOSTS as u32, seed);
+    let mut bandwidths = vec![SLOW_LINK; FLEET_HOSTS];
     // The wide ones are spread over the fleet.
-    (0..WIDE_HOSTS).for_each(|n| links[n * LINKED_HOSTS / WIDE_HOSTS] = WIDE);
-    fleet.set_links(links, OF_STORE);
+    (0..FAST_HOSTS).for_each(|n| bandwidths[n * FLEET_HOSTS / FAST_HOSTS] = FAST_LINK);
+    fleet.set_links(bandwidths, STORE_LINK);
     fleet.run(4_000, |_, _| {});
     fleet.calls = 0;
-    fleet.change_catalog(LARGE);
-    let began = fleet.now;
-    fleet.run(began + 500, |_, _| {});
+    fleet.change_catalog(LARGE_CATALOG_BYTES);
+    let started_at = fleet.now;
+    fleet.run(started_at + 500, |_, _| {});
 
-    let small_took = fleet.change();
-    let large_took = fleet.run_until_catalog(began + 60_000) - began;
+    let endpoint_change_ms = fleet.change();
+    let catalog_change_ms = fleet.run_until_catalog(started_at + 60_000) - started_at;
 
     let mut hosts_by_copies = [0; 5];
     fleet.copies.iter().for_each(|n| hosts_by_copies[(*n).min(4)] += 1);
-    LargeChange {
-        most_copies: fleet.copies.iter().copied().max().unwrap_or(0),
-        copies: fleet.copies.iter().sum(),
+    LargeChangeOutcome {
+        max_copies_per_host: fleet.copies.iter().copied().max().unwrap_or(0),
+        total_copies: fleet.copies.iter().sum(),
         hosts_by_copies,
-        came: fleet.links.large_bytes.iter().sum::<f64>() / LARGE as f64,
+        received_copies: fleet.links.large_bytes.iter().sum::<f64>() / LARGE_CATALOG_BYTES as f64,
         calls: fleet.calls,
-        small_took,
-        large_took,
+        endpoint_change_ms,
+        catalog_change_ms,
     }
 }
 
 #[test]
-fn a_large_change_is_got_once_and_a_small_one_passes_beside_it() {
-    let all: Vec<LargeChange> = (1..=4).map(large_change).collect();
+fn a_large_change_is_fetched_at_most_twice_per_host_and_does_not_block_a_small_one() {
+    let outcomes: Vec<LargeChangeOutcome> = (1..=4).map(run_large_change).collect();
 
-    for c in &all {
+    for c in &outcomes {
         println!(
             "copies: {} in all, {} at one host, hosts with 0, 1, 2, 3 and more {:?}; {:.1} came; {} \
              calls to the store; the small change took {} ms, the large one {} ms",
-            c.copies, c.most_copies, c.hosts_by_copies, c.came, c.calls, c.small_took, c.large_took
+            c.total_copies, c.max_copies_per_host, c.hosts_by_copies, c.received_copies, c.calls, c.endpoint_change_ms, c.catalog_change_ms
         );
     }
-    assert!(all.iter().all(|c| c.most_copies <= 2), "{all:?}");
-    assert!(all.iter().all(|c| c.small_took <= 3_000), "{all:?}");
+    assert!(outcomes.iter().all(|c| c.max_copies_per_host <= 2), "{outcomes:?}");
+    assert!(outcomes.iter().all(|c| c.endpoint_change_ms <= 3_000), "{outcomes:?}");
 }
--- a/crates/tidetrack-core/tests/outliers.rs
+++ b/crates/tidetrack-core/tests/outliers.rs
@@ -15,62 +15,67 @@
 use support::{id, record};
 
 /// Share of the answers that a grey endpoint loses.
-const LOST_ANSWERS: f64 = 0.35;
+const FAULTY_ENDPOINT_FAILURE_RATE: f64 = 0.35;
 
 /// How requests of a fleet went.
 #[derive(Clone, Copy, Debug, Default)]
-struct Went {
+struct RequestCounts {
     sent: u32,
     failed: u32,
-    to_grey: u32,
+    sent_to_faulty: u32,
 }
 
 /// A fleet whose hosts send requests to one pool.
-struct Callers {
+struct FleetTraffic {
     fleet: Fleet,
-    draws: StdRng,
+    rng: StdRng,
     /// Names of the endpoints that fail.
-    grey: Vec<String>,
+    faulty_endpoints: Vec<String>,
     /// Share of the answers that every endpoint fails.
-    usual: f64,
+    base_failure_rate: f64,
 }
 
-impl Callers {
-    fn start(hosts: u32, endpoints: usize) -> Callers {
+impl FleetTraffic {
+    fn start(hosts: u32, endpoints: usize) -> FleetTraffic {
         let mut fleet = Fleet::start(hosts, 7);
         for i in 0..hosts as usize {
             let records = (0..endpoints).map(|n| record(&format!("e{n}"), "v1")).collect();
             fleet.take(i, Input::EndpointList(records));
         }
         fleet.run(4_000, |_, _| {});
-        Callers { fleet, draws: StdRng::seed_from_u64(8), grey: Vec::new(), usual: 0.0 }
+        FleetTraffic {
+            fleet,
+            rng: StdRng::seed_from_u64(8),
+            faulty_endpoints: Vec::new(),
+            base_failure_rate: 0.0,
+        }
     }
 
-    fn grey(mut self, names: &[&str]) -> Callers {
-        self.grey = names.iter().map(|n| n.to_string()).collect();
+    fn with_faulty_endpoints(mut self, names: &[&str]) -> FleetTraffic {
+        self.faulty_endpoints = names.iter().map(|n| n.to_string()).collect();
         self
     }
 
     /// Lets time pass while each host sends so many requests a second.
-    fn run(&mut self, ms: u64, a_second: f64) -> Went {
+    fn run(&mut self, ms: u64, requests_per_second: f64) -> RequestCounts {
         let until = self.fleet.now + ms;
-        let mut went = Went::default();
+        let mut counts = RequestCounts::default();
         while self.fleet.now < until {
             self.fleet.run(self.fleet.now + STEP as u64, |_, _| {});
             for host in 0..self.fleet.hosts.len() {
-                if self.draws.random::<f64>() < a_second * STEP as f64 / 1_000.0 {
-                    self.send(host, &mut went);
+                if self.rng.random::<f64>() < requests_per_second * STEP as f64 / 1_000.0 {
+                    self.send(host, &mut counts);
                 }
             }
         }
-        went
+        counts
     }
 
-    fn send(&mut self, host: usize, went: &mut Went) {
+    fn send(&mut self, host: usize, counts: &mut RequestCounts) {
         let now = Millis(self.fleet.now);
         let view = self.fleet.hosts[host].view.clone().expect("a view");
-        let salt = self.draws.random::<u64>();
-        let ask = PlacementRequest {
+        let salt = self.rng.random::<u64>();
+        let placement_request = PlacementRequest {
             ring_position: ring_position_of(&salt.to_le_bytes()),
             salt,
             required_tokens: Tokens(0),
@@ -79,18 +84,19 @@
             ..PlacementRequest::default()
         };
         let pool = &view.services[&id::<ServiceId>("llm")].stable_pool;
-        let picked = pool.pick(now, &ask).expect("an endpoint");
-        let is_grey = self.grey.iter().any(|g| g == picked.id.as_str());
-        let lost = if is_grey { LOST_ANSWERS } else { self.usual };
-        let failed = self.draws.random::<f64>() < lost;
+        let picked = pool.pick(now, &placement_request).expect("an endpoint");
+        let is_faulty = self.faulty_endpoints.iter().any(|g| g == picked.id.as_str());
+        let failure_rate =
+            if is_faulty { FAULTY_ENDPOINT_FAILURE_RATE } else { self.base_failure_rate };
+        let failed = self.rng.random::<f64>() < failure_rate;
         picked.state.record_outcome(now, !failed);
-        went.sent += 1;
-        went.failed += u32::from(failed);
-        went.to_grey += u32::from(is_grey);
+        counts.sent += 1;
+        counts.failed += u32::from(failed);
+        counts.sent_to_faulty += u32::from(is_faulty);
     }
 
     /// Counts the endpoints that a host avoids.
-    fn avoided(&self, host: usize) -> usize {
+    fn ejected_count(&self, host: usize) -> usize {
         let view = self.fleet.hosts[host].view.as_ref().expect("a view");
         let pool = &view.services[&id::<ServiceId>("llm")].stable_pool;
         let now = Millis(self.fleet.now);
@@ -99,75 +105,75 @@
 }
 
 #[test]
-fn a_large_fleet_leaves_endpoints_that_lose_a_third_of_their_answers() {
-    let mut callers = Callers::start(83, 8).grey(&["e1", "e4", "e6"]);
+fn a_large_fleet_ejects_endpoints_that_fail_a_third_of_their_requests() {
+    let mut traffic = FleetTraffic::start(83, 8).with_faulty_endpoints(&["e1", "e4", "e6"]);
 
-    let first = callers.run(1_500, 3.0);
-    let later = callers.run(4_000, 3.0);
+    let initial = traffic.run(1_500, 3.0);
+    let later = traffic.run(4_000, 3.0);
 
-    assert!(first.to_grey > 50, "{first:?}");
-    let share = f64::from(later.to_grey) / f64::from(later.sent);
+    assert!(initial.sent_to_faulty > 50, "{initial:?}");
+    let share = f64::from(later.sent_to_faulty) / f64::from(later.sent);
     assert!(share < 0.15, "{later:?}, {share:.2} of them to endpoints that lose answers");
 }
 
 #[test]
-fn it_leaves_them_also_where_every_endpoint_fails_some_requests() {
-    let mut callers = Callers::start(83, 8).grey(&["e1", "e4", "e6"]);
-    callers.usual = 0.09;
+fn a_large_fleet_ejects_faulty_endpoints_although_every_endpoint_fails_some_requests() {
+    let mut traffic = FleetTraffic::start(83, 8).with_faulty_endpoints(&["e1", "e4", "e6"]);
+    traffic.base_failure_rate = 0.09;
 
-    callers.run(1_500, 3.0);
-    let later = callers.run(4_000, 3.0);
+    traffic.run(1_500, 3.0);
+    let later = traffic.run(4_000, 3.0);
 
-    let share = f64::from(later.to_grey) / f64::from(later.sent);
+    let share = f64::from(later.sent_to_faulty) / f64::from(later.sent);
     assert!(share < 0.2, "{later:?}, {share:.2} of them to endpoints that lose answers");
 }
 
 #[test]
-fn a_small_fleet_leaves_them_too() {
-    let mut callers = Callers::start(9, 8).grey(&["e2"]);
+fn a_small_fleet_ejects_a_faulty_endpoint() {
+    let mut traffic = FleetTraffic::start(9, 8).with_faulty_endpoints(&["e2"]);
 
-    callers.run(1_500, 10.0);
-    let later = callers.run(4_000, 10.0);
+    traffic.run(1_500, 10.0);
+    let later = traffic.run(4_000, 10.0);
 
-    let share = f64::from(later.to_grey) / f64::from(later.sent);
+    let share = f64::from(later.sent_to_faulty) / f64::from(later.sent);
     assert!(share < 0.06, "{later:?}, {share:.2} of them to endpoints that lose answers");
 }
 
 #[test]
-fn failures_that_all_endpoints_share_drive_nobody_away() {
-    let mut callers = Callers::start(12, 8);
-    callers.usual = 0.3;
+fn failures_common_to_all_endpoints_eject_none() {
+    let mut traffic = FleetTraffic::start(12, 8);
+    traffic.base_failure_rate = 0.3;
 
-    callers.run(6_000, 6.0);
+    traffic.run(6_000, 6.0);
 
     // Some failures in a row by chance still eject for a moment.
-    let avoided = (0..12).map(|host| callers.avoided(host)).sum::<usize>();
-    assert!(avoided <= 12, "{avoided} endpoints avoided by 12 hosts");
+    let ejected_count = (0..12).map(|host| traffic.ejected_count(host)).sum::<usize>();
+    assert!(ejected_count <= 12, "{ejected_count} endpoints avoided by 12 hosts");
 }
 
 #[test]
-fn one_host_that_cannot_reach_an_endpoint_drives_no_other_away() {
-    let mut callers = Callers::start(9, 8);
-    let now = Millis(callers.fleet.now);
-    let view = callers.fleet.hosts[0].view.clone().expect("a view");
+fn a_host_that_cannot_reach_an_endpoint_does_not_eject_it_on_other_hosts() {
+    let mut traffic = FleetTraffic::start(9, 8);
+    let now = Millis(traffic.fleet.now);
+    let view = traffic.fleet.hosts[0].view.clone().expect("a view");
     let pool = &view.services[&id::<ServiceId>("llm")].stable_pool;
 
     (0..40).for_each(|_| pool.endpoints()[3].state.record_outcome(now, false));
-    callers.run(1_000, 2.0);
+    traffic.run(1_000, 2.0);
 
-    assert_eq!((1..9).map(|host| callers.avoided(host)).sum::<usize>(), 0);
+    assert_eq!((1..9).map(|host| traffic.ejected_count(host)).sum::<usize>(), 0);
 }
 
 #[test]
-fn an_endpoint_that_is_well_again_is_used_again() {
-    let mut callers = Callers::start(9, 8).grey(&["e2"]);
-    callers.run(3_000, 10.0);
-    callers.grey.clear();
+fn a_recovered_endpoint_is_used_again() {
+    let mut traffic = FleetTraffic::start(9, 8).with_faulty_endpoints(&["e2"]);
+    traffic.run(3_000, 10.0);
+    traffic.faulty_endpoints.clear();
 
-    callers.run(9_000, 10.0);
+    traffic.run(9_000, 10.0);
 
-    assert_eq!((0..9).map(|host| callers.avoided(host)).sum::<usize>(), 0);
-    callers.grey.push("e2".into());
-    let used = callers.run(500, 10.0);
-    assert!(used.to_grey > 0, "{used:?}");
+    assert_eq!((0..9).map(|host| traffic.ejected_count(host)).sum::<usize>(), 0);
+    traffic.faulty_endpoints.push("e2".into());
+    let counts = traffic.run(500, 10.0);
+    assert!(counts.sent_to_faulty > 0, "{counts:?}");
 }
--- a/crates/tidetrack-core/tests/placement.rs
+++ b/crates/tidetrack-core/tests/placement.rs
@@ -19,7 +19,7 @@
     PoolView::new((0..n).map(endpoint).collect(), 16)
 }
 
-fn ask(ring_position: u64, salt: u64) -> PlacementRequest<'static> {
+fn request(ring_position: u64, salt: u64) -> PlacementRequest<'static> {
     PlacementRequest {
         ring_position,
         salt,
@@ -31,104 +31,105 @@
 }
 
 #[test]
-fn the_same_place_meets_the_same_endpoint_until_it_is_loaded() {
+fn a_ring_position_maps_to_the_same_endpoint_until_it_is_loaded() {
     let pool = pool(20);
-    let first = pool.pick(Millis(0), &ask(77, 1)).expect("a pick").clone();
-    let again = pool.pick(Millis(0), &ask(77, 2)).expect("a pick");
-    assert_eq!(first.id, again.id);
+    let first = pool.pick(Millis(0), &request(77, 1)).expect("a pick").clone();
+    let second = pool.pick(Millis(0), &request(77, 2)).expect("a pick");
+    assert_eq!(first.id, second.id);
     first.state.begin_work(8_000);
-    let other = pool.pick(Millis(0), &ask(77, 3)).expect("a pick");
+    let other = pool.pick(Millis(0), &request(77, 3)).expect("a pick");
     assert_ne!(first.id, other.id);
 }
 
 #[test]
-fn a_slow_endpoint_is_passed_over_for_a_quicker_one() {
+fn a_slow_endpoint_is_skipped_for_a_faster_one() {
     let pool = pool(8);
-    let home = pool.pick(Millis(0), &ask(9, 1)).expect("a pick").clone();
+    let home = pool.pick(Millis(0), &request(9, 1)).expect("a pick").clone();
     home.state.record_duration(100, 100 * 80_000);
-    let quick =
-        (0..20).filter(|s| pool.pick(Millis(0), &ask(9, *s)).expect("a pick").id != home.id);
-    assert!(quick.count() >= 19);
+    let other_picks =
+        (0..20).filter(|s| pool.pick(Millis(0), &request(9, *s)).expect("a pick").id != home.id);
+    assert!(other_picks.count() >= 19);
 }
 
 #[test]
-fn a_full_pool_refuses_early_and_the_urgent_later() {
+fn a_full_pool_refuses_low_priority_requests_first() {
     let pool = pool(3);
     pool.endpoints().iter().for_each(|e| e.state.begin_work(16 * 512 + 1));
-    assert_eq!(pool.pick(Millis(0), &ask(1, 1)).expect_err("full").code, Code::Overloaded);
-    assert!(pool.pick(Millis(0), &PlacementRequest { priority: 1, ..ask(1, 1) }).is_ok());
+    assert_eq!(pool.pick(Millis(0), &request(1, 1)).expect_err("full").code, Code::Overloaded);
+    assert!(pool.pick(Millis(0), &PlacementRequest { priority: 1, ..request(1, 1) }).is_ok());
 }
 
 #[test]
-fn leaving_full_and_ejected_endpoints_are_passed_over() {
+fn leaving_full_and_ejected_endpoints_are_skipped() {
     let pool = pool(4);
     pool.endpoints()[0].state.set_leaving(true);
     pool.endpoints()[1].state.record_load_report(Millis(0), 0, Tokens(50));
     (0..3).for_each(|_| pool.endpoints()[2].state.record_outcome(Millis(0), false));
     for ring_position in 0..200u64 {
-        let pick = pool.pick(Millis(1), &ask(ring_position << 56, ring_position)).expect("a pick");
+        let pick =
+            pool.pick(Millis(1), &request(ring_position << 56, ring_position)).expect("a pick");
         assert_eq!(pick.id.as_str(), "e3");
     }
 }
 
 #[test]
-fn ejection_keeps_a_floor_and_leaving_does_not() {
+fn ejection_never_empties_a_pool_but_leaving_does() {
     let pool = pool(2);
     for e in pool.endpoints() {
         (0..3).for_each(|_| e.state.record_outcome(Millis(0), false));
     }
-    assert!(pool.pick(Millis(1), &ask(5, 5)).is_ok());
+    assert!(pool.pick(Millis(1), &request(5, 5)).is_ok());
     pool.endpoints().iter().for_each(|e| e.state.set_leaving(true));
-    assert_eq!(pool.pick(Millis(1), &ask(5, 5)).expect_err("none").code, Code::Overloaded);
+    assert_eq!(pool.pick(Millis(1), &request(5, 5)).expect_err("none").code, Code::Overloaded);
 }
 
 #[test]
-fn what_no_endpoint_can_hold_is_too_long() {
+fn a_request_larger_than_every_endpoint_is_too_long() {
     let pool = pool(2);
     pool.endpoints().iter().for_each(|e| e.state.record_load_report(Millis(0), 0, Tokens(10)));
-    assert_eq!(pool.pick(Millis(1), &ask(5, 5)).expect_err("none").code, Code::TooLong);
+    assert_eq!(pool.pick(Millis(1), &request(5, 5)).expect_err("none").code, Code::TooLong);
 }
 
 #[test]
-fn an_old_report_loses_weight_and_own_work_does_not() {
-    let live = EndpointState::default();
-    live.begin_work(100);
-    live.record_load_report(Millis(0), 300, Tokens(0));
-    assert_eq!(live.load(Millis(0)), 300.0);
-    assert_eq!(live.load(Millis(8_000)), 200.0);
-    live.end_work(100);
-    assert!(live.load(Millis(80_000)) < 1.0);
+fn an_old_load_report_decays_and_own_work_does_not() {
+    let endpoint_state = EndpointState::default();
+    endpoint_state.begin_work(100);
+    endpoint_state.record_load_report(Millis(0), 300, Tokens(0));
+    assert_eq!(endpoint_state.load(Millis(0)), 300.0);
+    assert_eq!(endpoint_state.load(Millis(8_000)), 200.0);
+    endpoint_state.end_work(100);
+    assert!(endpoint_state.load(Millis(80_000)) < 1.0);
 }
 
 /// Asks for a request whose shared prefix costs so much work to read again.
-fn ask_with_prefix(ring_position: u64, reread_work: u64) -> PlacementRequest<'static> {
-    PlacementRequest { reread_work, ..ask(ring_position, 1) }
+fn request_with_prefix(ring_position: u64, reread_work: u64) -> PlacementRequest<'static> {
+    PlacementRequest { reread_work, ..request(ring_position, 1) }
 }
 
 #[test]
-fn a_prefix_stays_where_it_is_kept_until_reading_it_again_is_cheaper() {
+fn a_prefix_stays_on_its_endpoint_until_rereading_it_elsewhere_is_cheaper() {
     let pool = pool(12);
-    let home = pool.pick(Millis(0), &ask_with_prefix(77, 1_000)).expect("a pick").clone();
+    let home = pool.pick(Millis(0), &request_with_prefix(77, 1_000)).expect("a pick").clone();
 
     home.state.begin_work(400);
-    let somewhat_loaded = pool.pick(Millis(0), &ask_with_prefix(77, 1_000)).expect("a pick");
+    let somewhat_loaded = pool.pick(Millis(0), &request_with_prefix(77, 1_000)).expect("a pick");
     home.state.begin_work(2_000);
-    let loaded = pool.pick(Millis(0), &ask_with_prefix(77, 1_000)).expect("a pick");
+    let loaded = pool.pick(Millis(0), &request_with_prefix(77, 1_000)).expect("a pick");
 
     assert_eq!(somewhat_loaded.id, home.id);
     assert_ne!(loaded.id, home.id);
 }
 
 #[test]
-fn a_prefix_that_is_too_much_for_one_endpoint_goes_to_the_same_second_one_from_every_host() {
+fn a_prefix_that_overloads_its_endpoint_gets_the_same_second_endpoint_on_every_host() {
     let hosts = [pool(12), pool(12), pool(12)];
 
     let second: Vec<String> = hosts
         .iter()
         .map(|pool| {
-            let ask = ask_with_prefix(77, 1_000);
-            pool.pick(Millis(0), &ask).expect("a pick").state.begin_work(800);
-            pool.pick(Millis(0), &ask).expect("a pick").id.to_string()
+            let request = request_with_prefix(77, 1_000);
+            pool.pick(Millis(0), &request).expect("a pick").state.begin_work(800);
+            pool.pick(Millis(0), &request).expect("a pick").id.to_string()
         })
         .collect();
 
@@ -136,8 +137,8 @@
 }
 
 /// Makes the standing of a host in a failure domain.
-fn near(own: &FailureDomain) -> Option<Locality<'_>> {
-    Some(Locality { failure_domain: own, crossing_work: 500 })
+fn locality_in(own_domain: &FailureDomain) -> Option<Locality<'_>> {
+    Some(Locality { failure_domain: own_domain, crossing_work: 500 })
 }
 
 /// Makes a pool of three failure domains.
@@ -150,82 +151,88 @@
 }
 
 #[test]
-fn the_own_failure_domain_goes_first_until_crossing_to_another_is_cheaper() {
+fn the_own_failure_domain_is_preferred_until_crossing_to_another_is_cheaper() {
     let pool = pool_of_domains(12);
-    let own = "b".parse().expect("a failure domain");
-    let locality = near(&own);
-    let ask = |ring_position| PlacementRequest { locality, ..ask_with_prefix(ring_position, 100) };
+    let own_domain = "b".parse().expect("a failure domain");
+    let locality = locality_in(&own_domain);
+    let request =
+        |ring_position| PlacementRequest { locality, ..request_with_prefix(ring_position, 100) };
     let picked = |ring_position| {
-        pool.pick(Millis(0), &ask(ring_position)).expect("a pick").failure_domain.clone()
+        pool.pick(Millis(0), &request(ring_position)).expect("a pick").failure_domain.clone()
     };
 
     let idle: Vec<_> = (0..64u64).map(|i| picked(i << 58)).collect();
-    let of_own = pool.endpoints().iter().filter(|e| e.failure_domain == own);
-    of_own.for_each(|e| e.state.begin_work(800));
+    let endpoints_in_own_domain =
+        pool.endpoints().iter().filter(|e| e.failure_domain == own_domain);
+    endpoints_in_own_domain.for_each(|e| e.state.begin_work(800));
     let loaded = picked(1 << 58);
 
-    assert!(idle.iter().all(|domain| *domain == own));
-    assert_ne!(loaded, own);
+    assert!(idle.iter().all(|domain| *domain == own_domain));
+    assert_ne!(loaded, own_domain);
 }
 
 #[test]
-fn in_a_large_pool_a_loaded_home_is_left_for_an_endpoint_of_the_own_domain() {
+fn a_loaded_home_endpoint_in_a_large_pool_is_replaced_by_one_of_the_own_failure_domain() {
     let pool = pool_of_domains(150);
-    let own = "b".parse().expect("a failure domain");
-    let locality = near(&own);
-    let ask = |salt| PlacementRequest { locality, salt, ..ask_with_prefix(77, 100) };
+    let own_domain = "b".parse().expect("a failure domain");
+    let locality = locality_in(&own_domain);
+    let request = |salt| PlacementRequest { locality, salt, ..request_with_prefix(77, 100) };
     for _ in 0..2 {
-        pool.pick(Millis(0), &ask(0)).expect("a pick").state.begin_work(2_000);
+        pool.pick(Millis(0), &request(0)).expect("a pick").state.begin_work(2_000);
     }
 
-    let picked = |salt| pool.pick(Millis(0), &ask(salt)).expect("a pick").failure_domain.clone();
-    let near = (0..200).filter(|salt| picked(*salt) == own).count();
+    let picked =
+        |salt| pool.pick(Millis(0), &request(salt)).expect("a pick").failure_domain.clone();
+    let picks_in_own_domain = (0..200).filter(|salt| picked(*salt) == own_domain).count();
 
     // Four draws from the whole pool alone found none of the domain for one request in five.
-    assert!(near >= 195, "{near} of 200");
+    assert!(picks_in_own_domain >= 195, "{picks_in_own_domain} of 200");
 }
 
 #[test]
-fn an_endpoint_known_to_keep_a_prefix_goes_before_the_rings() {
+fn an_endpoint_known_to_hold_a_prefix_is_preferred_over_the_ring() {
     let pool = pool_of_domains(12);
-    let own = "b".parse().expect("a failure domain");
-    let locality = near(&own);
-    let ask = |prefix_holders| PlacementRequest {
+    let own_domain = "b".parse().expect("a failure domain");
+    let locality = locality_in(&own_domain);
+    let request = |prefix_holders| PlacementRequest {
         locality,
         prefix_holders,
-        ..ask_with_prefix(77, 1_000)
+        ..request_with_prefix(77, 1_000)
     };
-    let home = pool.pick(Millis(0), &ask(&[])).expect("a pick").clone();
-    let other = pool.endpoints().iter().find(|e| e.failure_domain == own && e.id != home.id);
+    let home = pool.pick(Millis(0), &request(&[])).expect("a pick").clone();
+    let other = pool.endpoints().iter().find(|e| e.failure_domain == own_domain && e.id != home.id);
     let other = other.expect("a domain of four");
 
-    let known = [EndpointKey::from(&other.id)];
-    let picked = pool.pick(Millis(0), &ask(&known)).expect("a pick");
+    let prefix_holders = [EndpointKey::from(&other.id)];
+    let picked = pool.pick(Millis(0), &request(&prefix_holders)).expect("a pick");
     other.state.begin_work(2_000);
-    let loaded = pool.pick(Millis(0), &ask(&known)).expect("a pick");
+    let loaded = pool.pick(Millis(0), &request(&prefix_holders)).expect("a pick");
 
     assert_eq!(picked.id, other.id);
     assert_ne!(loaded.id, other.id);
 }
 
 #[test]
-fn what_hosts_tell_of_their_work_goes_before_an_endpoints_old_report() {
-    let live = EndpointState::default();
-    live.record_load_report(Millis(0), 4_000, Tokens(0));
+fn work_reported_by_hosts_overrides_an_old_load_report() {
+    let endpoint_state = EndpointState::default();
+    endpoint_state.record_load_report(Millis(0), 4_000, Tokens(0));
 
-    live.set_peer_work(Millis(100), 70);
+    endpoint_state.set_peer_work(Millis(100), 70);
 
-    assert_eq!(live.load(Millis(200)), 70.0);
-    assert!(live.load(Millis(1_500)) > 3_000.0, "silent hosts leave the report");
+    assert_eq!(endpoint_state.load(Millis(200)), 70.0);
+    assert!(endpoint_state.load(Millis(1_500)) > 3_000.0, "silent hosts leave the report");
 }
 
 #[test]
 fn an_endpoint_that_cannot_be_reached_is_ejected_at_once() {
     let pool = pool(3);
-    let gone = pool.pick(Millis(0), &ask_with_prefix(5, 10)).expect("a pick").clone();
+    let unreachable = pool.pick(Millis(0), &request_with_prefix(5, 10)).expect("a pick").clone();
 
-    gone.state.record_unreachable(Millis(0));
+    unreachable.state.record_unreachable(Millis(0));
 
-    assert!(gone.state.is_ejected(Millis(1)));
-    assert_ne!(pool.pick(Millis(1), &ask_with_prefix(5, 10)).expect("a pick").id, gone.id);
+    assert!(unreachable.state.is_ejected(Millis(1)));
+    assert_ne!(
+        pool.pick(Millis(1), &request_with_prefix(5, 10)).expect("a pick").id,
+        unreachable.id
+    );
 }
--- a/crates/tidetrack-core/tests/suspects.rs
+++ b/crates/tidetrack-core/tests/suspects.rs
@@ -19,15 +19,15 @@
 use support::id;
 
 /// Time after which hosts in touch know what one of them learned, in milliseconds.
-const CONTACT_MS: u64 = 3_000;
+const PROPAGATION_MS: u64 = 3_000;
 
 /// Sends of a request that may follow that time, as the users' pages have it.
-const MOST_LATE: usize = 3;
+const MAX_LATE_ATTEMPTS: usize = 3;
 
 /// How long a run lasts until its endpoint crashes, in milliseconds.
-const RUN_MS: u64 = 30;
+const EXECUTION_MS: u64 = 30;
 
-fn print_of(workspace: &str, body: &str) -> Fingerprint {
+fn fingerprint_of(workspace: &str, body: &str) -> Fingerprint {
     let workspace: WorkspaceId = id(workspace);
     Fingerprint::of(&RequestIdentity {
         workspace: Some(&workspace),
@@ -38,237 +38,285 @@
     })
 }
 
-fn crash(of: &Suspects, at: u64, print: Fingerprint, endpoint: &str, domain: &str) -> usize {
-    let sent_at = Millis(at.saturating_sub(RUN_MS));
-    of.record_crash(Millis(at), print, &id(endpoint), &id(domain), sent_at)
+fn record_crash_at(
+    suspects: &Suspects,
+    at: u64,
+    fingerprint: Fingerprint,
+    endpoint: &str,
+    failure_domain: &str,
+) -> usize {
+    let sent_at = Millis(at.saturating_sub(EXECUTION_MS));
+    suspects.record_crash(Millis(at), fingerprint, &id(endpoint), &id(failure_domain), sent_at)
 }
 
 /// Crashes endpoints under a request one after another, a second apart.
-fn crash_times(of: &Suspects, from: u64, print: Fingerprint, times: u64) {
+fn record_crashes(suspects: &Suspects, from: u64, fingerprint: Fingerprint, times: u64) {
     for n in 0..times {
-        crash(of, from + n * 1_000, print, &format!("{from}-e{n}"), "hall");
+        record_crash_at(suspects, from + n * 1_000, fingerprint, &format!("{from}-e{n}"), "hall");
     }
 }
 
-fn code_of(of: &Arc<Suspects>, at: u64, print: Fingerprint) -> Option<Code> {
-    of.admit(Millis(at), print).err().map(|e| e.code)
+fn admission_error_code(
+    suspects: &Arc<Suspects>,
+    at: u64,
+    fingerprint: Fingerprint,
+) -> Option<Code> {
+    suspects.admit(Millis(at), fingerprint).err().map(|e| e.code)
 }
 
 #[test]
 fn a_request_is_barred_after_three_crashes_and_no_other_one_is() {
     let suspects = Arc::new(Suspects::default());
-    let (deadly, other) = (print_of("north", "deadly"), print_of("south", "deadly"));
+    let (crashing_request, other) =
+        (fingerprint_of("north", "deadly"), fingerprint_of("south", "deadly"));
 
-    crash_times(&suspects, 1_000, deadly, 3);
+    record_crashes(&suspects, 1_000, crashing_request, 3);
 
-    assert_eq!(code_of(&suspects, 4_000, deadly), Some(Code::CrashesEndpoints));
-    assert!(suspects.check(Millis(4_000), deadly).is_err());
-    assert_eq!(code_of(&suspects, 4_000, other), None);
+    assert_eq!(
+        admission_error_code(&suspects, 4_000, crashing_request),
+        Some(Code::CrashesEndpoints)
+    );
+    assert!(suspects.check(Millis(4_000), crashing_request).is_err());
+    assert_eq!(admission_error_code(&suspects, 4_000, other), None);
     let changes = suspects.take_changes();
-    assert_eq!(changes, [SuspectChange::Barred { fingerprint: deadly, crashes: 3 }]);
+    assert_eq!(changes, [SuspectChange::Barred { fingerprint: crashing_request, crashes: 3 }]);
 }
 
 #[test]
-fn a_request_under_which_two_endpoints_crashed_runs_once_at_a_time() {
+fn a_request_with_two_crashes_runs_on_one_endpoint_at_a_time() {
     let suspects = Arc::new(Suspects::default());
-    let print = print_of("north", "maybe");
-    crash_times(&suspects, 1_000, print, 2);
+    let fingerprint = fingerprint_of("north", "maybe");
+    record_crashes(&suspects, 1_000, fingerprint, 2);
 
-    let running = suspects.admit(Millis(3_000), print).expect("it may run once");
+    let execution = suspects.admit(Millis(3_000), fingerprint).expect("it may run once");
 
-    assert_eq!(code_of(&suspects, 3_000, print), Some(Code::SuspectRuns));
-    drop(running);
-    assert_eq!(code_of(&suspects, 3_000, print), None);
+    assert_eq!(admission_error_code(&suspects, 3_000, fingerprint), Some(Code::SuspectRuns));
+    drop(execution);
+    assert_eq!(admission_error_code(&suspects, 3_000, fingerprint), None);
 }
 
 #[test]
-fn a_run_that_comes_to_its_end_clears_a_request_before_and_after_crashes() {
+fn a_completed_execution_clears_a_request_before_and_after_crashes() {
     let suspects = Arc::new(Suspects::default());
-    let (before, after) = (print_of("north", "before"), print_of("north", "after"));
+    let (before, after) = (fingerprint_of("north", "before"), fingerprint_of("north", "after"));
 
     suspects.record_completion(Millis(500), before);
-    crash_times(&suspects, 1_000, before, 5);
-    crash_times(&suspects, 1_000, after, 3);
+    record_crashes(&suspects, 1_000, before, 5);
+    record_crashes(&suspects, 1_000, after, 3);
     suspects.record_completion(Millis(5_000), after);
 
-    assert_eq!(code_of(&suspects, 6_000, before), None);
-    assert_eq!(code_of(&suspects, 6_000, after), None);
+    assert_eq!(admission_error_code(&suspects, 6_000, before), None);
+    assert_eq!(admission_error_code(&suspects, 6_000, after), None);
 }
 
 /// Guards against barring a request whose copies ran in a rack that lost its power.
 #[test]
-fn endpoints_of_a_domain_that_end_at_once_count_as_one_crash() {
+fn simultaneous_crashes_in_a_failure_domain_count_as_one() {
     let suspects = Arc::new(Suspects::default());
-    let print = print_of("north", "alike");
+    let fingerprint = fingerprint_of("north", "alike");
 
-    let end = |n: u64| crash(&suspects, 1_000 + n, print, &format!("e{n}"), "hall");
-    let counted: Vec<usize> = (0..6).map(end).collect();
+    let record_failure =
+        |n: u64| record_crash_at(&suspects, 1_000 + n, fingerprint, &format!("e{n}"), "hall");
+    let counted: Vec<usize> = (0..6).map(record_failure).collect();
 
     assert_eq!(counted, [1; 6]);
-    assert_eq!(code_of(&suspects, 2_000, print), None);
+    assert_eq!(admission_error_code(&suspects, 2_000, fingerprint), None);
 }
 
 /// Guards against barring a request that was sent to the endpoints which another one crashed.
 #[test]
-fn crashes_that_a_barred_request_explains_count_against_no_other() {
+fn crashes_caused_by_a_barred_request_do_not_count_against_other_requests() {
     let suspects = Arc::new(Suspects::default());
-    let (deadly, beside) = (print_of("north", "deadly"), print_of("north", "beside"));
+    let (crashing_request, concurrent) =
+        (fingerprint_of("north", "deadly"), fingerprint_of("north", "beside"));
 
     for n in 0..5 {
         let (at, endpoint) = (1_000 + n * 400, format!("e{n}"));
         if n > 0 && n < 4 {
-            crash(&suspects, at, beside, &endpoint, "hall");
+            record_crash_at(&suspects, at, concurrent, &endpoint, "hall");
         }
-        crash(&suspects, at, deadly, &endpoint, "hall");
+        record_crash_at(&suspects, at, crashing_request, &endpoint, "hall");
     }
 
-    assert_eq!(code_of(&suspects, 4_000, deadly), Some(Code::CrashesEndpoints));
-    assert_eq!(code_of(&suspects, 4_000, beside), None);
+    assert_eq!(
+        admission_error_code(&suspects, 4_000, crashing_request),
+        Some(Code::CrashesEndpoints)
+    );
+    assert_eq!(admission_error_code(&suspects, 4_000, concurrent), None);
 }
 
 #[test]
-fn what_is_remembered_is_bounded_and_no_caller_drives_out_anothers() {
+fn stored_suspects_are_bounded_in_total_and_per_caller() {
     let opts = SuspectOptions {
         max_suspects: 64,
         max_suspects_per_caller: 16,
         ..SuspectOptions::default()
     };
     let suspects = Arc::new(Suspects::new(opts));
-    let barred = print_of("north", "deadly");
-    crash_times(&suspects, 1_000, barred, 3);
+    let barred = fingerprint_of("north", "deadly");
+    record_crashes(&suspects, 1_000, barred, 3);
 
     for n in 0..200 {
-        crash(&suspects, 5_000 + n, print_of("south", &n.to_string()), "e", "hall");
+        record_crash_at(&suspects, 5_000 + n, fingerprint_of("south", &n.to_string()), "e", "hall");
     }
-    let of_south = suspects.len() - 1;
+    let suspects_of_south = suspects.len() - 1;
     for n in 0..200 {
         let workspace = format!("w{}", n % 20);
-        crash(&suspects, 6_000 + n, print_of(&workspace, &n.to_string()), "e", "hall");
+        record_crash_at(
+            &suspects,
+            6_000 + n,
+            fingerprint_of(&workspace, &n.to_string()),
+            "e",
+            "hall",
+        );
     }
 
-    assert_eq!(of_south, 16);
+    assert_eq!(suspects_of_south, 16);
     assert_eq!(suspects.len(), 64);
-    assert_eq!(code_of(&suspects, 7_000, barred), Some(Code::CrashesEndpoints));
+    assert_eq!(admission_error_code(&suspects, 7_000, barred), Some(Code::CrashesEndpoints));
     assert!(suspects.reports_for_round(Millis(7_000)).len() <= MAX_REPORTS_PER_MESSAGE);
 }
 
 /// Guards against a bar that stays for ever though what made endpoints crash has been mended.
 #[test]
-fn a_barred_request_may_run_once_some_time_after_the_last_crash_and_is_barred_by_the_next() {
+fn a_barred_request_may_run_once_after_the_bar_duration_and_the_next_crash_bars_it_again() {
     let suspects = Arc::new(Suspects::default());
-    let print = print_of("north", "deadly");
+    let fingerprint = fingerprint_of("north", "deadly");
     let SuspectOptions { bar_duration, retention, .. } = SuspectOptions::default();
-    crash_times(&suspects, 1_000, print, 3);
-    let over = 3_000 + bar_duration.0;
+    record_crashes(&suspects, 1_000, fingerprint, 3);
+    let bar_ends_at = 3_000 + bar_duration.0;
 
-    let before = code_of(&suspects, over - 1, print);
-    let running = suspects.admit(Millis(over), print).expect("it may run once");
-    let beside = code_of(&suspects, over, print);
-    crash(&suspects, over + RUN_MS, print, "another", "hall");
-    drop(running);
-    let after = code_of(&suspects, over + 1_000, print);
-    suspects.reports_for_round(Millis(over + RUN_MS + retention.0));
+    let before = admission_error_code(&suspects, bar_ends_at - 1, fingerprint);
+    let execution = suspects.admit(Millis(bar_ends_at), fingerprint).expect("it may run once");
+    let concurrent = admission_error_code(&suspects, bar_ends_at, fingerprint);
+    record_crash_at(&suspects, bar_ends_at + EXECUTION_MS, fingerprint, "another", "hall");
+    drop(execution);
+    let after = admission_error_code(&suspects, bar_ends_at + 1_000, fingerprint);
+    suspects.reports_for_round(Millis(bar_ends_at + EXECUTION_MS + retention.0));
 
     assert_eq!(before, Some(Code::CrashesEndpoints));
-    assert_eq!(beside, Some(Code::SuspectRuns));
+    assert_eq!(concurrent, Some(Code::SuspectRuns));
     assert_eq!(after, Some(Code::CrashesEndpoints));
     assert!(suspects.is_empty());
 }
 
 /// What a play of a deadly request saw.
 #[derive(Debug, Default)]
-struct Played {
+struct CrashSimulation {
     crashes: usize,
     /// Sends later than hosts had to know of the third crash.
-    late: usize,
+    late_attempts: usize,
 }
 
 /// Sends a request that crashes endpoints to another host at each step, for some seconds.
-fn play(hosts: u32, seed: u64) -> (Fleet, Played) {
+fn run_crashing_request(hosts: u32, seed: u64) -> (Fleet, CrashSimulation) {
     let mut fleet = Fleet::start(hosts, seed);
     fleet.run(4_000, |_, _| {});
-    let deadly = print_of("north", "deadly");
-    let mut played = Played::default();
-    let mut third = None;
+    let crashing_request = fingerprint_of("north", "deadly");
+    let mut simulation = CrashSimulation::default();
+    let mut third_crash_at = None;
     while fleet.now < 12_000 {
         let host = fleet.seed.random_range(0..hosts as usize);
-        let now = fleet.now + RUN_MS;
+        let now = fleet.now + EXECUTION_MS;
         let suspects = fleet.hosts[host].beliefs.suspects().clone();
-        if suspects.admit(Millis(fleet.now), deadly).is_ok() {
-            let n = played.crashes;
-            let (endpoint, domain) = (format!("e{n}"), format!("hall-{}", n % 4));
-            crash(&suspects, now, deadly, &endpoint, &domain);
-            played.crashes += 1;
-            played.late += usize::from(third.is_some_and(|at| fleet.now > at + CONTACT_MS));
-            third = third.or((played.crashes == 3).then_some(now));
+        if suspects.admit(Millis(fleet.now), crashing_request).is_ok() {
+            let n = simulation.crashes;
+            let (endpoint, failure_domain) = (format!("e{n}"), format!("hall-{}", n % 4));
+            record_crash_at(&suspects, now, crashing_request, &endpoint, &failure_domain);
+            simulation.crashes += 1;
+            simulation.late_attempts +=
+                usize::from(third_crash_at.is_some_and(|at| fleet.now > at + PROPAGATION_MS));
+            third_crash_at = third_crash_at.or((simulation.crashes == 3).then_some(now));
         }
         fleet.run(fleet.now + STEP as u64, |_, _| {});
     }
-    (fleet, played)
+    (fleet, simulation)
 }
 
 /// Guards against each of many hosts counting for itself.
 #[test]
-fn a_request_that_comes_to_another_host_each_time_is_barred_in_fleets_of_all_sizes() {
+fn a_request_sent_to_a_different_host_each_time_is_barred_in_fleets_of_all_sizes() {
     for (hosts, seeds) in [(7, 20), (67, 6), (295, 2)] {
         for seed in 0..seeds {
-            let (_, played) = play(hosts, seed);
-            println!("{hosts} hosts, seed {seed}: {played:?}");
-            assert!(played.crashes >= 3, "{played:?}");
-            assert!(played.late <= MOST_LATE, "{hosts} hosts, seed {seed}: {played:?}");
+            let (_, simulation) = run_crashing_request(hosts, seed);
+            println!("{hosts} hosts, seed {seed}: {simulation:?}");
+            assert!(simulation.crashes >= 3, "{simulation:?}");
+            assert!(
+                simulation.late_attempts <= MAX_LATE_ATTEMPTS,
+                "{hosts} hosts, seed {seed}: {simulation:?}"
+            );
         }
     }
 }
 
 #[test]
-fn a_host_that_starts_knows_barred_requests_from_the_first_answers_of_others() {
-    let (mut fleet, _) = play(7, 1);
-    let deadly = print_of("north", "deadly");
+fn a_starting_host_learns_barred_requests_from_the_first_replies_of_other_hosts() {
+    let (mut fleet, _) = run_crashing_request(7, 1);
+    let crashing_request = fingerprint_of("north", "deadly");
 
     fleet.restart(3);
     fleet.run(fleet.now + 500, |_, _| {});
 
     let suspects = fleet.hosts[3].beliefs.suspects();
-    assert_eq!(code_of(suspects, fleet.now, deadly), Some(Code::CrashesEndpoints));
+    assert_eq!(
+        admission_error_code(suspects, fleet.now, crashing_request),
+        Some(Code::CrashesEndpoints)
+    );
 }
 
 /// Guards against a machine that goes on after a suspension with what it knew before.
 #[test]
-fn a_host_that_was_suspended_knows_barred_requests_soon() {
+fn a_resumed_host_learns_barred_requests_soon() {
     for hosts in [7, 67, 295] {
         let mut fleet = Fleet::start(hosts, 6);
         fleet.run(4_000, |_, _| {});
-        let print = print_of("north", "deadly");
+        let fingerprint = fingerprint_of("north", "deadly");
         let suspended = hosts as usize / 2;
         fleet.suspended = vec![suspended];
         for host in 0..3 {
-            let (endpoint, domain) = (format!("e{host}"), format!("hall-{host}"));
-            crash(fleet.hosts[host].beliefs.suspects(), fleet.now, print, &endpoint, &domain);
+            let (endpoint, failure_domain) = (format!("e{host}"), format!("hall-{host}"));
+            record_crash_at(
+                fleet.hosts[host].beliefs.suspects(),
+                fleet.now,
+                fingerprint,
+                &endpoint,
+                &failure_domain,
+            );
         }
         fleet.run(fleet.now + 8_000, |_, _| {});
 
         fleet.suspended.clear();
         fleet.run(fleet.now + 500, |_, _| {});
 
-        let code = code_of(fleet.hosts[suspended].beliefs.suspects(), fleet.now, print);
+        let code =
+            admission_error_code(fleet.hosts[suspended].beliefs.suspects(), fleet.now, fingerprint);
         assert_eq!(code, Some(Code::CrashesEndpoints), "{hosts} hosts");
     }
 }
 
 #[test]
-fn a_run_that_ended_well_at_one_host_clears_its_request_at_all() {
+fn a_completed_execution_on_one_host_clears_the_request_on_all_hosts() {
     let mut fleet = Fleet::start(67, 5);
     fleet.run(4_000, |_, _| {});
-    let print = print_of("north", "alike");
+    let fingerprint = fingerprint_of("north", "alike");
     for host in 0..3 {
         let now = fleet.now + host as u64 * 10;
-        let (endpoint, domain) = (format!("e{host}"), format!("hall-{host}"));
-        crash(fleet.hosts[host].beliefs.suspects(), now, print, &endpoint, &domain);
+        let (endpoint, failure_domain) = (format!("e{host}"), format!("hall-{host}"));
+        record_crash_at(
+            fleet.hosts[host].beliefs.suspects(),
+            now,
+            fingerprint,
+            &endpoint,
+            &failure_domain,
+        );
     }
-    fleet.hosts[40].beliefs.suspects().record_completion(Millis(fleet.now), print);
+    fleet.hosts[40].beliefs.suspects().record_completion(Millis(fleet.now), fingerprint);
 
-    fleet.run(fleet.now + CONTACT_MS, |_, _| {});
+    fleet.run(fleet.now + PROPAGATION_MS, |_, _| {});
 
-    let codes = fleet.hosts.iter().map(|h| code_of(h.beliefs.suspects(), fleet.now, print));
+    let codes = fleet
+        .hosts
+        .iter()
+        .map(|h| admission_error_code(h.beliefs.suspects(), fleet.now, fingerprint));
     assert_eq!(codes.flatten().count(), 0);
 }
--- a/crates/tidetrack-core/tests/under_load.rs
+++ b/crates/tidetrack-core/tests/under_load.rs
@@ -18,43 +18,43 @@
 use support::{id, order, record};
 
 /// When the version is ordered; the hosts have met by then.
-const ORDERED_AT: u64 = 4_000;
+const ROLLOUT_STARTS_AT: u64 = 4_000;
 
 /// How long a run takes.
-const RUN_MS: u64 = 1_000;
+const RESPONSE_MS: u64 = 1_000;
 
 /// How long a run that fails takes.
-const FAILED_MS: u64 = 50;
+const FAILURE_MS: u64 = 50;
 
 /// Work of a request, in answer tokens.
-const WORK: u64 = 40;
+const REQUEST_TOKENS: u64 = 40;
 
 /// Bad answers after which a version may go on to get requests for a while.
-const BAD_ANSWERS: usize = 50;
+const MAX_BAD_RESPONSES: usize = 50;
 
 /// Time between the events of an answer at an endpoint that runs nothing else, and how much of that each other run
 /// adds: an engine of the plays made an event in 47 ms alone and in 72 beside eight others.
-const ALONE_MS: f64 = 47.0;
-const EACH_ADDS: f64 = 0.065;
+const IDLE_EVENT_INTERVAL_MS: f64 = 47.0;
+const SLOWDOWN_PER_REQUEST: f64 = 0.065;
 
 /// How many times as long it takes an endpoint that reads each prompt's shared part anew.
-const COLD_TIMES: f64 = 1.2;
+const COLD_CACHE_SLOWDOWN: f64 = 1.2;
 
 /// What is bad.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Fails {
-    Nothing,
+enum Fault {
+    Healthy,
     /// Nothing, but all of the new version's answers take so many times as long.
-    Slow(f64),
+    SlowCanary(f64),
     /// A share of the new version's answers, at endpoints that run so many requests or more.
-    From(usize, f64),
+    FailsUnderLoad(usize, f64),
     /// Four in ten answers of one in so many endpoints of both versions.
-    OneIn(usize),
+    FailingEndpoints(usize),
 }
 
 /// A fleet and what its endpoints do.
 #[derive(Clone, Copy, Debug)]
-struct Size {
+struct FleetSize {
     hosts: u32,
     /// Endpoints of each version.
     endpoints: usize,
@@ -62,37 +62,37 @@
     rate: usize,
 }
 
-const GROWN: Size = Size { hosts: 67, endpoints: 90, rate: 340 };
+const MEDIUM_FLEET: FleetSize = FleetSize { hosts: 67, endpoints: 90, rate: 340 };
 
 /// Hundreds of hosts: each sees two requests a second.
-const LARGE: Size = Size { hosts: 295, endpoints: 160, rate: 620 };
+const LARGE_FLEET: FleetSize = FleetSize { hosts: 295, endpoints: 160, rate: 620 };
 
 /// A request at an endpoint.
-struct Run {
-    until: u64,
+struct InFlightRequest {
+    ends_at: u64,
     host: usize,
-    side: ReleaseTrack,
+    track: ReleaseTrack,
     endpoint: PoolEndpoint,
     failed: bool,
     is_loaded: bool,
     gap_ms: f64,
 }
 
-struct Play {
+struct RolloutSimulation {
     fleet: Fleet,
-    seed: StdRng,
-    size: Size,
-    fails: Fails,
+    rng: StdRng,
+    size: FleetSize,
+    fault: Fault,
     /// Tells which endpoints fail, where some do.
-    shift: usize,
-    runs: Vec<Run>,
-    sent: usize,
+    fault_offset: usize,
+    in_flight: Vec<InFlightRequest>,
+    sent_requests: usize,
     /// Bad answers of the new version.
-    bad: usize,
+    failed_canary_responses: usize,
 }
 
-impl Play {
-    fn new(seed: u64, size: Size, fails: Fails) -> Play {
+impl RolloutSimulation {
+    fn new(seed: u64, size: FleetSize, fault: Fault) -> RolloutSimulation {
         let mut fleet = Fleet::start(size.hosts, seed);
         for i in 0..size.hosts as usize {
             for n in 3..=size.endpoints {
@@ -100,126 +100,162 @@
                 fleet.take(i, Input::Endpoint(record(&format!("n{n}"), "v2")));
             }
         }
-        let shift = seed as usize;
-        let seed = StdRng::seed_from_u64(seed + 1);
-        let mut play = Play { fleet, seed, size, fails, shift, runs: Vec::new(), sent: 0, bad: 0 };
-        play.fleet.run(ORDERED_AT, |_, _| {});
-        play.fleet.order(order(1, None));
-        play
+        let fault_offset = seed as usize;
+        let rng = StdRng::seed_from_u64(seed + 1);
+        let mut simulation = RolloutSimulation {
+            fleet,
+            rng,
+            size,
+            fault,
+            fault_offset,
+            in_flight: Vec::new(),
+            sent_requests: 0,
+            failed_canary_responses: 0,
+        };
+        simulation.fleet.run(ROLLOUT_STARTS_AT, |_, _| {});
+        simulation.fleet.order(order(1, None));
+        simulation
     }
 
-    fn trial(&self, host: usize) -> Option<&CanaryView> {
+    fn canary(&self, host: usize) -> Option<&CanaryView> {
         let view = self.fleet.hosts[host].view.as_ref().expect("a view");
         view.services[&id("llm")].canary.as_ref()
     }
 
     fn is_barred(&self) -> bool {
-        (0..self.fleet.hosts.len()).all(|i| self.trial(i).is_some_and(|t| t.phase == Phase::Barred))
+        (0..self.fleet.hosts.len())
+            .all(|i| self.canary(i).is_some_and(|t| t.phase == Phase::Barred))
     }
 
     /// Plays until all hosts hold the version bad; gets the part of the roll-out's time that has passed.
-    fn until_barred(&mut self) -> Option<f64> {
+    fn run_until_barred(&mut self) -> Option<f64> {
         let duration = order(1, None).duration.0;
-        while self.fleet.now < ORDERED_AT + duration {
+        while self.fleet.now < ROLLOUT_STARTS_AT + duration {
             self.step();
             if self.is_barred() {
-                return Some((self.fleet.now - ORDERED_AT) as f64 / duration as f64);
+                return Some((self.fleet.now - ROLLOUT_STARTS_AT) as f64 / duration as f64);
             }
         }
         None
     }
 
-    fn is_completed(&mut self) -> bool {
-        let barred = self.until_barred();
+    fn run_to_completion(&mut self) -> bool {
+        let barred_at = self.run_until_barred();
         let progress = self.fleet.rollout.as_ref().and_then(|o| o.progress.as_ref());
-        barred.is_none() && progress.is_some_and(|p| p.state == RolloutState::Completed)
+        barred_at.is_none() && progress.is_some_and(|p| p.state == RolloutState::Completed)
     }
 
     fn step(&mut self) {
         self.fleet.run(self.fleet.now + STEP as u64, |_, _| {});
-        self.end_runs();
+        self.complete_requests();
         let requests = self.size.rate * STEP / 1_000;
-        (0..requests).for_each(|_| self.request());
+        (0..requests).for_each(|_| self.send_request());
     }
 
-    fn end_runs(&mut self) {
+    fn complete_requests(&mut self) {
         let now = self.fleet.now;
-        let runs = std::mem::take(&mut self.runs);
-        let (ended, left) = runs.into_iter().partition(|run| run.until <= now);
-        self.runs = left;
-        for run in ended {
-            run.endpoint.state.end_work(WORK);
-            run.endpoint.state.record_outcome(Millis(now), !run.failed);
-            self.bad += usize::from(run.failed && run.side == ReleaseTrack::Canary);
-            self.fleet.take(run.host, Input::ResponseObserved(observed(&run)));
+        let in_flight = std::mem::take(&mut self.in_flight);
+        let (ended, remaining) = in_flight.into_iter().partition(|request| request.ends_at <= now);
+        self.in_flight = remaining;
+        for request in ended {
+            request.endpoint.state.end_work(REQUEST_TOKENS);
+            request.endpoint.state.record_outcome(Millis(now), !request.failed);
+            self.failed_canary_responses +=
+                usize::from(request.failed && request.track == ReleaseTrack::Canary);
+            self.fleet.take(request.host, Input::ResponseObserved(observed(&request)));
         }
     }
 
-    fn request(&mut self) {
-        let host = self.seed.random_range(0..self.fleet.hosts.len());
-        let name = format!("s{}", self.sent);
-        self.sent += 1;
+    fn send_request(&mut self) {
+        let host = self.rng.random_range(0..self.fleet.hosts.len());
+        let session = format!("s{}", self.sent_requests);
+        self.sent_requests += 1;
         let now = Millis(self.fleet.now);
         let view = self.fleet.hosts[host].view.clone().expect("a view");
         let service = &view.services[&id("llm")];
-        let who = SessionHash::new(Some(&name), "r");
-        let side = service.side(now, who, HOLD_FOR);
-        if service.pool(side).endpoints().is_empty() {
+        let session_hash = SessionHash::new(Some(&session), "r");
+        let track = service.side(now, session_hash, HOLD_FOR);
+        if service.pool(track).endpoints().is_empty() {
             return;
         }
-        let ring_position = ring_position_of(name.as_bytes());
-        let ask =
+        let ring_position = ring_position_of(session.as_bytes());
+        let placement_request =
             PlacementRequest { ring_position, salt: ring_position, ..PlacementRequest::default() };
         let PickedEndpoint { endpoint, is_loaded } =
-            service.pick(now, side, who, &ask).expect("an endpoint");
-        if side == ReleaseTrack::Canary {
+            service.pick(now, track, session_hash, &placement_request).expect("an endpoint");
+        if track == ReleaseTrack::Canary {
             service.exposure.record_canary_attempt(false);
         }
-        endpoint.state.begin_work(WORK);
-        let others = self.runs.iter().filter(|run| run.endpoint.id == endpoint.id).count();
-        let failed = self.draw_failure(side, endpoint, others);
-        let gap_ms = self.gap_ms(side, others, is_loaded);
-        let until = self.fleet.now + if failed { FAILED_MS } else { RUN_MS };
+        endpoint.state.begin_work(REQUEST_TOKENS);
+        let concurrent_requests =
+            self.in_flight.iter().filter(|request| request.endpoint.id == endpoint.id).count();
+        let failed = self.draws_failure(track, endpoint, concurrent_requests);
+        let gap_ms = self.gap_ms(track, concurrent_requests, is_loaded);
+        let ends_at = self.fleet.now + if failed { FAILURE_MS } else { RESPONSE_MS };
         let endpoint = endpoint.clone();
-        self.runs.push(Run { until, host, side, endpoint, failed, is_loaded, gap_ms });
+        self.in_flight.push(InFlightRequest {
+            ends_at,
+            host,
+            track,
+            endpoint,
+            failed,
+            is_loaded,
+            gap_ms,
+        });
     }
 
     /// Gets the time between the events of an answer beside so many others.
-    fn gap_ms(&self, side: ReleaseTrack, others: usize, is_loaded: bool) -> f64 {
-        let slow = match self.fails {
-            Fails::Slow(times) if side == ReleaseTrack::Canary => times,
+    fn gap_ms(&self, track: ReleaseTrack, concurrent_requests: usize, is_loaded: bool) -> f64 {
+        let canary_slowdown = match self.fault {
+            Fault::SlowCanary(slowdown) if track == ReleaseTrack::Canary => slowdown,
             _ => 1.0,
         };
-        let cold = if is_loaded { COLD_TIMES } else { 1.0 };
-        ALONE_MS * (1.0 + others as f64 * EACH_ADDS) * slow * cold
+        let cold_cache_slowdown = if is_loaded { COLD_CACHE_SLOWDOWN } else { 1.0 };
+        IDLE_EVENT_INTERVAL_MS
+            * (1.0 + concurrent_requests as f64 * SLOWDOWN_PER_REQUEST)
+            * canary_slowdown
+            * cold_cache_slowdown
     }
 
-    fn draw_failure(&mut self, side: ReleaseTrack, endpoint: &PoolEndpoint, others: usize) -> bool {
+    fn draws_failure(
+        &mut self,
+        track: ReleaseTrack,
+        endpoint: &PoolEndpoint,
+        concurrent_requests: usize,
+    ) -> bool {
         let n: usize = endpoint.id.as_str()[1..].parse().expect("a number");
-        let share = match self.fails {
-            Fails::From(many, share) if side == ReleaseTrack::Canary && others >= many => share,
-            Fails::OneIn(odd) if (n + self.shift).is_multiple_of(odd) => 0.4,
+        let share = match self.fault {
+            Fault::FailsUnderLoad(min_concurrent, share)
+                if track == ReleaseTrack::Canary && concurrent_requests >= min_concurrent =>
+            {
+                share
+            }
+            Fault::FailingEndpoints(interval)
+                if (n + self.fault_offset).is_multiple_of(interval) =>
+            {
+                0.4
+            }
             _ => 0.0,
         };
-        self.seed.random::<f64>() < share
+        self.rng.random::<f64>() < share
     }
 }
 
-fn observed(run: &Run) -> ObservedResponse {
+fn observed(request: &InFlightRequest) -> ObservedResponse {
     ObservedResponse {
         service: id("llm"),
-        canary_version: (run.side == ReleaseTrack::Canary).then(|| id("v2")),
-        endpoint: run.endpoint.id.clone(),
-        is_load_concentrated: run.is_loaded,
+        canary_version: (request.track == ReleaseTrack::Canary).then(|| id("v2")),
+        endpoint: request.endpoint.id.clone(),
+        is_load_concentrated: request.is_loaded,
         route: id("all"),
         model: None,
-        outcome: if run.failed { AttemptOutcome::Failed } else { AttemptOutcome::Complete },
+        outcome: if request.failed { AttemptOutcome::Failed } else { AttemptOutcome::Complete },
         has_failed_before: false,
         is_stream: true,
         // A host of a large fleet knows of little more than its own.
-        load: WORK as f64,
+        load: REQUEST_TOKENS as f64,
         head_ms: Some(50.0),
-        gap_ms: Some(run.gap_ms).filter(|_| !run.failed),
+        gap_ms: Some(request.gap_ms).filter(|_| !request.failed),
     }
 }
 
@@ -230,39 +266,45 @@
 /// plays those that failed found 11 and more others at work at their endpoint (of 24 places), or 7 and more (of
 /// 16), never fewer than 9 and 6; before the move an endpoint of the new version had 0 or 1.
 #[test]
-fn a_version_that_fails_under_load_is_barred_before_all_traffic_meets_it() {
+fn a_version_that_fails_under_load_is_barred_before_full_cutover() {
     let cases = [
-        (GROWN, Fails::From(12, 0.5)),
-        (Size { hosts: 83, ..GROWN }, Fails::From(8, 0.5)),
-        (GROWN, Fails::From(12, 0.25)),
+        (MEDIUM_FLEET, Fault::FailsUnderLoad(12, 0.5)),
+        (FleetSize { hosts: 83, ..MEDIUM_FLEET }, Fault::FailsUnderLoad(8, 0.5)),
+        (MEDIUM_FLEET, Fault::FailsUnderLoad(12, 0.25)),
     ];
 
-    let mut late = Vec::new();
-    for (size, fails) in cases {
+    let mut late_cases = Vec::new();
+    for (size, fault) in cases {
         for seed in 0..2 {
-            let mut play = Play::new(seed, size, fails);
-            let barred = play.until_barred();
-            println!("{size:?} {fails:?}: barred at {barred:?}, bad answers {}", play.bad);
-            if barred.is_none_or(|part| part > 0.92) || play.bad > BAD_ANSWERS {
-                late.push((size, fails, seed, barred, play.bad));
+            let mut simulation = RolloutSimulation::new(seed, size, fault);
+            let barred_at = simulation.run_until_barred();
+            println!(
+                "{size:?} {fault:?}: barred at {barred_at:?}, bad answers {}",
+                simulation.failed_canary_responses
+            );
+            if barred_at.is_none_or(|elapsed_share| elapsed_share > 0.92)
+                || simulation.failed_canary_responses > MAX_BAD_RESPONSES
+            {
+                late_cases.push((size, fault, seed, barred_at, simulation.failed_canary_responses));
             }
         }
     }
 
-    assert!(late.is_empty(), "{late:?}");
+    assert!(late_cases.is_empty(), "{late_cases:?}");
 }
 
 /// Plays good versions; gets how many of them were not completed.
-fn play_good(size: Size, fails: Fails, seeds: u64) -> usize {
-    let is_lost = |seed: &u64| !Play::new(*seed, size, fails).is_completed();
-    let lost = (0..seeds).filter(is_lost).count();
-    println!("{size:?} {fails:?}: {lost} of {seeds} were not completed");
-    lost
+fn count_incomplete_rollouts(size: FleetSize, fault: Fault, seeds: u64) -> usize {
+    let is_incomplete =
+        |seed: &u64| !RolloutSimulation::new(*seed, size, fault).run_to_completion();
+    let incomplete = (0..seeds).filter(is_incomplete).count();
+    println!("{size:?} {fault:?}: {incomplete} of {seeds} were not completed");
+    incomplete
 }
 
 #[test]
 fn a_good_version_is_completed_in_a_large_fleet() {
-    assert_eq!(play_good(GROWN, Fails::Nothing, 3), 0);
+    assert_eq!(count_incomplete_rollouts(MEDIUM_FLEET, Fault::Healthy, 3), 0);
 }
 
 /// What was seen: a good version was not completed in three of three plays on 295 hosts, one of them calm; a host
@@ -273,15 +315,16 @@
 /// 52 to 84 ms, and the loaded ones, which read each prompt anew, a fifth more than their like.
 #[test]
 fn a_good_version_is_completed_in_a_fleet_of_hundreds() {
-    assert_eq!(play_good(LARGE, Fails::Nothing, 2), 0);
+    assert_eq!(count_incomplete_rollouts(LARGE_FLEET, Fault::Healthy, 2), 0);
 }
 
 /// What endpoints with little to do show is enough for one that is slow.
 #[test]
 fn a_slow_version_is_barred_in_a_fleet_of_hundreds() {
-    let barred = Play::new(1, LARGE, Fails::Slow(1.75)).until_barred();
+    let barred_at =
+        RolloutSimulation::new(1, LARGE_FLEET, Fault::SlowCanary(1.75)).run_until_barred();
 
-    assert!(barred.is_some_and(|part| part < 0.8), "{barred:?}");
+    assert!(barred_at.is_some_and(|elapsed_share| elapsed_share < 0.8), "{barred_at:?}");
 }
 
 /// Failures come sooner than good answers, so most that came within a second of the move were failures. Of twenty
@@ -289,6 +332,6 @@
 /// still open count; beside one in seven eighteen and twenty. The others are barred for their first answers.
 #[test]
 fn a_good_version_beside_failing_endpoints_is_completed_in_a_large_fleet() {
-    assert_eq!(play_good(GROWN, Fails::OneIn(7), 6), 0);
-    assert!(play_good(GROWN, Fails::OneIn(5), 6) <= 1);
+    assert_eq!(count_incomplete_rollouts(MEDIUM_FLEET, Fault::FailingEndpoints(7), 6), 0);
+    assert!(count_incomplete_rollouts(MEDIUM_FLEET, Fault::FailingEndpoints(5), 6) <= 1);
 }
--- a/crates/tidetrack-core/tests/verdicts.rs
+++ b/crates/tidetrack-core/tests/verdicts.rs
@@ -13,21 +13,21 @@
 use support::answers::{Day, Play, Service, Version};
 
 /// Plays of each kind.
-const SEEDS: u64 = 24;
+const SEED_COUNT: u64 = 24;
 
 /// Plays a version; gets the answers that each play took to bar it, the fewest first, and how many did not.
-fn play_bad(day: Day, version: Version) -> (Vec<usize>, usize) {
-    let plays: Vec<Option<usize>> =
-        (0..SEEDS).map(|seed| Play::new(seed, day, version).until_barred()).collect();
-    let mut found: Vec<usize> = plays.iter().flatten().copied().collect();
-    found.sort_unstable();
-    let missed = plays.len() - found.len();
-    (found, missed)
+fn run_bad_version(day: Day, version: Version) -> (Vec<usize>, usize) {
+    let responses_until_barred: Vec<Option<usize>> =
+        (0..SEED_COUNT).map(|seed| Play::new(seed, day, version).until_barred()).collect();
+    let mut barred_after: Vec<usize> = responses_until_barred.iter().flatten().copied().collect();
+    barred_after.sort_unstable();
+    let missed_count = responses_until_barred.len() - barred_after.len();
+    (barred_after, missed_count)
 }
 
 /// The bounds are the figures of the first run with a tenth more.
 #[test]
-fn bad_versions_are_found_within_their_sample() {
+fn bad_versions_are_barred_within_their_canary_sample() {
     let streams = |share| Version::failing(Service::Streams, share);
     let calls = |share| Version::failing(Service::Calls, share);
     let cases = [
@@ -43,9 +43,9 @@
         ("0.5 of the calls 8 times as long", Version::late(0.5, 8.0), 48, 0),
         ("0.25 of the calls 8 times as long", Version::late(0.25, 8.0), 107, 2),
     ];
-    let beyond = beyond(&cases);
+    let cases_over_limits = cases_over_limits(&cases);
 
-    assert!(beyond.is_empty(), "{beyond:?}");
+    assert!(cases_over_limits.is_empty(), "{cases_over_limits:?}");
 }
 
 /// What was seen: a plain service of 13 to 45 requests a second, with one or two sampled calls a second, was rolled
@@ -54,36 +54,37 @@
 /// 15 ms a good part of those that took 62 to 120 were none. Evidence: in the log of such a play 8 of 20 sampled calls
 /// took 55 ms and more, where the usual took 7 to 15; four of them were counted.
 #[test]
-fn slow_plain_calls_are_found_within_a_few() {
+fn a_version_with_slow_plain_calls_is_barred_within_a_few_responses() {
     let cases = [
         ("0.5 of the calls 8 times as long", Version::late(0.5, 8.0), 30, 0),
         ("0.5 of the calls 4 times as long", Version::late(0.5, 4.0), 47, 0),
         ("0.25 of the calls 8 times as long", Version::late(0.25, 8.0), 99, 1),
     ];
-    let beyond = beyond(&cases);
+    let cases_over_limits = cases_over_limits(&cases);
 
-    assert!(beyond.is_empty(), "{beyond:?}");
+    assert!(cases_over_limits.is_empty(), "{cases_over_limits:?}");
 }
 
 /// Plays versions that are to be found within so many answers in all but so many plays; gets those that are not.
-fn beyond(
+fn cases_over_limits(
     cases: &[(&'static str, Version, usize, usize)],
 ) -> Vec<(&'static str, usize, Option<usize>)> {
-    let mut beyond = Vec::new();
-    for (name, version, most, missed) in cases {
-        let (found, not) = play_bad(Day::Calm, *version);
-        let at = |part: f64| found.get((found.len() as f64 * part) as usize).copied();
-        let last = found.last().copied();
+    let mut cases_over_limits = Vec::new();
+    for (name, version, max_responses, missed_count) in cases {
+        let (barred_after, missed_seeds) = run_bad_version(Day::Calm, *version);
+        let quantile =
+            |part: f64| barred_after.get((barred_after.len() as f64 * part) as usize).copied();
+        let last_barred_after = barred_after.last().copied();
         println!(
-            "{name}: found in {} of {SEEDS}, half by {:?}, the last by {last:?}",
-            found.len(),
-            at(0.5)
+            "{name}: found in {} of {SEED_COUNT}, half by {:?}, the last by {last_barred_after:?}",
+            barred_after.len(),
+            quantile(0.5)
         );
-        if not > *missed || last.is_some_and(|n| n > *most) {
-            beyond.push((*name, not, last));
+        if missed_seeds > *missed_count || last_barred_after.is_some_and(|n| n > *max_responses) {
+            cases_over_limits.push((*name, missed_seeds, last_barred_after));
         }
     }
-    beyond
+    cases_over_limits
 }
 
 /// What was seen: hosts stopped and started one after another while a bad version was under roll-out. Cause: a
@@ -91,15 +92,19 @@
 /// without what ended hosts had told, 21 of 24 plays found it, half of them by the 133rd answer, when all traffic
 /// has moved; with it 24, half by the 34th.
 #[test]
-fn a_bad_version_is_found_though_the_hosts_start_again_one_after_another() {
-    let (found, missed) = play_bad(Day::HostsRestart, Version::slower(2.05));
+fn a_bad_version_is_barred_although_the_hosts_restart_one_after_another() {
+    let (barred_after, missed_count) = run_bad_version(Day::HostsRestart, Version::slower(2.05));
 
-    println!("found in {} of {SEEDS}, the last by {:?}", found.len(), found.last());
-    assert!(missed == 0 && found[found.len() / 2] <= 50, "{found:?}");
+    println!(
+        "found in {} of {SEED_COUNT}, the last by {:?}",
+        barred_after.len(),
+        barred_after.last()
+    );
+    assert!(missed_count == 0 && barred_after[barred_after.len() / 2] <= 50, "{barred_after:?}");
 }
 
 /// An answer of a plain call.
-fn answer(endpoint: &str, outcome: AttemptOutcome) -> ObservedResponse {
+fn response_from(endpoint: &str, outcome: AttemptOutcome) -> ObservedResponse {
     ObservedResponse {
         service: "desk".parse().expect("a name"),
         canary_version: None,
@@ -121,13 +126,15 @@
 /// are new or have rested, a fraction of a millisecond later than the proven versions' calls, and nearly all
 /// were above the usual pace. Evidence: the log's line of the verdict, 8 of 8 answers above, each of 1 ms.
 #[test]
-fn a_few_milliseconds_of_a_call_are_no_slowness() {
-    let call =
-        |ms: f64| ObservedResponse { head_ms: Some(ms), ..answer("e1", AttemptOutcome::Complete) };
-    let mut usual = Baseline::default();
-    (0..100).for_each(|_| usual.learn(&call(0.6)));
+fn a_call_that_is_late_by_a_few_milliseconds_is_not_slow() {
+    let call_taking = |ms: f64| ObservedResponse {
+        head_ms: Some(ms),
+        ..response_from("e1", AttemptOutcome::Complete)
+    };
+    let mut baseline = Baseline::default();
+    (0..100).for_each(|_| baseline.learn(&call_taking(0.6)));
 
-    let measured = [0.9, 1.4, 4.0, 20.0, 200.0].map(|ms| usual.compare(&call(ms)));
+    let measured = [0.9, 1.4, 4.0, 20.0, 200.0].map(|ms| baseline.compare(&call_taking(ms)));
 
     assert!(measured.iter().all(|m| m.is_above_pace.is_none()), "{measured:?}");
     assert_eq!(measured.map(|m| m.is_slow), [false, false, false, false, true]);
@@ -136,18 +143,18 @@
 /// A host counts what it sends over all of its roll-outs, also after they were completed: of a judgement that begins
 /// with the next one that is nothing.
 #[test]
-fn what_was_sent_in_earlier_roll_outs_does_not_count_for_the_next() {
-    let usual = Baseline::default();
+fn requests_sent_in_earlier_rollouts_do_not_count_for_the_next() {
+    let baseline = Baseline::default();
     let mut judge = Judge::default();
     (0..30).for_each(|_| {
-        judge.record_stable(Millis(0), &answer("o1", AttemptOutcome::Complete), &usual)
+        judge.record_stable(Millis(0), &response_from("o1", AttemptOutcome::Complete), &baseline)
     });
 
     judge.record_sent_total(Millis(0), 5_000);
     for n in 0..8 {
-        let end = if n % 2 == 0 { AttemptOutcome::Failed } else { AttemptOutcome::Complete };
+        let outcome = if n % 2 == 0 { AttemptOutcome::Failed } else { AttemptOutcome::Complete };
         let endpoint = format!("n{}", n / 2);
-        judge.record_canary(Millis(500), &answer(&endpoint, end), &usual);
+        judge.record_canary(Millis(500), &response_from(&endpoint, outcome), &baseline);
     }
     judge.record_sent_total(Millis(500), 5_008);
 
@@ -161,22 +168,29 @@
 /// it was completed. Cause: late and failed answers were one count, and on a route where a quarter fails on any
 /// version the late ones hardly raised it.
 #[test]
-fn late_calls_tell_on_a_route_where_many_fail_on_any_version() {
-    let answered = |endpoint: &str, n: usize, ms: f64| match n % 4 {
-        0 => answer(endpoint, AttemptOutcome::Failed),
-        _ => ObservedResponse { head_ms: Some(ms), ..answer(endpoint, AttemptOutcome::Complete) },
+fn late_calls_are_detected_on_a_route_where_many_calls_fail_on_any_version() {
+    let response_for = |endpoint: &str, n: usize, ms: f64| match n % 4 {
+        0 => response_from(endpoint, AttemptOutcome::Failed),
+        _ => ObservedResponse {
+            head_ms: Some(ms),
+            ..response_from(endpoint, AttemptOutcome::Complete)
+        },
     };
-    let mut usual = Baseline::default();
+    let mut baseline = Baseline::default();
     let mut judge = Judge::default();
     for n in 0..80 {
-        let seen = answered(&format!("o{}", n % 4), n, 30.0);
-        judge.record_stable(Millis(0), &seen, &usual);
-        usual.learn(&seen);
+        let response = response_for(&format!("o{}", n % 4), n, 30.0);
+        judge.record_stable(Millis(0), &response, &baseline);
+        baseline.learn(&response);
     }
 
     for n in 0..36 {
         let ms = if n % 3 == 0 { 240.0 } else { 30.0 };
-        judge.record_canary(Millis(100), &answered(&format!("n{}", n / 4 % 4), n, ms), &usual);
+        judge.record_canary(
+            Millis(100),
+            &response_for(&format!("n{}", n / 4 % 4), n, ms),
+            &baseline,
+        );
     }
 
     assert_eq!(
@@ -187,23 +201,27 @@
 
 /// Guards against a slow version whose few far late calls pass for late ones, of which any version has some.
 #[test]
-fn far_late_calls_tell_though_some_late_ones_are_usual() {
-    let took = |endpoint: &str, ms: f64| ObservedResponse {
+fn very_late_calls_are_detected_although_some_late_calls_are_normal() {
+    let response_with_duration = |endpoint: &str, ms: f64| ObservedResponse {
         head_ms: Some(ms),
-        ..answer(endpoint, AttemptOutcome::Complete)
+        ..response_from(endpoint, AttemptOutcome::Complete)
     };
-    let mut usual = Baseline::default();
+    let mut baseline = Baseline::default();
     let mut judge = Judge::default();
     for n in 0..80 {
         let ms = if n % 16 == 0 { 100.0 } else { 30.0 };
-        let seen = took(&format!("o{}", n % 4), ms);
-        judge.record_stable(Millis(0), &seen, &usual);
-        usual.learn(&seen);
+        let response = response_with_duration(&format!("o{}", n % 4), ms);
+        judge.record_stable(Millis(0), &response, &baseline);
+        baseline.learn(&response);
     }
 
     for n in 0..45 {
         let ms = if n % 5 == 0 { 240.0 } else { 30.0 };
-        judge.record_canary(Millis(100), &took(&format!("n{}", n % 4), ms), &usual);
+        judge.record_canary(
+            Millis(100),
+            &response_with_duration(&format!("n{}", n % 4), ms),
+            &baseline,
+        );
     }
 
     assert_eq!(
@@ -216,16 +234,16 @@
 /// failing on a route, by 3.9 of the 4.9 answers that a host knew of, of some 20 that had come. Cause: by then a host
 /// has heard a third of the others, each a different third, and one of 295 parts stands out by chance.
 #[test]
-fn a_part_of_the_counts_of_a_large_fleet_has_to_show_more_than_all_of_them() {
-    let usual = Baseline::default();
+fn a_verdict_on_partial_counts_of_a_large_fleet_needs_stronger_evidence() {
+    let baseline = Baseline::default();
     let mut judge = Judge::default();
     for n in 0..160 {
-        let end = if n % 35 == 0 { AttemptOutcome::Failed } else { AttemptOutcome::Complete };
-        judge.record_stable(Millis(0), &answer(&format!("o{}", n % 4), end), &usual);
+        let outcome = if n % 35 == 0 { AttemptOutcome::Failed } else { AttemptOutcome::Complete };
+        judge.record_stable(Millis(0), &response_from(&format!("o{}", n % 4), outcome), &baseline);
     }
     for n in 0..5 {
-        let end = if n == 0 { AttemptOutcome::Complete } else { AttemptOutcome::Failed };
-        judge.record_canary(Millis(100), &answer(&format!("n{n}"), end), &usual);
+        let outcome = if n == 0 { AttemptOutcome::Complete } else { AttemptOutcome::Failed };
+        judge.record_canary(Millis(100), &response_from(&format!("n{n}"), outcome), &baseline);
     }
 
     let tally = judge.tally(Millis(100));
@@ -238,18 +256,22 @@
 
 /// Where all answers fail a host needs few more of them, however little it knows of the others.
 #[test]
-fn a_version_that_always_fails_is_found_by_what_one_host_of_hundreds_knows() {
-    let usual = Baseline::default();
+fn a_version_that_always_fails_is_barred_on_the_counts_of_one_host_of_hundreds() {
+    let baseline = Baseline::default();
     let mut judge = Judge::default();
     for n in 0..160 {
         judge.record_stable(
             Millis(0),
-            &answer(&format!("o{}", n % 4), AttemptOutcome::Complete),
-            &usual,
+            &response_from(&format!("o{}", n % 4), AttemptOutcome::Complete),
+            &baseline,
         );
     }
     for n in 0..6 {
-        judge.record_canary(Millis(100), &answer(&format!("n{n}"), AttemptOutcome::Failed), &usual);
+        judge.record_canary(
+            Millis(100),
+            &response_from(&format!("n{n}"), AttemptOutcome::Failed),
+            &baseline,
+        );
     }
 
     let basis = VerdictBasis { endpoints: 6, hosts: 295, counted_hosts: 1 };
@@ -259,17 +281,20 @@
 
 #[test]
 fn good_versions_are_completed_in_time() {
-    let mut lost = Vec::new();
+    let mut incomplete_cases = Vec::new();
     for service in [Service::Streams, Service::Calls] {
         for day in Day::ALL {
-            let is_kept = |seed: &u64| Play::new(*seed, day, Version::good(service)).is_completed();
-            let kept = (0..SEEDS).filter(is_kept).count();
-            println!("{service:?} on a day of {day:?}: completed in {kept} of {SEEDS}");
-            if kept < SEEDS as usize {
-                lost.push((service, day, kept));
+            let is_completed =
+                |seed: &u64| Play::new(*seed, day, Version::good(service)).is_completed();
+            let completed_count = (0..SEED_COUNT).filter(is_completed).count();
+            println!(
+                "{service:?} on a day of {day:?}: completed in {completed_count} of {SEED_COUNT}"
+            );
+            if completed_count < SEED_COUNT as usize {
+                incomplete_cases.push((service, day, completed_count));
             }
         }
     }
 
-    assert!(lost.is_empty(), "{lost:?}");
+    assert!(incomplete_cases.is_empty(), "{incomplete_cases:?}");
 }
