--- a/crates/tidetrack-core/tests/exposure.rs
+++ b/crates/tidetrack-core/tests/exposure.rs
@@ -1,4 +1,4 @@
-//! What a new version gets before it has proved itself, in a fleet on virtual time.
+//! Exposure of a canary version before its verdict, in a simulated fleet on virtual time.
 
 mod support;
 
@@ -18,22 +18,27 @@
     with_endpoints, with_rollout, without_rollout,
 };
 
-/// Share of a service's requests that a bad version may get between its order and its deadline.
+/// Largest share of a service's requests that a bad version may receive between its order and its
+/// deadline.
 const MAX_CANARY_SHARE: f64 = 0.15;
 
-/// Requests that it may get beyond that.
+/// Number of requests that a bad version may receive in addition to its share.
 const CANARY_REQUEST_ALLOWANCE: f64 = 30.0;
 
-/// Answers of a version, all slow, after which it may go on to get requests for a while: 50 bad ones, and
-/// what comes in 5 s at the sample's rate of 6 a second, less what spreads the verdict (1 s) and is at work.
+/// Number of responses by which a version must be barred if all of its responses are slow. It is
+/// the sum of 50 bad responses and those that arrive in 5 s at the canary sample's rate of 6 per
+/// second, less the requests sent while the verdict spreads (1 s) and those in flight.
 const MAX_RESPONSES_UNTIL_BARRED: usize = 60;
 
-/// What was seen: a bad version got a thousand and more requests on a fleet of nine hosts, from hosts in all
-/// failure domains, for seconds after its fiftieth bad answer; their logs name deadlines at its endpoints, and
-/// no failed answer. Cause: a version that is slow was judged by single answers, each beside 3.5 times the mean
-/// of answers at endpoints with much more to do, so that 2 of 50 counted; then the clock moved all traffic, and
-/// from there slowness was not counted. Evidence: the log's evidence lines of such a roll-out (bad 0 to 2 of 16
-/// to 21, moved at 13.5 s); the same answers compared at equal load are 1.5 to 4.5 times as slow, every one.
+/// Guards against a slow version that continues to receive traffic after 50 bad responses. In a
+/// fleet of nine hosts, a slow version received more than 1,000 requests from hosts in all failure
+/// domains for seconds after its 50th bad response; the logs showed exceeded deadlines at its
+/// endpoints, but no failed responses.
+///
+/// Slowness was judged by single responses, each compared with 3.5 times the mean of responses from
+/// endpoints under much higher load. Only 2 of 50 responses counted as slow (log evidence: 0 to 2
+/// bad of 16 to 21, cutover at 13.5 s). After the cutover, slowness was not counted at all. At
+/// equal load, every one of these responses took 1.5 to 4.5 times as long.
 #[test]
 fn a_slow_version_is_barred_within_its_first_responses() {
     let mut late_cases = Vec::new();
@@ -51,8 +56,9 @@
     assert!(late_cases.is_empty(), "times, seed, answers when barred: {late_cases:?}");
 }
 
-/// Plays a roll-out of 20 s without any verdict; gets the requests that met the new version from the order to
-/// the deadline, all of them, and when it was completed.
+/// Runs a roll-out of 20 s that reaches no verdict. Returns the number of requests sent to the
+/// canary version between the order and the deadline, the number of all requests in that time, and
+/// how many milliseconds before the deadline the roll-out was completed.
 fn run_rollout_without_verdict(hosts: u32, seed: u64) -> (usize, usize, Option<u64>) {
     let mut fleet = Fleet::start(hosts, seed);
     fleet.run(4_000, |_, _| {});
@@ -76,10 +82,11 @@
     (canary_requests, total_requests, completed_at.map(|at| deadline - at))
 }
 
-/// What was seen: as above, and a version that is bad only under a load that the day never brought. Cause: all
-/// traffic moved at 0.56 of the roll-out's time, whether or not anything was known of the version, so a version
-/// without a verdict had 0.47 to 0.5 of the requests, where 0.15 may be bad. Evidence: plays of a version that
-/// is bad under load, without any other trouble: 1,598 of 3,228 requests, not one bad answer seen by any host.
+/// Guards against a version that exceeds its exposure limit because no verdict is reached, for
+/// example because it is bad only under a load that does not occur during the roll-out. All traffic
+/// was moved at 0.56 of the roll-out's duration, whether or not anything was known of the version.
+/// A version without a verdict then received a share of 0.47 to 0.5 where 0.15 is the limit: 1,598
+/// of 3,228 requests, with no bad response seen by any host.
 #[test]
 fn a_version_without_a_verdict_stays_within_its_exposure_limit_before_the_deadline() {
     for (hosts, seed) in [(7, 1), (9, 2), (67, 3)] {
@@ -97,10 +104,11 @@
     }
 }
 
-/// What was seen: four requests of sessions that were at work on the old version met the new one in the first half
-/// of its roll-out. Cause: a host told the others of sessions at work only once an order had come, so what a host
-/// knew that was killed before it ended with it. Evidence: in a log of such a play a session's request at a host, its
-/// kill, the order, and the session's next request at another host, which had heard of the session from nobody.
+/// Guards against sessions that switch to the canary version because the host that served them was
+/// killed. Hosts reported active sessions only after they had received a roll-out order, so the
+/// sessions of a host killed before the order were lost. In one simulation, four requests of active
+/// sessions were sent to the canary version in the first half of its roll-out, by hosts that had
+/// not received a report of the session.
 #[test]
 fn an_active_session_of_a_killed_host_stays_on_its_version() {
     for (hosts, seed) in [(7, 1), (67, 2)] {
@@ -125,7 +133,8 @@
     }
 }
 
-/// Guards against sessions that change their version because their host was killed between two rounds of messages.
+/// Guards against sessions that change their version because their host was killed between two
+/// gossip rounds.
 #[test]
 fn a_session_of_a_host_killed_between_gossip_rounds_stays_on_its_version() {
     let mut changed_sessions = 0;
@@ -150,14 +159,14 @@
     assert_eq!(changed_sessions, 0);
 }
 
-/// Lists the versions' endpoints that a view gives to requests of the service, proven ones.
+/// Returns the ids of the endpoints in the stable pool of the view.
 fn stable_ids(view: &FleetView) -> Vec<String> {
     let service = view.services.get(&id("llm"));
     let endpoints = service.map_or(&[][..], |s| s.stable_pool.endpoints());
     endpoints.iter().map(|e| e.id.to_string()).collect()
 }
 
-/// Gets the present view of a host, after a while without news.
+/// Returns the view that is published after an endpoint update at the given time, in milliseconds.
 fn view_after_update(
     fleet_state: &mut FleetState,
     now: u64,
@@ -168,16 +177,18 @@
     view_of(&actions).expect("a view")
 }
 
-/// What another host tells of the version under roll-out.
+/// Wraps an update as a message that was received from another host.
 fn received_update(update: PeerUpdate) -> Input {
     Input::PeerMessageReceived(Box::new(message_of(7, update)))
 }
 
-/// What was seen: hosts that stop and start in series, others that lose all kinds of the store at once, beside a
-/// bad version's requests. Cause: versions were told apart only by the order that a host had read, so a host
-/// that knew of none took endpoints of every version for proven, without share or judgement: before its first
-/// list of roll-outs, when an order is removed, and when a list lacks it, as it does for an entry that cannot
-/// be read. Evidence: the views below; which of it the record's hosts met is not known.
+/// Guards against treating a version under roll-out as stable on a host that does not know the
+/// order. Only the order told stable and canary versions apart, so a host without one sent requests
+/// to endpoints of every version, without an exposure limit or a verdict. This happened before the
+/// first list of roll-outs, after the removal of an order, and when a list lacked the order, as it
+/// does for an entry that cannot be read. The fault appeared while hosts restarted one after
+/// another and others lost all feeds of the store during the roll-out of a bad version; the cases
+/// below reproduce it, but which of them those hosts met is unknown.
 #[test]
 fn a_host_without_a_rollout_order_does_not_treat_a_canary_version_as_stable() {
     let freshness = fresh_since(0);
@@ -264,8 +275,9 @@
     assert!(failed_cases.is_empty(), "{failed_cases:?}");
 }
 
-/// Endpoints of a version may be heard of before the order that brings them: the hosts that watch the store
-/// for it may be away, and the order and the endpoints come by different ways.
+/// Endpoints of a version may become known before the order that introduces the version: orders and
+/// endpoints arrive through separate feeds, and the hosts that watch the store for roll-outs may be
+/// unavailable.
 #[test]
 fn a_version_without_a_known_order_is_withheld_until_the_rollouts_are_read() {
     let freshness = fresh_since(0);
@@ -287,7 +299,7 @@
     assert_eq!(after_current_read, ["n1", "n2", "o1", "o2", "x1"]);
 }
 
-/// The order before the one that brings a version does not speak for it.
+/// An order that is older than a version's endpoints does not show that the version is stable.
 #[test]
 fn a_version_with_only_an_older_order_is_withheld_until_the_rollouts_are_read() {
     let freshness = fresh_since(0);
@@ -306,7 +318,8 @@
     assert_eq!(after_current_read, ["o1", "o2", "x1"]);
 }
 
-/// A host that can read nothing and hears nobody has only what it knows.
+/// A host that can neither read the store nor hear from other hosts uses the endpoints it knows
+/// after a timeout.
 #[test]
 fn a_version_is_not_withheld_forever_without_updates() {
     let freshness = fresh_since(0);
@@ -320,7 +333,8 @@
     assert_eq!((before_timeout.len(), after_timeout.len()), (4, 5));
 }
 
-/// What others tell of a roll-out ends with it: a host may never hear of an order that was short.
+/// A version is withheld only while other hosts report its roll-out: a host may never learn of a
+/// short-lived order.
 #[test]
 fn a_version_is_withheld_while_other_hosts_report_its_rollout() {
     let freshness = fresh_since(0);
@@ -345,8 +359,8 @@
     assert_eq!((before_timeout.len(), after_timeout.len()), (2, 4));
 }
 
-/// Nobody is left to be held apart: a service whose order was removed goes on with what it has, and so does one
-/// that no order was ever made for.
+/// A service with a single version continues to use it, both after its order was removed and if it
+/// never had an order: there is no other version to tell it apart from.
 #[test]
 fn the_only_version_of_a_service_serves_without_a_roll_out() {
     let freshness = fresh_since(0);
@@ -374,7 +388,8 @@
     assert_eq!(published_ids(&mut without_order), ["o1", "o2"]);
 }
 
-/// The next order of the same version begins its trial, after one that was removed.
+/// A new order of a version starts its canary phase even if an earlier order of the same version
+/// was removed.
 #[test]
 fn a_new_order_after_a_removed_one_starts_a_canary() {
     let freshness = fresh_since(0);
--- a/crates/tidetrack-core/tests/few_calls.rs
+++ b/crates/tidetrack-core/tests/few_calls.rs
@@ -1,5 +1,5 @@
-//! Roll-outs of a plain service with few requests, in a small fleet on virtual time: the hosts themselves decide
-//! which calls meet the new version.
+//! Roll-outs of a plain service with few requests, in a simulated fleet on virtual time; the hosts
+//! decide which calls are sent to the canary version.
 
 mod support;
 
@@ -16,41 +16,44 @@
 use support::fleet::{Fleet, HOLD_FOR, STEP};
 use support::{id, order, record};
 
-/// When the version is ordered; the hosts have met by then.
+/// Start of the roll-out, in milliseconds; by then, all hosts have discovered each other.
 const ROLLOUT_STARTS_AT: u64 = 4_000;
 
-/// Plays of each kind.
+/// Number of simulations of each case.
 const SEED_COUNT: u64 = 24;
 
-/// What a version may get of the requests.
+/// Largest number of requests that a version may receive before its verdict: a share of all
+/// requests and a fixed allowance.
 const EXPOSURE_BOUND: ExposureBound = ExposureBound { share: Share(0.15), allowance: 30 };
 
-/// Share of the calls that say nothing of a version: they are refused or answered at once.
+/// Share of calls that carry no information about a version because they are rejected or answered
+/// immediately.
 const TRIVIAL_CALL_SHARE: f64 = 0.33;
 
-/// Share of the calls on the second route, and of those the share that fails on any version.
+/// Share of calls on the second route, and the share of those that fails on any version.
 const SECOND_ROUTE_SHARE_AND_FAILURE_RATE: (f64, f64) = (0.3, 0.24);
 
-/// Endpoints that a call may be sent to.
+/// Number of endpoints to which a call may be sent, including the first.
 const MAX_ATTEMPTS: usize = 3;
 
-/// A call of a proven version takes so long, in milliseconds, in the mean of its logarithm.
+/// Median duration of a call of a stable version, in milliseconds; durations have a log-normal
+/// distribution.
 const BASELINE_CALL_MS: f64 = 30.0;
 
-/// A service and what its new version does.
+/// Service and behavior of its canary version.
 #[derive(Clone, Copy, Debug)]
 struct RolloutCase {
     hosts: u32,
     endpoint_count: usize,
-    /// Calls in a second.
+    /// Calls per second.
     rate: f64,
-    /// The share of the new version's calls that is slow.
+    /// Share of the canary version's calls that are slow.
     slow_share: f64,
-    /// These take so many times as long.
+    /// Factor by which slow calls take longer.
     slowdown: f64,
-    /// The share of the new version's calls that fail once all are there.
+    /// Share of the canary version's calls that fail after the cutover.
     failure_rate_after_cutover: f64,
-    /// The share of calls that failed on any version that fail again at another endpoint.
+    /// Share of failed calls of any version that fail again on another endpoint.
     repeat_failure_rate: f64,
 }
 
@@ -68,12 +71,13 @@
     }
 }
 
-/// What came of a roll-out.
+/// Result of a roll-out.
 #[derive(Debug, Default)]
 struct RolloutOutcome {
     is_barred: bool,
     is_completed: bool,
-    /// Calls that met the new version before the deadline, and all calls.
+    /// Number of calls sent to the canary version before the deadline, and of all calls in that
+    /// time.
     canary_calls: usize,
     total_calls: usize,
 }
@@ -98,7 +102,7 @@
         RolloutSimulation { fleet, rng, case, outcome: RolloutOutcome::default() }
     }
 
-    /// Plays a roll-out to its deadline, or until all hosts hold the version bad.
+    /// Runs a roll-out to its deadline or until all hosts have barred the version.
     fn run(mut self) -> RolloutOutcome {
         self.run_until(ROLLOUT_STARTS_AT, false);
         self.fleet.order(order(1, None));
@@ -142,7 +146,7 @@
         }
     }
 
-    /// Sends a call that failed to two more endpoints of the version, as long as it fails.
+    /// Retries a failed call on up to two more endpoints of the same version until it succeeds.
     fn retry(&mut self, host: usize, track: ReleaseTrack, failed: ObservedResponse) {
         for _ in 1..MAX_ATTEMPTS {
             let is_repeat_failure = self.rng.random::<f64>() < self.case.repeat_failure_rate;
@@ -158,13 +162,13 @@
         }
     }
 
-    /// Draws an endpoint of a version.
+    /// Picks a random endpoint of a version.
     fn draw_endpoint(&mut self, track: ReleaseTrack) -> EndpointId {
         let n = self.rng.random_range(1..=self.case.endpoint_count);
         id(&format!("{}{n}", if track == ReleaseTrack::Canary { 'n' } else { 'o' }))
     }
 
-    /// Tells whether all calls go to the new version.
+    /// Reports whether all calls are sent to the canary version.
     fn has_cut_over(&self) -> bool {
         let view = self.fleet.hosts[0].view.as_ref().expect("a view");
         let canary = view.services[&id("llm")].canary.as_ref();
@@ -215,21 +219,24 @@
     }
 }
 
-/// Plays a bad version; gets in how many plays it was found.
+/// Runs a bad version with each seed and returns how often it was barred.
 fn count_barred(case: RolloutCase) -> u64 {
-    let count_barred = (0..SEED_COUNT)
+    let barred_count = (0..SEED_COUNT)
         .filter(|seed| RolloutSimulation::new(*seed, case).run().is_barred)
         .count() as u64;
     println!("{case:?}: found in {count_barred} of {SEED_COUNT}");
-    count_barred
+    barred_count
 }
 
-/// What was seen: a plain service was rolled out with a version a quarter or half of whose calls took eight times as
-/// long; it was completed, and from then on nothing but it was left to send to: 11 and 15 requests later than the
-/// bound after the fiftieth slow answer. Cause: 0.06 of 12 or 25 calls a second is 16 or 30 in a roll-out, a third
-/// of them refused or answered at once on any version. Evidence: every sampled call of two such plays: 5 of 9 and
-/// 7 of 21 real ones were late, where the usual were 1 in 30; half of the requests that a version may get whatever
-/// its share were not used.
+/// Guards against completing a slow version of a service with few requests. A quarter or half of
+/// the calls of a plain service's version took eight times as long, yet it was completed, and 11
+/// and 15 requests over the limit were sent to it after the 50th slow response because no other
+/// version was left.
+///
+/// The sample's share of 0.06 of 12 or 25 calls per second yields 16 or 30 calls per roll-out, a
+/// third of which are rejected or answered immediately on any version. Of the other sampled calls,
+/// 5 of 9 and 7 of 21 were late, compared with 1 in 30 on the stable version. Half of the
+/// allowance, which is granted regardless of the share, was unused.
 #[test]
 fn a_version_with_half_of_its_calls_slow_is_barred_at_low_traffic_before_the_cutover() {
     let case = RolloutCase {
@@ -244,7 +251,7 @@
     assert_eq!(count_barred(case), SEED_COUNT);
 }
 
-/// The other of the two plays: a quarter, at twice the requests.
+/// The second case of the fault above: a quarter of the calls is slow, at twice the request rate.
 #[test]
 fn a_quarter_of_slow_calls_of_a_service_with_few_requests_is_found_before_the_move() {
     let case = RolloutCase { slow_share: 0.25, slowdown: 8.0, ..RolloutCase::default() };
@@ -252,7 +259,8 @@
     assert_eq!(count_barred(case), SEED_COUNT);
 }
 
-/// The allowance is for all hosts together, and a good version is completed whatever is spent of it.
+/// The allowance is shared by all hosts, and a good version is completed however much of it is
+/// used.
 #[test]
 fn a_good_version_stays_within_the_exposure_bound_and_is_completed() {
     let small = RolloutCase::default();
@@ -273,7 +281,8 @@
     }
 }
 
-/// A version that looks a little worse gets more of the calls, never more than it may.
+/// A version with an inconclusive verdict receives more calls to reach a verdict sooner, but never
+/// more than the bound.
 #[test]
 fn a_version_with_an_inconclusive_verdict_stays_within_the_exposure_bound() {
     let case = RolloutCase { slow_share: 0.1, slowdown: 8.0, ..RolloutCase::default() };
@@ -286,7 +295,7 @@
     }
 }
 
-/// A good version of a plain service on hundreds of hosts.
+/// Good version of a plain service on hundreds of hosts.
 const HUNDREDS_OF_HOSTS: RolloutCase = RolloutCase {
     hosts: 295,
     endpoint_count: 6,
@@ -304,7 +313,8 @@
     assert!(outcome.is_completed, "{outcome:?}");
 }
 
-/// By chance 15 of 22 answers fail on the route where 0.24 do on any version, four times the usual spread.
+/// With this seed, 15 of 22 responses on the second route fail by chance, where a share of 0.24
+/// fails on any version: a deviation of four standard errors.
 #[test]
 fn a_good_version_is_completed_where_one_route_fails_often() {
     let outcome = RolloutSimulation::new(13, HUNDREDS_OF_HOSTS).run();
@@ -312,7 +322,8 @@
     assert!(outcome.is_completed, "{outcome:?}");
 }
 
-/// Guards against a completion that is written before what failed since the move is known to its writer.
+/// Guards against a host that records the completion before it has received the failures since the
+/// cutover.
 #[test]
 fn a_version_that_fails_after_the_cutover_is_not_completed_on_hundreds_of_hosts() {
     let case = RolloutCase { rate: 450.0, failure_rate_after_cutover: 0.21, ..HUNDREDS_OF_HOSTS };
@@ -322,7 +333,7 @@
     assert!(outcome.is_barred && !outcome.is_completed, "{outcome:?}");
 }
 
-/// Guards against the same completion in a fleet of some dozens of hosts with few endpoints.
+/// Guards against the same premature completion in a fleet of dozens of hosts with few endpoints.
 #[test]
 fn a_version_that_fails_after_the_cutover_is_not_completed_on_dozens_of_hosts() {
     let case = RolloutCase {
@@ -339,7 +350,8 @@
     assert!(completed.is_empty(), "completed with seeds {completed:?}");
 }
 
-/// Guards against counting each failure of a request that fails at any endpoint as evidence against a version.
+/// Guards against counting every attempt of a request that fails on any endpoint as separate
+/// evidence against a version.
 #[test]
 fn a_good_version_is_completed_although_failed_calls_fail_again_on_retry() {
     let case = RolloutCase {
--- a/crates/tidetrack-core/tests/under_load.rs
+++ b/crates/tidetrack-core/tests/under_load.rs
@@ -1,5 +1,5 @@
-//! Versions whose answers fail where an endpoint has much to do, and good ones beside endpoints that fail for
-//! reasons of their own, in a large fleet on virtual time.
+//! Roll-outs in a large simulated fleet on virtual time: versions that fail on endpoints under
+//! load, and good versions beside endpoints that fail for unrelated reasons.
 
 mod support;
 
@@ -17,57 +17,60 @@
 use support::fleet::{Fleet, HOLD_FOR, STEP};
 use support::{id, order, record};
 
-/// When the version is ordered; the hosts have met by then.
+/// Start of the roll-out, in milliseconds; by then, all hosts have discovered each other.
 const ROLLOUT_STARTS_AT: u64 = 4_000;
 
-/// How long a run takes.
+/// Duration of a successful response, in milliseconds.
 const RESPONSE_MS: u64 = 1_000;
 
-/// How long a run that fails takes.
+/// Duration of a failed response, in milliseconds.
 const FAILURE_MS: u64 = 50;
 
-/// Work of a request, in answer tokens.
+/// Work of a request, in generated tokens.
 const REQUEST_TOKENS: u64 = 40;
 
-/// Bad answers after which a version may go on to get requests for a while.
+/// Number of bad responses by which a bad version must be barred.
 const MAX_BAD_RESPONSES: usize = 50;
 
-/// Time between the events of an answer at an endpoint that runs nothing else, and how much of that each other run
-/// adds: an engine of the plays made an event in 47 ms alone and in 72 beside eight others.
+/// Time between two events of a response on an otherwise idle endpoint, in milliseconds, and the
+/// relative increase per concurrent request. An engine in earlier simulations took 47 ms per event
+/// when idle and 72 ms beside eight other requests.
 const IDLE_EVENT_INTERVAL_MS: f64 = 47.0;
 const SLOWDOWN_PER_REQUEST: f64 = 0.065;
 
-/// How many times as long it takes an endpoint that reads each prompt's shared part anew.
+/// Slowdown of an endpoint that has not cached the prefixes of the prompts and has to read each one
+/// again.
 const COLD_CACHE_SLOWDOWN: f64 = 1.2;
 
-/// What is bad.
+/// Fault to simulate.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
     Healthy,
-    /// Nothing, but all of the new version's answers take so many times as long.
+    /// All responses of the canary version take longer by this factor.
     SlowCanary(f64),
-    /// A share of the new version's answers, at endpoints that run so many requests or more.
+    /// Responses of the canary version fail on endpoints with at least this number of concurrent
+    /// requests; the second value is the probability of a failure.
     FailsUnderLoad(usize, f64),
-    /// Four in ten answers of one in so many endpoints of both versions.
+    /// One in this number of endpoints of both versions fails 40% of its responses.
     FailingEndpoints(usize),
 }
 
-/// A fleet and what its endpoints do.
+/// Size of a fleet and of its load.
 #[derive(Clone, Copy, Debug)]
 struct FleetSize {
     hosts: u32,
-    /// Endpoints of each version.
+    /// Number of endpoints of each version.
     endpoints: usize,
-    /// Requests a second.
+    /// Requests per second.
     rate: usize,
 }
 
 const MEDIUM_FLEET: FleetSize = FleetSize { hosts: 67, endpoints: 90, rate: 340 };
 
-/// Hundreds of hosts: each sees two requests a second.
+/// With hundreds of hosts, each host sends only about two requests per second.
 const LARGE_FLEET: FleetSize = FleetSize { hosts: 295, endpoints: 160, rate: 620 };
 
-/// A request at an endpoint.
+/// Request that is being processed by an endpoint.
 struct InFlightRequest {
     ends_at: u64,
     host: usize,
@@ -83,11 +86,11 @@
     rng: StdRng,
     size: FleetSize,
     fault: Fault,
-    /// Tells which endpoints fail, where some do.
+    /// Offset that selects the failing endpoints of `Fault::FailingEndpoints`.
     fault_offset: usize,
     in_flight: Vec<InFlightRequest>,
     sent_requests: usize,
-    /// Bad answers of the new version.
+    /// Number of failed responses of the canary version.
     failed_canary_responses: usize,
 }
 
@@ -127,7 +130,8 @@
             .all(|i| self.canary(i).is_some_and(|t| t.phase == Phase::Barred))
     }
 
-    /// Plays until all hosts hold the version bad; gets the part of the roll-out's time that has passed.
+    /// Runs until all hosts have barred the version or the deadline is reached. Returns the elapsed
+    /// fraction of the roll-out when the version was barred.
     fn run_until_barred(&mut self) -> Option<f64> {
         let duration = order(1, None).duration.0;
         while self.fleet.now < ROLLOUT_STARTS_AT + duration {
@@ -204,7 +208,8 @@
         });
     }
 
-    /// Gets the time between the events of an answer beside so many others.
+    /// Returns the time between two events of a response, in milliseconds, at the given number of
+    /// concurrent requests.
     fn gap_ms(&self, track: ReleaseTrack, concurrent_requests: usize, is_loaded: bool) -> f64 {
         let canary_slowdown = match self.fault {
             Fault::SlowCanary(slowdown) if track == ReleaseTrack::Canary => slowdown,
@@ -252,19 +257,22 @@
         outcome: if request.failed { AttemptOutcome::Failed } else { AttemptOutcome::Complete },
         has_failed_before: false,
         is_stream: true,
-        // A host of a large fleet knows of little more than its own.
+        // In a large fleet, a host knows little of the load on an endpoint except its own.
         load: REQUEST_TOKENS as f64,
         head_ms: Some(50.0),
         gap_ms: Some(request.gap_ms).filter(|_| !request.failed),
     }
 }
 
-/// What was seen: in fleets of 67 and 83 hosts a bad version was completed; its first failures came within a
-/// second of the move, when half a second was left, and after the fiftieth nothing but the bad version was left to
-/// send to: 1,205 and 2,195 requests too late. Cause: each sampled request met an idle endpoint, and the version
-/// failed only where more than half of an endpoint's places were taken. Evidence: of the attempts in two such
-/// plays those that failed found 11 and more others at work at their endpoint (of 24 places), or 7 and more (of
-/// 16), never fewer than 9 and 6; before the move an endpoint of the new version had 0 or 1.
+/// Guards against completing a version that fails only under load. In fleets of 67 and 83 hosts,
+/// the sample's requests were sent to idle endpoints, while the version failed only where more than
+/// half of an endpoint's slots were in use. Its first failures appeared within a second of the
+/// cutover, half a second before the deadline. After the 50th failure, all other endpoints were
+/// gone and 1,205 and 2,195 further requests were sent to the bad version.
+///
+/// In two such simulations, the failed attempts found at least 11 concurrent requests on their
+/// endpoint (of 24 slots) or at least 7 (of 16), never fewer than 9 and 6; before the cutover,
+/// canary endpoints had 0 or 1.
 #[test]
 fn a_version_that_fails_under_load_is_barred_before_full_cutover() {
     let cases = [
@@ -293,7 +301,7 @@
     assert!(late_cases.is_empty(), "{late_cases:?}");
 }
 
-/// Plays good versions; gets how many of them were not completed.
+/// Runs roll-outs of a good version, one for each seed, and returns how many were not completed.
 fn count_incomplete_rollouts(size: FleetSize, fault: Fault, seeds: u64) -> usize {
     let is_incomplete =
         |seed: &u64| !RolloutSimulation::new(*seed, size, fault).run_to_completion();
@@ -307,18 +315,21 @@
     assert_eq!(count_incomplete_rollouts(MEDIUM_FLEET, Fault::Healthy, 3), 0);
 }
 
-/// What was seen: a good version was not completed in three of three plays on 295 hosts, one of them calm; a host
-/// barred it in the second half of its roll-out for taking longer. Cause: paces at loaded endpoints were compared
-/// with what each host knew of the load there, which in such a fleet is its own work. Evidence: all answers of such a
-/// play: at the lowest step of the known load a proven endpoint made an event in 58 ms in the middle, a loaded one
-/// of the good version in 72, one at rest in 47; by the runs that endpoints themselves told the proven ones took
-/// 52 to 84 ms, and the loaded ones, which read each prompt anew, a fifth more than their like.
+/// Guards against barring a good version as slow in a fleet of hundreds of hosts. Three of three
+/// roll-outs on 295 hosts were rolled back in their second half, one of them without any other
+/// disturbance. A host compared the pace on loaded endpoints using the load it knew, which in such
+/// a fleet is only its own.
+///
+/// At the lowest level of known load, stable endpoints had a median of 58 ms per event, loaded
+/// endpoints of the good version 72 ms and idle ones 47 ms. At the load that the endpoints
+/// themselves reported, stable ones took 52 to 84 ms, and loaded canary endpoints, which had to
+/// read each prompt again, a fifth more than stable ones at the same load.
 #[test]
 fn a_good_version_is_completed_in_a_fleet_of_hundreds() {
     assert_eq!(count_incomplete_rollouts(LARGE_FLEET, Fault::Healthy, 2), 0);
 }
 
-/// What endpoints with little to do show is enough for one that is slow.
+/// The responses of lightly loaded endpoints are sufficient evidence against a slow version.
 #[test]
 fn a_slow_version_is_barred_in_a_fleet_of_hundreds() {
     let barred_at =
@@ -327,9 +338,10 @@
     assert!(barred_at.is_some_and(|elapsed_share| elapsed_share < 0.8), "{barred_at:?}");
 }
 
-/// Failures come sooner than good answers, so most that came within a second of the move were failures. Of twenty
-/// good versions beside one failing endpoint in five fourteen were completed, and sixteen since requests that are
-/// still open count; beside one in seven eighteen and twenty. The others are barred for their first answers.
+/// Failures arrive sooner than successful responses, so most of the responses within a second of
+/// the cutover are failures. Counting requests that are still open compensates for this: beside one
+/// failing endpoint in five, 16 instead of 14 of 20 good versions were completed, and beside one in
+/// seven, 20 instead of 18. The remaining ones were barred for their first responses.
 #[test]
 fn a_good_version_beside_failing_endpoints_is_completed_in_a_large_fleet() {
     assert_eq!(count_incomplete_rollouts(MEDIUM_FLEET, Fault::FailingEndpoints(7), 6), 0);
--- a/crates/tidetrack-core/tests/verdicts.rs
+++ b/crates/tidetrack-core/tests/verdicts.rs
@@ -1,6 +1,8 @@
-//! Which versions the hosts find bad, within how many of their answers, and which good ones they keep.
+//! Verdicts on canary versions: which bad versions are barred, after how many responses, and which
+//! good versions are completed.
 //!
-//! A fleet of nine hosts and eighteen engines or four plain endpoints, a roll-out of 20 s.
+//! Each simulation is a roll-out of 20 s in a fleet of nine hosts, with 18 engines or four plain
+//! endpoints.
 
 mod support;
 
@@ -12,10 +14,11 @@
 
 use support::answers::{Day, Play, Service, Version};
 
-/// Plays of each kind.
+/// Number of simulations of each case.
 const SEED_COUNT: u64 = 24;
 
-/// Plays a version; gets the answers that each play took to bar it, the fewest first, and how many did not.
+/// Runs a bad version with each seed. Returns the number of responses after which each simulation
+/// barred it, in ascending order, and the number of simulations that did not bar it.
 fn run_bad_version(day: Day, version: Version) -> (Vec<usize>, usize) {
     let responses_until_barred: Vec<Option<usize>> =
         (0..SEED_COUNT).map(|seed| Play::new(seed, day, version).until_barred()).collect();
@@ -25,7 +28,7 @@
     (barred_after, missed_count)
 }
 
-/// The bounds are the figures of the first run with a tenth more.
+/// Each limit is 10% above the number of responses that the reference run needed.
 #[test]
 fn bad_versions_are_barred_within_their_canary_sample() {
     let streams = |share| Version::failing(Service::Streams, share);
@@ -48,11 +51,12 @@
     assert!(cases_over_limits.is_empty(), "{cases_over_limits:?}");
 }
 
-/// What was seen: a plain service of 13 to 45 requests a second, with one or two sampled calls a second, was rolled
-/// out with a version a quarter or half of whose calls took eight times as long: completed in three of sixty plays, 23
-/// to 133 requests too late. Cause: a call was late past 3.5 times the mean and 40 ms, so of calls that take 8 to
-/// 15 ms a good part of those that took 62 to 120 were none. Evidence: in the log of such a play 8 of 20 sampled calls
-/// took 55 ms and more, where the usual took 7 to 15; four of them were counted.
+/// Guards against missing slow calls that are short in absolute terms. A call counted as late only
+/// above 3.5 times the mean plus 40 ms, so for calls that take 8 to 15 ms, many that took 62 to 120
+/// ms did not count. A plain service with 13 to 45 requests per second, one or two of them sampled,
+/// was rolled out with a version a quarter or half of whose calls took eight times as long; it was
+/// completed in three of 60 simulations, with 23 to 133 requests over the limit. In one of them, 8
+/// of 20 sampled calls took at least 55 ms, where 7 to 15 ms is normal, and only four were counted.
 #[test]
 fn a_version_with_slow_plain_calls_is_barred_within_a_few_responses() {
     let cases = [
@@ -65,7 +69,9 @@
     assert!(cases_over_limits.is_empty(), "{cases_over_limits:?}");
 }
 
-/// Plays versions that are to be found within so many answers in all but so many plays; gets those that are not.
+/// Runs versions that must be barred. Each case holds a name, the version, the largest number of
+/// responses until it is barred, and the largest number of simulations that may miss it. Returns
+/// the cases that exceed a limit.
 fn cases_over_limits(
     cases: &[(&'static str, Version, usize, usize)],
 ) -> Vec<(&'static str, usize, Option<usize>)> {
@@ -87,10 +93,11 @@
     cases_over_limits
 }
 
-/// What was seen: hosts stopped and started one after another while a bad version was under roll-out. Cause: a
-/// host's counts ended with it, so a fleet knew a version by what the youngest of its hosts had seen. Evidence:
-/// without what ended hosts had told, 21 of 24 plays found it, half of them by the 133rd answer, when all traffic
-/// has moved; with it 24, half by the 34th.
+/// Guards against losing the evidence against a version when hosts restart one after another. A
+/// host's counts ended with its process, so the fleet judged a version by what its most recently
+/// started hosts had seen. Without the counts that stopped hosts had reported, 21 of 24 simulations
+/// barred the version, half of them only by the 133rd response, when all traffic had moved; with
+/// these counts, all 24 did, half of them by the 34th.
 #[test]
 fn a_bad_version_is_barred_although_the_hosts_restart_one_after_another() {
     let (barred_after, missed_count) = run_bad_version(Day::HostsRestart, Version::slower(2.05));
@@ -103,7 +110,7 @@
     assert!(missed_count == 0 && barred_after[barred_after.len() / 2] <= 50, "{barred_after:?}");
 }
 
-/// An answer of a plain call.
+/// Returns an observed response to a plain call.
 fn response_from(endpoint: &str, outcome: AttemptOutcome) -> ObservedResponse {
     ObservedResponse {
         service: "desk".parse().expect("a name"),
@@ -121,10 +128,11 @@
     }
 }
 
-/// What was seen: good versions of a service that answers in half a millisecond were rolled back in two tests
-/// with a real host, in one of four runs of all tests. Cause: the few calls of a sample come on connections that
-/// are new or have rested, a fraction of a millisecond later than the proven versions' calls, and nearly all
-/// were above the usual pace. Evidence: the log's line of the verdict, 8 of 8 answers above, each of 1 ms.
+/// Guards against barring a good version of a very fast service for delays of a few milliseconds.
+/// Calls of a canary sample use connections that are new or have been idle, which costs a fraction
+/// of a millisecond. For a service that responds in half a millisecond, nearly all of them were
+/// above the baseline pace (8 of 8 responses, each of 1 ms), and good versions were rolled back in
+/// two tests with a real host, in one of four runs of the test suite.
 #[test]
 fn a_call_that_is_late_by_a_few_milliseconds_is_not_slow() {
     let call_taking = |ms: f64| ObservedResponse {
@@ -140,8 +148,8 @@
     assert_eq!(measured.map(|m| m.is_slow), [false, false, false, false, true]);
 }
 
-/// A host counts what it sends over all of its roll-outs, also after they were completed: of a judgement that begins
-/// with the next one that is nothing.
+/// The host's total of sent canary requests includes earlier, completed roll-outs. They must not
+/// count as open requests of the next one.
 #[test]
 fn requests_sent_in_earlier_rollouts_do_not_count_for_the_next() {
     let baseline = Baseline::default();
@@ -164,9 +172,10 @@
     );
 }
 
-/// What was seen: of plain calls with few requests, 9 of 43 real ones of a new version were late, 1 in 30 usual, and
-/// it was completed. Cause: late and failed answers were one count, and on a route where a quarter fails on any
-/// version the late ones hardly raised it.
+/// Guards against missing late calls on a route where many calls fail. Late and failed responses
+/// shared one count, so on a route where a quarter of the calls fails on any version, late ones
+/// hardly raised it: a version was completed although 9 of its 43 informative calls were late,
+/// where 1 in 30 is normal.
 #[test]
 fn late_calls_are_detected_on_a_route_where_many_calls_fail_on_any_version() {
     let response_for = |endpoint: &str, n: usize, ms: f64| match n % 4 {
@@ -199,7 +208,8 @@
     );
 }
 
-/// Guards against a slow version whose few far late calls pass for late ones, of which any version has some.
+/// Guards against a slow version whose few very late calls are mistaken for the late calls that
+/// every version has.
 #[test]
 fn very_late_calls_are_detected_although_some_late_calls_are_normal() {
     let response_with_duration = |endpoint: &str, ms: f64| ObservedResponse {
@@ -230,9 +240,11 @@
     );
 }
 
-/// What was seen: a good version of a plain service was rolled back in 2 of 10 plays alone on 295 hosts, in one for
-/// failing on a route, by 3.9 of the 4.9 answers that a host knew of, of some 20 that had come. Cause: by then a host
-/// has heard a third of the others, each a different third, and one of 295 parts stands out by chance.
+/// Guards against a verdict on a small part of a large fleet's counts. After about 20 responses on
+/// 295 hosts, each host had received the counts of a different third of the others, and one of the
+/// 295 partial counts stood out by chance. In 2 of 10 undisturbed simulations a good version of a
+/// plain service was rolled back, in one of them for failures on a route: 3.9 of the 4.9 responses
+/// that one host knew.
 #[test]
 fn a_verdict_on_partial_counts_of_a_large_fleet_needs_stronger_evidence() {
     let baseline = Baseline::default();
@@ -254,7 +266,8 @@
     assert!(verdict(295).is_some());
 }
 
-/// Where all answers fail a host needs few more of them, however little it knows of the others.
+/// If all responses fail, a host needs few of them for a verdict, even if it knows the counts of no
+/// other host.
 #[test]
 fn a_version_that_always_fails_is_barred_on_the_counts_of_one_host_of_hundreds() {
     let baseline = Baseline::default();
