--- a/crates/tidetrack-core/tests/endpoint_limits.rs
+++ b/crates/tidetrack-core/tests/endpoint_limits.rs
@@ -1,4 +1,5 @@
-//! Limits that endpoints name: the sum over the hosts of fleets of all sizes, and how a limit ends.
+//! Rate limits that endpoints report: the total rate of all hosts in fleets of all sizes, and how a
+//! limit ends.
 
 mod support;
 
@@ -16,16 +17,17 @@
 use support::fleet::{Fleet, STEP};
 use support::id;
 
-/// Time after which hosts in touch know what one of them learned, in milliseconds.
+/// Time after which connected hosts know what one of them has learned, in milliseconds.
 const PROPAGATION_MS: u64 = 3_000;
 
-/// The time over which requests are counted, in milliseconds.
+/// Length of the window in which requests are counted, in milliseconds.
 const WINDOW_MS: u64 = 4_000;
 
-/// The endpoint that names a limit.
+/// Endpoint that reports a limit.
 const LIMITED_ENDPOINT: &str = "o1";
 
-/// Requests in a window that are allowed, as the users' pages have it.
+/// Returns the largest number of requests that a window may contain at a limit in requests per
+/// second, as documented for users.
 fn max_requests_per_window(limit: f64) -> usize {
     (1.5 * limit * WINDOW_MS as f64 / 1_000.0) as usize + 5
 }
@@ -38,7 +40,9 @@
     found.expect("the endpoint is listed").state.clone()
 }
 
-/// Lets hosts send to the endpoint whatever they may for some time; its answers name `limit`. Gets when requests came.
+/// Makes all hosts send to the limited endpoint whenever their share permits, for `duration_ms`.
+/// Its responses report `limit`, in requests per second. Returns the times at which requests were
+/// sent.
 fn send_requests(fleet: &mut Fleet, duration_ms: u64, limit: Option<f64>) -> Vec<u64> {
     let ends_at = fleet.now + duration_ms;
     let mut send_times = Vec::new();
@@ -71,7 +75,7 @@
     sent_after.iter().map(count_in_window).max().unwrap_or(0)
 }
 
-/// Guards against shares that add up to more than the limit.
+/// Guards against shares whose sum exceeds the limit.
 #[test]
 fn all_hosts_together_keep_to_a_limit_in_fleets_of_all_sizes() {
     for (hosts, limit) in [(7, 1.0), (7, 20.0), (67, 1.6), (67, 30.0), (295, 1.0), (295, 20.0)] {
@@ -109,7 +113,7 @@
     assert_eq!(unlimited_hosts, 67);
 }
 
-/// Guards against a limit that stays for ever where the hosts that held its shares are gone.
+/// Guards against a limit that never ends because the hosts that held its shares are gone.
 #[test]
 fn other_hosts_take_over_the_share_of_a_restarted_host() {
     let mut fleet = Fleet::start(7, 5);
@@ -127,7 +131,8 @@
     assert!((3..=max_requests_per_window(1.0)).contains(&max_count), "{max_count}");
 }
 
-/// Guards against a machine that takes all shares after a suspension, as it has lost sight of all other hosts.
+/// Guards against a resumed host that takes all shares because it considers itself the only host
+/// left.
 #[test]
 fn a_resumed_host_does_not_take_the_shares_of_other_hosts() {
     for (hosts, limit) in [(7, 1.0), (67, 4.0), (295, 4.0)] {
@@ -159,7 +164,7 @@
     }
 }
 
-/// Guards against a limit that each part of a fleet takes as a whole, once a cut has parted them.
+/// Guards against a network partition in which both parts of the fleet use the full limit.
 #[test]
 fn partitioned_hosts_do_not_use_the_full_limit_on_both_sides() {
     for (hosts, limit) in [(7, 4.0), (67, 8.0), (295, 20.0)] {
--- a/crates/tidetrack-core/tests/endpoint_restarts.rs
+++ b/crates/tidetrack-core/tests/endpoint_restarts.rs
@@ -1,4 +1,4 @@
-//! Endpoints that start again under their ids.
+//! Endpoints that restart under the same id.
 
 mod support;
 
@@ -8,14 +8,15 @@
 
 use support::{fresh_since, id, record, view_of, without_rollout};
 
-/// An entry of an endpoint that started at some time.
+/// Returns an endpoint update for `o1` whose process started at `at`, in milliseconds.
 fn record_started_at(at: u64, version: &str) -> Input {
     let started = Some(Millis(at));
     Input::Endpoint(EndpointRecord { started, ..record("o1", version) })
 }
 
-/// What was promised: a restart brought a new id, so what was learnt by id was of one process. It may come under
-/// the same id now. Evidence: the endpoint that failed before its restart stayed ejected after it.
+/// Guards against carrying state over from an endpoint's previous process. State is learned per id,
+/// and a restart may keep the id, so an endpoint that failed before its restart stayed ejected
+/// after it.
 #[test]
 fn a_restarted_endpoint_gets_a_new_state() {
     let freshness = fresh_since(0);
--- a/crates/tidetrack-core/tests/large_fleet.rs
+++ b/crates/tidetrack-core/tests/large_fleet.rs
@@ -1,5 +1,5 @@
-//! Hosts of a large fleet together, on virtual time: what they tell each other has to suffice, for
-//! calls to the store must not grow with them.
+//! Simulated large fleets on virtual time. Hosts have to learn nearly everything from each other,
+//! because the number of calls to the store must not grow with the fleet.
 
 mod support;
 
@@ -15,7 +15,8 @@
 use support::fleet::{Fleet, ENDPOINT_BYTES, STEP};
 use support::{id, order, record, view_of, without_rollout};
 
-/// Age of the proof at which a host reads the configuration itself.
+/// Age of the newest proof, a confirmed read of the configuration, at which a host reads the
+/// configuration itself.
 const MAX_PROOF_AGE: Millis = Millis(2_500);
 
 #[test]
@@ -33,7 +34,7 @@
 
     let provers = fleet.hosts.iter().filter(|h| h.beliefs.is_prover()).count();
     assert_eq!(provers, 3);
-    // A message and its repetition may both be lost.
+    // A message and its retransmission may both be lost.
     assert!(stale_count * 500 < samples, "{stale_count} of {samples}");
 }
 
@@ -76,11 +77,13 @@
     assert!(fleet.calls <= 20, "{} calls", fleet.calls);
 }
 
-/// Endpoints of a service that start again under their ids, each twice in two seconds, one after another.
+/// Number of endpoints of a service that restart under their ids, and the time in milliseconds in
+/// which each of them restarts twice, one after another.
 const RESTART_BURST: (u64, u64) = (160, 2_000);
 
-/// What was seen: while endpoints started one after another, most of 295 hosts read the changes from the store. The
-/// figures are told by the test; what is given to a host is each change once and a half.
+/// Guards against hosts that read endpoint changes from the store during a burst of restarts. Most
+/// of 295 hosts did so while endpoints restarted one after another. Each host may receive at most
+/// 1.5 times the bytes of all changes.
 #[test]
 fn a_burst_of_endpoint_restarts_reaches_hundreds_of_hosts_with_few_store_calls() {
     const HOSTS: u32 = 300;
@@ -136,12 +139,13 @@
 
     fleet.run(14_000, |_, _| {});
 
-    // Ten hosts in ten seconds.
+    // Ten hosts read the store for ten seconds, about once a second each.
     assert!((50..=150).contains(&fleet.calls), "{} calls", fleet.calls);
 }
 
-/// A host that watches the store may be away from it and not know, and then all its failure domain heard of
-/// no endpoint any more. Evidence: `platform/tests/endpoint_news.rs`.
+/// Guards against a watcher that has lost the store without noticing; all hosts of its failure
+/// domain then received no endpoint changes. `platform/tests/endpoint_news.rs` reproduces the
+/// fault.
 #[test]
 fn endpoint_changes_arrive_in_time_although_the_watchers_see_none() {
     let mut fleet = Fleet::start(67, 7);
@@ -149,7 +153,7 @@
     fleet.are_watchers_blind = true;
 
     let change = |n: u64| -> u64 {
-        // Changes come at all times between two proofs.
+        // Varies the time of the change between two proofs.
         fleet.run(fleet.now + 130 * n, |_, _| {});
         fleet.change()
     };
@@ -160,9 +164,11 @@
     assert!(fleet.calls <= 60, "{} calls, of three hosts for 20 changes", fleet.calls);
 }
 
-/// A host was ready again and 0.3 s later sent a request to an endpoint that had left 3.8 s before. A host that
-/// hears no others for a while, on a full link, is ready by a read of its own; its news of endpoints are then
-/// as old as its proof was. Evidence: the users' record of the request and of readiness.
+/// Guards against requests to endpoints that have been removed. A host that hears from no other
+/// host for a while, for example because its link is saturated, becomes ready again by its own read
+/// of the configuration, but its endpoints are then as old as its previous proof. One such host
+/// sent a request to an endpoint 0.3 s after it became ready and 3.8 s after the endpoint was
+/// removed.
 #[test]
 fn a_host_that_makes_its_own_proof_reads_the_endpoints_at_once() {
     let mut fleet = Fleet::start(12, 8);
@@ -182,26 +188,28 @@
     assert_eq!(calls_of_other_host, 1);
 }
 
-/// A session whose requests follow each other, each at some host.
+/// Session whose requests are sent one after another, each to a random host.
 struct Session {
     name: String,
     next_at: u64,
     last_track: Option<ReleaseTrack>,
 }
 
-/// What sessions met in a roll-out.
+/// Counts of requests by the versions that their sessions met during a roll-out.
 #[derive(Debug, Default)]
 struct VersionChanges {
-    /// Requests in the first half that met the new version after the old one.
+    /// Requests in the first half of the roll-out that were sent to the canary version although the
+    /// previous one of the session was sent to the stable version.
     early_changes: usize,
-    /// Requests that met the old version after the new one.
+    /// Requests that were sent to the stable version although the previous one of the session was
+    /// sent to the canary version.
     reverted_changes: usize,
-    /// Requests of the first half that met the new version, and all of it.
+    /// Requests in the first half of the roll-out: those sent to the canary version, and all.
     canary_requests: usize,
     total_requests: usize,
 }
 
-/// Plays a roll-out of 20 s under sessions whose requests come from 0.05 to 4 s after each other.
+/// Simulates a roll-out of 20 s with sessions that pause from 0.05 to 4 s between requests.
 fn run_sessions_through_rollout(hosts: u32, sessions: usize, seed: u64) -> VersionChanges {
     let mut fleet = Fleet::start(hosts, seed);
     fleet.run(4_000, |_, _| {});
@@ -235,10 +243,10 @@
             changes.canary_requests += usize::from(is_first_half && track == ReleaseTrack::Canary);
             changes.total_requests += usize::from(is_first_half);
             session.last_track = Some(track);
-            // Some requests are short calls right after each other.
+            // Half of the requests are short calls that follow each other immediately.
             let pause_ms = if rng.random::<f64>() < 0.5 { 50..250 } else { 200..4_000 };
             session.next_at = fleet.now + rng.random_range(pause_ms);
-            // Now and then a reader begins a new session.
+            // After 15% of the requests, the caller starts a new session.
             if rng.random::<f64>() < 0.15 {
                 session.name.push('x');
                 session.last_track = None;
@@ -276,7 +284,7 @@
     let freshness = Freshness::default();
     let mut fleet_state = without_rollout(1, &freshness);
     let mut views = Vec::new();
-    // A service of a thousand endpoints is replaced in two seconds.
+    // A service with 1,000 endpoints is replaced within two seconds.
     for i in 0..1_000u64 {
         let now = Millis(1_000 + 2 * i);
         let new = record(&format!("i-{i}"), "v1");
@@ -290,42 +298,45 @@
     assert_eq!(final_view.services[&id::<ServiceId>("llm")].stable_pool.endpoints().len(), 1_004);
 }
 
-/// Hosts of a fleet with a wide link, and all of them.
+/// Number of hosts with a fast link, and of all hosts of the fleet.
 const FAST_HOSTS: usize = 8;
 const FLEET_HOSTS: usize = 67;
 
-/// Bytes a millisecond of a wide host's link, a small one's (10 Mbit/s), and of the store's.
+/// Bandwidth in bytes per millisecond of a fast host's link, of a slow host's link (10 Mbit/s), and
+/// of the store's link.
 const FAST_LINK: f64 = 25_000.0;
 const SLOW_LINK: f64 = 1_250.0;
 const STORE_LINK: f64 = 125_000.0;
 
-/// Bytes of a configuration of some thousand routes.
+/// Size of a configuration with a few thousand routes.
 const LARGE_CATALOG_BYTES: u64 = 1_000_000;
 
-/// What a large change did to a fleet.
+/// Effects of a large configuration change on a fleet.
 #[derive(Debug)]
 struct LargeChangeOutcome {
-    /// Copies that hosts began to get: by the host with the most, and by all.
+    /// Copies of the configuration that hosts started to receive: the largest number on one host,
+    /// and the total.
     max_copies_per_host: usize,
     total_copies: usize,
-    /// Hosts that began to get so many copies: none, one, two, three, more.
+    /// Number of hosts that started to receive 0, 1, 2, 3, and more copies.
     hosts_by_copies: [usize; 5],
-    /// What came of it over the hosts' links, in whole copies.
+    /// Bytes that all hosts received over their links, in units of one copy.
     received_copies: f64,
-    /// Calls to the store by hosts that do not watch it.
+    /// Calls to the store by hosts that are not watchers.
     calls: usize,
-    /// Time until an endpoint's change half a second later is known everywhere, in milliseconds.
+    /// Time in milliseconds until all hosts know an endpoint change that is made 500 ms after the
+    /// configuration change.
     endpoint_change_ms: u64,
-    /// Time until the large one is.
+    /// Time in milliseconds until all hosts know the configuration change.
     catalog_change_ms: u64,
 }
 
-/// Plays a change of the configuration in a fleet of a few wide hosts and many narrow ones, and one of
-/// an endpoint while it is on its way.
+/// Simulates a configuration change in a fleet of a few hosts with fast links and many with slow
+/// ones, and an endpoint change while the configuration is still being transferred.
 fn run_large_change(seed: u64) -> LargeChangeOutcome {
     let mut fleet = Fleet::start(FLEET_HOSTS as u32, seed);
     let mut bandwidths = vec![SLOW_LINK; FLEET_HOSTS];
-    // The wide ones are spread over the fleet.
+    // The hosts with fast links are spread evenly over the fleet.
     (0..FAST_HOSTS).for_each(|n| bandwidths[n * FLEET_HOSTS / FAST_HOSTS] = FAST_LINK);
     fleet.set_links(bandwidths, STORE_LINK);
     fleet.run(4_000, |_, _| {});
--- a/crates/tidetrack-core/tests/outliers.rs
+++ b/crates/tidetrack-core/tests/outliers.rs
@@ -1,5 +1,5 @@
-//! Endpoints that fail much more than the rest of their pool: many hosts, each of which sees a few
-//! answers, find them together.
+//! Detection of endpoints that fail much more often than the rest of their pool by many hosts, each
+//! of which sees only a few responses.
 
 mod support;
 
@@ -14,10 +14,10 @@
 use support::fleet::{Fleet, STEP};
 use support::{id, record};
 
-/// Share of the answers that a grey endpoint loses.
+/// Share of the requests that a faulty endpoint fails.
 const FAULTY_ENDPOINT_FAILURE_RATE: f64 = 0.35;
 
-/// How requests of a fleet went.
+/// Counts of the requests that a fleet sent.
 #[derive(Clone, Copy, Debug, Default)]
 struct RequestCounts {
     sent: u32,
@@ -25,13 +25,13 @@
     sent_to_faulty: u32,
 }
 
-/// A fleet whose hosts send requests to one pool.
+/// Simulated fleet whose hosts send requests to one pool.
 struct FleetTraffic {
     fleet: Fleet,
     rng: StdRng,
-    /// Names of the endpoints that fail.
+    /// Ids of the endpoints that fail at `FAULTY_ENDPOINT_FAILURE_RATE`.
     faulty_endpoints: Vec<String>,
-    /// Share of the answers that every endpoint fails.
+    /// Share of the requests that every other endpoint fails.
     base_failure_rate: f64,
 }
 
@@ -56,7 +56,7 @@
         self
     }
 
-    /// Lets time pass while each host sends so many requests a second.
+    /// Runs the fleet for `ms` milliseconds while each host sends requests at the given rate.
     fn run(&mut self, ms: u64, requests_per_second: f64) -> RequestCounts {
         let until = self.fleet.now + ms;
         let mut counts = RequestCounts::default();
@@ -95,7 +95,7 @@
         counts.sent_to_faulty += u32::from(is_faulty);
     }
 
-    /// Counts the endpoints that a host avoids.
+    /// Returns the number of endpoints that are ejected on a host.
     fn ejected_count(&self, host: usize) -> usize {
         let view = self.fleet.hosts[host].view.as_ref().expect("a view");
         let pool = &view.services[&id::<ServiceId>("llm")].stable_pool;
@@ -146,7 +146,7 @@
 
     traffic.run(6_000, 6.0);
 
-    // Some failures in a row by chance still eject for a moment.
+    // Random runs of consecutive failures may still eject an endpoint briefly.
     let ejected_count = (0..12).map(|host| traffic.ejected_count(host)).sum::<usize>();
     assert!(ejected_count <= 12, "{ejected_count} endpoints avoided by 12 hosts");
 }
--- a/crates/tidetrack-core/tests/placement.rs
+++ b/crates/tidetrack-core/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Placement of requests on endpoints.
+//! Placement of requests on the endpoints of a pool.
 
 use std::sync::Arc;
 
@@ -101,7 +101,7 @@
     assert!(endpoint_state.load(Millis(80_000)) < 1.0);
 }
 
-/// Asks for a request whose shared prefix costs so much work to read again.
+/// Returns a request whose shared prefix takes `reread_work` to read again on another endpoint.
 fn request_with_prefix(ring_position: u64, reread_work: u64) -> PlacementRequest<'static> {
     PlacementRequest { reread_work, ..request(ring_position, 1) }
 }
@@ -136,12 +136,12 @@
     assert!(second.iter().all(|id| *id == second[0]), "{second:?}");
 }
 
-/// Makes the standing of a host in a failure domain.
+/// Returns the locality of a host in the given failure domain.
 fn locality_in(own_domain: &FailureDomain) -> Option<Locality<'_>> {
     Some(Locality { failure_domain: own_domain, crossing_work: 500 })
 }
 
-/// Makes a pool of three failure domains.
+/// Returns a pool whose endpoints are spread evenly over three failure domains.
 fn pool_of_domains(n: usize) -> PoolView {
     let mut endpoints = pool(n).endpoints().to_vec();
     for (i, e) in endpoints.iter_mut().enumerate() {
@@ -185,7 +185,8 @@
         |salt| pool.pick(Millis(0), &request(salt)).expect("a pick").failure_domain.clone();
     let picks_in_own_domain = (0..200).filter(|salt| picked(*salt) == own_domain).count();
 
-    // Four draws from the whole pool alone found none of the domain for one request in five.
+    // With four candidates drawn from the whole pool and no others, one request in five found no
+    // endpoint in its own failure domain.
     assert!(picks_in_own_domain >= 195, "{picks_in_own_domain} of 200");
 }
 
--- a/crates/tidetrack-core/tests/prefixes.rs
+++ b/crates/tidetrack-core/tests/prefixes.rs
@@ -1,4 +1,5 @@
-//! What hosts remember and tell of the shared parts of prompts that endpoints have read.
+//! Tests of the prefix index: which endpoints have read the shared prefix of a prompt, and which
+//! reads hosts report to each other.
 
 use tidetrack_core::ids::{EndpointId, EndpointKey, ModelId};
 use tidetrack_core::traffic::prefix_index::{PrefixIndex, PrefixKey};
--- a/crates/tidetrack-core/tests/second_opinions.rs
+++ b/crates/tidetrack-core/tests/second_opinions.rs
@@ -1,4 +1,5 @@
-//! Whether an answer is dropped for a larger model's, and what is expected of such a run.
+//! Decision to discard a response for that of a larger model, and the latency estimate for such a
+//! second opinion.
 
 mod support;
 
--- a/crates/tidetrack-core/tests/suspects.rs
+++ b/crates/tidetrack-core/tests/suspects.rs
@@ -1,5 +1,5 @@
-//! Requests under which endpoints crash: when they are barred, which others must not be, and how hosts of fleets of
-//! all sizes learn of it.
+//! Suspects, which are requests that may have crashed an endpoint: when they are barred, which
+//! requests must not be barred, and how hosts in fleets of all sizes learn about them.
 
 mod support;
 
@@ -18,13 +18,13 @@
 use support::fleet::{Fleet, STEP};
 use support::id;
 
-/// Time after which hosts in touch know what one of them learned, in milliseconds.
+/// Time after which connected hosts know what one of them has learned, in milliseconds.
 const PROPAGATION_MS: u64 = 3_000;
 
-/// Sends of a request that may follow that time, as the users' pages have it.
+/// Number of attempts that may be sent after that time, as documented for users.
 const MAX_LATE_ATTEMPTS: usize = 3;
 
-/// How long a run lasts until its endpoint crashes, in milliseconds.
+/// Time from the start of an attempt to the crash of its endpoint, in milliseconds.
 const EXECUTION_MS: u64 = 30;
 
 fn fingerprint_of(workspace: &str, body: &str) -> Fingerprint {
@@ -49,7 +49,7 @@
     suspects.record_crash(Millis(at), fingerprint, &id(endpoint), &id(failure_domain), sent_at)
 }
 
-/// Crashes endpoints under a request one after another, a second apart.
+/// Records crashes of different endpoints under a request, one second apart.
 fn record_crashes(suspects: &Suspects, from: u64, fingerprint: Fingerprint, times: u64) {
     for n in 0..times {
         record_crash_at(suspects, from + n * 1_000, fingerprint, &format!("{from}-e{n}"), "hall");
@@ -109,7 +109,7 @@
     assert_eq!(admission_error_code(&suspects, 6_000, after), None);
 }
 
-/// Guards against barring a request whose copies ran in a rack that lost its power.
+/// Guards against barring a request whose copies ran in a rack that lost power.
 #[test]
 fn simultaneous_crashes_in_a_failure_domain_count_as_one() {
     let suspects = Arc::new(Suspects::default());
@@ -123,7 +123,7 @@
     assert_eq!(admission_error_code(&suspects, 2_000, fingerprint), None);
 }
 
-/// Guards against barring a request that was sent to the endpoints which another one crashed.
+/// Guards against barring a request for crashes that another request on the same endpoints caused.
 #[test]
 fn crashes_caused_by_a_barred_request_do_not_count_against_other_requests() {
     let suspects = Arc::new(Suspects::default());
@@ -177,7 +177,7 @@
     assert!(suspects.reports_for_round(Millis(7_000)).len() <= MAX_REPORTS_PER_MESSAGE);
 }
 
-/// Guards against a bar that stays for ever though what made endpoints crash has been mended.
+/// Guards against a bar that never ends although the cause of the crashes has been fixed.
 #[test]
 fn a_barred_request_may_run_once_after_the_bar_duration_and_the_next_crash_bars_it_again() {
     let suspects = Arc::new(Suspects::default());
@@ -200,15 +200,16 @@
     assert!(suspects.is_empty());
 }
 
-/// What a play of a deadly request saw.
+/// Counts of a simulation of a request that crashes endpoints.
 #[derive(Debug, Default)]
 struct CrashSimulation {
     crashes: usize,
-    /// Sends later than hosts had to know of the third crash.
+    /// Attempts sent after the time by which hosts must know of the third crash.
     late_attempts: usize,
 }
 
-/// Sends a request that crashes endpoints to another host at each step, for some seconds.
+/// Sends a request that crashes its endpoint to a random host at each step, for eight seconds of
+/// virtual time.
 fn run_crashing_request(hosts: u32, seed: u64) -> (Fleet, CrashSimulation) {
     let mut fleet = Fleet::start(hosts, seed);
     fleet.run(4_000, |_, _| {});
@@ -233,7 +234,7 @@
     (fleet, simulation)
 }
 
-/// Guards against each of many hosts counting for itself.
+/// Guards against hosts that count only the crashes they observed themselves.
 #[test]
 fn a_request_sent_to_a_different_host_each_time_is_barred_in_fleets_of_all_sizes() {
     for (hosts, seeds) in [(7, 20), (67, 6), (295, 2)] {
@@ -264,7 +265,7 @@
     );
 }
 
-/// Guards against a machine that goes on after a suspension with what it knew before.
+/// Guards against a resumed host that acts on the state it had before it was suspended.
 #[test]
 fn a_resumed_host_learns_barred_requests_soon() {
     for hosts in [7, 67, 295] {
