--- a/crates/tidetrack-core/tests/endpoint_limits.rs
+++ b/crates/tidetrack-core/tests/endpoint_limits.rs
@@ -33,11 +33,11 @@
 }
 
 fn endpoint_state_at(fleet: &Fleet, host: usize) -> Arc<EndpointState> {
-    let view = fleet.hosts[host].view.as_ref().expect("a view");
+    let view = fleet.hosts[host].view.as_ref().expect("a view must be published");
     let service = &view.services[&id::<ServiceId>("llm")];
     let limited: EndpointId = id(LIMITED_ENDPOINT);
     let found = service.stable_pool.endpoints().iter().find(|e| e.id == limited);
-    found.expect("the endpoint is listed").state.clone()
+    found.expect("the limited endpoint must be in the pool").state.clone()
 }
 
 /// Makes all hosts send to the limited endpoint whenever their share permits, for `duration_ms`.
@@ -88,14 +88,17 @@
         let max_count = max_in_any_window(&send_times, limit_reported_at + PROPAGATION_MS);
         let min_expected = limit * WINDOW_MS as f64 / 1_000.0 * 0.5;
         println!(
-            "{hosts} hosts, {limit} a second: {max_count} in 4 s, {} allowed",
+            "{hosts} hosts, limit {limit} per second: {max_count} requests in 4 s, {} allowed",
             max_requests_per_window(limit)
         );
         assert!(
             max_count <= max_requests_per_window(limit),
-            "{hosts} hosts, {limit} a second: {max_count}"
+            "{hosts} hosts, limit {limit} per second: {max_count} requests in 4 s"
+        );
+        assert!(
+            max_count as f64 >= min_expected,
+            "{hosts} hosts, limit {limit} per second: {max_count} requests in 4 s"
         );
-        assert!(max_count as f64 >= min_expected, "{hosts} hosts, {limit} a second: {max_count}");
     }
 }
 
@@ -122,13 +125,14 @@
     let now = Millis(fleet.now);
     let has_share =
         |fleet: &Fleet, host: usize| endpoint_state_at(fleet, host).next_send_at(now).is_some();
-    let holder = (0..7).find(|host| has_share(&fleet, *host)).expect("a host has the share");
+    let holder =
+        (0..7).find(|host| has_share(&fleet, *host)).expect("one host must hold the share");
 
     fleet.restart(holder);
     let send_times = send_requests(&mut fleet, 12_000, Some(1.0));
 
     let max_count = max_in_any_window(&send_times, fleet.now - 12_000 + PROPAGATION_MS);
-    assert!((3..=max_requests_per_window(1.0)).contains(&max_count), "{max_count}");
+    assert!((3..=max_requests_per_window(1.0)).contains(&max_count), "{max_count} requests in 4 s");
 }
 
 /// Guards against a resumed host that takes all shares because it considers itself the only host
@@ -151,15 +155,15 @@
             max_in_any_window(&send_times, resumed_at + PROPAGATION_MS),
         );
         println!(
-            "{hosts} hosts, {limit} a second: {max_after_resume} in 4 s at first, then {max_count}"
+            "{hosts} hosts, limit {limit} per second: {max_after_resume} requests in 4 s after the resume, then {max_count}"
         );
         assert!(
             max_after_resume <= max_requests_per_window(limit),
-            "{hosts} hosts, {limit} a second: {max_after_resume} at once"
+            "{hosts} hosts, limit {limit} per second: {max_after_resume} requests in 4 s after the resume"
         );
         assert!(
             max_count <= max_requests_per_window(limit),
-            "{hosts} hosts, {limit} a second: {max_count}"
+            "{hosts} hosts, limit {limit} per second: {max_count} requests in 4 s"
         );
     }
 }
@@ -177,12 +181,12 @@
 
         let max_count = max_in_any_window(&send_times, fleet.now - 20_000);
         println!(
-            "{hosts} hosts, {limit} a second: {max_count} in 4 s, {} allowed",
+            "{hosts} hosts, limit {limit} per second: {max_count} requests in 4 s, {} allowed",
             max_requests_per_window(limit)
         );
         assert!(
             max_count <= max_requests_per_window(limit),
-            "{hosts} hosts, {limit} a second: {max_count}"
+            "{hosts} hosts, limit {limit} per second: {max_count} requests in 4 s"
         );
     }
 }
@@ -192,7 +196,7 @@
     let mut fleet = Fleet::start(1, 6);
     fleet.run(1_000, |_, _| {});
     let now = Millis(fleet.now);
-    let view = fleet.hosts[0].view.clone().expect("a view");
+    let view = fleet.hosts[0].view.clone().expect("a view must be published");
     let service = &view.services[&id::<ServiceId>("llm")];
     for endpoint in service.pool(ReleaseTrack::Stable).endpoints() {
         endpoint.state.set_send_allowance(SendAllowance::Share(Rate(2.0)));
@@ -200,7 +204,9 @@
     }
 
     let pool = service.pool(ReleaseTrack::Stable);
-    let refused = pool.pick(now, &PlacementRequest::default()).expect_err("none takes more");
+    let refused = pool
+        .pick(now, &PlacementRequest::default())
+        .expect_err("all endpoints must be at their limit");
 
     assert_eq!(refused.code, Code::Overloaded);
     assert_eq!(refused.retry_after_ms, Some(500));
--- a/crates/tidetrack-core/tests/endpoint_restarts.rs
+++ b/crates/tidetrack-core/tests/endpoint_restarts.rs
@@ -24,7 +24,7 @@
     let mut view_after = |at: u64, input: Input| {
         let mut actions = fleet_state.handle_input(Millis(at), input, &freshness);
         actions.extend(fleet_state.handle_input(Millis(at + 200), Input::Tick, &freshness));
-        view_of(&actions).expect("a view")
+        view_of(&actions).expect("a view must be published")
     };
     let view = view_after(100, record_started_at(1_000, "v1"));
     let before = &view.services[&id("llm")].stable_pool.endpoints()[2];
@@ -51,7 +51,7 @@
     fleet_state.handle_input(Millis(200), Input::Endpoint(leaving), &freshness);
     let actions = fleet_state.handle_input(Millis(400), record_started_at(2_000, "v1"), &freshness);
 
-    let view = view_of(&actions).expect("a view");
+    let view = view_of(&actions).expect("a view must be published");
     let stable_endpoints = view.services[&id("llm")].stable_pool.endpoints();
     assert!(stable_endpoints.iter().any(|e| e.id.as_str() == "o1" && !e.state.is_leaving()));
 }
--- a/crates/tidetrack-core/tests/exposure.rs
+++ b/crates/tidetrack-core/tests/exposure.rs
@@ -53,7 +53,10 @@
         }
     }
 
-    assert!(late_cases.is_empty(), "times, seed, answers when barred: {late_cases:?}");
+    assert!(
+        late_cases.is_empty(),
+        "barred too late (slowdown, seed, responses until barred): {late_cases:?}"
+    );
 }
 
 /// Runs a roll-out of 20 s that reaches no verdict. Returns the number of requests sent to the
@@ -95,11 +98,11 @@
 
         let max_canary_requests =
             MAX_CANARY_SHARE * total_requests as f64 + CANARY_REQUEST_ALLOWANCE;
-        assert!((canary_requests as f64) <= max_canary_requests, "{hosts} hosts: {canary_requests} of {total_requests}, {max_canary_requests} are allowed");
-        let lead_time_ms = completed_at.expect("a version that is not bad is completed");
+        assert!((canary_requests as f64) <= max_canary_requests, "{hosts} hosts: {canary_requests} of {total_requests} requests sent to the canary version, limit is {max_canary_requests}");
+        let lead_time_ms = completed_at.expect("a good version must be completed");
         assert!(
             lead_time_ms >= 300,
-            "{hosts} hosts: completed {lead_time_ms} ms before the deadline"
+            "{hosts} hosts: completed only {lead_time_ms} ms before the deadline"
         );
     }
 }
@@ -129,7 +132,7 @@
             fleet.request(host_index, s) == ReleaseTrack::Canary
         });
 
-        assert_eq!(changed_sessions.count(), 0, "{hosts} hosts");
+        assert_eq!(changed_sessions.count(), 0, "{hosts} hosts: sessions changed their version");
     }
 }
 
@@ -174,7 +177,7 @@
 ) -> std::sync::Arc<FleetView> {
     let unchanged_record = Input::Endpoint(record("o1", "v1"));
     let actions = fleet_state.handle_input(Millis(now), unchanged_record, freshness);
-    view_of(&actions).expect("a view")
+    view_of(&actions).expect("a view must be published")
 }
 
 /// Wraps an update as a message that was received from another host.
@@ -206,7 +209,7 @@
     let stable_endpoints: &[&str] = &["o1", "o2"];
     let unreadable = || Input::RolloutList { orders: Vec::new(), unreadable: vec![id("llm")] };
     let cases: Vec<(&str, FleetState, Vec<Input>, &[&str])> = vec![
-        ("before a list of roll-outs", with_endpoints(2, &freshness), vec![], no_endpoints),
+        ("before the first list of roll-outs", with_endpoints(2, &freshness), vec![], no_endpoints),
         (
             "when the order is removed",
             with_rollout(2, &freshness),
@@ -220,19 +223,19 @@
             stable_endpoints,
         ),
         (
-            "when a list of roll-outs lacks it",
+            "when a list of roll-outs lacks the order",
             with_rollout(2, &freshness),
             vec![rollouts(vec![])],
             stable_endpoints,
         ),
         (
-            "when the order can't be read any more",
+            "when the order becomes unreadable",
             with_rollout(2, &freshness),
             vec![unreadable(), Input::RolloutUnreadable(id("llm"))],
             stable_endpoints,
         ),
         (
-            "when the order could never be read",
+            "when the order has never been readable",
             with_endpoints(2, &freshness),
             vec![
                 caught_up(FeedKind::Endpoints, 10),
@@ -242,7 +245,7 @@
             no_endpoints,
         ),
         (
-            "when others hold the version bad",
+            "when other hosts report the version as barred",
             without_rollout(2, &freshness),
             vec![received_update(PeerUpdate {
                 barred_versions: vec![barred_version()],
@@ -251,7 +254,7 @@
             stable_endpoints,
         ),
         (
-            "when others tell of its roll-out",
+            "when other hosts report tallies of its roll-out",
             without_rollout(2, &freshness),
             vec![received_update(PeerUpdate {
                 tallies: vec![tally_report()],
@@ -272,7 +275,7 @@
         }
     }
 
-    assert!(failed_cases.is_empty(), "{failed_cases:?}");
+    assert!(failed_cases.is_empty(), "wrong stable endpoints (case, endpoints): {failed_cases:?}");
 }
 
 /// Endpoints of a version may become known before the order that introduces the version: orders and
@@ -381,7 +384,7 @@
 
     let published_ids = |fleet_state: &mut FleetState| {
         let actions = fleet_state.handle_input(Millis(400), rollouts(vec![]), &freshness);
-        stable_ids(&view_of(&actions).expect("a view"))
+        stable_ids(&view_of(&actions).expect("a view must be published"))
     };
 
     assert_eq!(published_ids(&mut with_removed_order), ["n1", "n2"]);
@@ -399,7 +402,7 @@
     let new_order = RolloutOrder { revision: 9, ..order(9, None) };
     let actions = fleet_state.handle_input(Millis(300), Input::Rollout(new_order), &freshness);
 
-    let view = view_of(&actions).expect("a view");
+    let view = view_of(&actions).expect("a view must be published");
     assert_eq!(view.services[&id("llm")].canary_pool.endpoints().len(), 2);
     assert_eq!(stable_ids(&view), ["o1", "o2"]);
 }
--- a/crates/tidetrack-core/tests/few_calls.rs
+++ b/crates/tidetrack-core/tests/few_calls.rs
@@ -46,7 +46,7 @@
     hosts: u32,
     endpoint_count: usize,
     /// Calls per second.
-    rate: f64,
+    calls_per_second: f64,
     /// Share of the canary version's calls that are slow.
     slow_share: f64,
     /// Factor by which slow calls take longer.
@@ -62,7 +62,7 @@
         RolloutCase {
             hosts: 7,
             endpoint_count: 4,
-            rate: 24.6,
+            calls_per_second: 24.6,
             slow_share: 0.0,
             slowdown: 1.0,
             failure_rate_after_cutover: 0.0,
@@ -115,7 +115,7 @@
     fn run_until(&mut self, end: u64, has_rollout_order: bool) {
         while self.fleet.now < end && !self.outcome.is_barred {
             self.fleet.run(self.fleet.now + STEP as u64, |_, _| {});
-            let mean = self.case.rate * STEP as f64 / 1_000.0;
+            let mean = self.case.calls_per_second * STEP as f64 / 1_000.0;
             let calls = mean as usize + usize::from(self.rng.random::<f64>() < mean.fract());
             (0..calls).for_each(|_| self.send_call(has_rollout_order));
             self.outcome.is_barred = has_rollout_order && self.is_barred();
@@ -124,7 +124,7 @@
 
     fn is_barred(&self) -> bool {
         self.fleet.hosts.iter().all(|host| {
-            let view = host.view.as_ref().expect("a view");
+            let view = host.view.as_ref().expect("a view must be published");
             let canary = view.services[&id("llm")].canary.as_ref();
             canary.is_some_and(|t| t.phase == Phase::Barred)
         })
@@ -147,14 +147,18 @@
     }
 
     /// Retries a failed call on up to two more endpoints of the same version until it succeeds.
-    fn retry(&mut self, host: usize, track: ReleaseTrack, failed: ObservedResponse) {
+    fn retry(&mut self, host: usize, track: ReleaseTrack, failed_response: ObservedResponse) {
         for _ in 1..MAX_ATTEMPTS {
             let is_repeat_failure = self.rng.random::<f64>() < self.case.repeat_failure_rate;
             let outcome =
                 if is_repeat_failure { AttemptOutcome::Failed } else { AttemptOutcome::Complete };
             let endpoint = self.draw_endpoint(track);
-            let response =
-                ObservedResponse { outcome, endpoint, has_failed_before: true, ..failed.clone() };
+            let response = ObservedResponse {
+                outcome,
+                endpoint,
+                has_failed_before: true,
+                ..failed_response.clone()
+            };
             self.fleet.take(host, Input::ResponseObserved(response));
             if !is_repeat_failure {
                 return;
@@ -170,7 +174,7 @@
 
     /// Reports whether all calls are sent to the canary version.
     fn has_cut_over(&self) -> bool {
-        let view = self.fleet.hosts[0].view.as_ref().expect("a view");
+        let view = self.fleet.hosts[0].view.as_ref().expect("a view must be published");
         let canary = view.services[&id("llm")].canary.as_ref();
         canary.is_some_and(|t| t.phase_at(Millis(self.fleet.now)) == Phase::Moved)
     }
@@ -186,7 +190,7 @@
         } else {
             0.0
         };
-        let failed = !is_trivial
+        let has_failed = !is_trivial
             && (is_second_route && self.rng.random::<f64>() < second_route_failure_rate
                 || failure_rate_after_cutover > 0.0
                     && self.rng.random::<f64>() < failure_rate_after_cutover);
@@ -209,7 +213,7 @@
                 (false, false) => "lend",
             }),
             model: None,
-            outcome: if failed { AttemptOutcome::Failed } else { AttemptOutcome::Complete },
+            outcome: if has_failed { AttemptOutcome::Failed } else { AttemptOutcome::Complete },
             has_failed_before: false,
             is_stream: false,
             load: 0.0,
@@ -224,7 +228,7 @@
     let barred_count = (0..SEED_COUNT)
         .filter(|seed| RolloutSimulation::new(*seed, case).run().is_barred)
         .count() as u64;
-    println!("{case:?}: found in {count_barred} of {SEED_COUNT}");
+    println!("{case:?}: barred in {barred_count} of {SEED_COUNT} simulations");
     barred_count
 }
 
@@ -242,7 +246,7 @@
     let case = RolloutCase {
         hosts: 6,
         endpoint_count: 3,
-        rate: 11.9,
+        calls_per_second: 11.9,
         slow_share: 0.5,
         slowdown: 8.0,
         ..RolloutCase::default()
@@ -264,7 +268,7 @@
 #[test]
 fn a_good_version_stays_within_the_exposure_bound_and_is_completed() {
     let small = RolloutCase::default();
-    let large = RolloutCase { hosts: 83, endpoint_count: 10, rate: 60.0, ..small };
+    let large = RolloutCase { hosts: 83, endpoint_count: 10, calls_per_second: 60.0, ..small };
 
     for (case, seed_count) in [(small, SEED_COUNT), (large, 4)] {
         for seed in 0..seed_count {
@@ -272,10 +276,10 @@
 
             let max_canary_calls = EXPOSURE_BOUND.share.0 * outcome.total_calls as f64
                 + f64::from(EXPOSURE_BOUND.allowance);
-            assert!(outcome.is_completed, "{case:?}, seed {seed}");
+            assert!(outcome.is_completed, "not completed: {case:?}, seed {seed}");
             assert!(
                 (outcome.canary_calls as f64) <= max_canary_calls,
-                "{case:?}, seed {seed}: {outcome:?}"
+                "too many canary calls: {case:?}, seed {seed}: {outcome:?}"
             );
         }
     }
@@ -291,7 +295,10 @@
 
         let max_canary_calls = EXPOSURE_BOUND.share.0 * outcome.total_calls as f64
             + f64::from(EXPOSURE_BOUND.allowance);
-        assert!((outcome.canary_calls as f64) <= max_canary_calls, "seed {seed}: {outcome:?}");
+        assert!(
+            (outcome.canary_calls as f64) <= max_canary_calls,
+            "too many canary calls: seed {seed}: {outcome:?}"
+        );
     }
 }
 
@@ -299,7 +306,7 @@
 const HUNDREDS_OF_HOSTS: RolloutCase = RolloutCase {
     hosts: 295,
     endpoint_count: 6,
-    rate: 218.0,
+    calls_per_second: 218.0,
     slow_share: 0.0,
     slowdown: 1.0,
     failure_rate_after_cutover: 0.0,
@@ -310,7 +317,7 @@
 fn a_good_version_of_a_plain_service_is_completed_on_hundreds_of_hosts() {
     let outcome = RolloutSimulation::new(0, HUNDREDS_OF_HOSTS).run();
 
-    assert!(outcome.is_completed, "{outcome:?}");
+    assert!(outcome.is_completed, "not completed: {outcome:?}");
 }
 
 /// With this seed, 15 of 22 responses on the second route fail by chance, where a share of 0.24
@@ -319,18 +326,22 @@
 fn a_good_version_is_completed_where_one_route_fails_often() {
     let outcome = RolloutSimulation::new(13, HUNDREDS_OF_HOSTS).run();
 
-    assert!(outcome.is_completed, "{outcome:?}");
+    assert!(outcome.is_completed, "not completed: {outcome:?}");
 }
 
 /// Guards against a host that records the completion before it has received the failures since the
 /// cutover.
 #[test]
 fn a_version_that_fails_after_the_cutover_is_not_completed_on_hundreds_of_hosts() {
-    let case = RolloutCase { rate: 450.0, failure_rate_after_cutover: 0.21, ..HUNDREDS_OF_HOSTS };
+    let case = RolloutCase {
+        calls_per_second: 450.0,
+        failure_rate_after_cutover: 0.21,
+        ..HUNDREDS_OF_HOSTS
+    };
 
     let outcome = RolloutSimulation::new(0, case).run();
 
-    assert!(outcome.is_barred && !outcome.is_completed, "{outcome:?}");
+    assert!(outcome.is_barred && !outcome.is_completed, "not barred, or completed: {outcome:?}");
 }
 
 /// Guards against the same premature completion in a fleet of dozens of hosts with few endpoints.
@@ -339,7 +350,7 @@
     let case = RolloutCase {
         hosts: 83,
         endpoint_count: 4,
-        rate: 300.0,
+        calls_per_second: 300.0,
         failure_rate_after_cutover: 0.21,
         ..HUNDREDS_OF_HOSTS
     };
@@ -357,14 +368,14 @@
     let case = RolloutCase {
         hosts: 67,
         endpoint_count: 8,
-        rate: 250.0,
+        calls_per_second: 250.0,
         repeat_failure_rate: 0.72,
         ..RolloutCase::default()
     };
 
-    let barred: Vec<u64> = (0..SEED_COUNT)
+    let incomplete: Vec<u64> = (0..SEED_COUNT)
         .filter(|seed| !RolloutSimulation::new(*seed, case).run().is_completed)
         .collect();
 
-    assert!(barred.is_empty(), "of {SEED_COUNT}, not completed: {barred:?}");
+    assert!(incomplete.is_empty(), "not completed with seeds {incomplete:?} of {SEED_COUNT}");
 }
--- a/crates/tidetrack-core/tests/large_fleet.rs
+++ b/crates/tidetrack-core/tests/large_fleet.rs
@@ -28,14 +28,14 @@
 
     fleet.run(13_000, |now, host| {
         samples += 1;
-        let age = host.fresh.age(Millis(now)).expect("a proof");
+        let age = host.fresh.age(Millis(now)).expect("the host must have a proof");
         stale_count += usize::from(age >= MAX_PROOF_AGE);
     });
 
     let provers = fleet.hosts.iter().filter(|h| h.beliefs.is_prover()).count();
     assert_eq!(provers, 3);
     // A message and its retransmission may both be lost.
-    assert!(stale_count * 500 < samples, "{stale_count} of {samples}");
+    assert!(stale_count * 500 < samples, "proof too old in {stale_count} of {samples} samples");
 }
 
 #[test]
@@ -51,8 +51,8 @@
     let (small_fleet_rate, large_fleet_rate) =
         (messages_per_host_and_second(20), messages_per_host_and_second(120));
 
-    println!("messages a host and second: {small_fleet_rate:.1} of 20 hosts, {large_fleet_rate:.1} of 120");
-    assert!(large_fleet_rate < small_fleet_rate * 1.1, "{small_fleet_rate} {large_fleet_rate}");
+    println!("messages per host and second: {small_fleet_rate:.1} with 20 hosts, {large_fleet_rate:.1} with 120");
+    assert!(large_fleet_rate < small_fleet_rate * 1.1, "messages per host and second: {small_fleet_rate} with 20 hosts, {large_fleet_rate} with 120");
 }
 #[test]
 fn hosts_of_a_starting_fleet_know_each_other_within_seconds() {
@@ -61,7 +61,7 @@
     fleet.run(3_500, |_, _| {});
 
     let known_hosts: Vec<usize> = fleet.hosts.iter().map(|h| h.beliefs.peers().len()).collect();
-    assert!(known_hosts.iter().all(|n| *n >= 80), "{known_hosts:?}");
+    assert!(known_hosts.iter().all(|n| *n >= 80), "hosts known to each host: {known_hosts:?}");
 }
 
 #[test]
@@ -73,8 +73,8 @@
 
     let watchers = fleet.hosts.iter().filter(|h| h.beliefs.is_watcher()).count();
     assert_eq!(watchers, 2);
-    assert!(latencies_ms.iter().all(|ms| *ms <= 1_000), "{latencies_ms:?}");
-    assert!(fleet.calls <= 20, "{} calls", fleet.calls);
+    assert!(latencies_ms.iter().all(|ms| *ms <= 1_000), "latencies in ms: {latencies_ms:?}");
+    assert!(fleet.calls <= 20, "{} calls to the store", fleet.calls);
 }
 
 /// Number of endpoints of a service that restart under their ids, and the time in milliseconds in
@@ -107,13 +107,13 @@
     let (calls, relayed_bytes) = (fleet.calls - calls, fleet.given_bytes - relayed_bytes);
     let delay_ms = fleet.now - started_at - burst_ms;
     println!(
-        "{calls} calls to the store, {relayed_bytes} bytes given, all known {delay_ms} ms later"
+        "{calls} calls to the store, {relayed_bytes} bytes relayed, all hosts up to date after {delay_ms} ms"
     );
-    assert!(calls <= HOSTS as usize / 10, "{calls} calls");
-    assert!(delay_ms <= 2_000, "{delay_ms} ms");
+    assert!(calls <= HOSTS as usize / 10, "{calls} calls to the store");
+    assert!(delay_ms <= 2_000, "all hosts up to date only after {delay_ms} ms");
     assert!(
         relayed_bytes <= u64::from(HOSTS) * changes * ENDPOINT_BYTES * 3 / 2,
-        "{relayed_bytes} bytes"
+        "{relayed_bytes} bytes relayed"
     );
 }
 
@@ -125,8 +125,8 @@
 
     let latency_ms = fleet.change();
 
-    assert!(latency_ms <= 1_000, "{latency_ms} ms");
-    assert!((1..=10).contains(&fleet.calls), "{} calls", fleet.calls);
+    assert!(latency_ms <= 1_000, "change known only after {latency_ms} ms");
+    assert!((1..=10).contains(&fleet.calls), "{} calls to the store", fleet.calls);
 }
 
 #[test]
@@ -140,7 +140,7 @@
     fleet.run(14_000, |_, _| {});
 
     // Ten hosts read the store for ten seconds, about once a second each.
-    assert!((50..=150).contains(&fleet.calls), "{} calls", fleet.calls);
+    assert!((50..=150).contains(&fleet.calls), "{} calls to the store", fleet.calls);
 }
 
 /// Guards against a watcher that has lost the store without noticing; all hosts of its failure
@@ -159,9 +159,9 @@
     };
     let latencies_ms: Vec<u64> = (0..20).map(change).collect();
 
-    println!("{latencies_ms:?} ms, {} calls", fleet.calls);
-    assert!(latencies_ms.iter().all(|ms| *ms <= 2_500), "{latencies_ms:?}");
-    assert!(fleet.calls <= 60, "{} calls, of three hosts for 20 changes", fleet.calls);
+    println!("latencies {latencies_ms:?} ms, {} calls to the store", fleet.calls);
+    assert!(latencies_ms.iter().all(|ms| *ms <= 2_500), "latencies in ms: {latencies_ms:?}");
+    assert!(fleet.calls <= 60, "{} calls to the store by three hosts for 20 changes", fleet.calls);
 }
 
 /// Guards against requests to endpoints that have been removed. A host that hears from no other
@@ -175,7 +175,9 @@
     fleet.run(4_000, |_, _| {});
     let mut immediate_store_calls = |is_prover: bool| {
         let has_requested_role = |i: &usize| fleet.hosts[*i].beliefs.is_prover() == is_prover;
-        let host = (0..12).find(has_requested_role).expect("a host of either sort");
+        let host = (0..12)
+            .find(has_requested_role)
+            .expect("the fleet must have a prover and another host");
         let before = fleet.calls;
         fleet.take(host, Input::StoreRevisionSeen(fleet.revision + 1));
         fleet.calls - before
@@ -184,7 +186,7 @@
     let (calls_of_prover, calls_of_other_host) =
         (immediate_store_calls(true), immediate_store_calls(false));
 
-    assert_eq!(calls_of_prover, 0, "those that watch mostly bring it");
+    assert_eq!(calls_of_prover, 0, "a prover usually receives the change from a watcher");
     assert_eq!(calls_of_other_host, 1);
 }
 
@@ -261,22 +263,31 @@
     let outcomes: Vec<VersionChanges> =
         (1..=4).map(|seed| run_sessions_through_rollout(83, 900, seed)).collect();
 
-    println!("{outcomes:?}");
+    println!("version changes: {outcomes:?}");
     assert!(
         outcomes.iter().all(|m| m.early_changes <= 3 && m.reverted_changes <= 3),
-        "{outcomes:?}"
+        "version changes: {outcomes:?}"
     );
-    assert!(outcomes.iter().map(|m| m.early_changes).sum::<usize>() <= 1, "{outcomes:?}");
-    assert!(outcomes.iter().all(|m| m.canary_requests >= 20), "{outcomes:?}");
+    assert!(
+        outcomes.iter().map(|m| m.early_changes).sum::<usize>() <= 1,
+        "version changes: {outcomes:?}"
+    );
+    assert!(outcomes.iter().all(|m| m.canary_requests >= 20), "version changes: {outcomes:?}");
 }
 
 #[test]
 fn sessions_keep_their_version_through_a_rollout_of_a_small_fleet() {
     let changes = run_sessions_through_rollout(7, 300, 8);
 
-    println!("{changes:?}");
-    assert!(changes.early_changes <= 3 && changes.reverted_changes <= 3, "{changes:?}");
-    assert!(changes.canary_requests * 100 <= changes.total_requests * 14, "{changes:?}");
+    println!("version changes: {changes:?}");
+    assert!(
+        changes.early_changes <= 3 && changes.reverted_changes <= 3,
+        "version changes: {changes:?}"
+    );
+    assert!(
+        changes.canary_requests * 100 <= changes.total_requests * 14,
+        "version changes: {changes:?}"
+    );
 }
 
 #[test]
@@ -287,14 +298,14 @@
     // A service with 1,000 endpoints is replaced within two seconds.
     for i in 0..1_000u64 {
         let now = Millis(1_000 + 2 * i);
-        let new = record(&format!("i-{i}"), "v1");
-        let actions = fleet_state.handle_input(now, Input::Endpoint(new), &freshness);
+        let added_record = record(&format!("i-{i}"), "v1");
+        let actions = fleet_state.handle_input(now, Input::Endpoint(added_record), &freshness);
         views.extend(view_of(&actions).map(|view| (now, view)));
     }
     let last_view = view_of(&fleet_state.handle_input(Millis(3_100), Input::Tick, &freshness));
 
-    assert!(views.len() <= 21, "{} views", views.len());
-    let final_view = last_view.expect("a view of the last changes");
+    assert!(views.len() <= 21, "{} views published", views.len());
+    let final_view = last_view.expect("a view with the last changes must be published");
     assert_eq!(final_view.services[&id::<ServiceId>("llm")].stable_pool.endpoints().len(), 1_004);
 }
 
@@ -367,11 +378,17 @@
 
     for c in &outcomes {
         println!(
-            "copies: {} in all, {} at one host, hosts with 0, 1, 2, 3 and more {:?}; {:.1} came; {} \
-             calls to the store; the small change took {} ms, the large one {} ms",
+            "copies: {} in total, at most {} per host, hosts with 0, 1, 2, 3 and more: {:?}; {:.1} received; {} \
+             calls to the store; the endpoint change took {} ms, the configuration change {} ms",
             c.total_copies, c.max_copies_per_host, c.hosts_by_copies, c.received_copies, c.calls, c.endpoint_change_ms, c.catalog_change_ms
         );
     }
-    assert!(outcomes.iter().all(|c| c.max_copies_per_host <= 2), "{outcomes:?}");
-    assert!(outcomes.iter().all(|c| c.endpoint_change_ms <= 3_000), "{outcomes:?}");
+    assert!(
+        outcomes.iter().all(|c| c.max_copies_per_host <= 2),
+        "copies or latency over the limit: {outcomes:?}"
+    );
+    assert!(
+        outcomes.iter().all(|c| c.endpoint_change_ms <= 3_000),
+        "copies or latency over the limit: {outcomes:?}"
+    );
 }
--- a/crates/tidetrack-core/tests/outliers.rs
+++ b/crates/tidetrack-core/tests/outliers.rs
@@ -73,7 +73,7 @@
 
     fn send(&mut self, host: usize, counts: &mut RequestCounts) {
         let now = Millis(self.fleet.now);
-        let view = self.fleet.hosts[host].view.clone().expect("a view");
+        let view = self.fleet.hosts[host].view.clone().expect("a view must be published");
         let salt = self.rng.random::<u64>();
         let placement_request = PlacementRequest {
             ring_position: ring_position_of(&salt.to_le_bytes()),
@@ -84,20 +84,21 @@
             ..PlacementRequest::default()
         };
         let pool = &view.services[&id::<ServiceId>("llm")].stable_pool;
-        let picked = pool.pick(now, &placement_request).expect("an endpoint");
+        let picked =
+            pool.pick(now, &placement_request).expect("the pool must have an available endpoint");
         let is_faulty = self.faulty_endpoints.iter().any(|g| g == picked.id.as_str());
         let failure_rate =
             if is_faulty { FAULTY_ENDPOINT_FAILURE_RATE } else { self.base_failure_rate };
-        let failed = self.rng.random::<f64>() < failure_rate;
-        picked.state.record_outcome(now, !failed);
+        let has_failed = self.rng.random::<f64>() < failure_rate;
+        picked.state.record_outcome(now, !has_failed);
         counts.sent += 1;
-        counts.failed += u32::from(failed);
+        counts.failed += u32::from(has_failed);
         counts.sent_to_faulty += u32::from(is_faulty);
     }
 
     /// Returns the number of endpoints that are ejected on a host.
     fn ejected_count(&self, host: usize) -> usize {
-        let view = self.fleet.hosts[host].view.as_ref().expect("a view");
+        let view = self.fleet.hosts[host].view.as_ref().expect("a view must be published");
         let pool = &view.services[&id::<ServiceId>("llm")].stable_pool;
         let now = Millis(self.fleet.now);
         pool.endpoints().iter().filter(|e| e.state.is_ejected(now)).count()
@@ -111,9 +112,12 @@
     let initial = traffic.run(1_500, 3.0);
     let later = traffic.run(4_000, 3.0);
 
-    assert!(initial.sent_to_faulty > 50, "{initial:?}");
+    assert!(
+        initial.sent_to_faulty > 50,
+        "too few requests to faulty endpoints at first: {initial:?}"
+    );
     let share = f64::from(later.sent_to_faulty) / f64::from(later.sent);
-    assert!(share < 0.15, "{later:?}, {share:.2} of them to endpoints that lose answers");
+    assert!(share < 0.15, "{later:?}, share {share:.2} sent to faulty endpoints");
 }
 
 #[test]
@@ -125,7 +129,7 @@
     let later = traffic.run(4_000, 3.0);
 
     let share = f64::from(later.sent_to_faulty) / f64::from(later.sent);
-    assert!(share < 0.2, "{later:?}, {share:.2} of them to endpoints that lose answers");
+    assert!(share < 0.2, "{later:?}, share {share:.2} sent to faulty endpoints");
 }
 
 #[test]
@@ -136,7 +140,7 @@
     let later = traffic.run(4_000, 10.0);
 
     let share = f64::from(later.sent_to_faulty) / f64::from(later.sent);
-    assert!(share < 0.06, "{later:?}, {share:.2} of them to endpoints that lose answers");
+    assert!(share < 0.06, "{later:?}, share {share:.2} sent to faulty endpoints");
 }
 
 #[test]
@@ -148,14 +152,14 @@
 
     // Random runs of consecutive failures may still eject an endpoint briefly.
     let ejected_count = (0..12).map(|host| traffic.ejected_count(host)).sum::<usize>();
-    assert!(ejected_count <= 12, "{ejected_count} endpoints avoided by 12 hosts");
+    assert!(ejected_count <= 12, "{ejected_count} ejections on 12 hosts");
 }
 
 #[test]
 fn a_host_that_cannot_reach_an_endpoint_does_not_eject_it_on_other_hosts() {
     let mut traffic = FleetTraffic::start(9, 8);
     let now = Millis(traffic.fleet.now);
-    let view = traffic.fleet.hosts[0].view.clone().expect("a view");
+    let view = traffic.fleet.hosts[0].view.clone().expect("a view must be published");
     let pool = &view.services[&id::<ServiceId>("llm")].stable_pool;
 
     (0..40).for_each(|_| pool.endpoints()[3].state.record_outcome(now, false));
@@ -175,5 +179,5 @@
     assert_eq!((0..9).map(|host| traffic.ejected_count(host)).sum::<usize>(), 0);
     traffic.faulty_endpoints.push("e2".into());
     let counts = traffic.run(500, 10.0);
-    assert!(counts.sent_to_faulty > 0, "{counts:?}");
+    assert!(counts.sent_to_faulty > 0, "recovered endpoint not used: {counts:?}");
 }
--- a/crates/tidetrack-core/tests/prefixes.rs
+++ b/crates/tidetrack-core/tests/prefixes.rs
@@ -8,11 +8,11 @@
 const ROUND_INTERVAL: Millis = Millis(500);
 
 fn endpoint(name: &str) -> EndpointKey {
-    EndpointKey::from(&name.parse::<EndpointId>().expect("a name"))
+    EndpointKey::from(&name.parse::<EndpointId>().expect("a valid name"))
 }
 
 fn prefix_key(prefix: &str, model: &str) -> PrefixKey {
-    let model: ModelId = model.parse().expect("a name");
+    let model: ModelId = model.parse().expect("a valid name");
     PrefixKey::new(prefix, Some(&model))
 }
 
@@ -61,7 +61,7 @@
     receiving_host.record_use(Millis(70), prefix_key("manual", "large"), endpoint("e1"));
     assert!(
         receiving_host.reports(Millis(80), ROUND_INTERVAL).is_empty(),
-        "a use that others know of is no news"
+        "a use that another host has reported must not be reported again"
     );
 }
 
@@ -79,5 +79,5 @@
     assert!(index.reports(Millis(300), ROUND_INTERVAL).len() <= 16);
     let holders = index.endpoints_with(Millis(300), prefix_key("0", "large"));
     assert_eq!(holders.len(), 8);
-    assert!(holders.contains(&endpoint("e99")), "the newest use is remembered");
+    assert!(holders.contains(&endpoint("e99")), "the newest use must be stored");
 }
--- a/crates/tidetrack-core/tests/second_opinions.rs
+++ b/crates/tidetrack-core/tests/second_opinions.rs
@@ -62,16 +62,19 @@
         let estimate = SecondOpinionEstimate { confidence, in_time_probability: 1.0, wait: 0.0 };
         let size = size(800, 400);
         weigh_second_opinion(&route, service, &id("small"), estimate, &size, &opts)
-            .expect("a larger model")
+            .expect("a larger model must exist")
             .gain
     };
 
     let (high_confidence, even_odds, low_confidence, worst) =
         (gain_at(75), gain_at(45), gain_at(20), gain_at(0));
 
-    assert!(high_confidence < 0.02 * worst, "{high_confidence} of {worst}");
-    assert!((0.4..0.6).contains(&(even_odds / worst)), "{even_odds} of {worst}");
-    assert!(low_confidence > 0.95 * worst, "{low_confidence} of {worst}");
+    assert!(
+        high_confidence < 0.02 * worst,
+        "gain at high confidence: {high_confidence} of {worst}"
+    );
+    assert!((0.4..0.6).contains(&(even_odds / worst)), "gain at even odds: {even_odds} of {worst}");
+    assert!(low_confidence > 0.95 * worst, "gain at low confidence: {low_confidence} of {worst}");
 }
 
 #[test]
@@ -84,7 +87,7 @@
         let estimate = SecondOpinionEstimate { confidence, in_time_probability: 1.0, wait: 0.05 };
         let (small, size) = (id::<ModelId>("small"), size(800, 400));
         let decision = weigh_second_opinion(&route, &service, &small, estimate, &size, &opts);
-        decision.expect("a larger model").is_worth_it()
+        decision.expect("a larger model must exist").is_worth_it()
     };
 
     let with_original_prices: Vec<bool> =
@@ -131,6 +134,6 @@
 
     let (slow_pace, fast_pace) = (learned_pace(5_000.0), learned_pace(300.0));
 
-    assert!((slow_pace - 5_000.0).abs() < 50.0, "{slow_pace}");
-    assert!((fast_pace - 300.0).abs() < 50.0, "{fast_pace}");
+    assert!((slow_pace - 5_000.0).abs() < 50.0, "estimated pace: {slow_pace} us per token");
+    assert!((fast_pace - 300.0).abs() < 50.0, "estimated pace: {fast_pace} us per token");
 }
--- a/crates/tidetrack-core/tests/suspects.rs
+++ b/crates/tidetrack-core/tests/suspects.rs
@@ -88,7 +88,8 @@
     let fingerprint = fingerprint_of("north", "maybe");
     record_crashes(&suspects, 1_000, fingerprint, 2);
 
-    let execution = suspects.admit(Millis(3_000), fingerprint).expect("it may run once");
+    let execution =
+        suspects.admit(Millis(3_000), fingerprint).expect("one execution must be admitted");
 
     assert_eq!(admission_error_code(&suspects, 3_000, fingerprint), Some(Code::SuspectRuns));
     drop(execution);
@@ -187,7 +188,8 @@
     let bar_ends_at = 3_000 + bar_duration.0;
 
     let before = admission_error_code(&suspects, bar_ends_at - 1, fingerprint);
-    let execution = suspects.admit(Millis(bar_ends_at), fingerprint).expect("it may run once");
+    let execution =
+        suspects.admit(Millis(bar_ends_at), fingerprint).expect("one execution must be admitted");
     let concurrent = admission_error_code(&suspects, bar_ends_at, fingerprint);
     record_crash_at(&suspects, bar_ends_at + EXECUTION_MS, fingerprint, "another", "hall");
     drop(execution);
@@ -241,7 +243,7 @@
         for seed in 0..seeds {
             let (_, simulation) = run_crashing_request(hosts, seed);
             println!("{hosts} hosts, seed {seed}: {simulation:?}");
-            assert!(simulation.crashes >= 3, "{simulation:?}");
+            assert!(simulation.crashes >= 3, "barred too early: {simulation:?}");
             assert!(
                 simulation.late_attempts <= MAX_LATE_ATTEMPTS,
                 "{hosts} hosts, seed {seed}: {simulation:?}"
@@ -291,7 +293,7 @@
 
         let code =
             admission_error_code(fleet.hosts[suspended].beliefs.suspects(), fleet.now, fingerprint);
-        assert_eq!(code, Some(Code::CrashesEndpoints), "{hosts} hosts");
+        assert_eq!(code, Some(Code::CrashesEndpoints), "not barred on the resumed host of {hosts}");
     }
 }
 
--- a/crates/tidetrack-core/tests/under_load.rs
+++ b/crates/tidetrack-core/tests/under_load.rs
@@ -62,13 +62,13 @@
     /// Number of endpoints of each version.
     endpoints: usize,
     /// Requests per second.
-    rate: usize,
+    requests_per_second: usize,
 }
 
-const MEDIUM_FLEET: FleetSize = FleetSize { hosts: 67, endpoints: 90, rate: 340 };
+const MEDIUM_FLEET: FleetSize = FleetSize { hosts: 67, endpoints: 90, requests_per_second: 340 };
 
 /// With hundreds of hosts, each host sends only about two requests per second.
-const LARGE_FLEET: FleetSize = FleetSize { hosts: 295, endpoints: 160, rate: 620 };
+const LARGE_FLEET: FleetSize = FleetSize { hosts: 295, endpoints: 160, requests_per_second: 620 };
 
 /// Request that is being processed by an endpoint.
 struct InFlightRequest {
@@ -76,7 +76,7 @@
     host: usize,
     track: ReleaseTrack,
     endpoint: PoolEndpoint,
-    failed: bool,
+    has_failed: bool,
     is_loaded: bool,
     gap_ms: f64,
 }
@@ -121,7 +121,7 @@
     }
 
     fn canary(&self, host: usize) -> Option<&CanaryView> {
-        let view = self.fleet.hosts[host].view.as_ref().expect("a view");
+        let view = self.fleet.hosts[host].view.as_ref().expect("a view must be published");
         view.services[&id("llm")].canary.as_ref()
     }
 
@@ -152,7 +152,7 @@
     fn step(&mut self) {
         self.fleet.run(self.fleet.now + STEP as u64, |_, _| {});
         self.complete_requests();
-        let requests = self.size.rate * STEP / 1_000;
+        let requests = self.size.requests_per_second * STEP / 1_000;
         (0..requests).for_each(|_| self.send_request());
     }
 
@@ -163,9 +163,9 @@
         self.in_flight = remaining;
         for request in ended {
             request.endpoint.state.end_work(REQUEST_TOKENS);
-            request.endpoint.state.record_outcome(Millis(now), !request.failed);
+            request.endpoint.state.record_outcome(Millis(now), !request.has_failed);
             self.failed_canary_responses +=
-                usize::from(request.failed && request.track == ReleaseTrack::Canary);
+                usize::from(request.has_failed && request.track == ReleaseTrack::Canary);
             self.fleet.take(request.host, Input::ResponseObserved(observed(&request)));
         }
     }
@@ -175,7 +175,7 @@
         let session = format!("s{}", self.sent_requests);
         self.sent_requests += 1;
         let now = Millis(self.fleet.now);
-        let view = self.fleet.hosts[host].view.clone().expect("a view");
+        let view = self.fleet.hosts[host].view.clone().expect("a view must be published");
         let service = &view.services[&id("llm")];
         let session_hash = SessionHash::new(Some(&session), "r");
         let track = service.side(now, session_hash, HOLD_FOR);
@@ -185,24 +185,25 @@
         let ring_position = ring_position_of(session.as_bytes());
         let placement_request =
             PlacementRequest { ring_position, salt: ring_position, ..PlacementRequest::default() };
-        let PickedEndpoint { endpoint, is_loaded } =
-            service.pick(now, track, session_hash, &placement_request).expect("an endpoint");
+        let PickedEndpoint { endpoint, is_loaded } = service
+            .pick(now, track, session_hash, &placement_request)
+            .expect("the pool must have an available endpoint");
         if track == ReleaseTrack::Canary {
             service.exposure.record_canary_attempt(false);
         }
         endpoint.state.begin_work(REQUEST_TOKENS);
         let concurrent_requests =
             self.in_flight.iter().filter(|request| request.endpoint.id == endpoint.id).count();
-        let failed = self.draws_failure(track, endpoint, concurrent_requests);
+        let has_failed = self.draw_failure(track, endpoint, concurrent_requests);
         let gap_ms = self.gap_ms(track, concurrent_requests, is_loaded);
-        let ends_at = self.fleet.now + if failed { FAILURE_MS } else { RESPONSE_MS };
+        let ends_at = self.fleet.now + if has_failed { FAILURE_MS } else { RESPONSE_MS };
         let endpoint = endpoint.clone();
         self.in_flight.push(InFlightRequest {
             ends_at,
             host,
             track,
             endpoint,
-            failed,
+            has_failed,
             is_loaded,
             gap_ms,
         });
@@ -222,13 +223,14 @@
             * cold_cache_slowdown
     }
 
-    fn draws_failure(
+    fn draw_failure(
         &mut self,
         track: ReleaseTrack,
         endpoint: &PoolEndpoint,
         concurrent_requests: usize,
     ) -> bool {
-        let n: usize = endpoint.id.as_str()[1..].parse().expect("a number");
+        let n: usize =
+            endpoint.id.as_str()[1..].parse().expect("an endpoint id must end with a number");
         let share = match self.fault {
             Fault::FailsUnderLoad(min_concurrent, share)
                 if track == ReleaseTrack::Canary && concurrent_requests >= min_concurrent =>
@@ -254,21 +256,21 @@
         is_load_concentrated: request.is_loaded,
         route: id("all"),
         model: None,
-        outcome: if request.failed { AttemptOutcome::Failed } else { AttemptOutcome::Complete },
+        outcome: if request.has_failed { AttemptOutcome::Failed } else { AttemptOutcome::Complete },
         has_failed_before: false,
         is_stream: true,
         // In a large fleet, a host knows little of the load on an endpoint except its own.
         load: REQUEST_TOKENS as f64,
         head_ms: Some(50.0),
-        gap_ms: Some(request.gap_ms).filter(|_| !request.failed),
+        gap_ms: Some(request.gap_ms).filter(|_| !request.has_failed),
     }
 }
 
 /// Guards against completing a version that fails only under load. In fleets of 67 and 83 hosts,
 /// the sample's requests were sent to idle endpoints, while the version failed only where more than
 /// half of an endpoint's slots were in use. Its first failures appeared within a second of the
-/// cutover, half a second before the deadline. After the 50th failure, all other endpoints were
-/// gone and 1,205 and 2,195 further requests were sent to the bad version.
+/// cutover, half a second before the deadline. After the 50th failure, no other version was left,
+/// and 1,205 and 2,195 further requests were sent to the bad version.
 ///
 /// In two such simulations, the failed attempts found at least 11 concurrent requests on their
 /// endpoint (of 24 slots) or at least 7 (of 16), never fewer than 9 and 6; before the cutover,
@@ -287,7 +289,7 @@
             let mut simulation = RolloutSimulation::new(seed, size, fault);
             let barred_at = simulation.run_until_barred();
             println!(
-                "{size:?} {fault:?}: barred at {barred_at:?}, bad answers {}",
+                "{size:?} {fault:?}: barred at {barred_at:?} of the roll-out, {} failed responses",
                 simulation.failed_canary_responses
             );
             if barred_at.is_none_or(|elapsed_share| elapsed_share > 0.92)
@@ -298,7 +300,10 @@
         }
     }
 
-    assert!(late_cases.is_empty(), "{late_cases:?}");
+    assert!(
+        late_cases.is_empty(),
+        "barred too late (size, fault, seed, barred at, failed responses): {late_cases:?}"
+    );
 }
 
 /// Runs roll-outs of a good version, one for each seed, and returns how many were not completed.
@@ -306,7 +311,7 @@
     let is_incomplete =
         |seed: &u64| !RolloutSimulation::new(*seed, size, fault).run_to_completion();
     let incomplete = (0..seeds).filter(is_incomplete).count();
-    println!("{size:?} {fault:?}: {incomplete} of {seeds} were not completed");
+    println!("{size:?} {fault:?}: {incomplete} of {seeds} roll-outs were not completed");
     incomplete
 }
 
@@ -335,7 +340,10 @@
     let barred_at =
         RolloutSimulation::new(1, LARGE_FLEET, Fault::SlowCanary(1.75)).run_until_barred();
 
-    assert!(barred_at.is_some_and(|elapsed_share| elapsed_share < 0.8), "{barred_at:?}");
+    assert!(
+        barred_at.is_some_and(|elapsed_share| elapsed_share < 0.8),
+        "barred at {barred_at:?} of the roll-out"
+    );
 }
 
 /// Failures arrive sooner than successful responses, so most of the responses within a second of
--- a/crates/tidetrack-core/tests/verdicts.rs
+++ b/crates/tidetrack-core/tests/verdicts.rs
@@ -34,13 +34,13 @@
     let streams = |share| Version::failing(Service::Streams, share);
     let calls = |share| Version::failing(Service::Calls, share);
     let cases = [
-        ("all answers 4.5 times as long", Version::slower(4.5), 25, 0),
-        ("all answers 2.05 times as long", Version::slower(2.05), 27, 0),
-        ("all answers 1.75 times as long", Version::slower(1.75), 38, 0),
-        ("0.5 of the answers fail", streams(0.5), 20, 0),
-        ("0.25 fail", streams(0.25), 58, 0),
-        ("0.12 fail", streams(0.12), 181, 6),
-        ("0.5 of one route in five fail", streams(0.5).on_route(), 126, 0),
+        ("all responses 4.5 times as long", Version::slower(4.5), 25, 0),
+        ("all responses 2.05 times as long", Version::slower(2.05), 27, 0),
+        ("all responses 1.75 times as long", Version::slower(1.75), 38, 0),
+        ("0.5 of the responses fail", streams(0.5), 20, 0),
+        ("0.25 of the responses fail", streams(0.25), 58, 0),
+        ("0.12 of the responses fail", streams(0.12), 181, 6),
+        ("0.5 of the responses on one of three routes fail", streams(0.5).on_route(), 126, 0),
         ("0.5 of the calls fail", calls(0.5), 24, 0),
         ("0.25 of the calls fail", calls(0.25), 77, 0),
         ("0.5 of the calls 8 times as long", Version::late(0.5, 8.0), 48, 0),
@@ -48,7 +48,10 @@
     ];
     let cases_over_limits = cases_over_limits(&cases);
 
-    assert!(cases_over_limits.is_empty(), "{cases_over_limits:?}");
+    assert!(
+        cases_over_limits.is_empty(),
+        "over the limit (case, missed, last barred after): {cases_over_limits:?}"
+    );
 }
 
 /// Guards against missing slow calls that are short in absolute terms. A call counted as late only
@@ -66,7 +69,10 @@
     ];
     let cases_over_limits = cases_over_limits(&cases);
 
-    assert!(cases_over_limits.is_empty(), "{cases_over_limits:?}");
+    assert!(
+        cases_over_limits.is_empty(),
+        "over the limit (case, missed, last barred after): {cases_over_limits:?}"
+    );
 }
 
 /// Runs versions that must be barred. Each case holds a name, the version, the largest number of
@@ -82,7 +88,7 @@
             |part: f64| barred_after.get((barred_after.len() as f64 * part) as usize).copied();
         let last_barred_after = barred_after.last().copied();
         println!(
-            "{name}: found in {} of {SEED_COUNT}, half by {:?}, the last by {last_barred_after:?}",
+            "{name}: barred in {} of {SEED_COUNT} simulations, half of them within {:?} responses, the last within {last_barred_after:?}",
             barred_after.len(),
             quantile(0.5)
         );
@@ -103,21 +109,24 @@
     let (barred_after, missed_count) = run_bad_version(Day::HostsRestart, Version::slower(2.05));
 
     println!(
-        "found in {} of {SEED_COUNT}, the last by {:?}",
+        "barred in {} of {SEED_COUNT} simulations, the last within {:?} responses",
         barred_after.len(),
         barred_after.last()
     );
-    assert!(missed_count == 0 && barred_after[barred_after.len() / 2] <= 50, "{barred_after:?}");
+    assert!(
+        missed_count == 0 && barred_after[barred_after.len() / 2] <= 50,
+        "missed, or barred too late (responses until barred): {barred_after:?}"
+    );
 }
 
 /// Returns an observed response to a plain call.
 fn response_from(endpoint: &str, outcome: AttemptOutcome) -> ObservedResponse {
     ObservedResponse {
-        service: "desk".parse().expect("a name"),
+        service: "desk".parse().expect("a valid name"),
         canary_version: None,
-        endpoint: endpoint.parse().expect("a name"),
+        endpoint: endpoint.parse().expect("a valid name"),
         is_load_concentrated: false,
-        route: "return".parse().expect("a name"),
+        route: "return".parse().expect("a valid name"),
         model: None,
         outcome,
         has_failed_before: false,
@@ -144,7 +153,10 @@
 
     let measured = [0.9, 1.4, 4.0, 20.0, 200.0].map(|ms| baseline.compare(&call_taking(ms)));
 
-    assert!(measured.iter().all(|m| m.is_above_pace.is_none()), "{measured:?}");
+    assert!(
+        measured.iter().all(|m| m.is_above_pace.is_none()),
+        "compared with the baseline pace: {measured:?}"
+    );
     assert_eq!(measured.map(|m| m.is_slow), [false, false, false, false, true]);
 }
 
@@ -301,7 +313,7 @@
                 |seed: &u64| Play::new(*seed, day, Version::good(service)).is_completed();
             let completed_count = (0..SEED_COUNT).filter(is_completed).count();
             println!(
-                "{service:?} on a day of {day:?}: completed in {completed_count} of {SEED_COUNT}"
+                "{service:?}, {day:?}: completed in {completed_count} of {SEED_COUNT} simulations"
             );
             if completed_count < SEED_COUNT as usize {
                 incomplete_cases.push((service, day, completed_count));
@@ -309,5 +321,8 @@
         }
     }
 
-    assert!(incomplete_cases.is_empty(), "{incomplete_cases:?}");
+    assert!(
+        incomplete_cases.is_empty(),
+        "not always completed (service, scenario, completed): {incomplete_cases:?}"
+    );
 }
