--- a/crates/tidetrack-core/tests/exposure.rs
+++ b/crates/tidetrack-core/tests/exposure.rs
@@ -207,7 +207,7 @@
     let order_removed = || Input::RolloutRemoved(id("llm"));
     let no_endpoints: &[&str] = &[];
     let stable_endpoints: &[&str] = &["o1", "o2"];
-    let unreadable = || Input::RolloutList { orders: Vec::new(), unreadable: vec![id("llm")] };
+    let unreadable_list = || Input::RolloutList { orders: Vec::new(), unreadable: vec![id("llm")] };
     let cases: Vec<(&str, FleetState, Vec<Input>, &[&str])> = vec![
         ("before the first list of roll-outs", with_endpoints(2, &freshness), vec![], no_endpoints),
         (
@@ -231,7 +231,7 @@
         (
             "when the order becomes unreadable",
             with_rollout(2, &freshness),
-            vec![unreadable(), Input::RolloutUnreadable(id("llm"))],
+            vec![unreadable_list(), Input::RolloutUnreadable(id("llm"))],
             stable_endpoints,
         ),
         (
@@ -239,7 +239,7 @@
             with_endpoints(2, &freshness),
             vec![
                 caught_up(FeedKind::Endpoints, 10),
-                unreadable(),
+                unreadable_list(),
                 caught_up(FeedKind::Rollouts, 10),
             ],
             no_endpoints,
--- a/crates/tidetrack-core/tests/outliers.rs
+++ b/crates/tidetrack-core/tests/outliers.rs
@@ -116,8 +116,8 @@
         initial.sent_to_faulty > 50,
         "too few requests to faulty endpoints at first: {initial:?}"
     );
-    let share = f64::from(later.sent_to_faulty) / f64::from(later.sent);
-    assert!(share < 0.15, "{later:?}, share {share:.2} sent to faulty endpoints");
+    let faulty_share = f64::from(later.sent_to_faulty) / f64::from(later.sent);
+    assert!(faulty_share < 0.15, "{later:?}, share {faulty_share:.2} sent to faulty endpoints");
 }
 
 #[test]
@@ -128,8 +128,8 @@
     traffic.run(1_500, 3.0);
     let later = traffic.run(4_000, 3.0);
 
-    let share = f64::from(later.sent_to_faulty) / f64::from(later.sent);
-    assert!(share < 0.2, "{later:?}, share {share:.2} sent to faulty endpoints");
+    let faulty_share = f64::from(later.sent_to_faulty) / f64::from(later.sent);
+    assert!(faulty_share < 0.2, "{later:?}, share {faulty_share:.2} sent to faulty endpoints");
 }
 
 #[test]
@@ -139,8 +139,8 @@
     traffic.run(1_500, 10.0);
     let later = traffic.run(4_000, 10.0);
 
-    let share = f64::from(later.sent_to_faulty) / f64::from(later.sent);
-    assert!(share < 0.06, "{later:?}, share {share:.2} sent to faulty endpoints");
+    let faulty_share = f64::from(later.sent_to_faulty) / f64::from(later.sent);
+    assert!(faulty_share < 0.06, "{later:?}, share {faulty_share:.2} sent to faulty endpoints");
 }
 
 #[test]
--- a/crates/tidetrack-core/tests/second_opinions.rs
+++ b/crates/tidetrack-core/tests/second_opinions.rs
@@ -12,7 +12,7 @@
 
 use support::{catalog, id, route};
 
-fn size(prompt: u64, max_generated_tokens: u64) -> GenerationSize {
+fn generation_size(prompt: u64, max_generated_tokens: u64) -> GenerationSize {
     GenerationSize {
         prompt_tokens: Tokens(prompt),
         max_generated_tokens: Tokens(max_generated_tokens),
@@ -25,8 +25,8 @@
     let service = &catalog.services[&id::<ServiceId>("llm")];
     let (route, small) = (route("all", "/a/"), id::<ModelId>("small"));
     let opts = CascadeOptions::default();
-    let size = size(800, 400);
-    let decision = weigh_second_opinion(&route, service, &small, estimate, &size, &opts);
+    let generation_size = generation_size(800, 400);
+    let decision = weigh_second_opinion(&route, service, &small, estimate, &generation_size, &opts);
     decision.filter(|w| w.is_worth_it()).map(|w| w.larger_model.to_string())
 }
 
@@ -60,8 +60,8 @@
     let (route, opts) = (route("all", "/a/"), CascadeOptions::default());
     let gain_at = |confidence| {
         let estimate = SecondOpinionEstimate { confidence, in_time_probability: 1.0, wait: 0.0 };
-        let size = size(800, 400);
-        weigh_second_opinion(&route, service, &id("small"), estimate, &size, &opts)
+        let generation_size = generation_size(800, 400);
+        weigh_second_opinion(&route, service, &id("small"), estimate, &generation_size, &opts)
             .expect("a larger model must exist")
             .gain
     };
@@ -85,8 +85,9 @@
         let mut service = catalog(1).services[&id::<ServiceId>("llm")].clone();
         service.models.iter_mut().for_each(|m| m.price *= price_factor);
         let estimate = SecondOpinionEstimate { confidence, in_time_probability: 1.0, wait: 0.05 };
-        let (small, size) = (id::<ModelId>("small"), size(800, 400));
-        let decision = weigh_second_opinion(&route, &service, &small, estimate, &size, &opts);
+        let (small, generation_size) = (id::<ModelId>("small"), generation_size(800, 400));
+        let decision =
+            weigh_second_opinion(&route, &service, &small, estimate, &generation_size, &opts);
         decision.expect("a larger model must exist").is_worth_it()
     };
 
@@ -111,10 +112,11 @@
 #[test]
 fn an_attempt_is_estimated_late_behind_queued_work_and_in_time_without_it() {
     let estimator = LatencyEstimator::default();
-    let expect = |planned_attempt| estimator.estimate(&id("llm"), planned_attempt);
+    let estimate_for = |planned_attempt| estimator.estimate(&id("llm"), planned_attempt);
 
-    let (idle, busy) = (expect(planned_attempt(0.0, 200)), expect(planned_attempt(14_000.0, 200)));
-    let late = expect(planned_attempt(0.0, 9_000));
+    let (idle, busy) =
+        (estimate_for(planned_attempt(0.0, 200)), estimate_for(planned_attempt(14_000.0, 200)));
+    let late = estimate_for(planned_attempt(0.0, 9_000));
 
     assert_eq!(idle.wait, 0.0);
     assert_eq!(idle.in_time_probability(), 1.0);
--- a/crates/tidetrack-core/tests/suspects.rs
+++ b/crates/tidetrack-core/tests/suspects.rs
@@ -99,15 +99,16 @@
 #[test]
 fn a_completed_execution_clears_a_request_before_and_after_crashes() {
     let suspects = Arc::new(Suspects::default());
-    let (before, after) = (fingerprint_of("north", "before"), fingerprint_of("north", "after"));
+    let (completed_before, completed_after) =
+        (fingerprint_of("north", "before"), fingerprint_of("north", "after"));
 
-    suspects.record_completion(Millis(500), before);
-    record_crashes(&suspects, 1_000, before, 5);
-    record_crashes(&suspects, 1_000, after, 3);
-    suspects.record_completion(Millis(5_000), after);
+    suspects.record_completion(Millis(500), completed_before);
+    record_crashes(&suspects, 1_000, completed_before, 5);
+    record_crashes(&suspects, 1_000, completed_after, 3);
+    suspects.record_completion(Millis(5_000), completed_after);
 
-    assert_eq!(admission_error_code(&suspects, 6_000, before), None);
-    assert_eq!(admission_error_code(&suspects, 6_000, after), None);
+    assert_eq!(admission_error_code(&suspects, 6_000, completed_before), None);
+    assert_eq!(admission_error_code(&suspects, 6_000, completed_after), None);
 }
 
 /// Guards against barring a request whose copies ran in a rack that lost power.
@@ -118,9 +119,9 @@
 
     let record_failure =
         |n: u64| record_crash_at(&suspects, 1_000 + n, fingerprint, &format!("e{n}"), "hall");
-    let counted: Vec<usize> = (0..6).map(record_failure).collect();
+    let crash_counts: Vec<usize> = (0..6).map(record_failure).collect();
 
-    assert_eq!(counted, [1; 6]);
+    assert_eq!(crash_counts, [1; 6]);
     assert_eq!(admission_error_code(&suspects, 2_000, fingerprint), None);
 }
 
