--- a/crates/tidetrack-core/tests/exposure.rs
+++ b/crates/tidetrack-core/tests/exposure.rs
@@ -98,7 +98,11 @@
 
         let max_canary_requests =
             MAX_CANARY_SHARE * total_requests as f64 + CANARY_REQUEST_ALLOWANCE;
-        assert!((canary_requests as f64) <= max_canary_requests, "{hosts} hosts: {canary_requests} of {total_requests} requests sent to the canary version, limit is {max_canary_requests}");
+        assert!(
+            (canary_requests as f64) <= max_canary_requests,
+            "{hosts} hosts: {canary_requests} of {total_requests} requests were canary, \
+             limit {max_canary_requests}"
+        );
         let lead_time_ms = completed_at.expect("a good version must be completed");
         assert!(
             lead_time_ms >= 300,
--- a/crates/tidetrack-core/tests/few_calls.rs
+++ b/crates/tidetrack-core/tests/few_calls.rs
@@ -321,7 +321,7 @@
 }
 
 /// With this seed, 15 of 22 responses on the second route fail by chance, where a share of 0.24
-/// fails on any version: a deviation of four standard errors.
+/// fails on any version: more than four standard deviations.
 #[test]
 fn a_good_version_is_completed_where_one_route_fails_often() {
     let outcome = RolloutSimulation::new(13, HUNDREDS_OF_HOSTS).run();
--- a/crates/tidetrack-core/tests/large_fleet.rs
+++ b/crates/tidetrack-core/tests/large_fleet.rs
@@ -107,7 +107,8 @@
     let (calls, relayed_bytes) = (fleet.calls - calls, fleet.given_bytes - relayed_bytes);
     let delay_ms = fleet.now - started_at - burst_ms;
     println!(
-        "{calls} calls to the store, {relayed_bytes} bytes relayed, all hosts up to date after {delay_ms} ms"
+        "{calls} calls to the store, {relayed_bytes} bytes relayed, all hosts up to \
+         date after {delay_ms} ms"
     );
     assert!(calls <= HOSTS as usize / 10, "{calls} calls to the store");
     assert!(delay_ms <= 2_000, "all hosts up to date only after {delay_ms} ms");
--- a/crates/tidetrack-core/tests/verdicts.rs
+++ b/crates/tidetrack-core/tests/verdicts.rs
@@ -40,7 +40,7 @@
         ("0.5 of the responses fail", streams(0.5), 20, 0),
         ("0.25 of the responses fail", streams(0.25), 58, 0),
         ("0.12 of the responses fail", streams(0.12), 181, 6),
-        ("0.5 of the responses on one of three routes fail", streams(0.5).on_route(), 126, 0),
+        ("0.5 of the responses on a fifth of the traffic fail", streams(0.5).on_route(), 126, 0),
         ("0.5 of the calls fail", calls(0.5), 24, 0),
         ("0.25 of the calls fail", calls(0.25), 77, 0),
         ("0.5 of the calls 8 times as long", Version::late(0.5, 8.0), 48, 0),
@@ -88,7 +88,8 @@
             |part: f64| barred_after.get((barred_after.len() as f64 * part) as usize).copied();
         let last_barred_after = barred_after.last().copied();
         println!(
-            "{name}: barred in {} of {SEED_COUNT} simulations, half of them within {:?} responses, the last within {last_barred_after:?}",
+            "{name}: barred in {} of {SEED_COUNT} simulations, half of them \
+             within {:?} responses, the last within {last_barred_after:?}",
             barred_after.len(),
             quantile(0.5)
         );
