--- a/crates/tidetrack-core/tests/endpoint_limits.rs
+++ b/crates/tidetrack-core/tests/endpoint_limits.rs
@@ -155,11 +155,13 @@
             max_in_any_window(&send_times, resumed_at + PROPAGATION_MS),
         );
         println!(
-            "{hosts} hosts, limit {limit} per second: {max_after_resume} requests in 4 s after the resume, then {max_count}"
+            "{hosts} hosts, limit {limit} per second: {max_after_resume} requests in 4 s after \
+             the resume, then {max_count}"
         );
         assert!(
             max_after_resume <= max_requests_per_window(limit),
-            "{hosts} hosts, limit {limit} per second: {max_after_resume} requests in 4 s after the resume"
+            "{hosts} hosts, limit {limit} per second: {max_after_resume} requests in 4 s \
+             after the resume"
         );
         assert!(
             max_count <= max_requests_per_window(limit),
--- a/crates/tidetrack-core/tests/large_fleet.rs
+++ b/crates/tidetrack-core/tests/large_fleet.rs
@@ -51,8 +51,15 @@
     let (small_fleet_rate, large_fleet_rate) =
         (messages_per_host_and_second(20), messages_per_host_and_second(120));
 
-    println!("messages per host and second: {small_fleet_rate:.1} with 20 hosts, {large_fleet_rate:.1} with 120");
-    assert!(large_fleet_rate < small_fleet_rate * 1.1, "messages per host and second: {small_fleet_rate} with 20 hosts, {large_fleet_rate} with 120");
+    println!(
+        "messages per host and second: {small_fleet_rate:.1} with 20 hosts, \
+         {large_fleet_rate:.1} with 120"
+    );
+    assert!(
+        large_fleet_rate < small_fleet_rate * 1.1,
+        "messages per host and second: {small_fleet_rate} with 20 hosts, \
+         {large_fleet_rate} with 120"
+    );
 }
 #[test]
 fn hosts_of_a_starting_fleet_know_each_other_within_seconds() {
@@ -379,8 +386,8 @@
 
     for c in &outcomes {
         println!(
-            "copies: {} in total, at most {} per host, hosts with 0, 1, 2, 3 and more: {:?}; {:.1} received; {} \
-             calls to the store; the endpoint change took {} ms, the configuration change {} ms",
+            "copies: {} in total, at most {} per host, hosts with 0, 1, 2, 3 and more: {:?}; \
+             {:.1} received; {} calls to the store; the endpoint change took {} ms, the configuration change {} ms",
             c.total_copies, c.max_copies_per_host, c.hosts_by_copies, c.received_copies, c.calls, c.endpoint_change_ms, c.catalog_change_ms
         );
     }
