--- a/crates/tidetrack-core/tests/large_fleet.rs
+++ b/crates/tidetrack-core/tests/large_fleet.rs
@@ -387,8 +387,15 @@
     for c in &outcomes {
         println!(
             "copies: {} in total, at most {} per host, hosts with 0, 1, 2, 3 and more: {:?}; \
-             {:.1} received; {} calls to the store; the endpoint change took {} ms, the configuration change {} ms",
-            c.total_copies, c.max_copies_per_host, c.hosts_by_copies, c.received_copies, c.calls, c.endpoint_change_ms, c.catalog_change_ms
+             {:.1} received; {} calls to the store; the endpoint change took {} ms, \
+             the configuration change {} ms",
+            c.total_copies,
+            c.max_copies_per_host,
+            c.hosts_by_copies,
+            c.received_copies,
+            c.calls,
+            c.endpoint_change_ms,
+            c.catalog_change_ms
         );
     }
     assert!(
