--- a/crates/tidetrack-bench/src/control.rs
+++ b/crates/tidetrack-bench/src/control.rs
@@ -53,9 +53,8 @@
 }
 
 fn sample(fleet: &Fleet) -> Result<Sample> {
-    let ticks: Result<Vec<u64>> =
-        fleet.hosts.iter().map(|h| h.process().processor_ticks()).collect();
-    let counts = fleet.objects.counts();
+    let ticks: Result<Vec<u64>> = fleet.hosts.iter().map(|h| h.process().cpu_ticks()).collect();
+    let counts = fleet.platform_standin.counts();
     Ok(Sample {
         ticks: ticks?.iter().sum(),
         bytes: loopback_bytes()?,
@@ -85,12 +84,15 @@
 /// Changes an object that no decision rests on; gets the new revision.
 fn change(fleet: &Fleet, text: &str) -> Result<u64> {
     let key = ObjectKey::new(ObjectKind::Model, "model");
-    let there = fleet.platform.fetch(&config_object_name(&key))?;
+    let there = fleet.platform_client.fetch(&config_object_name(&key))?;
     let mut object = Object::from_json(ObjectKind::Model, &there.body.unwrap_or_default())?;
     if let Object::Model(model) = &mut object {
         model.description = text.to_string();
     }
-    Ok(fleet.platform.write(&config_object_name(&key), there.version, &object.to_json())?.version)
+    Ok(fleet
+        .platform_client
+        .write(&config_object_name(&key), there.version, &object.to_json())?
+        .version)
 }
 
 /// Times the spread of one change; gets milliseconds for each host.
@@ -122,7 +124,7 @@
             hosts: *hosts,
             domains: 4,
             threads: 16,
-            direct: true,
+            bypasses_proxies: true,
             ..FleetOptions::default()
         };
         let fleet = Fleet::start(&binary, options)?;
--- a/crates/tidetrack-bench/src/path.rs
+++ b/crates/tidetrack-bench/src/path.rs
@@ -88,7 +88,8 @@
 /// Makes one request; gets the times to its first event and its end.
 fn one(caller: &Caller, n: usize) -> Option<(Duration, Duration)> {
     let from = Instant::now();
-    let mut response = caller.chat("chat", &format!("n{n}"), true, TOKENS).send_lazy().ok()?;
+    let mut response =
+        caller.chat_request("chat", &format!("n{n}"), true, TOKENS).send_lazy().ok()?;
     let mut buf = [0; 4096];
     let read = response.read(&mut buf).ok()?;
     let first = from.elapsed();
@@ -112,15 +113,20 @@
         answer_tokens: TOKENS,
         ..EngineOptions::default()
     };
-    let options =
-        FleetOptions { hosts: 2, engine, direct: true, threads: 64, ..FleetOptions::default() };
+    let options = FleetOptions {
+        hosts: 2,
+        engine,
+        bypasses_proxies: true,
+        threads: 64,
+        ..FleetOptions::default()
+    };
     let fleet = Fleet::start(&router_binary()?, options)?;
     let host = &fleet.hosts[0];
-    let direct = Caller { host: fleet.old_address.clone(), key: KEY.into() };
+    let direct = Caller { host: fleet.stable_address.clone(), key: KEY.into() };
     load(&host.caller());
-    let ticks = host.process().processor_ticks()?;
+    let ticks = host.process().cpu_ticks()?;
     let routed = load(&host.caller());
-    let ticks = host.process().processor_ticks()? - ticks;
+    let ticks = host.process().cpu_ticks()? - ticks;
     let straight = load(&direct);
     let requests = (STREAMS * REQUESTS) as f64;
     let resident = host.process().resident_kib()? as f64 / 1024.0;
--- a/crates/tidetrack-ctl/tests/rollouts.rs
+++ b/crates/tidetrack-ctl/tests/rollouts.rs
@@ -5,7 +5,7 @@
 use tidetrack_core::declare::read_folder;
 use tidetrack_core::ids::RolloutId;
 use tidetrack_ctl::{apply, rollout};
-use tidetrack_standin::http::Running;
+use tidetrack_standin::http::RunningServer;
 use tidetrack_standin::objects::{Platform, PlatformFaults};
 use tidetrack_wire::platform::{config_object_name, PlatformClient};
 
@@ -17,7 +17,7 @@
     objects: Platform,
     client: PlatformClient,
     id: RolloutId,
-    _running: Running,
+    _running: RunningServer,
 }
 
 /// Starts a platform with the example's declarations and starts its roll-out.
--- a/crates/tidetrack-load/src/caller.rs
+++ b/crates/tidetrack-load/src/caller.rs
@@ -8,7 +8,7 @@
 use tidetrack_wire::headers;
 
 /// Seconds that a call may take.
-const SECONDS: u64 = 60;
+const TIMEOUT_SECONDS: u64 = 60;
 
 /// An answer as a caller sees it.
 #[derive(Clone, Debug, Default)]
@@ -20,7 +20,7 @@
     /// The body as far as it came.
     pub body: String,
     /// Whether the body came to its end.
-    pub ended: bool,
+    pub is_body_complete: bool,
 }
 
 impl Reply {
@@ -42,13 +42,13 @@
     }
 
     /// Gets whether a refusal says that the request was run.
-    pub fn ran(&self) -> Option<Executed> {
+    pub fn executed(&self) -> Option<Executed> {
         let refusal: Value = serde_json::from_str(&self.body).ok()?;
         serde_json::from_value(refusal["error"]["ran"].clone()).ok()
     }
 
     /// Tells whether this is a whole streamed answer.
-    pub fn is_whole_stream(&self) -> bool {
+    pub fn is_complete_stream(&self) -> bool {
         self.status == 200 && self.body.trim_end().ends_with("data: [DONE]")
     }
 
@@ -81,21 +81,27 @@
             .with_header("Authorization", format!("Bearer {}", self.key))
             .with_header("Content-Type", "application/json")
             .with_body(body)
-            .with_timeout(SECONDS)
+            .with_timeout(TIMEOUT_SECONDS)
     }
 
     /// Makes a chat request.
-    pub fn chat(&self, route: &str, text: &str, stream: bool, tokens: u64) -> minreq::Request {
+    pub fn chat_request(
+        &self,
+        route: &str,
+        text: &str,
+        stream: bool,
+        tokens: u64,
+    ) -> minreq::Request {
         let body = json!({"model": route, "stream": stream, "max_tokens": tokens,
             "messages": [{"role": "user", "content": text}]});
         self.post("/v1/chat/completions", body.to_string())
     }
 
     /// Asks for a ticket.
-    pub fn ticket(&self) -> Option<String> {
+    pub fn request_ticket(&self) -> Option<String> {
         let reply = send(self.post("/v1/tickets", "{}"));
-        let made: Value = serde_json::from_str(&reply.body).ok()?;
-        Some(made["ticket"].as_str()?.to_string())
+        let response_json: Value = serde_json::from_str(&reply.body).ok()?;
+        Some(response_json["ticket"].as_str()?.to_string())
     }
 }
 
@@ -108,6 +114,6 @@
         status: response.status_code,
         headers: response.headers.clone(),
         body: String::from_utf8_lossy(&body).to_string(),
-        ended: read.is_ok(),
+        is_body_complete: read.is_ok(),
     }
 }
--- a/crates/tidetrack-load/src/main.rs
+++ b/crates/tidetrack-load/src/main.rs
@@ -6,14 +6,14 @@
 use anyhow::{anyhow, bail, Context, Result};
 use getopts::Options;
 
-use tidetrack_load::load::{run, Load};
+use tidetrack_load::load::{run, LoadOptions};
 use tidetrack_load::report::{compare, Report};
 
 const USAGE: &str = "tidetrack-load --host IP:PORT [--host …] --key KEY [options]
        tidetrack-load compare BEFORE.json AFTER.json";
 
 fn main() -> ExitCode {
-    match start() {
+    match run_command() {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
         Err(e) => {
@@ -23,12 +23,12 @@
     }
 }
 
-fn read(file: &str) -> Result<Report> {
+fn read_report(file: &str) -> Result<Report> {
     let text = std::fs::read_to_string(file).with_context(|| file.to_string())?;
     serde_json::from_str(&text).with_context(|| file.to_string())
 }
 
-fn start() -> Result<bool> {
+fn run_command() -> Result<bool> {
     let args: Vec<String> = std::env::args().collect();
     let mut options = Options::new();
     options.optmulti("", "host", "a router", "IP:PORT");
@@ -48,7 +48,7 @@
     }
     if let [command, before, after] = &matches.free[..] {
         if command == "compare" {
-            print!("{}", compare(&read(before)?, &read(after)?));
+            print!("{}", compare(&read_report(before)?, &read_report(after)?));
             return Ok(true);
         }
     }
@@ -56,13 +56,13 @@
     if hosts.is_empty() {
         bail!("no --host\n{usage}");
     }
-    let load = Load {
+    let load = LoadOptions {
         hosts,
         key: matches.opt_str("key").ok_or_else(|| anyhow!("no --key\n{usage}"))?,
         route: matches.opt_str("route").unwrap_or_else(|| "assistant".into()),
-        once: matches.opt_str("once"),
+        non_repeatable_call: matches.opt_str("once"),
         callers: matches.opt_get_default("callers", 20)?,
-        length: Duration::from_secs(matches.opt_get_default("seconds", 10)?),
+        duration: Duration::from_secs(matches.opt_get_default("seconds", 10)?),
         seed: matches.opt_get_default("seed", 1)?,
     };
     let report = run(&load, &|seconds, answered| eprintln!("{seconds} s: {answered} answered"));
--- a/crates/tidetrack-load/src/report.rs
+++ b/crates/tidetrack-load/src/report.rs
@@ -7,7 +7,7 @@
 
 /// Quantiles of a time in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Times {
+pub struct Quantiles {
     /// The median.
     pub p50: f64,
     /// 95 in 100.
@@ -28,9 +28,9 @@
     /// Answered requests a second.
     pub per_second: f64,
     /// Time to the first event of a stream.
-    pub first: Times,
+    pub first: Quantiles,
     /// Time to the end.
-    pub whole: Times,
+    pub whole: Quantiles,
     /// Answers by version.
     pub versions: BTreeMap<String, u64>,
     /// Refusals and failures by code.
@@ -49,35 +49,42 @@
             out,
             "seed {seed}: {requests} requests, {answered} answered, {per_second:.1}/s"
         );
-        for (name, t) in [("first event", first), ("whole answer", whole)] {
-            let _ =
-                writeln!(out, "{name:<13} p50 {:.1}  p95 {:.1}  p99 {:.1} ms", t.p50, t.p95, t.p99);
+        for (name, quantiles) in [("first event", first), ("whole answer", whole)] {
+            let _ = writeln!(
+                out,
+                "{name:<13} p50 {:.1}  p95 {:.1}  p99 {:.1} ms",
+                quantiles.p50, quantiles.p95, quantiles.p99
+            );
         }
-        for (what, counts) in
+        for (label, counts) in
             [("version", &self.versions), ("code", &self.codes), ("BROKEN", &self.broken)]
         {
-            counts.iter().for_each(|(name, n)| out.push_str(&format!("{what} {name}: {n}\n")));
+            counts
+                .iter()
+                .for_each(|(name, count)| out.push_str(&format!("{label} {name}: {count}\n")));
         }
         out
     }
 }
 
 /// Renders two reports side by side.
-pub fn compare(a: &Report, b: &Report) -> String {
+pub fn compare(before: &Report, after: &Report) -> String {
     let mut out = String::from("                     before      after   change\n");
-    let mut row = |name: &str, x: f64, y: f64| {
-        let change = if x > 0.0 { (y / x - 1.0) * 100.0 } else { 0.0 };
+    let mut row = |name: &str, before_value: f64, after_value: f64| {
+        let change =
+            if before_value > 0.0 { (after_value / before_value - 1.0) * 100.0 } else { 0.0 };
         // Writing to a string does not fail.
-        let _ = writeln!(out, "{name:<16} {x:>10.1} {y:>10.1} {change:>+7.1}%");
+        let _ =
+            writeln!(out, "{name:<16} {before_value:>10.1} {after_value:>10.1} {change:>+7.1}%");
     };
-    row("answered", a.answered as f64, b.answered as f64);
-    row("answered a s", a.per_second, b.per_second);
-    row("first p50 ms", a.first.p50, b.first.p50);
-    row("first p95 ms", a.first.p95, b.first.p95);
-    row("first p99 ms", a.first.p99, b.first.p99);
-    row("whole p50 ms", a.whole.p50, b.whole.p50);
-    row("whole p99 ms", a.whole.p99, b.whole.p99);
-    row("broken", sum(&a.broken), sum(&b.broken));
+    row("answered", before.answered as f64, after.answered as f64);
+    row("answered a s", before.per_second, after.per_second);
+    row("first p50 ms", before.first.p50, after.first.p50);
+    row("first p95 ms", before.first.p95, after.first.p95);
+    row("first p99 ms", before.first.p99, after.first.p99);
+    row("whole p50 ms", before.whole.p50, after.whole.p50);
+    row("whole p99 ms", before.whole.p99, after.whole.p99);
+    row("broken", sum(&before.broken), sum(&after.broken));
     out
 }
 
@@ -90,7 +97,7 @@
     use super::*;
 
     #[test]
-    fn a_broken_promise_is_shown() {
+    fn violated_guarantees_are_rendered() {
         let broken = [("a session moved".to_string(), 2)].into();
         let text = Report { broken, ..Report::default() }.render();
         assert!(text.contains("BROKEN a session moved: 2"), "{text}");
--- a/crates/tidetrack-router/tests/crashes.rs
+++ b/crates/tidetrack-router/tests/crashes.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use tidetrack_testkit::caller::{send, Reply};
-use tidetrack_testkit::crashing::{Crashing, Manners, DEADLY};
+use tidetrack_testkit::crashing_endpoint::{CrashingEndpoint, EndpointBehavior, CRASHING_BODY};
 use tidetrack_testkit::fleet::{Fleet, FleetOptions};
 
 /// Time after which hosts in touch know what one of them learned.
@@ -22,33 +22,38 @@
 const ENDPOINTS: usize = 6;
 
 /// Starts an endpoint that crashes under deadly requests, or one that fails them.
-fn start_endpoint(survives: bool) -> Crashing {
+fn start_endpoint(survives: bool) -> CrashingEndpoint {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address").to_string();
     drop(listener);
     let answer =
         |status| format!("HTTP/1.1 {status}\r\nContent-Length: 4\r\nConnection: close\r\n\r\ndone");
-    let manners = Manners {
-        answer: Box::new(move |req, _| match req.body == DEADLY {
+    let manners = EndpointBehavior {
+        respond: Box::new(move |req, _| match req.body == CRASHING_BODY {
             true => answer("500 X"),
             false => answer("200 OK"),
         }),
-        comes_up: Box::new(|_| ()),
-        has_gone: Box::new(|_| ()),
-        listens_on: LISTENS_ON,
-        survives,
+        on_start: Box::new(|_| ()),
+        on_end: Box::new(|_| ()),
+        listener_linger: LISTENS_ON,
+        survives_crashing_requests: survives,
     };
-    Crashing::start(&address, manners)
+    CrashingEndpoint::start(&address, manners)
 }
 
-fn fleet_before(endpoints: &[Crashing]) -> Fleet {
-    let place = |(n, e): (usize, &Crashing)| {
+fn fleet_before(endpoints: &[CrashingEndpoint]) -> Fleet {
+    let place = |(n, e): (usize, &CrashingEndpoint)| {
         format!("f{n} = {{ address = \"{}\", failure_domain = \"d{}\" }}", e.address(), n % 3)
     };
     let places: Vec<String> = endpoints.iter().enumerate().map(place).collect();
     let places = places.join(", ");
     let more = format!("[service.frail]\nworkspaces = [\"caller\"]\nendpoints = {{ {places} }}\n");
-    let options = FleetOptions { hosts: HOSTS, domains: 2, more, ..FleetOptions::default() };
+    let options = FleetOptions {
+        hosts: HOSTS,
+        domains: 2,
+        extra_declarations: more,
+        ..FleetOptions::default()
+    };
     Fleet::start(Path::new(env!("CARGO_BIN_EXE_tidetrack-router")), options).expect("a fleet")
 }
 
@@ -68,7 +73,7 @@
     play((0..ENDPOINTS).map(|n| start_endpoint(n == 0)).collect());
 }
 
-fn play(endpoints: Vec<Crashing>) {
+fn play(endpoints: Vec<CrashingEndpoint>) {
     let fleet = fleet_before(&endpoints);
     let is_over = AtomicBool::new(false);
 
@@ -85,7 +90,7 @@
         let mut last = None;
         for n in 0..32 {
             let began = Instant::now();
-            last = Some(ask(&fleet, n % HOSTS, DEADLY));
+            last = Some(ask(&fleet, n % HOSTS, CRASHING_BODY));
             std::thread::sleep(Duration::from_millis(250).saturating_sub(began.elapsed()));
         }
         is_over.store(true, Ordering::Release);
@@ -96,7 +101,7 @@
     crashes.sort_unstable();
     let third = *crashes.get(2).expect("the request crashes endpoints");
     let arrivals = endpoints.iter().flat_map(|e| e.arrivals());
-    let late = arrivals.filter(|a| a.is_deadly && a.at > third + CONTACT).count();
+    let late = arrivals.filter(|a| a.is_crashing && a.received_at > third + CONTACT).count();
     let served = usual.iter().filter(|s| **s == 200).count();
     println!("{} crashes, {late} late, {served} of {} served", crashes.len(), usual.len());
     assert!(late <= MOST_LATE, "{late} sends after routers had to know of the third crash");
--- a/crates/tidetrack-router/tests/load.rs
+++ b/crates/tidetrack-router/tests/load.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use tidetrack_ctl::bill;
-use tidetrack_load::load::{run, Load};
+use tidetrack_load::load::{run, LoadOptions};
 use tidetrack_testkit::fleet::{Fleet, FleetOptions, KEY};
 use tidetrack_testkit::wait_for;
 
@@ -13,23 +13,23 @@
     let options = FleetOptions { hosts: 4, domains: 2, ..FleetOptions::default() };
     let binary = Path::new(env!("CARGO_BIN_EXE_tidetrack-router"));
     let mut fleet = Fleet::start(binary, options).expect("a fleet");
-    let load = Load {
-        hosts: fleet.hosts.iter().map(|h| h.process().caller.clone()).collect(),
+    let load = LoadOptions {
+        hosts: fleet.hosts.iter().map(|h| h.process().caller_address.clone()).collect(),
         key: KEY.into(),
         route: "chat".into(),
-        once: Some("vault/grant".into()),
+        non_repeatable_call: Some("vault/grant".into()),
         callers: 12,
-        length: Duration::from_secs(10),
+        duration: Duration::from_secs(10),
         seed: 3,
     };
 
     let running = std::thread::spawn(move || run(&load, &|_, _| {}));
-    wait_for("traffic", || (fleet.old.counts().finished > 50).then_some(()));
+    wait_for("traffic", || (fleet.stable_engine.counts().finished > 50).then_some(()));
     // A paused host would hold the callers that meet it; that case stands in `promises.rs`.
     fleet.hosts[3].kill();
-    let before = fleet.old.counts().finished;
+    let before = fleet.stable_engine.counts().finished;
     wait_for("traffic past the failures", || {
-        (fleet.old.counts().finished > before + 20).then_some(())
+        (fleet.stable_engine.counts().finished > before + 20).then_some(())
     });
     fleet.hosts[1].process().terminate();
     let report = running.join().expect("a load");
@@ -39,7 +39,11 @@
     assert!(report.answered > 100, "{}", report.render());
     let billed_kinds = report.versions.values().sum::<u64>();
     wait_for("a bill for each answered question", || {
-        (bill::totals(&fleet.platform).ok()?.requests >= billed_kinds).then_some(())
+        (bill::totals(&fleet.platform_client).ok()?.requests >= billed_kinds).then_some(())
     });
-    assert!(fleet.service.ran().values().all(|n| *n == 1), "{:?}", fleet.service.ran());
+    assert!(
+        fleet.service.run_counts().values().all(|n| *n == 1),
+        "{:?}",
+        fleet.service.run_counts()
+    );
 }
--- a/crates/tidetrack-router/tests/path.rs
+++ b/crates/tidetrack-router/tests/path.rs
@@ -23,11 +23,11 @@
     let fleet = fleet(1);
     let caller = fleet.hosts[0].caller();
 
-    let whole = send(caller.chat("chat", "one", false, 5));
-    let mut stream = caller.chat("chat", "two", true, 40).send_lazy().expect("a stream");
+    let whole = send(caller.chat_request("chat", "one", false, 5));
+    let mut stream = caller.chat_request("chat", "two", true, 40).send_lazy().expect("a stream");
     let mut first = [0; 1024];
     let n = stream.read(&mut first).expect("an event");
-    let after_first = fleet.old.counts().finished;
+    let after_first = fleet.stable_engine.counts().finished;
     let mut rest = String::new();
     stream.read_to_string(&mut rest).expect("the rest");
 
@@ -43,11 +43,11 @@
     let fleet = fleet(1);
     let caller = fleet.hosts[0].caller();
     // The engine's port is cut, so that the rest cannot be had either.
-    fleet.to_old.set(Fault::CutAfter(1500));
+    fleet.stable_proxy.set_fault(Fault::CutAfterResponseBytes(1500));
 
-    let reply = send(caller.chat("chat", "long", true, 200));
+    let reply = send(caller.chat_request("chat", "long", true, 200));
 
-    assert!(!reply.is_whole_stream());
+    assert!(!reply.is_complete_stream());
     assert!(reply.body.contains("data: "), "some of it came: {reply:?}");
     assert_eq!(reply.code(), "TT-3002", "{}", reply.body);
 }
@@ -55,20 +55,20 @@
 #[test]
 fn a_stream_cut_by_the_engine_is_resumed_without_repeat_or_loss() {
     let fleet = fleet(1);
-    fleet.old.set_faults(EngineFaults { cut_after: Some(7), ..EngineFaults::default() });
+    fleet.stable_engine.set_faults(EngineFaults { cut_after: Some(7), ..EngineFaults::default() });
 
-    let reply = send(fleet.hosts[0].caller().chat("chat", "again", true, 20));
+    let reply = send(fleet.hosts[0].caller().chat_request("chat", "again", true, 20));
 
     let words: Vec<String> = (1..20).map(|i| format!("w{i}")).collect();
-    assert!(reply.is_whole_stream(), "{}", reply.body);
+    assert!(reply.is_complete_stream(), "{}", reply.body);
     assert_eq!(reply.text(), format!("[model@1 q=0.850] again {}", words.join(" ")));
 }
 
 #[test]
 fn a_silent_endpoint_is_given_up_at_the_deadline() {
     let fleet = fleet(1);
-    let chat = fleet.hosts[0].caller().chat("chat", "deadline", false, 5);
-    fleet.to_old.set(Fault::FreezeAnswers);
+    let chat = fleet.hosts[0].caller().chat_request("chat", "deadline", false, 5);
+    fleet.stable_proxy.set_fault(Fault::FreezeResponses);
     let began = Instant::now();
 
     let reply = send(chat.with_header(headers::DEADLINE, "400"));
@@ -81,14 +81,14 @@
 fn another_attempts_answer_is_dropped() {
     let fleet = fleet(1);
     let caller = fleet.hosts[0].caller();
-    fleet.old.set_faults(EngineFaults { swap_next: 1, ..EngineFaults::default() });
+    fleet.stable_engine.set_faults(EngineFaults { swap_next: 1, ..EngineFaults::default() });
 
-    let reply = send(caller.chat("chat", "mine", false, 3));
+    let reply = send(caller.chat_request("chat", "mine", false, 3));
 
     // One endpoint only: the attempt cannot be made elsewhere.
     assert_eq!(reply.code(), "TT-3005");
-    assert_eq!(reply.ran(), Some(Executed::Unknown));
-    assert!(send(caller.chat("chat", "mine", false, 3)).text().contains("mine"));
+    assert_eq!(reply.executed(), Some(Executed::Unknown));
+    assert!(send(caller.chat_request("chat", "mine", false, 3)).text().contains("mine"));
 }
 
 #[test]
@@ -100,7 +100,7 @@
             let caller = caller.clone();
             std::thread::spawn(move || {
                 let text = format!("caller {i} asks");
-                let reply = send(caller.chat("chat", &text, i % 2 == 0, 6));
+                let reply = send(caller.chat_request("chat", &text, i % 2 == 0, 6));
                 (reply.status, reply.text().contains(&text), reply.body)
             })
         })
@@ -117,13 +117,14 @@
     let fleet = fleet(1);
     let caller = fleet.hosts[0].caller();
 
-    let mut stream = caller.chat("chat", "leaving", true, 5_000).send_lazy().expect("a stream");
+    let mut stream =
+        caller.chat_request("chat", "leaving", true, 5_000).send_lazy().expect("a stream");
     let mut first = [0; 64];
     stream.read_exact(&mut first).expect("a first part");
     drop(stream);
 
-    wait_for("a cancelled attempt", || (fleet.old.counts().cancelled == 1).then_some(()));
-    assert_eq!(fleet.old.counts().finished, 0);
+    wait_for("a cancelled attempt", || (fleet.stable_engine.counts().cancelled == 1).then_some(()));
+    assert_eq!(fleet.stable_engine.counts().finished, 0);
 }
 
 #[test]
@@ -133,25 +134,28 @@
     let stranger = tidetrack_testkit::caller::Caller { key: "wrong".into(), ..caller.clone() };
     let big = vec![b'x'; 5 << 20];
     let cases = [
-        (stranger.chat("chat", "x", false, 3), "TT-1001"),
-        (caller.chat("nowhere", "x", false, 3), "TT-1002"),
+        (stranger.chat_request("chat", "x", false, 3), "TT-1001"),
+        (caller.chat_request("nowhere", "x", false, 3), "TT-1002"),
         (caller.post("/v1/nothing", "{}"), "TT-1002"),
         (caller.post("/v1/chat/completions", "{"), "TT-1004"),
         (caller.post("/v1/chat/completions", "{\"model\":\"chat\",\"messages\":[]}"), "TT-1004"),
         (caller.post("/v1/chat/completions", vec![0xff, 0xfe]), "TT-1004"),
         (caller.post("/v1/chat/completions", big), "TT-1005"),
         (caller.post("/v1/models", "{}"), "TT-1007"),
-        (caller.chat("chat", "x", false, 3).with_header(headers::SESSION, "s1/x"), "TT-1008"),
-        (caller.chat("chat", &"long ".repeat(40_000), false, 3), "TT-1014"),
+        (
+            caller.chat_request("chat", "x", false, 3).with_header(headers::SESSION, "s1/x"),
+            "TT-1008",
+        ),
+        (caller.chat_request("chat", &"long ".repeat(40_000), false, 3), "TT-1014"),
     ];
 
     for (request, code) in cases {
         let reply = send(request);
         assert_eq!(reply.code(), code, "{reply:?}");
-        assert_eq!(reply.ran(), Some(Executed::No), "{reply:?}");
+        assert_eq!(reply.executed(), Some(Executed::No), "{reply:?}");
     }
-    assert_eq!(fleet.old.counts().started, 0);
-    assert_eq!(send(caller.chat("chat", "still here", false, 3)).status, 200);
+    assert_eq!(fleet.stable_engine.counts().started, 0);
+    assert_eq!(send(caller.chat_request("chat", "still here", false, 3)).status, 200);
 }
 
 #[test]
@@ -165,7 +169,7 @@
     );
     slow.write_all(head.as_bytes()).expect("a head");
 
-    let others = send(caller.chat("chat", "meanwhile", false, 3));
+    let others = send(caller.chat_request("chat", "meanwhile", false, 3));
     slow.set_read_timeout(Some(Duration::from_secs(20))).expect("an option");
     let mut answer = [0; 12];
     // A byte now and then, until the router has had enough.
@@ -185,12 +189,16 @@
 fn an_engine_that_refuses_was_not_run_and_says_so() {
     let fleet = fleet(1);
     let caller = fleet.hosts[0].caller();
-    fleet.old.set_faults(EngineFaults { refuse_next: 1, ..EngineFaults::default() });
+    fleet.stable_engine.set_faults(EngineFaults { refuse_next: 1, ..EngineFaults::default() });
 
-    let reply = send(caller.chat("chat", "refused", false, 3));
+    let reply = send(caller.chat_request("chat", "refused", false, 3));
 
-    assert_eq!((reply.code().as_str(), reply.ran()), ("TT-3001", Some(Executed::No)), "{reply:?}");
-    assert_eq!(fleet.old.counts().started, 0);
+    assert_eq!(
+        (reply.code().as_str(), reply.executed()),
+        ("TT-3001", Some(Executed::No)),
+        "{reply:?}"
+    );
+    assert_eq!(fleet.stable_engine.counts().started, 0);
 }
 
 #[test]
@@ -198,21 +206,21 @@
     let fleet = fleet(1);
     let caller = fleet.hosts[0].caller();
     let process = fleet.hosts[0].process();
-    assert_eq!(send(caller.chat("chat", "before", false, 3)).status, 200);
+    assert_eq!(send(caller.chat_request("chat", "before", false, 3)).status, 200);
 
     // The limit is on a file's number, and closed files leave lower numbers free: more connections
     // than there can be such numbers, and fewer than the listener's queue takes.
-    process.limit_files(process.open_files().expect("a count"));
+    process.set_file_limit(process.count_open_files().expect("a count"));
     let held: Vec<TcpStream> =
         (0..100).filter_map(|_| TcpStream::connect(&caller.host).ok()).collect();
     wait_for("a failed accept", || {
-        let log = std::fs::read_to_string(&process.log).ok()?;
+        let log = std::fs::read_to_string(&process.log_path).ok()?;
         log.contains("E105").then_some(())
     });
     drop(held);
-    process.limit_files(1_024);
+    process.set_file_limit(1_024);
 
     wait_for("an answer", || {
-        (send(caller.chat("chat", "x", false, 3)).status == 200).then_some(())
+        (send(caller.chat_request("chat", "x", false, 3)).status == 200).then_some(())
     });
 }
--- a/crates/tidetrack-router/tests/promises.rs
+++ b/crates/tidetrack-router/tests/promises.rs
@@ -29,7 +29,7 @@
 }
 
 fn ask(fleet: &Fleet, host: usize, text: &str) -> Reply {
-    send(fleet.hosts[host].caller().chat("chat", text, false, 3))
+    send(fleet.hosts[host].caller().chat_request("chat", text, false, 3))
 }
 
 fn grant(fleet: &Fleet, host: usize, body: &str, header: (&str, &str)) -> Reply {
@@ -39,18 +39,18 @@
 
 fn withdraw(fleet: &Fleet, version: &str) -> u64 {
     let version = version.parse().expect("a version");
-    rollout::withdraw(&fleet.platform, &version, "a test").expect("a withdrawal")
+    rollout::withdraw(&fleet.platform_client, &version, "a test").expect("a withdrawal")
 }
 
 fn cut_off_platform(fleet: &Fleet, down: bool) {
-    fleet.objects.set_faults(PlatformFaults { down, ..PlatformFaults::default() });
+    fleet.platform_standin.set_faults(PlatformFaults { down, ..PlatformFaults::default() });
 }
 
 /// Adds the ledger up once it holds as many requests as were answered.
 fn billed(fleet: &Fleet, answered: u64) -> u64 {
     let mut last = 0;
     wait_for("a full ledger", || {
-        last = bill::totals(&fleet.platform).ok()?.requests;
+        last = bill::totals(&fleet.platform_client).ok()?.requests;
         (last >= answered).then_some(())
     });
     last
@@ -62,13 +62,13 @@
 
     let from = Instant::now();
     let revision = withdraw(&fleet, "model@2");
-    fleet.wait_all("the change", |s| s.in_force >= revision);
+    fleet.wait_for_hosts("the change", |s| s.in_force >= revision);
     let healthy = from.elapsed();
     // Half of the hosts lose the platform; the others pass the change on.
-    fleet.hosts.iter().skip(HOSTS / 2).for_each(|h| h.to_platform.set(Fault::Cut));
+    fleet.hosts.iter().skip(HOSTS / 2).for_each(|h| h.platform_proxy.set_fault(Fault::Cut));
     let from = Instant::now();
     let revision = withdraw(&fleet, "model@1");
-    fleet.wait_all("the change past a cut", |s| s.in_force >= revision);
+    fleet.wait_for_hosts("the change past a cut", |s| s.in_force >= revision);
     let cut = from.elapsed();
 
     println!("in force on {HOSTS} hosts: {healthy:?}; with half of them cut off: {cut:?}");
@@ -86,15 +86,15 @@
         generation: 1,
     };
 
-    let host = &fleet.hosts[3].process().caller;
+    let host = &fleet.hosts[3].process().caller_address;
     let key = tidetrack_testkit::fleet::OPERATOR_KEY;
     tidetrack_ctl::status::send_fact(host, key, &fact).expect("told");
-    fleet.wait_all("the fact", |s| !s.facts.is_empty());
-    let before = fleet.old.counts().started;
+    fleet.wait_for_hosts("the fact", |s| !s.facts.is_empty());
+    let before = fleet.stable_engine.counts().started;
     let codes: Vec<String> = (0..HOSTS).map(|h| ask(&fleet, h, "x").code()).collect();
 
     assert_eq!(codes, vec!["TT-2005"; HOSTS]);
-    assert_eq!(fleet.old.counts().started, before);
+    assert_eq!(fleet.stable_engine.counts().started, before);
 }
 
 #[test]
@@ -108,23 +108,23 @@
     }
     // The caller's request waits in the paused host's socket and is read first thing after.
     let caller = fleet.hosts[2].caller();
-    let waiting = std::thread::spawn(move || send(caller.chat("chat", "late", false, 3)));
+    let waiting = std::thread::spawn(move || send(caller.chat_request("chat", "late", false, 3)));
     std::thread::sleep(Duration::from_millis(1500));
-    let before = fleet.old.counts().started;
+    let before = fleet.stable_engine.counts().started;
 
     fleet.hosts[2].process().resume();
     let reply = waiting.join().expect("a caller");
 
     assert_eq!(reply.code(), "TT-2005", "{reply:?}");
-    assert_eq!(reply.ran(), Some(Executed::No));
-    assert_eq!(fleet.old.counts().started, before);
+    assert_eq!(reply.executed(), Some(Executed::No));
+    assert_eq!(fleet.stable_engine.counts().started, before);
 }
 
 #[test]
 fn a_host_that_starts_in_an_outage_takes_the_configuration_from_others() {
     let mut fleet = fleet();
     let revision = withdraw(&fleet, "model@2");
-    fleet.wait_all("the change", |s| s.in_force >= revision);
+    fleet.wait_for_hosts("the change", |s| s.in_force >= revision);
     fleet.hosts[0].kill();
     cut_off_platform(&fleet, true);
 
@@ -132,8 +132,8 @@
     fleet.start_host(0).expect("a process");
     let unready = ask(&fleet, 0, "too early").code();
     cut_off_platform(&fleet, false);
-    fleet.hosts[0].to_platform.set(Fault::Cut);
-    fleet.wait_all("the configuration", |s| s.in_force >= revision);
+    fleet.hosts[0].platform_proxy.set_fault(Fault::Cut);
+    fleet.wait_for_hosts("the configuration", |s| s.in_force >= revision);
 
     assert_eq!(unready, "TT-2004");
     assert_eq!(ask(&fleet, 0, "now").status, 200);
@@ -145,32 +145,32 @@
     let first = ask(&fleet, 0, "begin");
     let token = first.header(headers::SESSION).to_string();
     let on = |fleet: &Fleet, host: usize, token: &str| {
-        let request = fleet.hosts[host].caller().chat("chat", "go on", false, 3);
+        let request = fleet.hosts[host].caller().chat_request("chat", "go on", false, 3);
         send(request.with_header(headers::SESSION, token))
     };
     let id = "to-2".parse().expect("a roll-out");
-    rollout::apply_verb(&fleet.platform, &id, rollout::Verb::Start).expect("a start");
-    rollout::apply_verb(&fleet.platform, &id, rollout::Verb::Advance).expect("an end");
-    fleet.wait_all("the end of the roll-out", |s| {
+    rollout::apply_verb(&fleet.platform_client, &id, rollout::Verb::Start).expect("a start");
+    rollout::apply_verb(&fleet.platform_client, &id, rollout::Verb::Advance).expect("an end");
+    fleet.wait_for_hosts("the end of the roll-out", |s| {
         let state = s.rollouts.first().and_then(|r| r.state.as_ref());
         state.is_some_and(|s| s.phase == RolloutPhase::Done)
     });
     fleet.hosts[4].kill();
     fleet.start_host(4).expect("a process");
-    fleet.wait_whole();
+    fleet.wait_until_converged();
 
     let fresh = ask(&fleet, 4, "new");
     let kept: Vec<String> =
         (0..HOSTS).map(|h| on(&fleet, h, &token).version().to_string()).collect();
     let forged = on(&fleet, 1, &token.replace("model@1", "model@2"));
     let revision = withdraw(&fleet, "model@1");
-    fleet.wait_all("the withdrawal", |s| s.in_force >= revision);
+    fleet.wait_for_hosts("the withdrawal", |s| s.in_force >= revision);
     let ended = on(&fleet, 5, &token);
 
     assert_eq!((first.version(), fresh.version()), ("model@1", "model@2"));
     assert_eq!(kept, vec!["model@1"; HOSTS]);
     assert_eq!(forged.code(), "TT-1008");
-    assert_eq!((ended.code().as_str(), ended.ran()), ("TT-1009", Some(Executed::No)));
+    assert_eq!((ended.code().as_str(), ended.executed()), ("TT-1009", Some(Executed::No)));
 }
 
 #[test]
@@ -186,7 +186,7 @@
         // Right after the last byte: the bill is on another host, not in the object API.
         fleet.hosts[round].kill();
         fleet.start_host(round).expect("a process");
-        fleet.wait_whole();
+        fleet.wait_until_converged();
         // The holder writes what it held before it is killed itself: origin and holder lost within a
         // flush is past what one copy can bear, as `docs/design/billing.md` says.
         assert_eq!(billed(&fleet, answered), answered);
@@ -205,7 +205,7 @@
     }
     fleet.hosts[6].kill();
     let lose = PlatformFaults { lose_replies: 5, ..PlatformFaults::default() };
-    fleet.objects.set_faults(lose);
+    fleet.platform_standin.set_faults(lose);
 
     let billed = billed(&fleet, answered);
 
@@ -216,7 +216,7 @@
 #[test]
 fn a_call_that_must_not_be_repeated_runs_at_most_once() {
     let mut fleet = fleet();
-    let ticket = fleet.hosts[1].caller().ticket().expect("a ticket");
+    let ticket = fleet.hosts[1].caller().request_ticket().expect("a ticket");
     let with = (headers::TICKET, ticket.as_str());
 
     // The same and other hosts, and an answer that is lost.
@@ -224,15 +224,15 @@
     let lost = grant(&fleet, 1, "sword", with);
     let again: Vec<Reply> = (0..HOSTS).map(|h| grant(&fleet, h, "sword", with)).collect();
     // A maker that dies, and comes back with another life.
-    let orphan = fleet.hosts[2].caller().ticket().expect("a ticket");
+    let orphan = fleet.hosts[2].caller().request_ticket().expect("a ticket");
     fleet.hosts[2].kill();
     fleet.start_host(2).expect("a process");
-    fleet.wait_whole();
+    fleet.wait_until_converged();
     let gone = grant(&fleet, 2, "shield", (headers::TICKET, &orphan));
     let gone_elsewhere = grant(&fleet, 3, "shield", (headers::TICKET, &orphan));
 
-    let ran = fleet.service.ran();
-    assert_eq!(lost.ran(), Some(Executed::Unknown), "{lost:?}");
+    let ran = fleet.service.run_counts();
+    assert_eq!(lost.executed(), Some(Executed::Unknown), "{lost:?}");
     assert!(again.iter().all(|r| r.code() == "TT-1012"), "{again:?}");
     assert_eq!(ran.get("sword"), Some(&1));
     assert_eq!((gone.code().as_str(), gone_elsewhere.code().as_str()), ("TT-1013", "TT-1013"));
@@ -259,15 +259,15 @@
     cut_off_platform(&fleet, true);
     let outage = grant(&fleet, 0, "ring", (headers::IDEMPOTENCY_KEY, "key-3"));
 
-    let ran = fleet.service.ran();
+    let ran = fleet.service.run_counts();
     assert_eq!(replies.iter().filter(|r| r.status == 200).count(), 1, "{replies:?}");
     assert!(replies.iter().all(|r| r.status == 200 || r.code() == "TT-1011"), "{replies:?}");
     assert_eq!(ran.get("helmet"), Some(&1));
     assert_eq!(
-        (refused.ran(), retried.status, ran.get("boots")),
+        (refused.executed(), retried.status, ran.get("boots")),
         (Some(Executed::No), 200, Some(&1))
     );
-    assert_eq!((outage.code().as_str(), outage.ran()), ("TT-4001", Some(Executed::No)));
+    assert_eq!((outage.code().as_str(), outage.executed()), ("TT-4001", Some(Executed::No)));
     assert_eq!(ran.get("ring"), None);
 }
 
@@ -282,11 +282,11 @@
     let streams: Vec<_> = (0..HOSTS * 4)
         .map(|i| {
             let caller = fleet.hosts[i % HOSTS].caller();
-            std::thread::spawn(move || send(caller.chat("chat", "long", true, 60)))
+            std::thread::spawn(move || send(caller.chat_request("chat", "long", true, 60)))
         })
         .collect();
     wait_for("streams under way", || {
-        (fleet.old.counts().started == (HOSTS * 4) as u64).then_some(())
+        (fleet.stable_engine.counts().started == (HOSTS * 4) as u64).then_some(())
     });
 
     cut_off_platform(&fleet, true);
@@ -298,7 +298,7 @@
         .collect();
     cut_off_platform(&fleet, false);
 
-    assert!(replies.iter().all(Reply::is_whole_stream), "a stream was cut off");
+    assert!(replies.iter().all(Reply::is_complete_stream), "a stream was cut off");
     assert_eq!(ends, [true, true]);
     assert_eq!(billed(&fleet, (HOSTS * 4) as u64), (HOSTS * 4) as u64);
 }
@@ -308,16 +308,16 @@
     let fleet = fleet_with(FleetOptions {
         hosts: HOSTS,
         domains: 4,
-        new_quality: 0.2,
+        canary_quality: 0.2,
         ..FleetOptions::default()
     });
     let id = "to-2".parse().expect("a roll-out");
     // Three hosts lose the platform and all others: no message reaches them.
     for host in &fleet.hosts[..3] {
-        host.to_platform.set(Fault::Cut);
-        host.to_peer.set(Fault::Cut);
+        host.platform_proxy.set_fault(Fault::Cut);
+        host.peer_proxy.set_fault(Fault::Cut);
     }
-    rollout::apply_verb(&fleet.platform, &id, rollout::Verb::Start).expect("a start");
+    rollout::apply_verb(&fleet.platform_client, &id, rollout::Verb::Start).expect("a start");
 
     let stop = Arc::new(AtomicBool::new(false));
     let load: Vec<_> = (0..HOSTS)
@@ -325,7 +325,7 @@
             let (caller, stop) = (fleet.hosts[h].caller(), stop.clone());
             std::thread::spawn(move || {
                 while !stop.load(Ordering::Acquire) {
-                    send(caller.chat("chat", "judge me", false, 2));
+                    send(caller.chat_request("chat", "judge me", false, 2));
                 }
             })
         })
@@ -335,15 +335,15 @@
         let state = s.rollouts.first()?.state.clone()?;
         (state.phase == RolloutPhase::Aborted).then_some(())
     });
-    let at_stop = fleet.new.counts().started;
-    fleet.wait_all("traffic after the stop", |s| {
+    let at_stop = fleet.canary_engine.counts().started;
+    fleet.wait_for_hosts("traffic after the stop", |s| {
         s.rollouts.first().is_some_and(|r| r.proven.answered > 50) || s.members.len() < HOSTS
     });
     stop.store(true, Ordering::Release);
     load.into_iter().for_each(|l| l.join().expect("a caller"));
 
     // The cap is 12 unjudged at a time; a drop of 0.65 is found after 20 ratings.
-    let exposed = fleet.new.counts().started;
+    let exposed = fleet.canary_engine.counts().started;
     println!("a bad version answered {exposed} requests, {at_stop} before the stop was written");
     assert!(exposed <= 12 * 5, "{exposed}");
     assert!(exposed - at_stop <= 12, "{exposed} after {at_stop}");
@@ -353,12 +353,12 @@
 fn a_killed_host_is_held_dead_and_a_new_life_is_welcome() {
     let mut fleet = fleet();
     fleet.hosts[3].kill();
-    fleet.wait_all("the death", |s| {
+    fleet.wait_for_hosts("the death", |s| {
         let dead = |m: &&tidetrack_core::membership::Member| m.state == MemberState::Dead;
         s.members.iter().filter(dead).count() == 1
     });
     fleet.start_host(3).expect("a process");
-    fleet.wait_whole();
+    fleet.wait_until_converged();
     assert_eq!(ask(&fleet, 3, "back").status, 200);
 }
 
@@ -367,7 +367,7 @@
     let fleet = fleet_with(FleetOptions {
         hosts: HOSTS,
         domains: 4,
-        rate: 70.0,
+        requests_per_second: 70.0,
         ..FleetOptions::default()
     });
     // A lone caller that waits for each answer offers less than the share of its host on a busy
@@ -414,9 +414,9 @@
         if second >= seconds {
             return calls;
         }
-        let reply = send(caller.chat("chat", "x", false, 1));
+        let reply = send(caller.chat_request("chat", "x", false, 1));
         if reply.status != 200 {
-            assert_eq!((reply.code().as_str(), reply.ran()), ("TT-2001", Some(Executed::No)));
+            assert_eq!((reply.code().as_str(), reply.executed()), ("TT-2001", Some(Executed::No)));
         }
         calls.push((second, from.elapsed() - began, reply.status == 200));
     }
--- a/crates/tidetrack-router/tests/reads.rs
+++ b/crates/tidetrack-router/tests/reads.rs
@@ -34,25 +34,29 @@
     let serving = "model@1".parse().expect("a version");
     let object = Object::Model(Model { serving, description: "x".repeat(bytes) });
     let name = config_object_name(&ObjectKey::new(ObjectKind::Model, format!("model-{bytes}-{n}")));
-    fleet.platform.write(&name, 0, &object.to_json()).expect("a write").version
+    fleet.platform_client.write(&name, 0, &object.to_json()).expect("a write").version
 }
 
 fn wait_in_force(fleet: &Fleet, version: u64) {
-    fleet.wait_all("the change in force", |status| status.in_force >= version);
+    fleet.wait_for_hosts("the change in force", |status| status.in_force >= version);
 }
 
 #[test]
 fn a_change_is_read_once() {
     let fleet = fleet();
-    let (before, watches) = (fleet.hosts[0].to_platform.bytes(), fleet.objects.counts().watches);
+    let (before, watches) = (
+        fleet.hosts[0].platform_proxy.transferred_bytes(),
+        fleet.platform_standin.counts().watches,
+    );
 
     for n in 0..OBJECTS {
         let version = write(&fleet, n, LARGE);
         wait_in_force(&fleet, version);
     }
 
-    let read = (fleet.hosts[0].to_platform.bytes() - before) as f64 / (OBJECTS * LARGE) as f64;
-    let watches = fleet.objects.counts().watches - watches;
+    let read = (fleet.hosts[0].platform_proxy.transferred_bytes() - before) as f64
+        / (OBJECTS * LARGE) as f64;
+    let watches = fleet.platform_standin.counts().watches - watches;
     println!("{read:.2} times the changes were read, in {watches} watches");
     assert!(read < 1.2, "{read} times the changes");
 }
@@ -63,14 +67,15 @@
     let last = (0..SMALL_OBJECTS).map(|n| write(&fleet, n, SMALL)).max().expect("a version");
     wait_in_force(&fleet, last);
     fleet.hosts[0].kill();
-    let (before, reads) = (fleet.hosts[0].to_platform.bytes(), fleet.objects.counts().reads);
+    let (before, reads) =
+        (fleet.hosts[0].platform_proxy.transferred_bytes(), fleet.platform_standin.counts().reads);
 
     fleet.start_host(0).expect("a host");
     wait_in_force(&fleet, last);
 
-    let read =
-        (fleet.hosts[0].to_platform.bytes() - before) as f64 / (SMALL_OBJECTS * SMALL) as f64;
-    let reads = fleet.objects.counts().reads - reads;
+    let read = (fleet.hosts[0].platform_proxy.transferred_bytes() - before) as f64
+        / (SMALL_OBJECTS * SMALL) as f64;
+    let reads = fleet.platform_standin.counts().reads - reads;
     println!("{read:.2} times the bodies were read, in {reads} gets and lists");
     // Names, versions and quotes are about a sixth more.
     assert!(read < 1.6, "{read} times the configuration");
--- a/crates/tidetrack-router/tests/slow_store.rs
+++ b/crates/tidetrack-router/tests/slow_store.rs
@@ -34,16 +34,17 @@
     let serving = "model@1".parse().expect("a version");
     let object = Object::Model(Model { serving, description: "x".repeat(LARGE) });
     let name = config_object_name(&ObjectKey::new(ObjectKind::Model, "large"));
-    fleet.hosts[0].to_platform.set(Fault::Rate(SLOW));
-    let (began, before) = (Instant::now(), fleet.hosts[0].to_platform.bytes());
+    fleet.hosts[0].platform_proxy.set_fault(Fault::ConnectionRate(SLOW));
+    let (began, before) = (Instant::now(), fleet.hosts[0].platform_proxy.transferred_bytes());
 
-    let version = fleet.platform.write(&name, 0, &object.to_json()).expect("a write").version;
+    let version =
+        fleet.platform_client.write(&name, 0, &object.to_json()).expect("a write").version;
     let in_force = || fleet.hosts[0].status().is_some_and(|s| s.in_force >= version);
     while !in_force() && began.elapsed() < Duration::from_secs(20) {
         std::thread::sleep(Duration::from_millis(100));
     }
 
-    let read = (fleet.hosts[0].to_platform.bytes() - before) as f64 / LARGE as f64;
+    let read = (fleet.hosts[0].platform_proxy.transferred_bytes() - before) as f64 / LARGE as f64;
     println!("{:?} in force: {}, {read:.2} times the change", began.elapsed(), in_force());
     assert!(in_force(), "{read:.2} times the change were read in {:?}", began.elapsed());
 }
@@ -52,30 +53,30 @@
 fn a_segment_that_is_large_for_the_link_is_written_all_the_same() {
     let store = Platform::default();
     let running = store.serve("127.0.0.1:0").expect("a store");
-    let proxy = Proxy::before(&running.address()).expect("a proxy");
-    proxy.set(Fault::Rate(SLOW));
+    let proxy = Proxy::with_target(&running.address()).expect("a proxy");
+    proxy.set_fault(Fault::ConnectionRate(SLOW));
     let client = PlatformClient::new(&proxy.address());
     let began = Instant::now();
 
     let written = client.write_confirmed("ledger/a~1/1", 0, &"x".repeat(SEGMENT));
 
-    println!("{written:?} after {:?}, {} bytes", began.elapsed(), proxy.bytes());
+    println!("{written:?} after {:?}, {} bytes", began.elapsed(), proxy.transferred_bytes());
     assert!(written.is_ok(), "{written:?}");
-    assert!(proxy.bytes() < 2 * SEGMENT as u64, "{} bytes", proxy.bytes());
+    assert!(proxy.transferred_bytes() < 2 * SEGMENT as u64, "{} bytes", proxy.transferred_bytes());
 }
 
 #[test]
 fn a_write_whose_reply_is_lost_is_settled_over_a_slow_link() {
     let store = Platform::default();
     let running = store.serve("127.0.0.1:0").expect("a store");
-    let proxy = Proxy::before(&running.address()).expect("a proxy");
-    proxy.set(Fault::Rate(SLOW));
+    let proxy = Proxy::with_target(&running.address()).expect("a proxy");
+    proxy.set_fault(Fault::ConnectionRate(SLOW));
     store.set_faults(PlatformFaults { lose_replies: 1, ..PlatformFaults::default() });
     let client = PlatformClient::new(&proxy.address());
 
     let written = client.write_confirmed("ledger/a~1/1", 0, &"x".repeat(SEGMENT));
 
-    println!("{written:?}, {} bytes", proxy.bytes());
+    println!("{written:?}, {} bytes", proxy.transferred_bytes());
     assert!(written.is_ok(), "{written:?}");
 }
 
@@ -92,8 +93,8 @@
         address: format!("10.0.{}.{}:8000", n / 250, n % 250),
         state: ListedState::Live,
     };
-    fleet.objects.set_hosts((0..4_740).map(endpoint).collect());
-    fleet.hosts[0].to_platform.set(Fault::Rate(SLOW));
+    fleet.platform_standin.set_hosts((0..4_740).map(endpoint).collect());
+    fleet.hosts[0].platform_proxy.set_fault(Fault::ConnectionRate(SLOW));
     let serving = "model@1".parse().expect("a version");
     let small = Object::Model(Model { serving, description: String::new() }).to_json();
 
@@ -101,7 +102,7 @@
         .map(|n| {
             let name = config_object_name(&ObjectKey::new(ObjectKind::Model, format!("small-{n}")));
             let began = Instant::now();
-            let version = fleet.platform.write(&name, 0, &small).expect("a write").version;
+            let version = fleet.platform_client.write(&name, 0, &small).expect("a write").version;
             wait_for("the change in force", || {
                 fleet.hosts[0].status().filter(|s| s.in_force >= version).map(|_| ())
             });
--- a/crates/tidetrack-standin/src/engine/cache.rs
+++ b/crates/tidetrack-standin/src/engine/cache.rs
@@ -6,7 +6,7 @@
 use super::{CacheEvent, Engine, State};
 
 /// Characters of a prompt that make one cached block.
-const BLOCK_CHARS: usize = 256;
+const CACHE_BLOCK_CHARS: usize = 256;
 
 impl Engine {
     /// Looks the prompt up in the cache block by block; gets the tokens to compute.
@@ -16,43 +16,43 @@
         let chars: Vec<char> = text.chars().collect();
         let mut state = self.lock();
         let mut hash = 0u64;
-        let mut computed = 0;
-        for block in chars.chunks(BLOCK_CHARS) {
+        let mut computed_prompt_tokens = 0;
+        for block in chars.chunks(CACHE_BLOCK_CHARS) {
             let text: String = block.iter().collect();
             hash = ring_position_of(format!("{hash}{text}").as_bytes());
             let tokens = (block.len() as u64).div_ceil(4);
-            if state.cached.contains(&hash) {
+            if state.cached_blocks.contains(&hash) {
                 state.counts.cached_tokens += tokens;
             } else {
-                computed += tokens;
+                computed_prompt_tokens += tokens;
                 self.store_block(&mut state, hash);
             }
         }
-        state.counts.computed_tokens += computed;
-        computed
+        state.counts.computed_tokens += computed_prompt_tokens;
+        computed_prompt_tokens
     }
 
     fn store_block(&self, state: &mut State, block: u64) {
-        state.cache.push_back(block);
-        state.cached.insert(block);
-        self.tell(state, block, true);
-        while state.cache.len() > self.options.cache_blocks {
-            if let Some(old) = state.cache.pop_front() {
-                state.cached.remove(&old);
-                self.tell(state, old, false);
+        state.cache_order.push_back(block);
+        state.cached_blocks.insert(block);
+        self.record_event(state, block, true);
+        while state.cache_order.len() > self.options.cache_blocks {
+            if let Some(evicted) = state.cache_order.pop_front() {
+                state.cached_blocks.remove(&evicted);
+                self.record_event(state, evicted, false);
             }
         }
     }
 
-    fn tell(&self, state: &mut State, block: u64, stored: bool) {
-        state.event += 1;
-        let number = state.event;
-        let lost = self.options.event_gap > 0 && number.is_multiple_of(self.options.event_gap);
-        if !lost {
-            state.events.push_back(CacheEvent { number, block, stored });
+    fn record_event(&self, state: &mut State, block: u64, stored: bool) {
+        state.last_event_number += 1;
+        let number = state.last_event_number;
+        let is_lost = self.options.event_gap > 0 && number.is_multiple_of(self.options.event_gap);
+        if !is_lost {
+            state.cache_events.push_back(CacheEvent { number, block, stored });
         }
-        while state.events.len() > self.options.cache_blocks {
-            state.events.pop_front();
+        while state.cache_events.len() > self.options.cache_blocks {
+            state.cache_events.pop_front();
         }
     }
 }
--- a/crates/tidetrack-standin/src/engine/mod.rs
+++ b/crates/tidetrack-standin/src/engine/mod.rs
@@ -21,32 +21,32 @@
 use tidetrack_wire::endpoint::{AttemptRequest, LoadReport, Order, OrderKind};
 use tidetrack_wire::headers;
 
-use crate::http::{self, make_header, Running};
+use crate::http::{self, make_header, RunningServer};
 
 mod cache;
+mod execution;
 mod options;
-mod run;
 
+use execution::Execution;
 pub use options::{CacheEvent, EngineCounts, EngineFaults, EngineOptions};
-use run::Run;
 
 #[derive(Default)]
 struct State {
     running: u32,
-    waiting: Vec<(i64, u64)>,
-    ticket: u64,
-    work: u64,
-    cache: VecDeque<u64>,
-    cached: HashSet<u64>,
-    events: VecDeque<CacheEvent>,
-    event: u64,
-    reports: VecDeque<(Instant, LoadReport)>,
-    cancelled: HashSet<String>,
-    kept: HashMap<String, Vec<String>>,
+    queue: Vec<(i64, u64)>,
+    last_queue_number: u64,
+    outstanding_work: u64,
+    cache_order: VecDeque<u64>,
+    cached_blocks: HashSet<u64>,
+    cache_events: VecDeque<CacheEvent>,
+    last_event_number: u64,
+    past_reports: VecDeque<(Instant, LoadReport)>,
+    cancelled_attempts: HashSet<String>,
+    stored_responses: HashMap<String, Vec<String>>,
     faults: EngineFaults,
     counts: EngineCounts,
-    loaded: HashSet<String>,
-    fence: u64,
+    loaded_versions: HashSet<String>,
+    highest_fence: u64,
 }
 
 /// An engine, shared with whoever started it.
@@ -54,22 +54,22 @@
 pub struct Engine {
     options: Arc<EngineOptions>,
     shared: Arc<(Mutex<State>, Condvar)>,
-    served: Arc<AtomicU64>,
+    served_requests: Arc<AtomicU64>,
 }
 
 impl Engine {
     /// Makes an engine.
     pub fn new(options: EngineOptions) -> Engine {
-        let state = State { loaded: [options.version.clone()].into(), ..State::default() };
+        let state = State { loaded_versions: [options.version.clone()].into(), ..State::default() };
         Engine {
             options: Arc::new(options),
             shared: Arc::new((Mutex::new(state), Condvar::new())),
-            served: Arc::default(),
+            served_requests: Arc::default(),
         }
     }
 
     /// Serves the engine on `address`.
-    pub fn serve(&self, address: &str) -> Result<Running> {
+    pub fn serve(&self, address: &str) -> Result<RunningServer> {
         let engine = self.clone();
         http::serve(address, move |request| engine.handle(request))
     }
@@ -91,115 +91,115 @@
     fn handle(&self, mut request: Request) {
         let (path, query) = http::split_url(request.url());
         match path.as_str() {
-            "/v1/chat/completions" => self.chat(request),
+            "/v1/chat/completions" => self.handle_chat(request),
             "/v1/load" => {
-                let report = self.lagging_report();
-                http::reply(request, 200, &report);
+                let report = self.delayed_report();
+                http::reply_json(request, 200, &report);
             }
-            "/v1/cancel" => match http::json::<AttemptRequest>(&mut request) {
-                Ok(ask) => {
-                    self.lock().cancelled.insert(ask.attempt);
+            "/v1/cancel" => match http::read_json::<AttemptRequest>(&mut request) {
+                Ok(attempt_request) => {
+                    self.lock().cancelled_attempts.insert(attempt_request.attempt);
                     self.shared.1.notify_all();
-                    http::reply(request, 200, &"ok");
+                    http::reply_json(request, 200, &"ok");
                 }
-                Err(e) => http::reply(request, 400, &e.to_string()),
+                Err(e) => http::reply_json(request, 400, &e.to_string()),
             },
-            "/v1/resume" => self.resume(request),
-            "/v1/orders" => self.order(request),
+            "/v1/resume" => self.handle_resume(request),
+            "/v1/orders" => self.handle_order(request),
             "/v1/cache-events" => {
                 let after = query.get("after").and_then(|v| v.parse().ok()).unwrap_or(0u64);
                 let state = self.lock();
                 let events: Vec<CacheEvent> =
-                    state.events.iter().filter(|e| e.number > after).cloned().collect();
+                    state.cache_events.iter().filter(|e| e.number > after).cloned().collect();
                 drop(state);
-                http::reply(request, 200, &events);
+                http::reply_json(request, 200, &events);
             }
-            "/v1/faults" => match http::json(&mut request) {
+            "/v1/faults" => match http::read_json(&mut request) {
                 Ok(faults) => {
                     self.set_faults(faults);
-                    http::reply(request, 200, &"ok");
+                    http::reply_json(request, 200, &"ok");
                 }
-                Err(e) => http::reply(request, 400, &e.to_string()),
+                Err(e) => http::reply_json(request, 400, &e.to_string()),
             },
-            "/v1/counts" => http::reply(request, 200, &self.counts()),
-            _ => http::reply(request, 404, &"no such path"),
+            "/v1/counts" => http::reply_json(request, 200, &self.counts()),
+            _ => http::reply_json(request, 404, &"no such path"),
         }
     }
 
-    fn order(&self, mut request: Request) {
-        let order: Order = match http::json(&mut request) {
+    fn handle_order(&self, mut request: Request) {
+        let order: Order = match http::read_json(&mut request) {
             Ok(order) => order,
-            Err(e) => return http::reply(request, 400, &e.to_string()),
+            Err(e) => return http::reply_json(request, 400, &e.to_string()),
         };
         let mut state = self.lock();
-        if self.options.fenced && order.fence < state.fence {
+        if self.options.fenced && order.fence < state.highest_fence {
             drop(state);
-            return http::reply(request, 409, &"a later fence was seen");
+            return http::reply_json(request, 409, &"a later fence was seen");
         }
-        state.fence = state.fence.max(order.fence);
+        state.highest_fence = state.highest_fence.max(order.fence);
         match order.kind {
-            OrderKind::Load => state.loaded.insert(order.version),
-            OrderKind::Unload => state.loaded.remove(&order.version),
+            OrderKind::Load => state.loaded_versions.insert(order.version),
+            OrderKind::Unload => state.loaded_versions.remove(&order.version),
         };
         drop(state);
-        http::reply(request, 200, &"ok");
+        http::reply_json(request, 200, &"ok");
     }
 
     fn report(state: &State, options: &EngineOptions) -> LoadReport {
         LoadReport {
-            work: state.work,
+            work: state.outstanding_work,
             running: state.running,
-            waiting: state.waiting.len() as u32,
+            waiting: state.queue.len() as u32,
             capacity_tokens: options.capacity_tokens,
             leaving: state.faults.leaving,
         }
     }
 
     /// Gets the report as it was some time ago.
-    fn lagging_report(&self) -> LoadReport {
+    fn delayed_report(&self) -> LoadReport {
         let lag = Duration::from_millis(self.options.report_lag_ms);
         let mut state = self.lock();
-        let now = Self::report(&state, &self.options);
-        state.reports.push_back((Instant::now(), now.clone()));
-        while state.reports.len() > 1 && state.reports[1].0.elapsed() >= lag {
-            state.reports.pop_front();
+        let current = Self::report(&state, &self.options);
+        state.past_reports.push_back((Instant::now(), current.clone()));
+        while state.past_reports.len() > 1 && state.past_reports[1].0.elapsed() >= lag {
+            state.past_reports.pop_front();
         }
-        let report = state.reports.front().map(|(_, r)| r.clone()).unwrap_or(now.clone());
-        LoadReport { leaving: now.leaving, ..report }
+        let report = state.past_reports.front().map(|(_, r)| r.clone()).unwrap_or(current.clone());
+        LoadReport { leaving: current.leaving, ..report }
     }
 
-    fn chat(&self, mut request: Request) {
+    fn handle_chat(&self, mut request: Request) {
         let attempt = http::header(&request, headers::ATTEMPT).unwrap_or_default();
         let priority = http::header(&request, headers::PRIORITY).and_then(|p| p.parse().ok());
-        let chat: ChatRequest = match http::json(&mut request) {
+        let chat: ChatRequest = match http::read_json(&mut request) {
             Ok(chat) => chat,
-            Err(e) => return http::reply(request, 400, &e.to_string()),
+            Err(e) => return http::reply_json(request, 400, &e.to_string()),
         };
-        if let Some(why) = self.refuses(&chat) {
-            let response = http::text_response(503, json!(why).to_string())
+        if let Some(reason) = self.refusal_reason(&chat) {
+            let response = http::text_response(503, json!(reason).to_string())
                 .with_header(make_header(headers::NOT_RUN, "1"))
                 .with_header(make_header(headers::ATTEMPT, &attempt));
             let response = match self.lock().faults.leaving {
                 true => response.with_header(make_header(headers::LEAVING, "1")),
                 false => response,
             };
-            return http::send(request, response);
+            return http::send_response(request, response);
         }
         let answer_tokens = chat.max_tokens.unwrap_or(self.options.answer_tokens).max(1);
         let work = request_work(Tokens(chat.prompt_tokens()), Tokens(answer_tokens));
-        self.take_slot(priority.unwrap_or(0), work);
-        let run = Run {
+        self.acquire_slot(priority.unwrap_or(0), work);
+        let execution = Execution {
             engine: self,
-            id: format!("chatcmpl-{}", self.served.fetch_add(1, Ordering::Relaxed)),
+            id: format!("chatcmpl-{}", self.served_requests.fetch_add(1, Ordering::Relaxed)),
             attempt,
-            answer: self.answer(&chat, answer_tokens),
+            tokens: self.generate_tokens(&chat, answer_tokens),
             chat,
         };
-        run.run(request);
-        self.give_slot(work);
+        execution.execute(request);
+        self.release_slot(work);
     }
 
-    fn refuses(&self, chat: &ChatRequest) -> Option<&'static str> {
+    fn refusal_reason(&self, chat: &ChatRequest) -> Option<&'static str> {
         let mut state = self.lock();
         if state.faults.leaving {
             return Some("leaving");
@@ -208,21 +208,22 @@
             state.faults.refuse_next -= 1;
             return Some("refused");
         }
-        let need = chat.prompt_tokens() + chat.max_tokens.unwrap_or(self.options.answer_tokens);
-        (need > self.options.capacity_tokens).then_some("too long")
+        let needed_tokens =
+            chat.prompt_tokens() + chat.max_tokens.unwrap_or(self.options.answer_tokens);
+        (needed_tokens > self.options.capacity_tokens).then_some("too long")
     }
 
     /// Waits for a slot: the highest priority first, then who came first.
-    fn take_slot(&self, priority: i64, work: u64) {
+    fn acquire_slot(&self, priority: i64, work: u64) {
         let mut state = self.lock();
-        state.ticket += 1;
-        let me = (-priority, state.ticket);
-        state.waiting.push(me);
-        state.work += work;
+        state.last_queue_number += 1;
+        let queue_entry = (-priority, state.last_queue_number);
+        state.queue.push(queue_entry);
+        state.outstanding_work += work;
         loop {
-            let first = state.waiting.iter().min() == Some(&me);
-            if first && state.running < self.options.slots {
-                state.waiting.retain(|w| *w != me);
+            let is_next = state.queue.iter().min() == Some(&queue_entry);
+            if is_next && state.running < self.options.slots {
+                state.queue.retain(|w| *w != queue_entry);
                 state.running += 1;
                 self.shared.1.notify_all();
                 return;
@@ -231,58 +232,59 @@
         }
     }
 
-    fn give_slot(&self, work: u64) {
+    fn release_slot(&self, work: u64) {
         let mut state = self.lock();
         state.running -= 1;
-        state.work -= work;
+        state.outstanding_work -= work;
         self.shared.1.notify_all();
     }
 
     /// Makes the tokens of the answer.
-    fn answer(&self, chat: &ChatRequest, tokens: u64) -> Vec<String> {
+    fn generate_tokens(&self, chat: &ChatRequest, tokens: u64) -> Vec<String> {
         let quality = self.lock().faults.quality.unwrap_or(self.options.quality);
-        let said = chat.messages.last().and_then(|m| m.content.as_str()).unwrap_or_default();
-        let head: String = said.chars().take(80).collect();
-        let first = format!("[{} q={quality:.3}] {head}", self.options.version);
-        let more = (1..tokens).map(|i| format!(" w{i}"));
-        std::iter::once(first).chain(more).collect()
+        let last_message =
+            chat.messages.last().and_then(|m| m.content.as_str()).unwrap_or_default();
+        let excerpt: String = last_message.chars().take(80).collect();
+        let first_token = format!("[{} q={quality:.3}] {excerpt}", self.options.version);
+        let other_tokens = (1..tokens).map(|i| format!(" w{i}"));
+        std::iter::once(first_token).chain(other_tokens).collect()
     }
 
-    fn token_time(&self) -> Duration {
+    fn time_per_token(&self) -> Duration {
         let running = u64::from(self.lock().running.max(1));
         Duration::from_micros(self.options.token_us + self.options.token_us_each * (running - 1))
     }
 
     /// Waits for `time` or until the attempt is cancelled; tells whether it was.
-    fn wait(&self, attempt: &str, time: Duration) -> bool {
-        let until = Instant::now() + time;
+    fn wait_for_cancellation(&self, attempt: &str, timeout: Duration) -> bool {
+        let deadline = Instant::now() + timeout;
         let mut state = self.lock();
         loop {
-            if state.cancelled.contains(attempt) {
+            if state.cancelled_attempts.contains(attempt) {
                 return true;
             }
-            let left = until.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
                 return false;
             }
-            let waited = self.shared.1.wait_timeout(state, left);
-            state = waited.expect("no holder of the lock panics").0;
+            let wait_result = self.shared.1.wait_timeout(state, remaining);
+            state = wait_result.expect("no holder of the lock panics").0;
         }
     }
 
     /// Gives the rest of an attempt's answer from a token on.
-    fn resume(&self, mut request: Request) {
-        let ask: AttemptRequest = match http::json(&mut request) {
-            Ok(ask) => ask,
-            Err(e) => return http::reply(request, 400, &e.to_string()),
+    fn handle_resume(&self, mut request: Request) {
+        let attempt_request: AttemptRequest = match http::read_json(&mut request) {
+            Ok(attempt_request) => attempt_request,
+            Err(e) => return http::reply_json(request, 400, &e.to_string()),
         };
-        let kept = self.lock().kept.get(&ask.attempt).cloned();
-        match kept {
+        let stored_tokens = self.lock().stored_responses.get(&attempt_request.attempt).cloned();
+        match stored_tokens {
             Some(tokens) => {
-                let from = (ask.from_token as usize).min(tokens.len());
-                http::reply(request, 200, &tokens[from..].to_vec());
+                let from = (attempt_request.from_token as usize).min(tokens.len());
+                http::reply_json(request, 200, &tokens[from..].to_vec());
             }
-            None => http::reply(request, 404, &"no such attempt"),
+            None => http::reply_json(request, 404, &"no such attempt"),
         }
     }
 }
--- a/crates/tidetrack-standin/src/http.rs
+++ b/crates/tidetrack-standin/src/http.rs
@@ -13,17 +13,17 @@
 use tiny_http::{Header, Request, Response, Server};
 
 /// Stack of a request's thread, in bytes.
-const STACK: usize = 256 * 1024;
+const REQUEST_STACK_BYTES: usize = 256 * 1024;
 
 /// A running server; it stops when dropped.
-pub struct Running {
+pub struct RunningServer {
     server: Arc<Server>,
     address: SocketAddr,
-    stopped: Arc<AtomicBool>,
+    is_stopped: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Running {
+impl RunningServer {
     /// Gets the address that it serves, as `ip:port`.
     pub fn address(&self) -> String {
         self.address.to_string()
@@ -38,9 +38,9 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningServer {
     fn drop(&mut self) {
-        self.stopped.store(true, Ordering::Release);
+        self.is_stopped.store(true, Ordering::Release);
         self.server.unblock();
     }
 }
@@ -53,33 +53,34 @@
     Ok(listener)
 }
 
-/// Serves `handle` on `address`; port 0 takes a free one.
-pub fn serve<H>(address: &str, handle: H) -> Result<Running>
+/// Serves `handler` on `address`; port 0 takes a free one.
+pub fn serve<Handler>(address: &str, handler: Handler) -> Result<RunningServer>
 where
-    H: Fn(Request) + Send + Sync + 'static,
+    Handler: Fn(Request) + Send + Sync + 'static,
 {
     let listener = listen(address)?;
     let address = listener.local_addr()?;
     let server = Server::from_listener(listener, None).map_err(|e| anyhow!("{e}"))?;
     let server = Arc::new(server);
-    let stopped = Arc::new(AtomicBool::new(false));
-    let (accept, ended) = (server.clone(), stopped.clone());
-    let handle = Arc::new(handle);
+    let is_stopped = Arc::new(AtomicBool::new(false));
+    let (accept_server, stop_flag) = (server.clone(), is_stopped.clone());
+    let handler = Arc::new(handler);
     let thread = Builder::new().name("standin".into()).spawn(move || {
-        while !ended.load(Ordering::Acquire) {
-            let Ok(request) = accept.recv() else { continue };
-            let handle = handle.clone();
-            let spawned = Builder::new().stack_size(STACK).spawn(move || handle(request));
+        while !stop_flag.load(Ordering::Acquire) {
+            let Ok(request) = accept_server.recv() else { continue };
+            let handler = handler.clone();
+            let spawned =
+                Builder::new().stack_size(REQUEST_STACK_BYTES).spawn(move || handler(request));
             if spawned.is_err() {
                 break;
             }
         }
     })?;
-    Ok(Running { server, address, stopped, thread: Some(thread) })
+    Ok(RunningServer { server, address, is_stopped, thread: Some(thread) })
 }
 
 /// Reads a request's whole body.
-pub fn body(request: &mut Request) -> Vec<u8> {
+pub fn read_body(request: &mut Request) -> Vec<u8> {
     let mut body = Vec::new();
     // A cut body is seen as what came of it; the parser then refuses it.
     let _ = request.as_reader().read_to_end(&mut body);
@@ -87,8 +88,8 @@
 }
 
 /// Reads a request's body as JSON.
-pub fn json<T: DeserializeOwned>(request: &mut Request) -> Result<T> {
-    Ok(serde_json::from_slice(&body(request))?)
+pub fn read_json<T: DeserializeOwned>(request: &mut Request) -> Result<T> {
+    Ok(serde_json::from_slice(&read_body(request))?)
 }
 
 /// Gets a request's header.
@@ -103,9 +104,9 @@
 }
 
 /// Answers with JSON.
-pub fn reply<T: Serialize>(request: Request, status: u16, value: &T) {
+pub fn reply_json<T: Serialize>(request: Request, status: u16, value: &T) {
     let text = serde_json::to_string(value).expect("stand-in messages have text keys");
-    send(request, text_response(status, text));
+    send_response(request, text_response(status, text));
 }
 
 /// Makes a JSON response from text.
@@ -116,18 +117,18 @@
 }
 
 /// Sends a response; a caller that has left is no fault of ours.
-pub fn send<R: Read>(request: Request, response: Response<R>) {
+pub fn send_response<R: Read>(request: Request, response: Response<R>) {
     let _ = request.respond(response);
 }
 
 /// Closes the connection without an answer.
-pub fn hang_up(request: Request) {
+pub fn close_connection(request: Request) {
     drop(request.into_writer());
 }
 
 /// Splits a URL into its path and its query's members.
 pub fn split_url(url: &str) -> (String, HashMap<String, String>) {
     let (path, query) = url.split_once('?').unwrap_or((url, ""));
-    let members = query.split('&').filter_map(|m| m.split_once('='));
-    (path.to_string(), members.map(|(k, v)| (k.to_string(), v.to_string())).collect())
+    let parameters = query.split('&').filter_map(|parameter| parameter.split_once('='));
+    (path.to_string(), parameters.map(|(k, v)| (k.to_string(), v.to_string())).collect())
 }
--- a/crates/tidetrack-standin/src/main.rs
+++ b/crates/tidetrack-standin/src/main.rs
@@ -23,19 +23,19 @@
         return Ok(());
     }
     let listen = matches.opt_str("listen").unwrap_or_else(|| "127.0.0.1:0".into());
-    let set = matches.opt_strs("set").join("\n");
+    let option_text = matches.opt_strs("set").join("\n");
     let kind = matches.free.first().map(String::as_str).unwrap_or_default();
-    let running = match kind {
+    let server = match kind {
         "platform" => Platform::default().serve(&listen)?,
         "engine" => {
-            let options: EngineOptions = toml::from_str(&set).context("--set")?;
+            let options: EngineOptions = toml::from_str(&option_text).context("--set")?;
             Engine::new(options).serve(&listen)?
         }
         "service" => Service::default().serve(&listen)?,
-        "rater" => toml::from_str::<Rater>(&set).context("--set")?.serve(&listen)?,
+        "rater" => toml::from_str::<Rater>(&option_text).context("--set")?.serve(&listen)?,
         _ => bail!("no kind {kind:?}; the kinds are {KINDS}\n{usage}"),
     };
-    println!("{kind} {}", running.address());
-    running.wait();
+    println!("{kind} {}", server.address());
+    server.wait();
     Ok(())
 }
--- a/crates/tidetrack-standin/src/objects.rs
+++ b/crates/tidetrack-standin/src/objects.rs
@@ -12,13 +12,13 @@
 use tidetrack_wire::headers;
 use tidetrack_wire::platform::{Changes, ListedHost, ObjectList, StoredObject, WriteReply};
 
-use crate::http::{self, Running};
+use crate::http::{self, RunningServer};
 
 /// Largest body of an object, in bytes.
-const LARGEST_BODY: usize = 1 << 20;
+const MAX_BODY_BYTES: usize = 1 << 20;
 
 /// Changes kept for watches.
-const CHANGES_KEPT: usize = 100_000;
+const MAX_WATCH_CHANGES: usize = 100_000;
 
 /// How the stand-in misbehaves.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -60,11 +60,11 @@
     revision: u64,
     objects: BTreeMap<String, (u64, String)>,
     changes: VecDeque<StoredObject>,
-    hosts: Vec<(Instant, Vec<ListedHost>)>,
+    host_lists: Vec<(Instant, Vec<ListedHost>)>,
     faults: PlatformFaults,
     counts: PlatformCounts,
-    second: Option<Instant>,
-    in_second: (u32, u32),
+    rate_window_start: Option<Instant>,
+    calls_in_window: (u32, u32),
 }
 
 /// The platform's state, shared with whoever started it.
@@ -75,7 +75,7 @@
 
 impl Platform {
     /// Serves the platform on `address`.
-    pub fn serve(&self, address: &str) -> Result<Running> {
+    pub fn serve(&self, address: &str) -> Result<RunningServer> {
         let platform = self.clone();
         http::serve(address, move |request| platform.handle(request))
     }
@@ -102,43 +102,43 @@
 
     /// Sets the list of hosts.
     pub fn set_hosts(&self, hosts: Vec<ListedHost>) {
-        self.lock().hosts.push((Instant::now(), hosts));
+        self.lock().host_lists.push((Instant::now(), hosts));
     }
 
     fn handle(&self, mut request: Request) {
         let (path, query) = http::split_url(request.url());
         if path == "/v1/faults" {
-            match http::json(&mut request) {
+            match http::read_json(&mut request) {
                 Ok(faults) => self.set_faults(faults),
-                Err(e) => return http::reply(request, 400, &e.to_string()),
+                Err(e) => return http::reply_json(request, 400, &e.to_string()),
             }
-            return http::reply(request, 200, &"ok");
+            return http::reply_json(request, 200, &"ok");
         }
         if path == "/v1/counts" {
-            return http::reply(request, 200, &self.counts());
+            return http::reply_json(request, 200, &self.counts());
         }
         let is_write = matches!(request.method(), Method::Put | Method::Delete);
         if let Err(status) = self.admit(is_write, path == "/v1/watch") {
-            return http::reply(request, status, &"refused");
+            return http::reply_json(request, status, &"refused");
         }
-        let number = |key: &str| query.get(key).and_then(|v| v.parse().ok()).unwrap_or(0u64);
+        let query_number = |key: &str| query.get(key).and_then(|v| v.parse().ok()).unwrap_or(0u64);
         let prefix = query.get("prefix").cloned().unwrap_or_default();
         match (request.method().clone(), path.strip_prefix("/v1/objects/")) {
-            (Method::Get, Some(name)) => self.fetch(request, name),
+            (Method::Get, Some(name)) => self.get_object(request, name),
             (Method::Put | Method::Delete, Some(name)) => self.write(request, name),
             (Method::Get, None) if path == "/v1/list" => self.list(request, &prefix),
             (Method::Get, None) if path == "/v1/watch" => {
-                self.watch(request, &prefix, number("after"), number("wait_ms"));
+                self.watch(request, &prefix, query_number("after"), query_number("wait_ms"));
             }
             (Method::Get, None) if path == "/v1/hosts" => self.list_hosts(request),
-            (Method::Put, None) if path == "/v1/hosts" => match http::json(&mut request) {
+            (Method::Put, None) if path == "/v1/hosts" => match http::read_json(&mut request) {
                 Ok(hosts) => {
                     self.set_hosts(hosts);
-                    http::reply(request, 200, &"ok");
+                    http::reply_json(request, 200, &"ok");
                 }
-                Err(e) => http::reply(request, 400, &e.to_string()),
+                Err(e) => http::reply_json(request, 400, &e.to_string()),
             },
-            _ => http::reply(request, 404, &"no such path"),
+            _ => http::reply_json(request, 404, &"no such path"),
         }
     }
 
@@ -158,14 +158,14 @@
             return Err(503);
         }
         let now = Instant::now();
-        if state.second.is_none_or(|s| now - s >= Duration::from_secs(1)) {
-            state.second = Some(now);
-            state.in_second = (0, 0);
+        if state.rate_window_start.is_none_or(|s| now - s >= Duration::from_secs(1)) {
+            state.rate_window_start = Some(now);
+            state.calls_in_window = (0, 0);
         }
         let limits = (state.faults.writes_per_second, state.faults.reads_per_second);
         let (used, limit) = match is_write {
-            true => (&mut state.in_second.0, limits.0),
-            false => (&mut state.in_second.1, limits.1),
+            true => (&mut state.calls_in_window.0, limits.0),
+            false => (&mut state.calls_in_window.1, limits.1),
         };
         *used += 1;
         if limit > 0 && *used > limit {
@@ -175,53 +175,53 @@
         Ok(())
     }
 
-    fn fetch(&self, request: Request, name: &str) {
+    fn get_object(&self, request: Request, name: &str) {
         let found = self.lock().objects.get(name).cloned();
         match found {
             Some((version, body)) => {
                 let object = StoredObject { name: name.to_string(), version, body: Some(body) };
-                http::reply(request, 200, &object);
+                http::reply_json(request, 200, &object);
             }
-            None => http::reply(request, 404, &"no such object"),
+            None => http::reply_json(request, 404, &"no such object"),
         }
     }
 
     fn write(&self, mut request: Request, name: &str) {
         let expected = http::header(&request, headers::IF_VERSION).and_then(|v| v.parse().ok());
         let body = match request.method() {
-            Method::Put => Some(http::body(&mut request)),
+            Method::Put => Some(http::read_body(&mut request)),
             _ => None,
         };
-        if body.as_ref().is_some_and(|b| b.len() > LARGEST_BODY) {
-            return http::reply(request, 413, &"too large");
+        if body.as_ref().is_some_and(|b| b.len() > MAX_BODY_BYTES) {
+            return http::reply_json(request, 413, &"too large");
         }
         let body = match body.map(String::from_utf8).transpose() {
             Ok(body) => body,
-            Err(_) => return http::reply(request, 400, &"not UTF-8"),
+            Err(_) => return http::reply_json(request, 400, &"not UTF-8"),
         };
         let Some(expected) = expected else {
-            return http::reply(request, 400, &"a write names the version it expects");
+            return http::reply_json(request, 400, &"a write names the version it expects");
         };
-        let (outcome, lost) = self.put(name, expected, body);
+        let (outcome, is_reply_lost) = self.write_object(name, expected, body);
         match outcome {
-            _ if lost => http::hang_up(request),
-            Some(version) => http::reply(request, 200, &WriteReply { version }),
-            None => http::reply(request, 409, &"another version"),
+            _ if is_reply_lost => http::close_connection(request),
+            Some(version) => http::reply_json(request, 200, &WriteReply { version }),
+            None => http::reply_json(request, 409, &"another version"),
         }
     }
 
     /// Writes or deletes an object; tells its new version and whether the reply gets lost.
-    fn put(&self, name: &str, expected: u64, body: Option<String>) -> (Option<u64>, bool) {
+    fn write_object(&self, name: &str, expected: u64, body: Option<String>) -> (Option<u64>, bool) {
         let mut state = self.lock();
-        if let Some(other) = state.faults.write_first.take() {
+        if let Some(conflicting_body) = state.faults.write_first.take() {
             state.revision += 1;
             let version = state.revision;
-            state.objects.insert(name.to_string(), (version, other.clone()));
-            let body = Some(other);
+            state.objects.insert(name.to_string(), (version, conflicting_body.clone()));
+            let body = Some(conflicting_body);
             state.changes.push_back(StoredObject { name: name.to_string(), version, body });
         }
-        let present = state.objects.get(name).map_or(0, |(version, _)| *version);
-        if present != expected {
+        let current_version = state.objects.get(name).map_or(0, |(version, _)| *version);
+        if current_version != expected {
             state.counts.conflicts += 1;
             return (None, false);
         }
@@ -232,18 +232,18 @@
             None => state.objects.remove(name),
         };
         state.changes.push_back(StoredObject { name: name.to_string(), version, body });
-        if state.changes.len() > CHANGES_KEPT {
+        if state.changes.len() > MAX_WATCH_CHANGES {
             state.changes.pop_front();
         }
-        let lost = state.faults.lose_replies > 0;
-        state.faults.lose_replies -= u32::from(lost);
+        let is_reply_lost = state.faults.lose_replies > 0;
+        state.faults.lose_replies -= u32::from(is_reply_lost);
         self.shared.1.notify_all();
-        (Some(version), lost)
+        (Some(version), is_reply_lost)
     }
 
     fn list(&self, request: Request, prefix: &str) {
         let state = self.lock();
-        let of = |(name, (version, body)): (&String, &(u64, String))| StoredObject {
+        let to_stored_object = |(name, (version, body)): (&String, &(u64, String))| StoredObject {
             name: name.clone(),
             version: *version,
             body: Some(body.clone()),
@@ -251,44 +251,44 @@
         let matching = state.objects.iter().filter(|(n, _)| n.starts_with(prefix));
         // A list of nothing is still taken at a revision, and 0 means "none yet".
         let revision = state.revision.max(1);
-        let list = ObjectList { revision, objects: matching.map(of).collect() };
+        let list = ObjectList { revision, objects: matching.map(to_stored_object).collect() };
         drop(state);
-        http::reply(request, 200, &list);
+        http::reply_json(request, 200, &list);
     }
 
     fn watch(&self, request: Request, prefix: &str, after: u64, wait_ms: u64) {
-        let until = Instant::now() + Duration::from_millis(wait_ms);
+        let deadline = Instant::now() + Duration::from_millis(wait_ms);
         let mut state = self.lock();
         loop {
             if state.faults.down {
                 drop(state);
-                return http::reply(request, 503, &"down");
+                return http::reply_json(request, 503, &"down");
             }
             let oldest = state.changes.front().map_or(1, |c| c.version);
             if after + 1 < oldest {
                 drop(state);
-                return http::reply(request, 404, &"too old; list again");
+                return http::reply_json(request, 404, &"too old; list again");
             }
-            let changed = |c: &&StoredObject| c.version > after && c.name.starts_with(prefix);
+            let is_new_change = |c: &&StoredObject| c.version > after && c.name.starts_with(prefix);
             let objects: Vec<StoredObject> =
-                state.changes.iter().filter(changed).cloned().collect();
-            let left = until.saturating_duration_since(Instant::now());
-            if !objects.is_empty() || left.is_zero() {
+                state.changes.iter().filter(is_new_change).cloned().collect();
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if !objects.is_empty() || remaining.is_zero() {
                 let changes = Changes { from: after, to: state.revision.max(after), objects };
                 drop(state);
-                return http::reply(request, 200, &changes);
+                return http::reply_json(request, 200, &changes);
             }
-            let waited = self.shared.1.wait_timeout(state, left);
-            state = waited.expect("no holder of the lock panics").0;
+            let wait_result = self.shared.1.wait_timeout(state, remaining);
+            state = wait_result.expect("no holder of the lock panics").0;
         }
     }
 
     fn list_hosts(&self, request: Request) {
         let state = self.lock();
         let lag = Duration::from_millis(state.faults.hosts_lag_ms);
-        let old_enough = state.hosts.iter().rev().find(|(at, _)| at.elapsed() >= lag);
-        let hosts = old_enough.map(|(_, hosts)| hosts.clone()).unwrap_or_default();
+        let visible_list = state.host_lists.iter().rev().find(|(at, _)| at.elapsed() >= lag);
+        let hosts = visible_list.map(|(_, hosts)| hosts.clone()).unwrap_or_default();
         drop(state);
-        http::reply(request, 200, &hosts);
+        http::reply_json(request, 200, &hosts);
     }
 }
--- a/crates/tidetrack-standin/src/rater.rs
+++ b/crates/tidetrack-standin/src/rater.rs
@@ -8,7 +8,7 @@
 use tidetrack_core::placement::hash_fraction;
 use tidetrack_wire::endpoint::{Rating, RatingRequest};
 
-use crate::http::{self, Running};
+use crate::http::{self, RunningServer};
 
 /// How a rating service behaves.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
@@ -28,27 +28,29 @@
 
 impl Rater {
     /// Serves on `address`.
-    pub fn serve(self, address: &str) -> Result<Running> {
+    pub fn serve(self, address: &str) -> Result<RunningServer> {
         http::serve(address, move |request| self.handle(request))
     }
 
     fn handle(&self, mut request: Request) {
         std::thread::sleep(std::time::Duration::from_millis(self.delay_ms));
-        match http::json::<RatingRequest>(&mut request) {
-            Ok(ask) => http::reply(request, 200, &Rating { score: self.score(&ask) }),
-            Err(e) => http::reply(request, 400, &e.to_string()),
+        match http::read_json::<RatingRequest>(&mut request) {
+            Ok(rating_request) => {
+                http::reply_json(request, 200, &Rating { score: self.score(&rating_request) })
+            }
+            Err(e) => http::reply_json(request, 400, &e.to_string()),
         }
     }
 
-    fn score(&self, ask: &RatingRequest) -> f64 {
-        let quality = quality_of(&ask.answer).unwrap_or(0.0);
-        let draw = hash_fraction("noise", &ask.request);
-        (quality + (draw * 2.0 - 1.0) * self.noise).clamp(0.0, 1.0)
+    fn score(&self, rating_request: &RatingRequest) -> f64 {
+        let quality = parse_quality(&rating_request.answer).unwrap_or(0.0);
+        let noise_fraction = hash_fraction("noise", &rating_request.request);
+        (quality + (noise_fraction * 2.0 - 1.0) * self.noise).clamp(0.0, 1.0)
     }
 }
 
 /// Reads the quality out of an answer of the engine's stand-in.
-fn quality_of(answer: &str) -> Option<f64> {
+fn parse_quality(answer: &str) -> Option<f64> {
     let (_, after) = answer.split_once("q=")?;
     after.split(']').next()?.parse().ok()
 }
@@ -58,8 +60,8 @@
     use super::*;
 
     #[test]
-    fn the_quality_is_read_out_of_the_answer() {
-        assert_eq!(quality_of("[m@1 q=0.850] hello w1"), Some(0.85));
-        assert_eq!(quality_of("nothing"), None);
+    fn the_quality_is_parsed_from_the_response_text() {
+        assert_eq!(parse_quality("[m@1 q=0.850] hello w1"), Some(0.85));
+        assert_eq!(parse_quality("nothing"), None);
     }
 }
--- a/crates/tidetrack-standin/src/service.rs
+++ b/crates/tidetrack-standin/src/service.rs
@@ -14,7 +14,7 @@
 
 use tidetrack_wire::headers;
 
-use crate::http::{self, make_header, Running};
+use crate::http::{self, make_header, RunningServer};
 
 /// How a service misbehaves.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -30,7 +30,7 @@
 
 #[derive(Default)]
 struct State {
-    ran: BTreeMap<String, u64>,
+    run_counts: BTreeMap<String, u64>,
     faults: ServiceFaults,
 }
 
@@ -42,7 +42,7 @@
 
 impl Service {
     /// Serves on `address`.
-    pub fn serve(&self, address: &str) -> Result<Running> {
+    pub fn serve(&self, address: &str) -> Result<RunningServer> {
         let service = self.clone();
         http::serve(address, move |request| service.handle(request))
     }
@@ -57,30 +57,30 @@
     }
 
     /// Gets how often each request ran.
-    pub fn ran(&self) -> BTreeMap<String, u64> {
-        self.lock().ran.clone()
+    pub fn run_counts(&self) -> BTreeMap<String, u64> {
+        self.lock().run_counts.clone()
     }
 
     fn handle(&self, mut request: Request) {
         let (path, _) = http::split_url(request.url());
-        let body = String::from_utf8_lossy(&http::body(&mut request)).to_string();
+        let body = String::from_utf8_lossy(&http::read_body(&mut request)).to_string();
         match path.as_str() {
             "/v1/faults" => match serde_json::from_str(&body) {
                 Ok(faults) => {
                     self.set_faults(faults);
-                    http::reply(request, 200, &"ok");
+                    http::reply_json(request, 200, &"ok");
                 }
-                Err(e) => http::reply(request, 400, &e.to_string()),
+                Err(e) => http::reply_json(request, 400, &e.to_string()),
             },
-            "/v1/counts" => http::reply(request, 200, &self.ran()),
-            _ => self.call(request, &path, body),
+            "/v1/counts" => http::reply_json(request, 200, &self.run_counts()),
+            _ => self.handle_call(request, &path, body),
         }
     }
 
-    fn call(&self, request: Request, path: &str, body: String) {
+    fn handle_call(&self, request: Request, path: &str, body: String) {
         let attempt = http::header(&request, headers::ATTEMPT).unwrap_or_default();
         let is_get = *request.method() == Method::Get;
-        let (lose, delay, count) = {
+        let (loses_response, delay_ms, count) = {
             let mut state = self.lock();
             if state.faults.refuse_next > 0 {
                 state.faults.refuse_next -= 1;
@@ -88,23 +88,23 @@
                 let response = http::text_response(503, "\"refused\"".into())
                     .with_header(make_header(headers::NOT_RUN, "1"))
                     .with_header(make_header(headers::ATTEMPT, &attempt));
-                return http::send(request, response);
+                return http::send_response(request, response);
             }
             let key = if is_get { format!("GET {path}") } else { body.clone() };
-            let count = state.ran.entry(key).or_default();
+            let count = state.run_counts.entry(key).or_default();
             *count += 1;
             let count = *count;
-            let lose = state.faults.lose_next > 0;
+            let loses_response = state.faults.lose_next > 0;
             state.faults.lose_next = state.faults.lose_next.saturating_sub(1);
-            (lose, state.faults.delay_ms, count)
+            (loses_response, state.faults.delay_ms, count)
         };
-        std::thread::sleep(Duration::from_millis(delay));
-        if lose {
-            return http::hang_up(request);
+        std::thread::sleep(Duration::from_millis(delay_ms));
+        if loses_response {
+            return http::close_connection(request);
         }
-        let answer = json!({"path": path, "body": body, "times": count}).to_string();
-        let response =
-            http::text_response(200, answer).with_header(make_header(headers::ATTEMPT, &attempt));
-        http::send(request, response);
+        let response_body = json!({"path": path, "body": body, "times": count}).to_string();
+        let response = http::text_response(200, response_body)
+            .with_header(make_header(headers::ATTEMPT, &attempt));
+        http::send_response(request, response);
     }
 }
--- a/crates/tidetrack-testkit/src/crashing.rs
+++ b/crates/tidetrack-testkit/src/crashing_endpoint.rs
@@ -8,25 +8,25 @@
 use std::time::{Duration, Instant};
 
 /// Body of a request that crashes the endpoints which run it.
-pub const DEADLY: &str = "deadly";
+pub const CRASHING_BODY: &str = "deadly";
 
 /// How long such a request runs before that.
-const DEADLY_AFTER: Duration = Duration::from_millis(30);
+const CRASH_DELAY: Duration = Duration::from_millis(30);
 
 /// How long a usual request runs.
-const USUAL_RUN: Duration = Duration::from_millis(5);
+const RESPONSE_DELAY: Duration = Duration::from_millis(5);
 
 /// How long an endpoint is away after a crash.
-const AWAY: Duration = Duration::from_millis(900);
+const DOWNTIME: Duration = Duration::from_millis(900);
 
 /// Longest time until its address can be bound.
-const BOUND_WITHIN: Duration = Duration::from_secs(1);
+const BIND_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Pause between looks for a new connection.
-const LOOK: Duration = Duration::from_millis(1);
+const POLL_INTERVAL: Duration = Duration::from_millis(1);
 
 /// Number of an endpoint's life, from 1.
-pub type Life = usize;
+pub type Incarnation = usize;
 
 /// A request that reached an endpoint.
 #[derive(Clone, Debug, Default)]
@@ -44,37 +44,37 @@
     }
 }
 
-type Answer = dyn Fn(&Request, Life) -> String + Send + Sync;
-type Told = dyn Fn(Life) + Send + Sync;
+type ResponseFn = dyn Fn(&Request, Incarnation) -> String + Send + Sync;
+type IncarnationCallback = dyn Fn(Incarnation) + Send + Sync;
 
 /// What an endpoint does beside crashing.
-pub struct Manners {
+pub struct EndpointBehavior {
     /// Makes the whole answer to a request.
-    pub answer: Box<Answer>,
+    pub respond: Box<ResponseFn>,
     /// Is told that a life begins.
-    pub comes_up: Box<Told>,
+    pub on_start: Box<IncarnationCallback>,
     /// How long it listens on after its connections were closed.
-    pub listens_on: Duration,
+    pub listener_linger: Duration,
     /// Whether it answers deadly requests like others.
-    pub survives: bool,
+    pub survives_crashing_requests: bool,
     /// Is told that a life has ended, when the next one is about to begin.
-    pub has_gone: Box<Told>,
+    pub on_end: Box<IncarnationCallback>,
 }
 
 /// A request that came, and when.
 #[derive(Clone, Debug)]
 pub struct Arrival {
     /// The attempt's id, where it has one.
-    pub id: String,
+    pub attempt_id: String,
     /// When.
-    pub at: Instant,
+    pub received_at: Instant,
     /// Whether it is one that crashes endpoints.
-    pub is_deadly: bool,
+    pub is_crashing: bool,
 }
 
 #[derive(Default)]
 struct State {
-    life: Life,
+    incarnation: Incarnation,
     is_up: bool,
     connections: Vec<TcpStream>,
     arrivals: Vec<Arrival>,
@@ -83,18 +83,19 @@
 
 /// A running endpoint.
 #[derive(Clone)]
-pub struct Crashing {
+pub struct CrashingEndpoint {
     address: String,
-    manners: Arc<Manners>,
+    behavior: Arc<EndpointBehavior>,
     state: Arc<Mutex<State>>,
 }
 
-impl Crashing {
+impl CrashingEndpoint {
     /// Starts an endpoint at an address.
-    pub fn start(address: &str, manners: Manners) -> Crashing {
-        let manners = Arc::new(manners);
-        let endpoint = Crashing { address: address.into(), manners, state: Arc::default() };
-        endpoint.come_up();
+    pub fn start(address: &str, behavior: EndpointBehavior) -> CrashingEndpoint {
+        let behavior = Arc::new(behavior);
+        let endpoint =
+            CrashingEndpoint { address: address.into(), behavior, state: Arc::default() };
+        endpoint.start_incarnation();
         endpoint
     }
 
@@ -117,52 +118,52 @@
         self.state().crashes.clone()
     }
 
-    fn come_up(&self) {
-        let listener = bind(&self.address);
+    fn start_incarnation(&self) {
+        let listener = bind_with_retry(&self.address);
         listener.set_nonblocking(true).expect("an option");
-        let life = {
+        let incarnation = {
             let mut state = self.state();
-            state.life += 1;
+            state.incarnation += 1;
             state.is_up = true;
-            state.life
+            state.incarnation
         };
-        (self.manners.comes_up)(life);
+        (self.behavior.on_start)(incarnation);
         let endpoint = self.clone();
         std::thread::spawn(move || {
-            endpoint.accept(&listener, life);
-            std::thread::sleep(endpoint.manners.listens_on);
+            endpoint.accept(&listener, incarnation);
+            std::thread::sleep(endpoint.behavior.listener_linger);
         });
     }
 
-    fn is_life(&self, life: Life) -> bool {
+    fn is_current_incarnation(&self, incarnation: Incarnation) -> bool {
         let state = self.state();
-        state.is_up && state.life == life
+        state.is_up && state.incarnation == incarnation
     }
 
-    fn accept(&self, listener: &TcpListener, life: Life) {
-        while self.is_life(life) {
+    fn accept(&self, listener: &TcpListener, incarnation: Incarnation) {
+        while self.is_current_incarnation(incarnation) {
             let Ok((stream, _)) = listener.accept() else {
-                std::thread::sleep(LOOK);
+                std::thread::sleep(POLL_INTERVAL);
                 continue;
             };
             stream.set_nonblocking(false).expect("an option");
-            let kept = stream.try_clone().expect("a second handle");
+            let stored_stream = stream.try_clone().expect("a second handle");
             {
                 // A crash closes what it finds here, so a connection is added before it is served.
                 let mut state = self.state();
-                if !state.is_up || state.life != life {
+                if !state.is_up || state.incarnation != incarnation {
                     return;
                 }
-                state.connections.push(kept);
+                state.connections.push(stored_stream);
             }
             let endpoint = self.clone();
-            std::thread::spawn(move || endpoint.serve(stream, life));
+            std::thread::spawn(move || endpoint.serve(stream, incarnation));
         }
     }
 
     /// Crashes, and comes back after a while.
     pub fn crash(&self) {
-        let life = {
+        let incarnation = {
             let mut state = self.state();
             if !state.is_up {
                 return;
@@ -172,36 +173,40 @@
                 // Its other end may have closed it.
                 drop(connection.shutdown(Shutdown::Both));
             }
-            state.life
+            state.incarnation
         };
         let endpoint = self.clone();
         std::thread::spawn(move || {
-            std::thread::sleep(AWAY);
-            (endpoint.manners.has_gone)(life);
-            endpoint.come_up();
+            std::thread::sleep(DOWNTIME);
+            (endpoint.behavior.on_end)(incarnation);
+            endpoint.start_incarnation();
         });
     }
 
-    fn serve(&self, stream: TcpStream, life: Life) {
+    fn serve(&self, stream: TcpStream, incarnation: Incarnation) {
         let mut reader = BufReader::new(stream.try_clone().expect("a second handle"));
         let mut writer = stream;
-        while let Some(req) = read(&mut reader) {
-            if !self.is_life(life) {
+        while let Some(request) = read_request(&mut reader) {
+            if !self.is_current_incarnation(incarnation) {
                 return;
             }
-            let is_deadly = req.body == DEADLY;
-            let id = req.header("tidetrack-attempt-id").to_string();
-            self.state().arrivals.push(Arrival { id, at: Instant::now(), is_deadly });
-            std::thread::sleep(if is_deadly { DEADLY_AFTER } else { USUAL_RUN });
-            if !self.is_life(life) {
+            let is_crashing = request.body == CRASHING_BODY;
+            let attempt_id = request.header("tidetrack-attempt-id").to_string();
+            self.state().arrivals.push(Arrival {
+                attempt_id,
+                received_at: Instant::now(),
+                is_crashing,
+            });
+            std::thread::sleep(if is_crashing { CRASH_DELAY } else { RESPONSE_DELAY });
+            if !self.is_current_incarnation(incarnation) {
                 return;
             }
-            if is_deadly && !self.manners.survives {
+            if is_crashing && !self.behavior.survives_crashing_requests {
                 self.state().crashes.push(Instant::now());
                 return self.crash();
             }
-            let answer = (self.manners.answer)(&req, life);
-            if writer.write_all(answer.as_bytes()).is_err() {
+            let response = (self.behavior.respond)(&request, incarnation);
+            if writer.write_all(response.as_bytes()).is_err() {
                 return;
             }
         }
@@ -210,13 +215,13 @@
 
 /// Binds an address that is ours. A process that is being started holds a copy of each open socket for a moment, also of
 /// the one by which the address was found.
-fn bind(address: &str) -> TcpListener {
-    let until = Instant::now() + BOUND_WITHIN;
+fn bind_with_retry(address: &str) -> TcpListener {
+    let deadline = Instant::now() + BIND_TIMEOUT;
     loop {
         match TcpListener::bind(address) {
             Ok(listener) => return listener,
-            Err(e) if e.kind() == ErrorKind::AddrInUse && Instant::now() < until => {
-                std::thread::sleep(LOOK);
+            Err(e) if e.kind() == ErrorKind::AddrInUse && Instant::now() < deadline => {
+                std::thread::sleep(POLL_INTERVAL);
             }
             Err(e) => panic!("{address}: {e}"),
         }
@@ -224,11 +229,11 @@
 }
 
 /// Reads a request; `None` at the end of the connection.
-fn read(from: &mut BufReader<TcpStream>) -> Option<Request> {
-    let mut req = Request::default();
+fn read_request(reader: &mut BufReader<TcpStream>) -> Option<Request> {
+    let mut request = Request::default();
     loop {
         let mut line = String::new();
-        if from.read_line(&mut line).ok()? == 0 {
+        if reader.read_line(&mut line).ok()? == 0 {
             return None;
         }
         let line = line.trim_end();
@@ -236,11 +241,11 @@
             break;
         }
         if let Some((name, value)) = line.split_once(':') {
-            req.headers.insert(name.to_ascii_lowercase(), value.trim().to_string());
+            request.headers.insert(name.to_ascii_lowercase(), value.trim().to_string());
         }
     }
-    let mut body = vec![0; req.header("content-length").parse().unwrap_or(0)];
-    from.read_exact(&mut body).ok()?;
-    req.body = String::from_utf8(body).ok()?;
-    Some(req)
+    let mut body = vec![0; request.header("content-length").parse().unwrap_or(0)];
+    reader.read_exact(&mut body).ok()?;
+    request.body = String::from_utf8(body).ok()?;
+    Some(request)
 }
--- a/crates/tidetrack-testkit/src/fleet.rs
+++ b/crates/tidetrack-testkit/src/fleet.rs
@@ -13,7 +13,7 @@
 use tidetrack_router::settings::{ProcessLimits, Times};
 use tidetrack_router::Settings;
 use tidetrack_standin::engine::{Engine, EngineOptions};
-use tidetrack_standin::http::Running;
+use tidetrack_standin::http::RunningServer;
 use tidetrack_standin::objects::Platform;
 use tidetrack_standin::rater::Rater;
 use tidetrack_standin::service::Service;
@@ -39,7 +39,7 @@
     /// The old version's engine; its version is set by the fleet.
     pub engine: EngineOptions,
     /// Quality of the new version.
-    pub new_quality: f64,
+    pub canary_quality: f64,
     /// Times of the routers.
     pub times: Times,
     /// Times of the routers' control state.
@@ -47,11 +47,11 @@
     /// Threads of each router.
     pub threads: usize,
     /// Requests a second of the workspace.
-    pub rate: f64,
+    pub requests_per_second: f64,
     /// Whether hosts talk past the proxies, as measurements of bytes need.
-    pub direct: bool,
+    pub bypasses_proxies: bool,
     /// Further declarations.
-    pub more: String,
+    pub extra_declarations: String,
 }
 
 impl Default for FleetOptions {
@@ -60,13 +60,13 @@
             hosts: 3,
             domains: 2,
             engine: EngineOptions { token_us: 500, ..EngineOptions::default() },
-            new_quality: 0.9,
+            canary_quality: 0.9,
             times: Times { flush_ms: 500, grace_ms: 100, ..Times::default() },
             control: NodeOptions::default(),
             threads: 32,
-            rate: 10_000.0,
-            direct: false,
-            more: String::new(),
+            requests_per_second: 10_000.0,
+            bypasses_proxies: false,
+            extra_declarations: String::new(),
         }
     }
 }
@@ -76,11 +76,11 @@
     /// The process; absent while it is down.
     pub process: Option<RouterProcess>,
     /// Between this host and the object API.
-    pub to_platform: Proxy,
+    pub platform_proxy: Proxy,
     /// Between other hosts and this one.
-    pub to_peer: Proxy,
+    pub peer_proxy: Proxy,
     /// Between other hosts' passed-on calls and this one.
-    pub to_caller: Proxy,
+    pub caller_proxy: Proxy,
     settings: Settings,
 }
 
@@ -92,12 +92,12 @@
 
     /// Gets a caller before this host.
     pub fn caller(&self) -> Caller {
-        Caller { host: self.process().caller.clone(), key: KEY.into() }
+        Caller { host: self.process().caller_address.clone(), key: KEY.into() }
     }
 
     /// Gets what the host shows of itself.
     pub fn status(&self) -> Option<Status> {
-        status::fetch_status(&self.process().caller, OPERATOR_KEY).ok()
+        status::fetch_status(&self.process().caller_address, OPERATOR_KEY).ok()
     }
 
     /// Ends the process at once.
@@ -111,21 +111,21 @@
 /// A fleet with its stand-ins.
 pub struct Fleet {
     /// The platform.
-    pub objects: Platform,
+    pub platform_standin: Platform,
     /// A client of the platform, past all proxies.
-    pub platform: PlatformClient,
+    pub platform_client: PlatformClient,
     /// The engine of `model@1`.
-    pub old: Engine,
+    pub stable_engine: Engine,
     /// Its address, past all proxies.
-    pub old_address: String,
+    pub stable_address: String,
     /// The engine of `model@2`.
-    pub new: Engine,
+    pub canary_engine: Engine,
     /// The plain service.
     pub service: Service,
     /// Between the routers and the engine of `model@1`.
-    pub to_old: Proxy,
+    pub stable_proxy: Proxy,
     /// Between the routers and the plain service.
-    pub to_service: Proxy,
+    pub service_proxy: Proxy,
     /// The hosts.
     pub hosts: Vec<Host>,
     /// What is declared.
@@ -135,7 +135,7 @@
     binary: PathBuf,
     dir: PathBuf,
     options: FleetOptions,
-    _running: Vec<Running>,
+    _servers: Vec<RunningServer>,
 }
 
 fn key_ring() -> KeyRing {
@@ -143,15 +143,16 @@
     KeyRing { current: key, previous: None }
 }
 
-fn declarations(old: &str, new: &str, service: &str, options: &FleetOptions) -> String {
-    let (rate, more) = (options.rate, &options.more);
+fn declarations(stable: &str, canary: &str, service: &str, options: &FleetOptions) -> String {
+    let (requests_per_second, extra_declarations) =
+        (options.requests_per_second, &options.extra_declarations);
     let digest = digest(KEY.as_bytes());
     format!(
         r#"
 [pool.old-pool]
-endpoints = {{ old = {{ address = "{old}", failure_domain = "d0" }} }}
+endpoints = {{ old = {{ address = "{stable}", failure_domain = "d0" }} }}
 [pool.new-pool]
-endpoints = {{ new = {{ address = "{new}", failure_domain = "d1" }} }}
+endpoints = {{ new = {{ address = "{canary}", failure_domain = "d1" }} }}
 [version."model@1"]
 pool = "old-pool"
 price_in = 1000
@@ -165,7 +166,7 @@
 [workspace.caller]
 key_digests = ["{digest}"]
 allow = ["model@1", "model@2"]
-requests_per_second = {rate:.1}
+requests_per_second = {requests_per_second:.1}
 [service.vault]
 once = ["POST /grant"]
 workspaces = ["caller"]
@@ -184,7 +185,7 @@
 [keyring.fleet.current]
 id = "k1"
 secret = "a secret for tests only"
-{more}
+{extra_declarations}
 "#
     )
 }
@@ -192,76 +193,80 @@
 impl Fleet {
     /// Starts a fleet of `binary` processes and waits until every host is ready and knows all.
     pub fn start(binary: &Path, options: FleetOptions) -> Result<Fleet> {
-        let objects = Platform::default();
-        let platform = objects.serve("127.0.0.1:0")?;
+        let platform_standin = Platform::default();
+        let platform_server = platform_standin.serve("127.0.0.1:0")?;
         let engine = |version: &str, quality: f64| {
             let version = version.to_string();
             Engine::new(EngineOptions { version, quality, ..options.engine.clone() })
         };
-        let old = engine("model@1", options.engine.quality);
-        let new = engine("model@2", options.new_quality);
+        let stable_engine = engine("model@1", options.engine.quality);
+        let canary_engine = engine("model@2", options.canary_quality);
         let service = Service::default();
-        let running = [
-            old.serve("127.0.0.1:0")?,
-            new.serve("127.0.0.1:0")?,
+        let servers = [
+            stable_engine.serve("127.0.0.1:0")?,
+            canary_engine.serve("127.0.0.1:0")?,
             service.serve("127.0.0.1:0")?,
             Rater::default().serve("127.0.0.1:0")?,
         ];
-        let to_old = Proxy::before(&running[0].address())?;
-        let to_service = Proxy::before(&running[2].address())?;
-        let text =
-            declarations(&to_old.address(), &running[1].address(), &to_service.address(), &options);
+        let stable_proxy = Proxy::with_target(&servers[0].address())?;
+        let service_proxy = Proxy::with_target(&servers[2].address())?;
+        let text = declarations(
+            &stable_proxy.address(),
+            &servers[1].address(),
+            &service_proxy.address(),
+            &options,
+        );
         let declared =
             read_folder(&[("fleet.toml".to_string(), text)]).map_err(|f| anyhow!("{f:?}"))?;
         let mut fleet = Fleet {
-            platform: PlatformClient::new(&platform.address()),
-            platform_address: platform.address(),
-            rater_address: running[3].address(),
-            objects,
-            old_address: running[0].address(),
-            old,
-            new,
+            platform_client: PlatformClient::new(&platform_server.address()),
+            platform_address: platform_server.address(),
+            rater_address: servers[3].address(),
+            platform_standin,
+            stable_address: servers[0].address(),
+            stable_engine,
+            canary_engine,
             service,
-            to_old,
-            to_service,
+            stable_proxy,
+            service_proxy,
             hosts: Vec::new(),
             declared,
             binary: binary.to_path_buf(),
             dir: std::env::temp_dir().join(format!("tidetrack-{:016x}", rand::random::<u64>())),
             options,
-            _running: running.into_iter().chain([platform]).collect(),
+            _servers: servers.into_iter().chain([platform_server]).collect(),
         };
         fleet.apply()?;
-        for n in 0..fleet.options.hosts {
-            fleet.add_host(n)?;
+        for index in 0..fleet.options.hosts {
+            fleet.add_host(index)?;
         }
-        fleet.list_hosts();
-        fleet.wait_whole();
+        fleet.publish_hosts();
+        fleet.wait_until_converged();
         Ok(fleet)
     }
 
     /// Applies what is declared.
     pub fn apply(&self) -> Result<()> {
-        let lines = apply::diff(&self.platform, &self.declared, false)?;
-        match apply::apply(&self.platform, &lines, &mut |_, _| {}).first_failure() {
+        let lines = apply::diff(&self.platform_client, &self.declared, false)?;
+        match apply::apply(&self.platform_client, &lines, &mut |_, _| {}).first_failure() {
             Some(e) => Err(e.into()),
             None => Ok(()),
         }
     }
 
-    fn add_host(&mut self, n: usize) -> Result<()> {
-        let to_platform = Proxy::before(&self.platform_address)?;
-        let (to_peer, to_caller) = (Proxy::start()?, Proxy::start()?);
-        let proxied = !self.options.direct;
+    fn add_host(&mut self, index: usize) -> Result<()> {
+        let platform_proxy = Proxy::with_target(&self.platform_address)?;
+        let (peer_proxy, caller_proxy) = (Proxy::start()?, Proxy::start()?);
+        let uses_proxies = !self.options.bypasses_proxies;
         let settings = Settings {
-            host: format!("host-{n}").parse()?,
-            failure_domain: format!("d{}", n % self.options.domains).parse()?,
+            host: format!("host-{index}").parse()?,
+            failure_domain: format!("d{}", index % self.options.domains).parse()?,
             caller_address: "127.0.0.1:0".into(),
             peer_address: "127.0.0.1:0".into(),
-            advertised_caller_address: proxied.then(|| to_caller.address()),
-            advertised_peer_address: proxied.then(|| to_peer.address()),
-            platform: match proxied {
-                true => to_platform.address(),
+            advertised_caller_address: uses_proxies.then(|| caller_proxy.address()),
+            advertised_peer_address: uses_proxies.then(|| peer_proxy.address()),
+            platform: match uses_proxies {
+                true => platform_proxy.address(),
                 false => self.platform_address.clone(),
             },
             rating: Some(self.rater_address.clone()),
@@ -273,52 +278,56 @@
             suspects: SuspectOptions::default(),
             log_level: "info".into(),
         };
-        self.hosts.push(Host { process: None, to_platform, to_peer, to_caller, settings });
-        self.start_host(n)
+        self.hosts.push(Host { process: None, platform_proxy, peer_proxy, caller_proxy, settings });
+        self.start_host(index)
     }
 
     /// Starts a host's process, again if it was down.
-    pub fn start_host(&mut self, n: usize) -> Result<()> {
-        let host = &mut self.hosts[n];
+    pub fn start_host(&mut self, index: usize) -> Result<()> {
+        let host = &mut self.hosts[index];
         let process = RouterProcess::start(&self.binary, &host.settings, &self.dir)?;
-        host.to_peer.set_target(&process.peer);
-        host.to_caller.set_target(&process.caller);
+        host.peer_proxy.set_target(&process.peer_address);
+        host.caller_proxy.set_target(&process.caller_address);
         host.process = Some(process);
         Ok(())
     }
 
     /// Puts all hosts on the platform's list.
-    pub fn list_hosts(&self) {
-        let listed = |h: &Host| ListedHost {
-            name: h.settings.host.to_string(),
+    pub fn publish_hosts(&self) {
+        let to_listed_host = |host: &Host| ListedHost {
+            name: host.settings.host.to_string(),
             role: "router".into(),
-            address: match self.options.direct {
-                true => h.process().peer.clone(),
-                false => h.to_peer.address(),
+            address: match self.options.bypasses_proxies {
+                true => host.process().peer_address.clone(),
+                false => host.peer_proxy.address(),
             },
             state: ListedState::Live,
         };
-        self.objects.set_hosts(self.hosts.iter().map(listed).collect());
+        self.platform_standin.set_hosts(self.hosts.iter().map(to_listed_host).collect());
     }
 
     /// Waits until every running host is ready, knows all the others, and has the newest.
-    pub fn wait_whole(&self) {
-        let up: Vec<&Host> = self.hosts.iter().filter(|h| h.process.is_some()).collect();
+    pub fn wait_until_converged(&self) {
+        let running_hosts: Vec<&Host> =
+            self.hosts.iter().filter(|host| host.process.is_some()).collect();
         wait_for("a whole fleet", || {
-            let all: Vec<Status> = up.iter().map(|h| h.status()).collect::<Option<_>>()?;
-            let newest = all.iter().map(|s| s.in_force).max()?;
-            let whole = |s: &Status| {
-                let live = s.members.iter().filter(|m| m.is_live()).count();
-                s.in_force == newest && newest > 0 && live == up.len()
+            let statuses: Vec<Status> =
+                running_hosts.iter().map(|host| host.status()).collect::<Option<_>>()?;
+            let newest_revision = statuses.iter().map(|s| s.in_force).max()?;
+            let is_converged = |s: &Status| {
+                let live_members = s.members.iter().filter(|m| m.is_live()).count();
+                s.in_force == newest_revision
+                    && newest_revision > 0
+                    && live_members == running_hosts.len()
             };
-            all.iter().all(whole).then_some(())
+            statuses.iter().all(is_converged).then_some(())
         });
     }
 
-    /// Waits until every running host satisfies `is_so`.
-    pub fn wait_all(&self, what: &str, is_so: impl Fn(&Status) -> bool) {
-        for host in self.hosts.iter().filter(|h| h.process.is_some()) {
-            wait_for(what, || host.status().filter(|s| is_so(s)).map(|_| ()));
+    /// Waits until every running host satisfies `is_satisfied`.
+    pub fn wait_for_hosts(&self, condition: &str, is_satisfied: impl Fn(&Status) -> bool) {
+        for host in self.hosts.iter().filter(|host| host.process.is_some()) {
+            wait_for(condition, || host.status().filter(|s| is_satisfied(s)).map(|_| ()));
         }
     }
 
--- a/crates/tidetrack-testkit/src/lib.rs
+++ b/crates/tidetrack-testkit/src/lib.rs
@@ -5,7 +5,7 @@
 #![warn(rust_2018_idioms)]
 
 pub use tidetrack_load::caller;
-pub mod crashing;
+pub mod crashing_endpoint;
 pub mod fleet;
 pub mod process;
 pub mod proxy;
@@ -13,16 +13,16 @@
 use std::time::{Duration, Instant};
 
 /// How long a condition may take to come about before a test fails.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Waits until `done` gives a value; panics with `what` if it never does.
-pub fn wait_for<T>(what: &str, mut done: impl FnMut() -> Option<T>) -> T {
-    let until = Instant::now() + PATIENCE;
+/// Waits until `poll` gives a value; panics with `condition` if it never does.
+pub fn wait_for<T>(condition: &str, mut poll: impl FnMut() -> Option<T>) -> T {
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     loop {
-        if let Some(value) = done() {
+        if let Some(value) = poll() {
             return value;
         }
-        assert!(Instant::now() < until, "{what} did not come about in {PATIENCE:?}");
+        assert!(Instant::now() < deadline, "{condition} did not come about in {WAIT_TIMEOUT:?}");
         std::thread::sleep(Duration::from_millis(10));
     }
 }
--- a/crates/tidetrack-testkit/src/process.rs
+++ b/crates/tidetrack-testkit/src/process.rs
@@ -10,17 +10,17 @@
 use tidetrack_router::Settings;
 
 /// Upper bound that a limit on files can be raised to again.
-const HARD_FILES: u64 = 4_096;
+const HARD_FILE_LIMIT: u64 = 4_096;
 
 /// A running router process; it is killed when dropped.
 pub struct RouterProcess {
     child: Child,
     /// Where it serves callers.
-    pub caller: String,
+    pub caller_address: String,
     /// Where it serves other hosts.
-    pub peer: String,
+    pub peer_address: String,
     /// Its log.
-    pub log: PathBuf,
+    pub log_path: PathBuf,
 }
 
 impl RouterProcess {
@@ -28,24 +28,29 @@
     pub fn start(binary: &Path, settings: &Settings, dir: &Path) -> Result<RouterProcess> {
         std::fs::create_dir_all(dir)?;
         let unique = format!("{}-{:08x}", settings.host, rand::random::<u32>());
-        let file = dir.join(format!("{unique}.toml"));
-        std::fs::write(&file, toml::to_string(settings)?)?;
-        let log = dir.join(format!("{unique}.log"));
+        let settings_path = dir.join(format!("{unique}.toml"));
+        std::fs::write(&settings_path, toml::to_string(settings)?)?;
+        let log_path = dir.join(format!("{unique}.log"));
         let mut child = Command::new(binary)
             .arg("--settings")
-            .arg(&file)
+            .arg(&settings_path)
             .stdout(Stdio::piped())
-            .stderr(std::fs::File::create(&log)?)
+            .stderr(std::fs::File::create(&log_path)?)
             .spawn()
             .with_context(|| binary.display().to_string())?;
-        let out = child.stdout.take().context("standard output")?;
+        let stdout = child.stdout.take().context("standard output")?;
         let mut line = String::new();
-        BufReader::new(out).read_line(&mut line)?;
-        let words: Vec<&str> = line.split_whitespace().collect();
-        let ["callers", caller, "hosts", peer] = words[..] else {
-            anyhow::bail!("the router said {line:?}; its log is {}", log.display());
+        BufReader::new(stdout).read_line(&mut line)?;
+        let fields: Vec<&str> = line.split_whitespace().collect();
+        let ["callers", caller_address, "hosts", peer_address] = fields[..] else {
+            anyhow::bail!("the router said {line:?}; its log is {}", log_path.display());
         };
-        Ok(RouterProcess { caller: caller.into(), peer: peer.into(), child, log })
+        Ok(RouterProcess {
+            caller_address: caller_address.into(),
+            peer_address: peer_address.into(),
+            child,
+            log_path,
+        })
     }
 
     /// Gets the process's id.
@@ -90,19 +95,19 @@
     }
 
     /// Sets how many files the process may have open.
-    pub fn limit_files(&self, most: u64) {
+    pub fn set_file_limit(&self, max_files: u64) {
         let pid = Pid::from_raw(self.child.id() as i32).expect("a process has an id above 0");
-        let limit = Rlimit { current: Some(most), maximum: Some(HARD_FILES) };
+        let limit = Rlimit { current: Some(max_files), maximum: Some(HARD_FILE_LIMIT) };
         prlimit(Some(pid), Resource::Nofile, limit).expect("the process is ours");
     }
 
     /// Counts the files that the process has open.
-    pub fn open_files(&self) -> Result<u64> {
+    pub fn count_open_files(&self) -> Result<u64> {
         Ok(std::fs::read_dir(format!("/proc/{}/fd", self.id()))?.count() as u64)
     }
 
     /// Gets the processor time used so far, in ticks of 10 ms.
-    pub fn processor_ticks(&self) -> Result<u64> {
+    pub fn cpu_ticks(&self) -> Result<u64> {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.id()))?;
         let after_name = stat.rsplit(')').next().unwrap_or_default();
         let fields: Vec<&str> = after_name.split_whitespace().collect();
--- a/crates/tidetrack-testkit/src/proxy.rs
+++ b/crates/tidetrack-testkit/src/proxy.rs
@@ -18,38 +18,38 @@
     /// Passes it on after so many milliseconds.
     Delay(u64),
     /// Passes answers on at so many bytes a second, which all connections share.
-    Narrow(u64),
+    SharedResponseRate(u64),
     /// Passes on so many bytes a second, each connection and way by itself.
-    Rate(u64),
+    ConnectionRate(u64),
     /// Holds it back until told otherwise.
     Freeze,
     /// Passes requests on and holds answers back until told otherwise.
-    FreezeAnswers,
+    FreezeResponses,
     /// Closes connections and refuses new ones.
     Cut,
     /// Closes a connection once so many bytes came back from the target.
-    CutAfter(u64),
+    CutAfterResponseBytes(u64),
 }
 
 /// How often a frozen connection looks whether it may go on.
-const LOOK: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Bytes that a connection sends over a narrow link before the next one has its turn: some packets of
 /// 1,460 bytes, 3 ms of a link of 10 Mbit/s.
-const TURN: usize = 4 << 10;
+const CHUNK_BYTES: usize = 4 << 10;
 
 struct Shared {
     target: Mutex<Option<String>>,
     fault: Mutex<Fault>,
     /// Both sides of the connections under way, for a cut. One that ended gives its descriptors back: a
     /// caller that sends as fast as it is answered opens some 500 a second.
-    open: Mutex<HashMap<u64, [TcpStream; 2]>>,
+    open_connections: Mutex<HashMap<u64, [TcpStream; 2]>>,
     /// Connections carried so far.
-    connections: AtomicU64,
-    stopped: AtomicBool,
-    bytes: AtomicU64,
+    connection_count: AtomicU64,
+    is_stopped: AtomicBool,
+    transferred_bytes: AtomicU64,
     /// When the narrow link has sent all that was given to it.
-    is_free_at: Mutex<Instant>,
+    link_free_at: Mutex<Instant>,
 }
 
 /// A running proxy; it stops when dropped.
@@ -70,26 +70,26 @@
         let shared = Arc::new(Shared {
             target: Mutex::default(),
             fault: Mutex::default(),
-            open: Mutex::default(),
-            connections: AtomicU64::new(0),
-            stopped: AtomicBool::new(false),
-            bytes: AtomicU64::new(0),
-            is_free_at: Mutex::new(Instant::now()),
+            open_connections: Mutex::default(),
+            connection_count: AtomicU64::new(0),
+            is_stopped: AtomicBool::new(false),
+            transferred_bytes: AtomicU64::new(0),
+            link_free_at: Mutex::new(Instant::now()),
         });
-        let accept = shared.clone();
+        let acceptor = shared.clone();
         std::thread::spawn(move || {
-            for from in listener.incoming().flatten() {
-                if accept.stopped.load(Ordering::Acquire) {
+            for source in listener.incoming().flatten() {
+                if acceptor.is_stopped.load(Ordering::Acquire) {
                     return;
                 }
-                accept.connect(from);
+                acceptor.connect(source);
             }
         });
         Ok(Proxy { address, shared })
     }
 
     /// Starts a proxy before `target`.
-    pub fn before(target: &str) -> Result<Proxy> {
+    pub fn with_target(target: &str) -> Result<Proxy> {
         let proxy = Proxy::start()?;
         proxy.set_target(target);
         Ok(proxy)
@@ -106,11 +106,13 @@
     }
 
     /// Sets what it does from now on; a cut closes what is open.
-    pub fn set(&self, fault: Fault) {
+    pub fn set_fault(&self, fault: Fault) {
         *lock(&self.shared.fault) = fault;
-        *lock(&self.shared.is_free_at) = Instant::now();
+        *lock(&self.shared.link_free_at) = Instant::now();
         if fault == Fault::Cut {
-            for stream in lock(&self.shared.open).drain().flat_map(|(_, sides)| sides) {
+            for stream in
+                lock(&self.shared.open_connections).drain().flat_map(|(_, streams)| streams)
+            {
                 // The other side may have closed it already.
                 let _ = stream.shutdown(Shutdown::Both);
             }
@@ -118,111 +120,140 @@
     }
 
     /// Gets the bytes that went through, both ways.
-    pub fn bytes(&self) -> u64 {
-        self.shared.bytes.load(Ordering::Relaxed)
+    pub fn transferred_bytes(&self) -> u64 {
+        self.shared.transferred_bytes.load(Ordering::Relaxed)
     }
 }
 
 impl Drop for Proxy {
     fn drop(&mut self) {
-        self.shared.stopped.store(true, Ordering::Release);
-        self.set(Fault::Cut);
+        self.shared.is_stopped.store(true, Ordering::Release);
+        self.set_fault(Fault::Cut);
         // The accept loop wakes up, sees that it is over, and ends.
         let _ = TcpStream::connect(self.address);
     }
 }
 
 impl Shared {
-    fn connect(self: &Arc<Self>, from: TcpStream) {
+    fn connect(self: &Arc<Self>, source: TcpStream) {
         let target = lock(&self.target).clone();
         if *lock(&self.fault) == Fault::Cut {
             return;
         }
-        let Some(to) = target.and_then(|t| TcpStream::connect(t).ok()) else { return };
-        let copies = (from.try_clone(), to.try_clone(), from.try_clone(), to.try_clone());
-        let (Ok(from2), Ok(to2), Ok(from3), Ok(to3)) = copies else { return };
-        for stream in [&from, &to] {
+        let Some(destination) = target.and_then(|t| TcpStream::connect(t).ok()) else { return };
+        let handles = (
+            source.try_clone(),
+            destination.try_clone(),
+            source.try_clone(),
+            destination.try_clone(),
+        );
+        let (
+            Ok(response_destination),
+            Ok(response_source),
+            Ok(source_handle),
+            Ok(destination_handle),
+        ) = handles
+        else {
+            return;
+        };
+        for stream in [&source, &destination] {
             // A socket that is closed already needs no option.
             let _ = stream.set_nodelay(true);
         }
-        let number = self.connections.fetch_add(1, Ordering::Relaxed);
-        lock(&self.open).insert(number, [from3, to3]);
-        let (forth, back) = (self.clone(), self.clone());
-        std::thread::spawn(move || forth.carry(number, from, to, false));
-        std::thread::spawn(move || back.carry(number, to2, from2, true));
+        let connection_id = self.connection_count.fetch_add(1, Ordering::Relaxed);
+        lock(&self.open_connections).insert(connection_id, [source_handle, destination_handle]);
+        let (request_side, response_side) = (self.clone(), self.clone());
+        std::thread::spawn(move || request_side.forward(connection_id, source, destination, false));
+        std::thread::spawn(move || {
+            response_side.forward(connection_id, response_source, response_destination, true)
+        });
     }
 
     /// Copies one way of a connection until either way has ended.
-    fn carry(&self, number: u64, from: TcpStream, to: TcpStream, is_answer: bool) {
-        self.copy(from, to, is_answer);
-        lock(&self.open).remove(&number);
+    fn forward(
+        &self,
+        connection_id: u64,
+        source: TcpStream,
+        destination: TcpStream,
+        is_response: bool,
+    ) {
+        self.copy_direction(source, destination, is_response);
+        lock(&self.open_connections).remove(&connection_id);
     }
 
-    fn copy(&self, mut from: TcpStream, mut to: TcpStream, is_answer: bool) {
+    fn copy_direction(&self, mut source: TcpStream, mut destination: TcpStream, is_response: bool) {
         let mut buf = [0; 16 * 1024];
-        let mut answered = 0u64;
-        while let Ok(n) = from.read(&mut buf) {
-            let passed = self.pass(n, answered, is_answer);
-            answered += passed as u64;
-            self.bytes.fetch_add(passed as u64, Ordering::Relaxed);
-            let is_sent =
-                buf[..passed].chunks(TURN).all(|turn| self.send(turn, &mut to, is_answer));
-            if n == 0 || passed < n || !is_sent {
+        let mut forwarded_bytes = 0u64;
+        while let Ok(received) = source.read(&mut buf) {
+            let allowed = self.allowed_bytes(received, forwarded_bytes, is_response);
+            forwarded_bytes += allowed as u64;
+            self.transferred_bytes.fetch_add(allowed as u64, Ordering::Relaxed);
+            let is_sent = buf[..allowed]
+                .chunks(CHUNK_BYTES)
+                .all(|chunk| self.send(chunk, &mut destination, is_response));
+            if received == 0 || allowed < received || !is_sent {
                 break;
             }
         }
         // Both may be closed already.
-        let _ = (from.shutdown(Shutdown::Both), to.shutdown(Shutdown::Both));
+        let _ = (source.shutdown(Shutdown::Both), destination.shutdown(Shutdown::Both));
     }
 
     /// Sends bytes when their turn on the link has passed; tells whether they were taken.
-    fn send(&self, bytes: &[u8], to: &mut TcpStream, is_answer: bool) -> bool {
+    fn send(&self, chunk: &[u8], destination: &mut TcpStream, is_response: bool) -> bool {
         let fault = *lock(&self.fault);
-        if let (Fault::Narrow(rate), true) = (fault, is_answer) {
-            let takes = Duration::from_secs_f64(bytes.len() as f64 / rate.max(1) as f64);
+        if let (Fault::SharedResponseRate(rate), true) = (fault, is_response) {
+            let send_time = Duration::from_secs_f64(chunk.len() as f64 / rate.max(1) as f64);
             let sent_at = {
-                let mut is_free_at = lock(&self.is_free_at);
-                *is_free_at = Instant::now().max(*is_free_at) + takes;
-                *is_free_at
+                let mut link_free_at = lock(&self.link_free_at);
+                *link_free_at = Instant::now().max(*link_free_at) + send_time;
+                *link_free_at
             };
             // A turn of a very narrow link may be longer than the fault lasts.
             while *lock(&self.fault) == fault {
-                let left = sent_at.saturating_duration_since(Instant::now());
-                if left.is_zero() {
+                let remaining = sent_at.saturating_duration_since(Instant::now());
+                if remaining.is_zero() {
                     break;
                 }
-                std::thread::sleep(left.min(LOOK));
+                std::thread::sleep(remaining.min(POLL_INTERVAL));
             }
         }
-        to.write_all(bytes).is_ok()
+        destination.write_all(chunk).is_ok()
     }
 
     /// Waits as the fault says; gets how many of the bytes that came may pass before the connection ends.
-    fn pass(&self, bytes: usize, answered: u64, is_answer: bool) -> usize {
+    fn allowed_bytes(
+        &self,
+        received_bytes: usize,
+        forwarded_bytes: u64,
+        is_response: bool,
+    ) -> usize {
         loop {
             let fault = *lock(&self.fault);
             match fault {
-                Fault::None | Fault::Narrow(_) => return bytes,
+                Fault::None | Fault::SharedResponseRate(_) => return received_bytes,
                 Fault::Delay(ms) => {
                     std::thread::sleep(Duration::from_millis(ms));
-                    return bytes;
+                    return received_bytes;
                 }
-                Fault::Rate(rate) => {
-                    let micros = bytes as u64 * 1_000_000 / rate.max(1);
+                Fault::ConnectionRate(rate) => {
+                    let micros = received_bytes as u64 * 1_000_000 / rate.max(1);
                     std::thread::sleep(Duration::from_micros(micros));
-                    return bytes;
+                    return received_bytes;
                 }
-                Fault::FreezeAnswers if !is_answer => return bytes,
-                Fault::Freeze | Fault::FreezeAnswers if self.stopped.load(Ordering::Acquire) => {
+                Fault::FreezeResponses if !is_response => return received_bytes,
+                Fault::Freeze | Fault::FreezeResponses
+                    if self.is_stopped.load(Ordering::Acquire) =>
+                {
                     return 0
                 }
-                Fault::Freeze | Fault::FreezeAnswers => std::thread::sleep(LOOK),
+                Fault::Freeze | Fault::FreezeResponses => std::thread::sleep(POLL_INTERVAL),
                 Fault::Cut => return 0,
-                Fault::CutAfter(_) if !is_answer => return bytes,
+                Fault::CutAfterResponseBytes(_) if !is_response => return received_bytes,
                 // However much comes at once: a late reader finds more than the bound at its first look.
-                Fault::CutAfter(most) => {
-                    let left = usize::try_from(most.saturating_sub(answered));
-                    return bytes.min(left.unwrap_or(usize::MAX));
+                Fault::CutAfterResponseBytes(max_bytes) => {
+                    let remaining = usize::try_from(max_bytes.saturating_sub(forwarded_bytes));
+                    return received_bytes.min(remaining.unwrap_or(usize::MAX));
                 }
             }
         }
--- a/crates/tidetrack-testkit/tests/descriptors.rs
+++ b/crates/tidetrack-testkit/tests/descriptors.rs
@@ -14,10 +14,10 @@
 use std::net::{TcpListener, TcpStream};
 
 use tidetrack_testkit::proxy::{Fault, Proxy};
-use tidetrack_testkit::{wait_for, PATIENCE};
+use tidetrack_testkit::{wait_for, WAIT_TIMEOUT};
 
 /// Connections that come and go one by one.
-const CONNECTIONS: usize = 200;
+const CONNECTION_COUNT: usize = 200;
 
 /// Starts a server that sends one byte back on each connection and closes it.
 fn start_server() -> String {
@@ -39,39 +39,39 @@
 fn exchange(address: &str) {
     let mut stream = TcpStream::connect(address).expect("a connection");
     stream.write_all(b"x").expect("the proxy reads");
-    let mut answer = Vec::new();
-    stream.read_to_end(&mut answer).expect("an answer with an end");
-    assert_eq!(answer, b"x");
+    let mut response = Vec::new();
+    stream.read_to_end(&mut response).expect("an answer with an end");
+    assert_eq!(response, b"x");
 }
 
-fn descriptors() -> usize {
+fn count_descriptors() -> usize {
     std::fs::read_dir("/proc/self/fd").expect("the descriptors").count()
 }
 
 #[test]
-fn a_connection_that_ended_holds_no_descriptor() {
-    let proxy = Proxy::before(&start_server()).expect("a proxy");
+fn a_closed_connection_holds_no_descriptor() {
+    let proxy = Proxy::with_target(&start_server()).expect("a proxy");
     exchange(&proxy.address());
-    let before = descriptors();
+    let count_before = count_descriptors();
 
-    (0..CONNECTIONS).for_each(|_| exchange(&proxy.address()));
+    (0..CONNECTION_COUNT).for_each(|_| exchange(&proxy.address()));
 
     // The last connections' threads may still be ending.
     wait_for("the descriptors are given back", || {
-        (descriptors() < before + CONNECTIONS / 10).then_some(())
+        (count_descriptors() < count_before + CONNECTION_COUNT / 10).then_some(())
     });
 }
 
 #[test]
-fn a_cut_still_ends_connections_that_are_open() {
-    let proxy = Proxy::before(&start_server()).expect("a proxy");
+fn a_cut_closes_open_connections() {
+    let proxy = Proxy::with_target(&start_server()).expect("a proxy");
     exchange(&proxy.address());
-    let mut open = TcpStream::connect(proxy.address()).expect("a connection");
-    open.set_read_timeout(Some(PATIENCE)).expect("an option");
+    let mut open_stream = TcpStream::connect(proxy.address()).expect("a connection");
+    open_stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("an option");
     // Connections are taken in order, so the proxy has the open one once a later one is answered.
     exchange(&proxy.address());
 
-    proxy.set(Fault::Cut);
+    proxy.set_fault(Fault::Cut);
 
-    assert_eq!(open.read(&mut [0; 1]).expect("an end, no time-out"), 0);
+    assert_eq!(open_stream.read(&mut [0; 1]).expect("an end, no time-out"), 0);
 }
