--- a/crates/tidetrack-quickstart/src/main.rs
+++ b/crates/tidetrack-quickstart/src/main.rs
@@ -51,7 +51,7 @@
     lending: Service,
     _engines: Vec<RunningServer>,
     _other_servers: Vec<RunningServer>,
-    rater_address: String,
+    rating_service_address: String,
     declared: DeclaredObjects,
 }
 
@@ -88,19 +88,19 @@
         lending,
         _engines: engines,
         _other_servers: vec![lending_server, rater],
-        rater_address,
+        rating_service_address: rater_address,
         declared,
     })
 }
 
-fn start_router(standins: &StandIns, number: usize) -> Result<Router> {
+fn start_router(standins: &StandIns, n: usize) -> Result<Router> {
     let mut settings = Settings::from_toml("router-1.toml", ROUTER)?;
-    settings.host = format!("router-{number}").parse()?;
-    settings.failure_domain = format!("hall-{number}").parse()?;
+    settings.host = format!("router-{n}").parse()?;
+    settings.failure_domain = format!("hall-{n}").parse()?;
     settings.caller_address = "127.0.0.1:0".into();
     settings.peer_address = "127.0.0.1:0".into();
     settings.platform = standins.platform.address();
-    settings.rating = Some(standins.rater_address.clone());
+    settings.rating = Some(standins.rating_service_address.clone());
     settings.limits.threads = 32;
     settings.times.grace_ms = 50;
     Router::start(settings, logging::silent())
--- a/crates/tidetrack-router/tests/crashes.rs
+++ b/crates/tidetrack-router/tests/crashes.rs
@@ -22,7 +22,7 @@
 const ENDPOINTS: usize = 6;
 
 /// Starts an endpoint that crashes under deadly requests, or one that fails them.
-fn start_endpoint(survives: bool) -> CrashingEndpoint {
+fn start_endpoint(survives_crashing_requests: bool) -> CrashingEndpoint {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address").to_string();
     drop(listener);
@@ -36,7 +36,7 @@
         on_start: Box::new(|_| ()),
         on_end: Box::new(|_| ()),
         listener_linger: LISTENS_ON,
-        survives_crashing_requests: survives,
+        survives_crashing_requests,
     };
     CrashingEndpoint::start(&address, manners)
 }
@@ -47,13 +47,10 @@
     };
     let places: Vec<String> = endpoints.iter().enumerate().map(place).collect();
     let places = places.join(", ");
-    let more = format!("[service.frail]\nworkspaces = [\"caller\"]\nendpoints = {{ {places} }}\n");
-    let options = FleetOptions {
-        hosts: HOSTS,
-        domains: 2,
-        extra_declarations: more,
-        ..FleetOptions::default()
-    };
+    let extra_declarations =
+        format!("[service.frail]\nworkspaces = [\"caller\"]\nendpoints = {{ {places} }}\n");
+    let options =
+        FleetOptions { hosts: HOSTS, domains: 2, extra_declarations, ..FleetOptions::default() };
     Fleet::start(Path::new(env!("CARGO_BIN_EXE_tidetrack-router")), options).expect("a fleet")
 }
 
--- a/crates/tidetrack-standin/src/engine/execution.rs
+++ b/crates/tidetrack-standin/src/engine/execution.rs
@@ -117,13 +117,11 @@
     }
 
     fn send_stream(&self, request: Request) {
-        let response_head = Response::empty(200)
+        let head = Response::empty(200)
             .with_header(make_header("Content-Type", "text/event-stream"))
             .with_header(make_header(headers::ATTEMPT, &self.attempt_header()))
             .with_header(make_header(headers::LOAD, &self.load_header()));
-        let Ok(mut body) = stream::begin(request, response_head) else {
-            return self.count_cancelled();
-        };
+        let Ok(mut body) = stream::begin(request, head) else { return self.count_cancelled() };
         let cut_after_tokens = self.engine.lock().faults.cut_after;
         for (i, token) in self.tokens.iter().enumerate() {
             if cut_after_tokens == Some(i as u64) {
--- a/crates/tidetrack-testkit/src/proxy.rs
+++ b/crates/tidetrack-testkit/src/proxy.rs
@@ -141,32 +141,22 @@
             return;
         }
         let Some(destination) = target.and_then(|t| TcpStream::connect(t).ok()) else { return };
-        let handles = (
+        let clones = (
             source.try_clone(),
             destination.try_clone(),
             source.try_clone(),
             destination.try_clone(),
         );
-        let (
-            Ok(response_destination),
-            Ok(response_source),
-            Ok(source_handle),
-            Ok(destination_handle),
-        ) = handles
-        else {
-            return;
-        };
+        let (Ok(client), Ok(server), Ok(client_copy), Ok(server_copy)) = clones else { return };
         for stream in [&source, &destination] {
             // A socket that is closed already needs no option.
             let _ = stream.set_nodelay(true);
         }
         let connection_id = self.connection_count.fetch_add(1, Ordering::Relaxed);
-        lock(&self.open_connections).insert(connection_id, [source_handle, destination_handle]);
+        lock(&self.open_connections).insert(connection_id, [client_copy, server_copy]);
         let (request_side, response_side) = (self.clone(), self.clone());
         std::thread::spawn(move || request_side.forward(connection_id, source, destination, false));
-        std::thread::spawn(move || {
-            response_side.forward(connection_id, response_source, response_destination, true)
-        });
+        std::thread::spawn(move || response_side.forward(connection_id, server, client, true));
     }
 
     /// Copies one way of a connection until either way has ended.
