--- a/crates/tidetrack-standin/src/engine/cache.rs
+++ b/crates/tidetrack-standin/src/engine/cache.rs
@@ -1,15 +1,16 @@
-//! An engine's cache of prompt prefixes, and the events that tell of it.
+//! Cache of prompt prefixes and its events.
 
 use tidetrack_core::placement::ring_position_of;
 use tidetrack_wire::caller::ChatRequest;
 
 use super::{CacheEvent, Engine, State};
 
-/// Characters of a prompt that make one cached block.
+/// Number of prompt characters in one cached block.
 const CACHE_BLOCK_CHARS: usize = 256;
 
 impl Engine {
-    /// Looks the prompt up in the cache block by block; gets the tokens to compute.
+    /// Looks up the prompt in the cache block by block and stores the missing blocks. Returns the
+    /// number of prompt tokens that were not cached.
     pub(super) fn prefill(&self, chat: &ChatRequest) -> u64 {
         let mut text = String::new();
         chat.messages.iter().for_each(|m| text.push_str(&m.content.to_string()));
--- a/crates/tidetrack-standin/src/engine/execution.rs
+++ b/crates/tidetrack-standin/src/engine/execution.rs
@@ -1,4 +1,4 @@
-//! One request as it runs: its answer whole or as a stream, with the faults that were asked for.
+//! Execution of one request: sends a complete or streamed response and applies the injected faults.
 
 use std::io::Write;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 
 use super::Engine;
 
-/// One request as it runs.
+/// A request that holds a slot of the engine.
 pub(super) struct Execution<'a> {
     pub(super) engine: &'a Engine,
     pub(super) id: String,
@@ -139,7 +139,7 @@
             "choices": [], "usage": self.usage(self.tokens.len()),
         });
         self.count_finished();
-        // The router that has left by now has had its whole answer.
+        // A router that has disconnected by now has received all tokens of the response.
         let _ = body.write_all(format!("data: {usage}\n\ndata: {STREAM_END}\n\n").as_bytes());
     }
 
--- a/crates/tidetrack-standin/src/engine/mod.rs
+++ b/crates/tidetrack-standin/src/engine/mod.rs
@@ -1,10 +1,11 @@
-//! Stand-in of a model engine.
+//! Stand-in for a model engine.
 //!
-//! It batches: a bounded number of requests run at a time, by priority, and each token takes longer
-//! the more run. Prompt prefixes are cached in limited memory, with events that come late and with
-//! gaps. It reports load with a lag, cancels, resumes, and takes fenced orders. The answer names the
-//! version, the last message and its own true quality, which the stand-in of the rating service
-//! reads; that is how a bad version is bad.
+//! It runs a bounded number of requests concurrently, in order of priority, and each token takes
+//! longer the more requests run. It caches a bounded number of prompt blocks and records cache
+//! events, some of which are lost. It reports its load with a lag, cancels and resumes attempts, and
+//! accepts load and unload orders that carry a fence. The response contains the version, the last
+//! message and the true quality of the response. The rating service's stand-in reads this quality,
+//! so a bad version is simulated by a low quality.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -49,7 +50,7 @@
     highest_fence: u64,
 }
 
-/// An engine, shared with whoever started it.
+/// Handle of the engine; clones share its state.
 #[derive(Clone)]
 pub struct Engine {
     options: Arc<EngineOptions>,
@@ -58,7 +59,7 @@
 }
 
 impl Engine {
-    /// Makes an engine.
+    /// Creates an engine that has loaded the version named in its options.
     pub fn new(options: EngineOptions) -> Engine {
         let state = State { loaded_versions: [options.version.clone()].into(), ..State::default() };
         Engine {
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Serves the engine on `address`.
+    /// Starts serving the engine on `address`.
     pub fn serve(&self, address: &str) -> Result<RunningServer> {
         let engine = self.clone();
         http::serve(address, move |request| engine.handle(request))
@@ -78,12 +79,12 @@
         self.shared.0.lock().expect("no holder of the lock panics")
     }
 
-    /// Sets how it misbehaves.
+    /// Replaces the faults that the engine injects.
     pub fn set_faults(&self, faults: EngineFaults) {
         self.lock().faults = faults;
     }
 
-    /// Gets what it counted.
+    /// Returns the counts so far.
     pub fn counts(&self) -> EngineCounts {
         self.lock().counts.clone()
     }
@@ -155,7 +156,8 @@
         }
     }
 
-    /// Gets the report as it was some time ago.
+    /// Returns an earlier load report that is at least as old as the configured lag, or the oldest
+    /// one if none is. Whether the engine is leaving is always current. Each call adds a report.
     fn delayed_report(&self) -> LoadReport {
         let lag = Duration::from_millis(self.options.report_lag_ms);
         let mut state = self.lock();
@@ -213,7 +215,7 @@
         (needed_tokens > self.options.capacity_tokens).then_some("too long")
     }
 
-    /// Waits for a slot: the highest priority first, then who came first.
+    /// Waits for a slot. Slots are granted by priority, highest first, then in order of arrival.
     fn acquire_slot(&self, priority: i64, work: u64) {
         let mut state = self.lock();
         state.last_queue_number += 1;
@@ -239,7 +241,7 @@
         self.shared.1.notify_all();
     }
 
-    /// Makes the tokens of the answer.
+    /// Generates the tokens of the response.
     fn generate_tokens(&self, chat: &ChatRequest, tokens: u64) -> Vec<String> {
         let quality = self.lock().faults.quality.unwrap_or(self.options.quality);
         let last_message =
@@ -255,7 +257,7 @@
         Duration::from_micros(self.options.token_us + self.options.token_us_each * (running - 1))
     }
 
-    /// Waits for `time` or until the attempt is cancelled; tells whether it was.
+    /// Waits until the timeout expires or the attempt is cancelled. Reports whether it was cancelled.
     fn wait_for_cancellation(&self, attempt: &str, timeout: Duration) -> bool {
         let deadline = Instant::now() + timeout;
         let mut state = self.lock();
@@ -272,7 +274,7 @@
         }
     }
 
-    /// Gives the rest of an attempt's answer from a token on.
+    /// Sends the tokens of an attempt's response from the requested position on.
     fn handle_resume(&self, mut request: Request) {
         let attempt_request: AttemptRequest = match http::read_json(&mut request) {
             Ok(attempt_request) => attempt_request,
--- a/crates/tidetrack-standin/src/engine/options.rs
+++ b/crates/tidetrack-standin/src/engine/options.rs
@@ -1,36 +1,36 @@
-//! How an engine behaves and misbehaves, and what it counts.
+//! Options, injected faults and counters of the engine.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// How an engine behaves.
+/// Options of the engine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EngineOptions {
-    /// The version that it serves, `model@version`.
+    /// The version that the engine serves, as `model@version`.
     pub version: String,
-    /// Requests that run at a time.
+    /// Maximum concurrent requests.
     pub slots: u32,
-    /// Microseconds for one token when one request runs.
+    /// Time to generate one token while a single request runs, in microseconds.
     pub token_us: u64,
-    /// Microseconds more for each further request running.
+    /// Additional time per token for each further concurrent request, in microseconds.
     pub token_us_each: u64,
-    /// Microseconds for one prompt token that is not cached.
+    /// Time to process one prompt token that is not cached, in microseconds.
     pub prefill_us: u64,
-    /// Tokens that one request may hold.
+    /// Maximum tokens of one request, prompt and response together.
     pub capacity_tokens: u64,
-    /// Blocks of prompts that the cache holds.
+    /// Maximum number of prompt blocks in the cache, and of cache events that are retained.
     pub cache_blocks: usize,
-    /// Tokens of an answer when the request does not say.
+    /// Tokens of a response if the request sets no maximum.
     pub answer_tokens: u64,
-    /// True quality of the answers, from 0 to 1.
+    /// True quality of the responses, from 0 to 1.
     pub quality: f64,
-    /// The load report is so old.
+    /// Lag of the load report, in milliseconds.
     pub report_lag_ms: u64,
-    /// One cache event in so many is lost; 0 loses none.
+    /// Every n-th cache event is lost; 0 loses none.
     pub event_gap: u64,
-    /// Whether orders below the highest fence seen are refused.
+    /// Whether orders with a fence below the highest one received are refused.
     pub fenced: bool,
 }
 
@@ -53,56 +53,56 @@
     }
 }
 
-/// How an engine misbehaves.
+/// Faults that the engine injects.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EngineFaults {
-    /// So many of the next requests fail after they ran.
+    /// Number of upcoming requests that fail with status 500 after the prompt is processed.
     pub fail_next: u32,
-    /// Of every hundred requests, so many fail.
+    /// Percentage of attempts that fail, selected by a hash of the attempt's ID.
     pub fail_percent: u32,
-    /// Every stream is cut after so many tokens.
+    /// Number of tokens after which every stream is cut; `None` cuts no stream.
     pub cut_after: Option<u64>,
-    /// So many of the next answers carry another attempt's id.
+    /// Number of upcoming responses that carry the ID of another attempt.
     pub swap_next: u32,
-    /// So many of the next requests run and lose their answer.
+    /// Number of upcoming requests that run, but whose connection is closed without a response.
     pub lose_next: u32,
-    /// So many of the next requests are refused before they run.
+    /// Number of upcoming requests that are refused before they run.
     pub refuse_next: u32,
-    /// The engine says that it is leaving and refuses new work.
+    /// Whether the engine announces that it is leaving and refuses new requests.
     pub leaving: bool,
-    /// Another quality of the answers.
+    /// Quality that overrides the one in the options; `None` keeps that.
     pub quality: Option<f64>,
-    /// Milliseconds more before the first token.
+    /// Additional delay before the first token, in milliseconds.
     pub delay_ms: u64,
 }
 
-/// What an engine counted.
+/// Counters of the engine.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct EngineCounts {
-    /// Requests that began to run.
+    /// Requests that started to run.
     pub started: u64,
-    /// Requests that ran to their end.
+    /// Requests that generated all their tokens, or that ran and lost their response on purpose.
     pub finished: u64,
-    /// Requests cancelled or left by the router.
+    /// Requests that the router cancelled or whose stream it closed.
     pub cancelled: u64,
-    /// Prompt tokens met in the cache.
+    /// Prompt tokens found in the cache.
     pub cached_tokens: u64,
-    /// Prompt tokens computed.
+    /// Prompt tokens that were not cached and had to be processed.
     pub computed_tokens: u64,
-    /// How often each attempt began to run.
+    /// How often each attempt started to run, by its ID.
     pub attempts: BTreeMap<String, u64>,
-    /// How often a request with each last message began to run.
+    /// How often a request started to run, by the content of its last message as JSON text.
     pub prompts: BTreeMap<String, u64>,
 }
 
-/// A cache event: blocks that came in or went out.
+/// A cache event: one block was stored in the cache or evicted from it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// The event's number; a gap shows a lost one.
+    /// Sequence number of the event; a gap indicates a lost event.
     pub number: u64,
-    /// The block.
+    /// Hash of the prompt prefix that ends with the block.
     pub block: u64,
-    /// Whether it came in.
+    /// Whether the block was stored; `false` if it was evicted.
     pub stored: bool,
 }
--- a/crates/tidetrack-standin/src/http.rs
+++ b/crates/tidetrack-standin/src/http.rs
@@ -1,4 +1,4 @@
-//! What the stand-ins share: a server that runs each request on a thread of its own.
+//! HTTP server shared by the stand-ins, which runs each request on its own thread.
 
 use std::collections::HashMap;
 use std::io::{Cursor, Read};
@@ -12,10 +12,10 @@
 use serde::Serialize;
 use tiny_http::{Header, Request, Response, Server};
 
-/// Stack of a request's thread, in bytes.
+/// Stack size of the thread that runs a request, in bytes.
 const REQUEST_STACK_BYTES: usize = 256 * 1024;
 
-/// A running server; it stops when dropped.
+/// Handle of a running HTTP server, which stops when the handle is dropped.
 pub struct RunningServer {
     server: Arc<Server>,
     address: SocketAddr,
@@ -24,15 +24,15 @@
 }
 
 impl RunningServer {
-    /// Gets the address that it serves, as `ip:port`.
+    /// Returns the address on which the server listens, as `ip:port`.
     pub fn address(&self) -> String {
         self.address.to_string()
     }
 
-    /// Waits until the server ends.
+    /// Blocks until the accept loop of the server ends.
     pub fn wait(mut self) {
         if let Some(thread) = self.thread.take() {
-            // A panic of the accept loop was printed by its thread; there is nothing to add.
+            // The thread itself has already printed a panic of the accept loop.
             let _ = thread.join();
         }
     }
@@ -45,15 +45,17 @@
     }
 }
 
-/// Listens on `address` without delaying small writes.
+/// Opens a listener on `address` with TCP_NODELAY set, so that small writes are not delayed.
 pub fn listen(address: &str) -> Result<TcpListener> {
-    let listener = TcpListener::bind(address).with_context(|| format!("listen on {address}"))?;
-    // Accepted sockets inherit the option; streams of small events would wait for it otherwise.
+    let listener =
+        TcpListener::bind(address).with_context(|| format!("cannot listen on {address}"))?;
+    // Accepted sockets inherit the option. Without it, Nagle's algorithm would delay streams of
+    // small events.
     socket2::SockRef::from(&listener).set_tcp_nodelay(true)?;
     Ok(listener)
 }
 
-/// Serves `handler` on `address`; port 0 takes a free one.
+/// Starts a server on `address` that passes each request to `handler`. Port 0 selects a free port.
 pub fn serve<Handler>(address: &str, handler: Handler) -> Result<RunningServer>
 where
     Handler: Fn(Request) + Send + Sync + 'static,
@@ -79,54 +81,56 @@
     Ok(RunningServer { server, address, is_stopped, thread: Some(thread) })
 }
 
-/// Reads a request's whole body.
+/// Reads the complete body of a request, or the part received before the connection is lost.
 pub fn read_body(request: &mut Request) -> Vec<u8> {
     let mut body = Vec::new();
-    // A cut body is seen as what came of it; the parser then refuses it.
+    // If the body is truncated, the received part is returned, and JSON parsing rejects it.
     let _ = request.as_reader().read_to_end(&mut body);
     body
 }
 
-/// Reads a request's body as JSON.
+/// Parses the body of a request as JSON.
 pub fn read_json<T: DeserializeOwned>(request: &mut Request) -> Result<T> {
     Ok(serde_json::from_slice(&read_body(request))?)
 }
 
-/// Gets a request's header.
+/// Returns the value of a request header, or `None` if it is absent. Ignores the case of the name.
 pub fn header(request: &Request, name: &str) -> Option<String> {
     let found = request.headers().iter().find(|h| h.field.to_string().eq_ignore_ascii_case(name));
     found.map(|h| h.value.to_string())
 }
 
-/// Makes a response header from text that is known to be valid.
+/// Creates a response header from text that is known to be valid.
+///
+/// Panics on an invalid name or value.
 pub fn make_header(name: &str, value: &str) -> Header {
     Header::from_bytes(name.as_bytes(), value.as_bytes()).expect("a header in ASCII")
 }
 
-/// Answers with JSON.
+/// Sends `value` as a JSON response.
 pub fn reply_json<T: Serialize>(request: Request, status: u16, value: &T) {
     let text = serde_json::to_string(value).expect("stand-in messages have text keys");
     send_response(request, text_response(status, text));
 }
 
-/// Makes a JSON response from text.
+/// Creates a response from text that is already JSON.
 pub fn text_response(status: u16, text: String) -> Response<Cursor<Vec<u8>>> {
     Response::from_string(text)
         .with_status_code(status)
         .with_header(make_header("Content-Type", "application/json"))
 }
 
-/// Sends a response; a caller that has left is no fault of ours.
+/// Sends a response. Errors are ignored because the caller may have disconnected.
 pub fn send_response<R: Read>(request: Request, response: Response<R>) {
     let _ = request.respond(response);
 }
 
-/// Closes the connection without an answer.
+/// Closes the connection without sending a response.
 pub fn close_connection(request: Request) {
     drop(request.into_writer());
 }
 
-/// Splits a URL into its path and its query's members.
+/// Splits a URL into its path and its query parameters.
 pub fn split_url(url: &str) -> (String, HashMap<String, String>) {
     let (path, query) = url.split_once('?').unwrap_or((url, ""));
     let parameters = query.split('&').filter_map(|parameter| parameter.split_once('='));
--- a/crates/tidetrack-standin/src/lib.rs
+++ b/crates/tidetrack-standin/src/lib.rs
@@ -1,8 +1,9 @@
-//! Small stand-ins of the systems that tidetrack meets: object API, host list, model engine, plain
-//! service and rating service.
+//! Small stand-ins for the systems that tidetrack connects to: the platform with its object API and
+//! host list, a model engine, a plain service and a rating service.
 //!
-//! Each serves its protocol over HTTP from threads of the process that starts it, and misbehaves on
-//! demand through `POST /v1/faults`. They are for tests, measurements and the quickstart.
+//! Each stand-in serves its protocol over HTTP from threads of the process that starts it. All but
+//! the rating service inject the faults that `POST /v1/faults` sets. They are used by tests,
+//! measurements and the quickstart.
 
 #![forbid(unsafe_code)]
 #![warn(rust_2018_idioms)]
--- a/crates/tidetrack-standin/src/main.rs
+++ b/crates/tidetrack-standin/src/main.rs
@@ -1,4 +1,5 @@
-//! Runs one stand-in as a process: `tidetrack-standin KIND --listen IP:PORT [--set NAME=VALUE]`.
+//! Runs one stand-in as a process:
+//! `tidetrack-standin KIND --listen IP:PORT [--set NAME=VALUE]`.
 
 use anyhow::{anyhow, bail, Context, Result};
 use getopts::Options;
@@ -13,8 +14,8 @@
 fn main() -> Result<()> {
     let args: Vec<String> = std::env::args().collect();
     let mut options = Options::new();
-    options.optopt("", "listen", "address to serve (default 127.0.0.1:0)", "IP:PORT");
-    options.optmulti("", "set", "an option of the kind, in TOML", "NAME=VALUE");
+    options.optopt("", "listen", "address to listen on (default 127.0.0.1:0)", "IP:PORT");
+    options.optmulti("", "set", "sets an option of the stand-in, in TOML", "NAME=VALUE");
     options.optflag("h", "help", "print this help");
     let usage = options.usage(&format!("tidetrack-standin KIND [options]\n\nkinds: {KINDS}"));
     let matches = options.parse(&args[1..]).map_err(|e| anyhow!("{e}\n{usage}"))?;
@@ -33,7 +34,7 @@
         }
         "service" => Service::default().serve(&listen)?,
         "rater" => toml::from_str::<Rater>(&option_text).context("--set")?.serve(&listen)?,
-        _ => bail!("no kind {kind:?}; the kinds are {KINDS}\n{usage}"),
+        _ => bail!("unknown stand-in kind {kind:?}; expected one of {KINDS}\n{usage}"),
     };
     println!("{kind} {}", server.address());
     server.wait();
--- a/crates/tidetrack-standin/src/objects.rs
+++ b/crates/tidetrack-standin/src/objects.rs
@@ -1,5 +1,6 @@
-//! Stand-in of the platform: objects with versions, conditional updates and watches, with a rate
-//! limit, outages and lost replies on demand; and the lagging list of hosts.
+//! Stand-in for the platform. It stores versioned objects with conditional updates and watches, and
+//! serves a list of hosts that can be out of date. Rate limits, outages and lost replies can be
+//! injected.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Arc, Condvar, Mutex, MutexGuard};
@@ -14,44 +15,44 @@
 
 use crate::http::{self, RunningServer};
 
-/// Largest body of an object, in bytes.
+/// Maximum size of an object's body, in bytes.
 const MAX_BODY_BYTES: usize = 1 << 20;
 
-/// Changes kept for watches.
+/// Maximum number of recent changes that are retained for watches.
 const MAX_WATCH_CHANGES: usize = 100_000;
 
-/// How the stand-in misbehaves.
+/// Faults that the stand-in injects.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlatformFaults {
-    /// Every call fails.
+    /// Whether every call fails with status 503.
     pub down: bool,
-    /// Every call waits so long.
+    /// Delay of every call, in milliseconds.
     pub delay_ms: u64,
-    /// So many of the next writes take effect and lose their reply.
+    /// Number of upcoming writes that take effect, but whose connection is closed without a reply.
     pub lose_replies: u32,
-    /// The next conditional update finds that this body was written to its object right before.
+    /// Body that a conflicting write stores in an object just before the next conditional update.
     pub write_first: Option<String>,
-    /// Writes a second; 0 has no limit.
+    /// Maximum writes per second; 0 means no limit.
     pub writes_per_second: u32,
-    /// Reads a second; 0 has no limit.
+    /// Maximum reads per second, including watches; 0 means no limit.
     pub reads_per_second: u32,
-    /// The list of hosts is so old.
+    /// Age of the list of hosts that is served, in milliseconds.
     pub hosts_lag_ms: u64,
 }
 
-/// Calls counted by the stand-in.
+/// Counts of the calls that the stand-in received.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlatformCounts {
-    /// Gets and lists.
+    /// Reads other than watches: of objects, object lists and the list of hosts.
     pub reads: u64,
-    /// Watches.
+    /// Watch requests.
     pub watches: u64,
-    /// Writes and deletions.
+    /// Writes and deletions, including writes of the list of hosts.
     pub writes: u64,
-    /// Conditional updates that met another version.
+    /// Conditional updates refused because the object had another version.
     pub conflicts: u64,
-    /// Calls refused over the rate.
+    /// Calls refused because they exceeded the rate limit.
     pub busy: u64,
 }
 
@@ -67,14 +68,14 @@
     calls_in_window: (u32, u32),
 }
 
-/// The platform's state, shared with whoever started it.
+/// Handle of the platform; clones share its state.
 #[derive(Clone, Default)]
 pub struct Platform {
     shared: Arc<(Mutex<State>, Condvar)>,
 }
 
 impl Platform {
-    /// Serves the platform on `address`.
+    /// Starts serving the platform on `address`.
     pub fn serve(&self, address: &str) -> Result<RunningServer> {
         let platform = self.clone();
         http::serve(address, move |request| platform.handle(request))
@@ -84,23 +85,23 @@
         self.shared.0.lock().expect("no holder of the lock panics")
     }
 
-    /// Sets how it misbehaves.
+    /// Replaces the faults that the platform injects.
     pub fn set_faults(&self, faults: PlatformFaults) {
         self.lock().faults = faults;
         self.shared.1.notify_all();
     }
 
-    /// Gets the calls counted so far.
+    /// Returns the call counts so far.
     pub fn counts(&self) -> PlatformCounts {
         self.lock().counts
     }
 
-    /// Gets the names of the objects that begin with `prefix`.
+    /// Returns the names of the objects that begin with `prefix`, in sorted order.
     pub fn names(&self, prefix: &str) -> Vec<String> {
         self.lock().objects.keys().filter(|n| n.starts_with(prefix)).cloned().collect()
     }
 
-    /// Sets the list of hosts.
+    /// Sets the list of hosts, which is served once it is as old as the configured lag.
     pub fn set_hosts(&self, hosts: Vec<ListedHost>) {
         self.lock().host_lists.push((Instant::now(), hosts));
     }
@@ -142,7 +143,8 @@
         }
     }
 
-    /// Counts a call, waits as told, and refuses it if it must be.
+    /// Counts a call and applies the configured delay. Returns the HTTP status of the refusal if the
+    /// platform is down or the rate limit is exceeded.
     fn admit(&self, is_write: bool, is_watch: bool) -> Result<(), u16> {
         let delay = self.lock().faults.delay_ms;
         if delay > 0 {
@@ -200,7 +202,7 @@
             Err(_) => return http::reply_json(request, 400, &"not UTF-8"),
         };
         let Some(expected) = expected else {
-            return http::reply_json(request, 400, &"a write names the version it expects");
+            return http::reply_json(request, 400, &"a write must name the version it expects");
         };
         let (outcome, is_reply_lost) = self.write_object(name, expected, body);
         match outcome {
@@ -210,7 +212,8 @@
         }
     }
 
-    /// Writes or deletes an object; tells its new version and whether the reply gets lost.
+    /// Writes an object, or deletes it if `body` is `None`. Returns its new version, or `None` if the
+    /// object does not have the expected version, and whether the reply has to be dropped.
     fn write_object(&self, name: &str, expected: u64, body: Option<String>) -> (Option<u64>, bool) {
         let mut state = self.lock();
         if let Some(conflicting_body) = state.faults.write_first.take() {
@@ -249,7 +252,8 @@
             body: Some(body.clone()),
         };
         let matching = state.objects.iter().filter(|(n, _)| n.starts_with(prefix));
-        // A list of nothing is still taken at a revision, and 0 means "none yet".
+        // Revision 0 means that nothing has been read yet, so an empty list also gets a revision
+        // above 0.
         let revision = state.revision.max(1);
         let list = ObjectList { revision, objects: matching.map(to_stored_object).collect() };
         drop(state);
--- a/crates/tidetrack-standin/src/rater.rs
+++ b/crates/tidetrack-standin/src/rater.rs
@@ -1,5 +1,5 @@
-//! Stand-in of the rating service: it reads the true quality that the stand-in of the engine wrote
-//! into the answer, and adds noise drawn from the request's id.
+//! Stand-in for the rating service. It reads the true quality that the engine's stand-in writes into
+//! its response, and adds noise derived from a hash of the request's ID.
 
 use anyhow::Result;
 use serde::{Deserialize, Serialize};
@@ -10,13 +10,13 @@
 
 use crate::http::{self, RunningServer};
 
-/// How a rating service behaves.
+/// Options of the rating service.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Rater {
-    /// Half the width of the noise on each rating.
+    /// Maximum absolute noise added to a rating.
     pub noise: f64,
-    /// Milliseconds for one rating.
+    /// Duration of one rating, in milliseconds.
     pub delay_ms: u64,
 }
 
@@ -27,7 +27,7 @@
 }
 
 impl Rater {
-    /// Serves on `address`.
+    /// Starts serving on `address`.
     pub fn serve(self, address: &str) -> Result<RunningServer> {
         http::serve(address, move |request| self.handle(request))
     }
@@ -49,7 +49,7 @@
     }
 }
 
-/// Reads the quality out of an answer of the engine's stand-in.
+/// Parses the quality from a response of the engine's stand-in. Returns `None` if there is none.
 fn parse_quality(answer: &str) -> Option<f64> {
     let (_, after) = answer.split_once("q=")?;
     after.split(']').next()?.parse().ok()
--- a/crates/tidetrack-standin/src/service.rs
+++ b/crates/tidetrack-standin/src/service.rs
@@ -1,7 +1,7 @@
-//! Stand-in of a plain service: it counts how often each request ran.
+//! Stand-in for a plain service that counts how often each request ran.
 //!
-//! `POST` and `PUT` bodies name the request by their text; `GET` answers at once. `GET /v1/counts`
-//! tells how often each body ran.
+//! A `GET` request is counted under `GET` and its path, every other request under the text of its
+//! body. `GET /v1/counts` returns the counts.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -16,15 +16,15 @@
 
 use crate::http::{self, make_header, RunningServer};
 
-/// How a service misbehaves.
+/// Faults that the service injects.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ServiceFaults {
-    /// So many of the next calls run and lose their answer.
+    /// Number of upcoming calls that run, but whose connection is closed without a response.
     pub lose_next: u32,
-    /// So many of the next calls are refused before they run.
+    /// Number of upcoming calls that are refused before they run.
     pub refuse_next: u32,
-    /// Every call takes so long.
+    /// Duration of every call, in milliseconds.
     pub delay_ms: u64,
 }
 
@@ -34,14 +34,14 @@
     faults: ServiceFaults,
 }
 
-/// A service, shared with whoever started it.
+/// Handle of the service; clones share its state.
 #[derive(Clone, Default)]
 pub struct Service {
     state: Arc<Mutex<State>>,
 }
 
 impl Service {
-    /// Serves on `address`.
+    /// Starts serving on `address`.
     pub fn serve(&self, address: &str) -> Result<RunningServer> {
         let service = self.clone();
         http::serve(address, move |request| service.handle(request))
@@ -51,12 +51,12 @@
         self.state.lock().expect("no holder of the lock panics")
     }
 
-    /// Sets how it misbehaves.
+    /// Replaces the faults that the service injects.
     pub fn set_faults(&self, faults: ServiceFaults) {
         self.lock().faults = faults;
     }
 
-    /// Gets how often each request ran.
+    /// Returns how often each request ran, by the text of its body or by `GET` and its path.
     pub fn run_counts(&self) -> BTreeMap<String, u64> {
         self.lock().run_counts.clone()
     }
