--- a/crates/tidetrack-testkit/src/crashing_endpoint.rs
+++ b/crates/tidetrack-testkit/src/crashing_endpoint.rs
@@ -1,5 +1,5 @@
-//! An endpoint that crashes: all of its connections are closed, nobody listens at its address for a while, and it
-//! comes back as another life.
+//! An endpoint that crashes: all of its connections are closed, nothing listens on its address for a
+//! while, and then it starts again as a new incarnation.
 
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
@@ -7,38 +7,38 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// Body of a request that crashes the endpoints which run it.
+/// Body of a request that crashes each endpoint that runs it.
 pub const CRASHING_BODY: &str = "deadly";
 
-/// How long such a request runs before that.
+/// Time from the arrival of a crashing request to the crash.
 const CRASH_DELAY: Duration = Duration::from_millis(30);
 
-/// How long a usual request runs.
+/// Run time of a request that does not crash the endpoint.
 const RESPONSE_DELAY: Duration = Duration::from_millis(5);
 
-/// How long an endpoint is away after a crash.
+/// Time from a crash to the start of the next incarnation.
 const DOWNTIME: Duration = Duration::from_millis(900);
 
-/// Longest time until its address can be bound.
+/// Maximum time to retry binding an address that is in use.
 const BIND_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Pause between looks for a new connection.
+/// Interval between attempts to accept a connection or to bind the address.
 const POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// Number of an endpoint's life, from 1.
+/// Sequence number of an endpoint's incarnation, starting at 1.
 pub type Incarnation = usize;
 
 /// A request that reached an endpoint.
 #[derive(Clone, Debug, Default)]
 pub struct Request {
-    /// Headers, names in lower case.
+    /// Headers by name, in lower case.
     pub headers: HashMap<String, String>,
-    /// The body.
+    /// The body; requests without a `content-length` header have an empty one.
     pub body: String,
 }
 
 impl Request {
-    /// Gets a header, or nothing.
+    /// Returns the value of a header, or an empty string if it is absent.
     pub fn header(&self, name: &str) -> &str {
         self.headers.get(name).map_or("", String::as_str)
     }
@@ -47,28 +47,28 @@
 type ResponseFn = dyn Fn(&Request, Incarnation) -> String + Send + Sync;
 type IncarnationCallback = dyn Fn(Incarnation) + Send + Sync;
 
-/// What an endpoint does beside crashing.
+/// Configurable behavior of a crashing endpoint.
 pub struct EndpointBehavior {
-    /// Makes the whole answer to a request.
+    /// Creates the complete HTTP response to a request, including the status line and the headers.
     pub respond: Box<ResponseFn>,
-    /// Is told that a life begins.
+    /// Called when an incarnation starts.
     pub on_start: Box<IncarnationCallback>,
-    /// How long it listens on after its connections were closed.
+    /// How long the listener stays open after a crash has closed the connections.
     pub listener_linger: Duration,
-    /// Whether it answers deadly requests like others.
+    /// Whether the endpoint answers crashing requests instead of crashing.
     pub survives_crashing_requests: bool,
-    /// Is told that a life has ended, when the next one is about to begin.
+    /// Called with the incarnation that crashed, just before the next one starts.
     pub on_end: Box<IncarnationCallback>,
 }
 
-/// A request that came, and when.
+/// Record of a request that reached the endpoint.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// The attempt's id, where it has one.
+    /// The ID of the attempt, or an empty string if the request has none.
     pub attempt_id: String,
-    /// When.
+    /// When the request was received.
     pub received_at: Instant,
-    /// Whether it is one that crashes endpoints.
+    /// Whether the request crashes endpoints.
     pub is_crashing: bool,
 }
 
@@ -81,7 +81,7 @@
     crashes: Vec<Instant>,
 }
 
-/// A running endpoint.
+/// Handle of a running endpoint; clones share its state.
 #[derive(Clone)]
 pub struct CrashingEndpoint {
     address: String,
@@ -90,7 +90,7 @@
 }
 
 impl CrashingEndpoint {
-    /// Starts an endpoint at an address.
+    /// Starts an endpoint that listens on `address`.
     pub fn start(address: &str, behavior: EndpointBehavior) -> CrashingEndpoint {
         let behavior = Arc::new(behavior);
         let endpoint =
@@ -103,24 +103,24 @@
         self.state.lock().expect("no holder of the lock panics")
     }
 
-    /// Gets its address.
+    /// Returns the address of the endpoint.
     pub fn address(&self) -> &str {
         &self.address
     }
 
-    /// Gets what reached it.
+    /// Returns the requests that reached the endpoint, in order of arrival.
     pub fn arrivals(&self) -> Vec<Arrival> {
         self.state().arrivals.clone()
     }
 
-    /// Gets when it crashed under a deadly request.
+    /// Returns when the endpoint crashed because of a crashing request.
     pub fn crashes(&self) -> Vec<Instant> {
         self.state().crashes.clone()
     }
 
     fn start_incarnation(&self) {
         let listener = bind_with_retry(&self.address);
-        listener.set_nonblocking(true).expect("an option");
+        listener.set_nonblocking(true).expect("the socket accepts the option");
         let incarnation = {
             let mut state = self.state();
             state.incarnation += 1;
@@ -146,10 +146,11 @@
                 std::thread::sleep(POLL_INTERVAL);
                 continue;
             };
-            stream.set_nonblocking(false).expect("an option");
-            let stored_stream = stream.try_clone().expect("a second handle");
+            stream.set_nonblocking(false).expect("the socket accepts the option");
+            let stored_stream = stream.try_clone().expect("the socket can be duplicated");
             {
-                // A crash closes what it finds here, so a connection is added before it is served.
+                // A crash closes the connections in this list, so a connection is added before it is
+                // served.
                 let mut state = self.state();
                 if !state.is_up || state.incarnation != incarnation {
                     return;
@@ -161,7 +162,8 @@
         }
     }
 
-    /// Crashes, and comes back after a while.
+    /// Closes all connections and starts the next incarnation after `DOWNTIME`. Does nothing if the
+    /// endpoint is already down.
     pub fn crash(&self) {
         let incarnation = {
             let mut state = self.state();
@@ -170,7 +172,7 @@
             }
             state.is_up = false;
             for connection in std::mem::take(&mut state.connections) {
-                // Its other end may have closed it.
+                // The peer may have closed the connection already.
                 drop(connection.shutdown(Shutdown::Both));
             }
             state.incarnation
@@ -184,7 +186,7 @@
     }
 
     fn serve(&self, stream: TcpStream, incarnation: Incarnation) {
-        let mut reader = BufReader::new(stream.try_clone().expect("a second handle"));
+        let mut reader = BufReader::new(stream.try_clone().expect("the socket can be duplicated"));
         let mut writer = stream;
         while let Some(request) = read_request(&mut reader) {
             if !self.is_current_incarnation(incarnation) {
@@ -213,8 +215,9 @@
     }
 }
 
-/// Binds an address that is ours. A process that is being started holds a copy of each open socket for a moment, also of
-/// the one by which the address was found.
+/// Binds the address that is reserved for the endpoint and retries while it is in use. A child
+/// process that is being started briefly holds a copy of every open socket, including the one that
+/// was used to find the free address.
 fn bind_with_retry(address: &str) -> TcpListener {
     let deadline = Instant::now() + BIND_TIMEOUT;
     loop {
@@ -223,12 +226,12 @@
             Err(e) if e.kind() == ErrorKind::AddrInUse && Instant::now() < deadline => {
                 std::thread::sleep(POLL_INTERVAL);
             }
-            Err(e) => panic!("{address}: {e}"),
+            Err(e) => panic!("cannot listen on {address}: {e}"),
         }
     }
 }
 
-/// Reads a request; `None` at the end of the connection.
+/// Reads a request. Returns `None` if the connection ends or fails, or the body is not UTF-8.
 fn read_request(reader: &mut BufReader<TcpStream>) -> Option<Request> {
     let mut request = Request::default();
     loop {
--- a/crates/tidetrack-testkit/src/fleet.rs
+++ b/crates/tidetrack-testkit/src/fleet.rs
@@ -1,4 +1,6 @@
-//! A small fleet: stand-ins in this process, routers as processes, a proxy on every link.
+//! A small fleet for tests: stand-ins run in the current process and routers as child processes. By
+//! default there are proxies between the routers and the platform, between the hosts, and in front
+//! of the stable engine and the service.
 
 use std::path::{Path, PathBuf};
 
@@ -24,33 +26,35 @@
 use crate::proxy::Proxy;
 use crate::wait_for;
 
-/// The workspace's key.
+/// API key of the fleet's workspace.
 pub const KEY: &str = "caller-key";
-/// The operators' key.
+/// Key for the operators' requests.
 pub const OPERATOR_KEY: &str = "operator-key";
 
-/// How a fleet is made.
+/// Options of a fleet.
 #[derive(Clone, Debug)]
 pub struct FleetOptions {
-    /// Routers.
+    /// Number of routers.
     pub hosts: usize,
-    /// Failure domains that they stand in, in turn.
+    /// Number of failure domains; the routers are assigned to them round robin.
     pub domains: usize,
-    /// The old version's engine; its version is set by the fleet.
+    /// Options of the stable version's engine, and of the canary version's except for the quality.
+    /// The fleet sets the version.
     pub engine: EngineOptions,
-    /// Quality of the new version.
+    /// Quality of the canary version, from 0 to 1.
     pub canary_quality: f64,
-    /// Times of the routers.
+    /// Timeouts and intervals of the routers.
     pub times: Times,
-    /// Times of the routers' control state.
+    /// Options of the routers' control state.
     pub control: NodeOptions,
-    /// Threads of each router.
+    /// Number of threads of each router.
     pub threads: usize,
-    /// Requests a second of the workspace.
+    /// Rate limit of the workspace, in requests per second.
     pub requests_per_second: f64,
-    /// Whether hosts talk past the proxies, as measurements of bytes need.
+    /// Whether hosts reach the platform and each other without proxies, as byte measurements
+    /// require.
     pub bypasses_proxies: bool,
-    /// Further declarations.
+    /// Additional declarations in TOML.
     pub extra_declarations: String,
 }
 
@@ -71,36 +75,36 @@
     }
 }
 
-/// One host of a fleet with its proxies.
+/// A host of a fleet and its proxies.
 pub struct Host {
-    /// The process; absent while it is down.
+    /// The router process; `None` while it is down.
     pub process: Option<RouterProcess>,
-    /// Between this host and the object API.
+    /// Proxy from this host to the platform.
     pub platform_proxy: Proxy,
-    /// Between other hosts and this one.
+    /// Proxy from other hosts to the peer address of this host.
     pub peer_proxy: Proxy,
-    /// Between other hosts' passed-on calls and this one.
+    /// Proxy from other hosts to the caller address of this host, for forwarded calls.
     pub caller_proxy: Proxy,
     settings: Settings,
 }
 
 impl Host {
-    /// Gets the process.
+    /// Returns the router process. Panics if it is down.
     pub fn process(&self) -> &RouterProcess {
         self.process.as_ref().expect("the host is up")
     }
 
-    /// Gets a caller before this host.
+    /// Returns a caller that sends its requests to this host.
     pub fn caller(&self) -> Caller {
         Caller { host: self.process().caller_address.clone(), key: KEY.into() }
     }
 
-    /// Gets what the host shows of itself.
+    /// Fetches the status of the host, or returns `None` if the request fails.
     pub fn status(&self) -> Option<Status> {
         status::fetch_status(&self.process().caller_address, OPERATOR_KEY).ok()
     }
 
-    /// Ends the process at once.
+    /// Kills the process, if it is running, and waits for its exit.
     pub fn kill(&mut self) {
         if let Some(mut process) = self.process.take() {
             process.kill();
@@ -108,27 +112,27 @@
     }
 }
 
-/// A fleet with its stand-ins.
+/// A running fleet and its stand-ins.
 pub struct Fleet {
-    /// The platform.
+    /// The platform's stand-in.
     pub platform_standin: Platform,
-    /// A client of the platform, past all proxies.
+    /// Client of the platform that bypasses the proxies.
     pub platform_client: PlatformClient,
-    /// The engine of `model@1`.
+    /// The engine of `model@1`, the stable version.
     pub stable_engine: Engine,
-    /// Its address, past all proxies.
+    /// Address of the stable version's engine, which bypasses the proxy.
     pub stable_address: String,
-    /// The engine of `model@2`.
+    /// The engine of `model@2`, the canary version.
     pub canary_engine: Engine,
-    /// The plain service.
+    /// The stand-in for a plain service.
     pub service: Service,
-    /// Between the routers and the engine of `model@1`.
+    /// Proxy from the routers to the engine of `model@1`.
     pub stable_proxy: Proxy,
-    /// Between the routers and the plain service.
+    /// Proxy from the routers to the plain service.
     pub service_proxy: Proxy,
-    /// The hosts.
+    /// The hosts, including those that are down.
     pub hosts: Vec<Host>,
-    /// What is declared.
+    /// Objects that [`Fleet::apply`] writes to the platform.
     pub declared: DeclaredObjects,
     platform_address: String,
     rater_address: String,
@@ -191,7 +195,7 @@
 }
 
 impl Fleet {
-    /// Starts a fleet of `binary` processes and waits until every host is ready and knows all.
+    /// Starts a fleet of `binary` processes and waits until it has converged.
     pub fn start(binary: &Path, options: FleetOptions) -> Result<Fleet> {
         let platform_standin = Platform::default();
         let platform_server = platform_standin.serve("127.0.0.1:0")?;
@@ -245,7 +249,7 @@
         Ok(fleet)
     }
 
-    /// Applies what is declared.
+    /// Applies the declared objects to the platform. Returns the first write that failed.
     pub fn apply(&self) -> Result<()> {
         let lines = apply::diff(&self.platform_client, &self.declared, false)?;
         match apply::apply(&self.platform_client, &lines, &mut |_, _| {}).first_failure() {
@@ -282,7 +286,7 @@
         self.start_host(index)
     }
 
-    /// Starts a host's process, again if it was down.
+    /// Starts the process of a host and points the host's proxies at it.
     pub fn start_host(&mut self, index: usize) -> Result<()> {
         let host = &mut self.hosts[index];
         let process = RouterProcess::start(&self.binary, &host.settings, &self.dir)?;
@@ -292,7 +296,7 @@
         Ok(())
     }
 
-    /// Puts all hosts on the platform's list.
+    /// Publishes all hosts in the platform's list.
     pub fn publish_hosts(&self) {
         let to_listed_host = |host: &Host| ListedHost {
             name: host.settings.host.to_string(),
@@ -306,11 +310,12 @@
         self.platform_standin.set_hosts(self.hosts.iter().map(to_listed_host).collect());
     }
 
-    /// Waits until every running host is ready, knows all the others, and has the newest.
+    /// Waits until every running host regards all running hosts as live and has the newest
+    /// configuration revision of the fleet in force.
     pub fn wait_until_converged(&self) {
         let running_hosts: Vec<&Host> =
             self.hosts.iter().filter(|host| host.process.is_some()).collect();
-        wait_for("a whole fleet", || {
+        wait_for("a converged fleet", || {
             let statuses: Vec<Status> =
                 running_hosts.iter().map(|host| host.status()).collect::<Option<_>>()?;
             let newest_revision = statuses.iter().map(|s| s.in_force).max()?;
@@ -331,7 +336,7 @@
         }
     }
 
-    /// Gets the folder of settings and logs.
+    /// Returns the directory that contains the settings and logs of the routers.
     pub fn dir(&self) -> &Path {
         &self.dir
     }
@@ -343,7 +348,7 @@
         if std::thread::panicking() {
             eprintln!("the routers' logs are in {}", self.dir.display());
         } else {
-            // A folder that cannot be removed is one of the system's temporary ones.
+            // A directory that cannot be removed stays among the system's temporary files.
             let _ = std::fs::remove_dir_all(&self.dir);
         }
     }
--- a/crates/tidetrack-testkit/src/lib.rs
+++ b/crates/tidetrack-testkit/src/lib.rs
@@ -1,5 +1,5 @@
-//! What integration tests and measurements share: a fault-injecting TCP proxy, router processes, and
-//! a small fleet with its stand-ins.
+//! Support code shared by integration tests and measurements: a fault-injecting TCP proxy, router
+//! processes, an endpoint that crashes, and a small fleet with its stand-ins.
 
 #![forbid(unsafe_code)]
 #![warn(rust_2018_idioms)]
@@ -12,17 +12,21 @@
 
 use std::time::{Duration, Instant};
 
-/// How long a condition may take to come about before a test fails.
+/// Maximum time to wait for a condition before a test fails.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Waits until `poll` gives a value; panics with `condition` if it never does.
+/// Calls `poll` every 10 ms until it returns a value, and returns that value. Panics with the name of
+/// the `condition` if there is none within [`WAIT_TIMEOUT`].
 pub fn wait_for<T>(condition: &str, mut poll: impl FnMut() -> Option<T>) -> T {
     let deadline = Instant::now() + WAIT_TIMEOUT;
     loop {
         if let Some(value) = poll() {
             return value;
         }
-        assert!(Instant::now() < deadline, "{condition} did not come about in {WAIT_TIMEOUT:?}");
+        assert!(
+            Instant::now() < deadline,
+            "timed out after {WAIT_TIMEOUT:?} waiting for: {condition}"
+        );
         std::thread::sleep(Duration::from_millis(10));
     }
 }
--- a/crates/tidetrack-testkit/src/proxy.rs
+++ b/crates/tidetrack-testkit/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A TCP proxy that passes, delays, narrows, freezes or cuts what flows through it.
+//! A TCP proxy that forwards, delays, rate-limits, freezes or cuts its connections.
 
 use std::collections::HashMap;
 use std::io::{Read, Write};
@@ -9,50 +9,51 @@
 
 use anyhow::Result;
 
-/// What a proxy does with what flows through it.
+/// Fault that a proxy injects into its connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Fault {
-    /// Passes it on.
+    /// Forwards all data unchanged.
     #[default]
     None,
-    /// Passes it on after so many milliseconds.
+    /// Forwards each read of data after the given number of milliseconds.
     Delay(u64),
-    /// Passes answers on at so many bytes a second, which all connections share.
+    /// Limits responses to the given number of bytes per second, shared by all connections.
     SharedResponseRate(u64),
-    /// Passes on so many bytes a second, each connection and way by itself.
+    /// Limits each direction of each connection to the given number of bytes per second.
     ConnectionRate(u64),
-    /// Holds it back until told otherwise.
+    /// Holds all data back until another fault is set.
     Freeze,
-    /// Passes requests on and holds answers back until told otherwise.
+    /// Forwards requests and holds responses back until another fault is set.
     FreezeResponses,
-    /// Closes connections and refuses new ones.
+    /// Closes all connections, and new ones as soon as they are accepted.
     Cut,
-    /// Closes a connection once so many bytes came back from the target.
+    /// Closes a connection after it has forwarded the given number of response bytes.
     CutAfterResponseBytes(u64),
 }
 
-/// How often a frozen connection looks whether it may go on.
+/// Interval at which a held-back connection checks whether the fault has changed.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Bytes that a connection sends over a narrow link before the next one has its turn: some packets of
-/// 1,460 bytes, 3 ms of a link of 10 Mbit/s.
+/// Number of bytes that a connection sends over a rate-limited link before another connection can
+/// send: a few packets of 1,460 bytes, which take 3 ms on a link of 10 Mbit/s.
 const CHUNK_BYTES: usize = 4 << 10;
 
 struct Shared {
     target: Mutex<Option<String>>,
     fault: Mutex<Fault>,
-    /// Both sides of the connections under way, for a cut. One that ended gives its descriptors back: a
-    /// caller that sends as fast as it is answered opens some 500 a second.
+    /// Client and server streams of the open connections by connection ID, which a cut closes. A
+    /// connection that ends is removed to release its descriptors, because a caller that sends each
+    /// request right after the last response opens about 500 connections per second.
     open_connections: Mutex<HashMap<u64, [TcpStream; 2]>>,
-    /// Connections carried so far.
+    /// Number of connections so far, which is also the ID of the next one.
     connection_count: AtomicU64,
     is_stopped: AtomicBool,
     transferred_bytes: AtomicU64,
-    /// When the narrow link has sent all that was given to it.
+    /// When the rate-limited link will have sent all the data queued for it.
     link_free_at: Mutex<Instant>,
 }
 
-/// A running proxy; it stops when dropped.
+/// A running proxy, which stops when it is dropped.
 pub struct Proxy {
     address: SocketAddr,
     shared: Arc<Shared>,
@@ -88,24 +89,24 @@
         Ok(Proxy { address, shared })
     }
 
-    /// Starts a proxy before `target`.
+    /// Starts a proxy that forwards to `target`.
     pub fn with_target(target: &str) -> Result<Proxy> {
         let proxy = Proxy::start()?;
         proxy.set_target(target);
         Ok(proxy)
     }
 
-    /// Gets the address that it serves.
+    /// Returns the address on which the proxy listens, as `ip:port`.
     pub fn address(&self) -> String {
         self.address.to_string()
     }
 
-    /// Sets where connections go.
+    /// Sets the address to which new connections are forwarded.
     pub fn set_target(&self, target: &str) {
         *lock(&self.shared.target) = Some(target.to_string());
     }
 
-    /// Sets what it does from now on; a cut closes what is open.
+    /// Sets the fault that applies from now on. [`Fault::Cut`] closes the open connections.
     pub fn set_fault(&self, fault: Fault) {
         *lock(&self.shared.fault) = fault;
         *lock(&self.shared.link_free_at) = Instant::now();
@@ -113,13 +114,13 @@
             for stream in
                 lock(&self.shared.open_connections).drain().flat_map(|(_, streams)| streams)
             {
-                // The other side may have closed it already.
+                // The peer may have closed the connection already.
                 let _ = stream.shutdown(Shutdown::Both);
             }
         }
     }
 
-    /// Gets the bytes that went through, both ways.
+    /// Returns the number of bytes forwarded so far in both directions.
     pub fn transferred_bytes(&self) -> u64 {
         self.shared.transferred_bytes.load(Ordering::Relaxed)
     }
@@ -129,7 +130,7 @@
     fn drop(&mut self) {
         self.shared.is_stopped.store(true, Ordering::Release);
         self.set_fault(Fault::Cut);
-        // The accept loop wakes up, sees that it is over, and ends.
+        // This connection wakes the accept loop, which then ends because the proxy is stopped.
         let _ = TcpStream::connect(self.address);
     }
 }
@@ -149,7 +150,7 @@
         );
         let (Ok(client), Ok(server), Ok(client_copy), Ok(server_copy)) = clones else { return };
         for stream in [&source, &destination] {
-            // A socket that is closed already needs no option.
+            // The call fails only on a closed socket, which does not need the option.
             let _ = stream.set_nodelay(true);
         }
         let connection_id = self.connection_count.fetch_add(1, Ordering::Relaxed);
@@ -159,7 +160,7 @@
         std::thread::spawn(move || response_side.forward(connection_id, server, client, true));
     }
 
-    /// Copies one way of a connection until either way has ended.
+    /// Copies one direction of a connection until it ends, which also closes the other direction.
     fn forward(
         &self,
         connection_id: u64,
@@ -185,11 +186,12 @@
                 break;
             }
         }
-        // Both may be closed already.
+        // Both streams may be closed already.
         let _ = (source.shutdown(Shutdown::Both), destination.shutdown(Shutdown::Both));
     }
 
-    /// Sends bytes when their turn on the link has passed; tells whether they were taken.
+    /// Writes a chunk, delayed by the time that a rate-limited link takes to send it. Reports whether
+    /// the write succeeded.
     fn send(&self, chunk: &[u8], destination: &mut TcpStream, is_response: bool) -> bool {
         let fault = *lock(&self.fault);
         if let (Fault::SharedResponseRate(rate), true) = (fault, is_response) {
@@ -199,7 +201,7 @@
                 *link_free_at = Instant::now().max(*link_free_at) + send_time;
                 *link_free_at
             };
-            // A turn of a very narrow link may be longer than the fault lasts.
+            // At a very low rate, sending a chunk may take longer than the fault is set.
             while *lock(&self.fault) == fault {
                 let remaining = sent_at.saturating_duration_since(Instant::now());
                 if remaining.is_zero() {
@@ -211,7 +213,8 @@
         destination.write_all(chunk).is_ok()
     }
 
-    /// Waits as the fault says; gets how many of the bytes that came may pass before the connection ends.
+    /// Waits for as long as the fault requires. Returns how many of the received bytes may be forwarded;
+    /// fewer than received means that the connection is closed after them.
     fn allowed_bytes(
         &self,
         received_bytes: usize,
@@ -240,7 +243,8 @@
                 Fault::Freeze | Fault::FreezeResponses => std::thread::sleep(POLL_INTERVAL),
                 Fault::Cut => return 0,
                 Fault::CutAfterResponseBytes(_) if !is_response => return received_bytes,
-                // However much comes at once: a late reader finds more than the bound at its first look.
+                // One read can exceed the limit, because a proxy thread that is scheduled late receives
+                // more bytes at once. The bytes up to the limit are still forwarded.
                 Fault::CutAfterResponseBytes(max_bytes) => {
                     let remaining = usize::try_from(max_bytes.saturating_sub(forwarded_bytes));
                     return received_bytes.min(remaining.unwrap_or(usize::MAX));
