--- a/crates/tidetrack-load/src/caller.rs
+++ b/crates/tidetrack-load/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller: sends requests and reads what came back.
+//! A caller that sends requests to a host and reads the responses.
 
 use std::io::Read;
 
@@ -7,52 +7,54 @@
 use tidetrack_core::codes::Executed;
 use tidetrack_wire::headers;
 
-/// Seconds that a call may take.
+/// Timeout of a call, in seconds.
 const TIMEOUT_SECONDS: u64 = 60;
 
-/// An answer as a caller sees it.
+/// A response as the caller receives it.
 #[derive(Clone, Debug, Default)]
 pub struct Reply {
-    /// The HTTP status; 0 if there was no whole answer.
+    /// The HTTP status; 0 if the response head was not received.
     pub status: u16,
-    /// The headers.
+    /// The response headers as pairs of name and value.
     pub headers: Vec<(String, String)>,
-    /// The body as far as it came.
+    /// The body, as far as it was received.
     pub body: String,
-    /// Whether the body came to its end.
+    /// Whether the body was received to its end without an error.
     pub is_body_complete: bool,
 }
 
 impl Reply {
-    /// Gets a header.
+    /// Returns the value of a header, or an empty string if it is absent.
     pub fn header(&self, name: &str) -> &str {
         headers::find(&self.headers, name).unwrap_or_default()
     }
 
-    /// Gets the version that answered.
+    /// Returns the version that served the request, or an empty string.
     pub fn version(&self) -> &str {
         self.header(headers::VERSION)
     }
 
-    /// Gets the result code of a refusal.
+    /// Returns the result code of an error response, or an empty string. The error may also follow
+    /// the events of a stream.
     pub fn code(&self) -> String {
         let start = self.body.find("{\"error\"").unwrap_or(self.body.len());
         let refusal: Value = serde_json::from_str(self.body[start..].trim()).unwrap_or_default();
         refusal["error"]["code"].as_str().unwrap_or_default().to_string()
     }
 
-    /// Gets whether a refusal says that the request was run.
+    /// Returns whether the request was executed, as stated in an error response. `None` if the body is
+    /// not an error response.
     pub fn executed(&self) -> Option<Executed> {
         let refusal: Value = serde_json::from_str(&self.body).ok()?;
         serde_json::from_value(refusal["error"]["ran"].clone()).ok()
     }
 
-    /// Tells whether this is a whole streamed answer.
+    /// Reports whether this is a streamed response with status 200 that reached its end marker.
     pub fn is_complete_stream(&self) -> bool {
         self.status == 200 && self.body.trim_end().ends_with("data: [DONE]")
     }
 
-    /// Gets the text of a streamed or whole answer.
+    /// Returns the text of a streamed or non-streamed chat response.
     pub fn text(&self) -> String {
         if !self.body.starts_with("data:") {
             let whole: Value = serde_json::from_str(&self.body).unwrap_or_default();
@@ -65,17 +67,17 @@
     }
 }
 
-/// A caller with a workspace's key, before one host.
+/// A caller that uses the key of a workspace and sends its requests to one host.
 #[derive(Clone, Debug)]
 pub struct Caller {
-    /// `ip:port` of the host.
+    /// Address of the host, as `ip:port`.
     pub host: String,
-    /// The key.
+    /// API key of the workspace.
     pub key: String,
 }
 
 impl Caller {
-    /// Makes a request to a path.
+    /// Creates an authorized POST request to a path.
     pub fn post(&self, path: &str, body: impl Into<Vec<u8>>) -> minreq::Request {
         minreq::post(format!("http://{}{path}", self.host))
             .with_header("Authorization", format!("Bearer {}", self.key))
@@ -84,7 +86,7 @@
             .with_timeout(TIMEOUT_SECONDS)
     }
 
-    /// Makes a chat request.
+    /// Creates a chat request with one user message and at most `tokens` response tokens.
     pub fn chat_request(
         &self,
         route: &str,
@@ -97,7 +99,7 @@
         self.post("/v1/chat/completions", body.to_string())
     }
 
-    /// Asks for a ticket.
+    /// Requests a ticket from the host. Returns `None` if the host does not issue one.
     pub fn request_ticket(&self) -> Option<String> {
         let reply = send(self.post("/v1/tickets", "{}"));
         let response_json: Value = serde_json::from_str(&reply.body).ok()?;
@@ -105,7 +107,7 @@
     }
 }
 
-/// Sends a request and reads what comes, to the end or to where it was cut.
+/// Sends a request and reads the response to its end, or as far as it is received.
 pub fn send(request: minreq::Request) -> Reply {
     let Ok(mut response) = request.send_lazy() else { return Reply::default() };
     let mut body = Vec::new();
--- a/crates/tidetrack-load/src/lib.rs
+++ b/crates/tidetrack-load/src/lib.rs
@@ -1,4 +1,5 @@
-//! Load and experiments against a running fleet, with checks of the promises while it runs.
+//! Load generator for a running fleet that checks the router's guarantees while it runs, and a
+//! comparison of two reports.
 
 #![forbid(unsafe_code)]
 #![warn(rust_2018_idioms)]
--- a/crates/tidetrack-load/src/load.rs
+++ b/crates/tidetrack-load/src/load.rs
@@ -1,4 +1,4 @@
-//! Seeded mixes of requests, shaped like the users' workloads.
+//! Load made of seeded, random mixes of requests that resemble the users' workloads.
 
 use std::collections::BTreeMap;
 use std::io::Read;
@@ -15,29 +15,30 @@
 use crate::caller::{send, Caller, Reply};
 use crate::report::{Quantiles, Report};
 
-/// Requests of one conversation.
+/// Number of requests in one conversation.
 const REQUESTS_PER_CONVERSATION: usize = 4;
 
-/// How a load is made.
+/// Options of a load.
 #[derive(Clone, Debug)]
 pub struct LoadOptions {
-    /// Hosts, as `ip:port`.
+    /// Addresses of the hosts, as `ip:port`.
     pub hosts: Vec<String>,
-    /// The workspace's key.
+    /// API key of the workspace.
     pub key: String,
-    /// The route for chat requests.
+    /// Route of the chat requests.
     pub route: String,
-    /// The service and path for calls that must not be repeated, such as `lending/checkout`.
+    /// Service and path of calls that must not be repeated, such as `lending/checkout`. `None` makes
+    /// no such calls.
     pub non_repeatable_call: Option<String>,
-    /// Callers at a time.
+    /// Number of concurrent callers.
     pub callers: usize,
-    /// How long.
+    /// How long requests are started.
     pub duration: Duration,
-    /// The seed of what is asked.
+    /// Seed of the random requests.
     pub seed: u64,
 }
 
-/// What one kind of request looks like.
+/// Size and options of a chat request.
 struct RequestShape {
     prompt_chars: usize,
     max_tokens: u64,
@@ -80,7 +81,8 @@
     *counts.entry(name.to_string()).or_default() += 1;
 }
 
-/// Runs a load; `progress` is told of the requests answered so far, each second.
+/// Runs a load and returns its report. Calls `progress` every second with the elapsed seconds and the
+/// number of chat requests answered so far.
 pub fn run(load: &LoadOptions, progress: &(dyn Fn(u64, u64) + Sync)) -> Report {
     let histogram =
         || Histogram::new_with_bounds(1, 600_000_000, 3).expect("the bounds are in order");
@@ -148,7 +150,8 @@
     Caller { host, key: load.key.clone() }
 }
 
-/// Asks one question; gets the version and the session's token if it was answered.
+/// Sends a chat request and records its result. Returns the version and the session token if the
+/// response is complete.
 fn chat(
     load: &LoadOptions,
     marker: &str,
@@ -193,7 +196,7 @@
     Some((reply.version().to_string(), reply.header(headers::SESSION).to_string()))
 }
 
-/// Sends a request and times its first part and its end.
+/// Sends a request. Returns the response and the times to its first body bytes and to its end.
 fn send_timed(request: minreq::Request) -> (Reply, Duration, Duration) {
     let started_at = Instant::now();
     let Ok(mut response) = request.send_lazy() else {
@@ -213,7 +216,7 @@
     (reply, first_event_time, started_at.elapsed())
 }
 
-/// Holds a conversation over any hosts; its version must stay.
+/// Sends the requests of a conversation to random hosts and checks that its version stays the same.
 fn conversation(
     load: &LoadOptions,
     marker: &str,
@@ -235,7 +238,8 @@
     }
 }
 
-/// Makes a call that must not be repeated, and repeats it over other hosts with its ticket.
+/// Sends a call that must not be repeated twice with the same ticket, each time to a random host, and
+/// checks that it ran only once.
 fn call_twice_with_ticket(
     load: &LoadOptions,
     path: &str,
@@ -256,7 +260,7 @@
             200 => results.report.answered += 1,
             _ => increment(&mut results.report.codes, &reply.code()),
         }
-        // The stand-in of a service tells how often a body ran.
+        // The service's stand-in reports how often it ran a request with this body.
         let has_run_again = reply.status == 200 && !reply.body.contains("\"times\":1");
         if has_run_again {
             increment(&mut results.report.broken, "a call with a ticket ran again");
--- a/crates/tidetrack-load/src/report.rs
+++ b/crates/tidetrack-load/src/report.rs
@@ -1,46 +1,46 @@
-//! What came of a load, and how two of them compare.
+//! Report of a load and the comparison of two reports.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
 use serde::{Deserialize, Serialize};
 
-/// Quantiles of a time in milliseconds.
+/// Quantiles of a duration, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Quantiles {
     /// The median.
     pub p50: f64,
-    /// 95 in 100.
+    /// The 95th percentile.
     pub p95: f64,
-    /// 99 in 100.
+    /// The 99th percentile.
     pub p99: f64,
 }
 
-/// What came of a load.
+/// Results of a load.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// The seed.
+    /// Seed of the random requests.
     pub seed: u64,
     /// Requests sent.
     pub requests: u64,
-    /// Requests answered whole.
+    /// Requests with a complete, successful response.
     pub answered: u64,
-    /// Answered requests a second.
+    /// Successful responses per second.
     pub per_second: f64,
-    /// Time to the first event of a stream.
+    /// Time from the request to the first bytes of the response body of chat requests.
     pub first: Quantiles,
-    /// Time to the end.
+    /// Time from the request to the end of the response of chat requests.
     pub whole: Quantiles,
-    /// Answers by version.
+    /// Number of successful chat responses by version.
     pub versions: BTreeMap<String, u64>,
-    /// Refusals and failures by code.
+    /// Number of refused and failed requests by result code.
     pub codes: BTreeMap<String, u64>,
-    /// Broken promises, by name. Must be empty.
+    /// Number of violations by guarantee. Empty if all guarantees held.
     pub broken: BTreeMap<String, u64>,
 }
 
 impl Report {
-    /// Renders the report for a person.
+    /// Renders the report as human-readable text.
     pub fn render(&self) -> String {
         let mut out = String::new();
         let Report { seed, requests, answered, per_second, first, whole, .. } = self;
@@ -49,7 +49,7 @@
             out,
             "seed {seed}: {requests} requests, {answered} answered, {per_second:.1}/s"
         );
-        for (name, quantiles) in [("first event", first), ("whole answer", whole)] {
+        for (name, quantiles) in [("first bytes", first), ("complete", whole)] {
             let _ = writeln!(
                 out,
                 "{name:<13} p50 {:.1}  p95 {:.1}  p99 {:.1} ms",
@@ -67,7 +67,7 @@
     }
 }
 
-/// Renders two reports side by side.
+/// Renders two reports side by side, with the relative change of each figure.
 pub fn compare(before: &Report, after: &Report) -> String {
     let mut out = String::from("                     before      after   change\n");
     let mut row = |name: &str, before_value: f64, after_value: f64| {
@@ -78,13 +78,13 @@
             writeln!(out, "{name:<16} {before_value:>10.1} {after_value:>10.1} {change:>+7.1}%");
     };
     row("answered", before.answered as f64, after.answered as f64);
-    row("answered a s", before.per_second, after.per_second);
+    row("answered per s", before.per_second, after.per_second);
     row("first p50 ms", before.first.p50, after.first.p50);
     row("first p95 ms", before.first.p95, after.first.p95);
     row("first p99 ms", before.first.p99, after.first.p99);
-    row("whole p50 ms", before.whole.p50, after.whole.p50);
-    row("whole p99 ms", before.whole.p99, after.whole.p99);
-    row("broken", sum(&before.broken), sum(&after.broken));
+    row("complete p50 ms", before.whole.p50, after.whole.p50);
+    row("complete p99 ms", before.whole.p99, after.whole.p99);
+    row("violations", sum(&before.broken), sum(&after.broken));
     out
 }
 
