--- a/crates/tidetrack-quickstart/src/main.rs
+++ b/crates/tidetrack-quickstart/src/main.rs
@@ -1,5 +1,6 @@
-//! The main job in one process: stand-ins, two routers, two models, a roll-out, a lent book and a
-//! bill that adds up. Exits with 0 only if all of it held.
+//! Demonstrates tidetrack in a single process: starts stand-ins and two routers, sends requests to
+//! two models, rolls out a new version, calls a service that must run only once, and checks the bill.
+//! Exits with 0 only if every check passes.
 
 #![forbid(unsafe_code)]
 #![warn(rust_2018_idioms)]
@@ -28,23 +29,23 @@
 const WORKSPACES: &str = include_str!("../../../examples/library/workspaces.toml");
 const ROUTER: &str = include_str!("../../../examples/routers/router-1.toml");
 
-/// How long any one thing may take to come about.
+/// Maximum time to wait for a condition.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
 fn main() -> ExitCode {
     match run() {
         Ok(()) => {
-            println!("\nAll of it held.");
+            println!("\nAll checks passed.");
             ExitCode::SUCCESS
         }
         Err(e) => {
-            eprintln!("\nIt did not hold: {e:#}");
+            eprintln!("\nQuickstart failed: {e:#}");
             ExitCode::FAILURE
         }
     }
 }
 
-/// The stand-ins, kept running for as long as this lives.
+/// The stand-ins, which run until this value is dropped.
 struct StandIns {
     platform: RunningServer,
     objects: Platform,
@@ -106,7 +107,7 @@
     Router::start(settings, logging::silent())
 }
 
-/// Waits until `done` gives a value.
+/// Calls `poll` every 20 ms until it returns a value. Returns an error after [`WAIT_TIMEOUT`].
 fn wait_for<T>(condition: &str, mut poll: impl FnMut() -> Option<T>) -> Result<T> {
     let deadline = Instant::now() + WAIT_TIMEOUT;
     while Instant::now() < deadline {
@@ -115,7 +116,7 @@
         }
         std::thread::sleep(Duration::from_millis(20));
     }
-    bail!("{condition} did not come about in {WAIT_TIMEOUT:?}")
+    bail!("timed out after {WAIT_TIMEOUT:?} waiting for: {condition}")
 }
 
 fn post(router: &Router, path: &str, body: &Value) -> minreq::Request {
@@ -133,20 +134,26 @@
 
 fn header(response: &minreq::Response, name: &str) -> Result<String> {
     let found = headers::find(&response.headers, name);
-    Ok(found.with_context(|| format!("no {name} header"))?.to_string())
+    Ok(found.with_context(|| format!("the response has no {name} header"))?.to_string())
 }
 
-/// Asks and checks the answer; gets the version and the session's token.
+/// Sends a chat request and checks that it succeeds and that the response belongs to it. Returns the
+/// version and the session token.
 fn send_and_check(request: minreq::Request, text: &str) -> Result<(String, String)> {
     let response = request.send()?;
     let body = response.as_str()?.to_string();
-    ensure!(response.status_code == 200, "{} {body}", response.status_code);
-    ensure!(body.contains(&text[..text.len().min(20)]), "another's answer: {body}");
+    ensure!(response.status_code == 200, "unexpected status {}: {body}", response.status_code);
+    ensure!(
+        body.contains(&text[..text.len().min(20)]),
+        "response belongs to another request: {body}"
+    );
     Ok((header(&response, headers::VERSION)?, header(&response, headers::SESSION)?))
 }
 
 fn run() -> Result<()> {
-    println!("1. Stand-ins: object API, three engines, a lending service, a rating service.");
+    println!(
+        "1. Started stand-ins: object API, three engines, a lending service, a rating service."
+    );
     let standins = start_standins()?;
     let platform = PlatformClient::new(&standins.platform.address());
 
@@ -155,7 +162,10 @@
     if let Some(e) = applied.first_failure() {
         bail!(e);
     }
-    println!("2. Declared: {} objects accepted by the object API.", applied.done.len());
+    println!(
+        "2. Applied the declarations: the object API accepted {} objects.",
+        applied.done.len()
+    );
 
     let routers = [start_router(&standins, 1)?, start_router(&standins, 2)?];
     let to_listed_host = |(i, r): (usize, &Router)| ListedHost {
@@ -166,12 +176,12 @@
     };
     standins.objects.set_hosts(routers.iter().enumerate().map(to_listed_host).collect());
     for router in &routers {
-        wait_for("a ready router that knows the other", || {
+        wait_for("a ready router that has discovered the other one", || {
             let status = tidetrack_router::admin::status(router.shared()).ok()?;
             (status.in_force > 0 && status.members.len() == 2).then_some(())
         })?;
     }
-    println!("3. Two routers are ready, in two failure domains, and know each other.");
+    println!("3. Two routers are ready, in two failure domains, and have discovered each other.");
 
     let long_prompt = "Please explain the third chapter of the borrowed book. ".repeat(8);
     let tag_response = send_and_check(
@@ -184,7 +194,7 @@
     )?;
     ensure!(
         tag_response.0 == "tagger@1" && long_response.0 == "scholar@1",
-        "{tag_response:?} {long_response:?}"
+        "unexpected versions: tag {tag_response:?}, long question {long_response:?}"
     );
     println!(
         "4. The policy sent a short tag to {} and a long question to {}.",
@@ -197,7 +207,7 @@
     check_bill(platform, routers, roll_out_responses + 2)
 }
 
-/// Rolls `scholar@2` out under traffic; gets how many requests were answered.
+/// Rolls out `scholar@2` while requests are sent. Returns the number of requests that were answered.
 fn roll_out(
     standins: &StandIns,
     platform: &PlatformClient,
@@ -226,11 +236,11 @@
     let final_rollouts = tidetrack_router::admin::status(routers[0].shared())?.rollouts;
     ensure!(
         state.phase == RolloutPhase::Done,
-        "the roll-out ended {:?}: {final_rollouts:?}",
+        "the roll-out ended in phase {:?} instead of Done: {final_rollouts:?}",
         state.phase
     );
     println!("5. scholar@2 was rolled out in two stages under traffic: {by_version:?}.");
-    let canary_on_both = wait_for("the new version on both routers", || {
+    let canary_on_both = wait_for("the canary version on both routers", || {
         let versions = routers.iter().map(|r| {
             requests += 1;
             send_and_check(
@@ -246,42 +256,52 @@
     let (version, _) =
         send_and_check(session_request.with_header(headers::SESSION, session), long_prompt)?;
     ensure!(version == "scholar@1", "the session moved to {version}");
-    println!("   New work goes to scholar@2; the session begun before stays on {version}.");
-    ensure!(standins.objects.counts().conflicts < 50, "writers fought over the roll-out");
+    println!("   New sessions use scholar@2; the session started before stays on {version}.");
+    ensure!(
+        standins.objects.counts().conflicts < 50,
+        "too many write conflicts during the roll-out"
+    );
     Ok(requests + 1)
 }
 
-/// Lends one book through one router and repeats the call through the other.
+/// Sends the same checkout call three times through both routers with one ticket, and checks that the
+/// service runs it once.
 fn check_ticket(standins: &StandIns, routers: &[Router; 2]) -> Result<()> {
     let ticket_response: Value =
         serde_json::from_str(post(&routers[0], "/v1/tickets", &json!({})).send()?.as_str()?)?;
-    let ticket = ticket_response["ticket"].as_str().context("a ticket")?.to_string();
+    let ticket = ticket_response["ticket"]
+        .as_str()
+        .context("the response to /v1/tickets contains no ticket")?
+        .to_string();
     let checkout = json!({"book": "a tale of rivers"});
     for router in [&routers[1], &routers[0], &routers[1]] {
         let request = post(router, "/v1/services/lending/checkout", &checkout);
         let response = request.with_header(headers::TICKET, &ticket).send()?;
-        ensure!(response.status_code == 200, "{}", response.as_str()?);
+        ensure!(response.status_code == 200, "the checkout failed: {}", response.as_str()?);
     }
     let run_counts = standins.lending.run_counts();
-    ensure!(run_counts.values().sum::<u64>() == 1, "the checkout ran {run_counts:?} times");
-    println!("6. One book was lent: three calls with one ticket over two routers, one run.");
+    ensure!(
+        run_counts.values().sum::<u64>() == 1,
+        "the checkout must run exactly once, but the run counts are {run_counts:?}"
+    );
+    println!("6. Three checkout calls with one ticket through two routers ran the service once.");
     Ok(())
 }
 
-/// Stops the routers as planned and adds the ledger up.
+/// Stops the routers gracefully and checks that the bill covers every answered request.
 fn check_bill(
     platform: PlatformClient,
     routers: [Router; 2],
     answered_requests: u64,
 ) -> Result<()> {
     for router in routers {
-        ensure!(router.stop(), "a planned stop left something behind");
+        ensure!(router.stop(), "a router did not finish its work before it stopped");
     }
     let totals = bill::totals(&platform)?;
-    println!("7. Both routers stopped as planned. The bill:\n\n{}", bill::render(&totals));
+    println!("7. Both routers stopped gracefully. The bill:\n\n{}", bill::render(&totals));
     ensure!(
         totals.requests == answered_requests,
-        "{} billed, {answered_requests} answered",
+        "{} requests were billed, but {answered_requests} were answered",
         totals.requests
     );
     println!("   {answered_requests} requests were answered and {} billed.", totals.requests);
