--- a/crates/tidetrack-standin/src/http.rs
+++ b/crates/tidetrack-standin/src/http.rs
@@ -104,12 +104,12 @@
 ///
 /// Panics on an invalid name or value.
 pub fn make_header(name: &str, value: &str) -> Header {
-    Header::from_bytes(name.as_bytes(), value.as_bytes()).expect("a header in ASCII")
+    Header::from_bytes(name.as_bytes(), value.as_bytes()).expect("the header is valid ASCII")
 }
 
 /// Sends `value` as a JSON response.
 pub fn reply_json<T: Serialize>(request: Request, status: u16, value: &T) {
-    let text = serde_json::to_string(value).expect("stand-in messages have text keys");
+    let text = serde_json::to_string(value).expect("all map keys of the message are strings");
     send_response(request, text_response(status, text));
 }
 
