--- a/crates/tidetrack-load/src/report.rs
+++ b/crates/tidetrack-load/src/report.rs
@@ -49,7 +49,7 @@
             out,
             "seed {seed}: {requests} requests, {answered} answered, {per_second:.1}/s"
         );
-        for (name, quantiles) in [("first bytes", first), ("complete", whole)] {
+        for (name, quantiles) in [("first bytes", first), ("full response", whole)] {
             let _ = writeln!(
                 out,
                 "{name:<13} p50 {:.1}  p95 {:.1}  p99 {:.1} ms",
@@ -84,7 +84,7 @@
     row("first p99 ms", before.first.p99, after.first.p99);
     row("complete p50 ms", before.whole.p50, after.whole.p50);
     row("complete p99 ms", before.whole.p99, after.whole.p99);
-    row("violations", sum(&before.broken), sum(&after.broken));
+    row("broken", sum(&before.broken), sum(&after.broken));
     out
 }
 
