--- a/crates/tidetrack-bench/src/capacity.rs
+++ b/crates/tidetrack-bench/src/capacity.rs
@@ -1,21 +1,22 @@
-//! The tables of `docs/CAPACITY.md`, worked out from recorded slopes.
+//! The tables of `docs_dir/CAPACITY.md`, worked out from recorded slopes.
 //!
 //! The page's prose is written by hand; what stands between its markers is rendered here, and a test
 //! compares the two.
 
 use anyhow::{Context, Result};
 
-use crate::record::{docs, Record, Series};
+use crate::record::{docs_dir, Series, SeriesByName};
 
 /// Where the rendered part begins and ends.
 const MARKERS: (&str, &str) = ("<!-- measured: begin -->\n", "<!-- measured: end -->");
 
 /// Budgets of one host for control, from the users' first letter.
-pub const BUDGET: Use = Use { core: 1.7, bytes: 8_000.0, memory: 32.0 };
+pub const CONTROL_BUDGET: ResourceUse =
+    ResourceUse { core_percent: 1.7, bytes_per_second: 8_000.0, memory_mib: 32.0 };
 
 /// A deployment's size.
 #[derive(Clone, Copy, Debug)]
-pub struct Size {
+pub struct DeploymentSize {
     /// Name.
     pub name: &'static str,
     /// Entry hosts.
@@ -23,89 +24,89 @@
     /// Model replicas.
     pub replicas: f64,
     /// Requests a second over all hosts.
-    pub requests: f64,
+    pub requests_per_second: f64,
     /// Changes of the configuration a day.
-    pub changes: f64,
+    pub changes_per_day: f64,
     /// Seconds between segments of one host.
-    pub flush: f64,
+    pub flush_interval_s: f64,
 }
 
 /// Today's two sizes and the target. Today's requests and changes are assumed.
-pub const SIZES: [Size; 3] = [
-    Size {
+pub const SIZES: [DeploymentSize; 3] = [
+    DeploymentSize {
         name: "Kitab Bet",
         hosts: 9.0,
         replicas: 24.0,
-        requests: 100.0,
-        changes: 100.0,
-        flush: 5.0,
+        requests_per_second: 100.0,
+        changes_per_day: 100.0,
+        flush_interval_s: 5.0,
     },
-    Size {
+    DeploymentSize {
         name: "Resguardo",
         hosts: 7.0,
         replicas: 16.0,
-        requests: 60.0,
-        changes: 100.0,
-        flush: 5.0,
+        requests_per_second: 60.0,
+        changes_per_day: 100.0,
+        flush_interval_s: 5.0,
     },
-    Size {
+    DeploymentSize {
         name: "target",
         hosts: 540.0,
         replicas: 4_200.0,
-        requests: 26_000.0,
-        changes: 9_500.0,
-        flush: 60.0,
+        requests_per_second: 26_000.0,
+        changes_per_day: 9_500.0,
+        flush_interval_s: 60.0,
     },
 ];
 
 /// What one role uses on one host.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Use {
+pub struct ResourceUse {
     /// Percent of a core.
-    pub core: f64,
+    pub core_percent: f64,
     /// Bytes a second, sent and received.
-    pub bytes: f64,
+    pub bytes_per_second: f64,
     /// MiB.
-    pub memory: f64,
+    pub memory_mib: f64,
 }
 
 /// A role with what it uses, and whether it counts as control.
 struct Role {
     name: &'static str,
-    control: bool,
-    used: fn(&Slopes<'_>, &Size) -> Use,
+    is_control: bool,
+    resource_use: fn(&RecordedSlopes<'_>, &DeploymentSize) -> ResourceUse,
 }
 
 /// Bytes of a MiB.
 const MIB: f64 = 1_048_576.0;
 
 /// Members of JSON are kept at about this multiple of their bytes on the wire. Assumed.
-const KEPT_FACTOR: f64 = 4.0;
+const JSON_MEMORY_FACTOR: f64 = 4.0;
 
 /// Bytes of a bill while it is pending or held. Assumed: three small allocations.
-const BILL_KEPT: f64 = 400.0;
+const PENDING_BILL_BYTES: f64 = 400.0;
 
 /// Hosts with credits in a stage at half of the traffic, as a share of all.
-const PARTICIPANTS: f64 = 0.5;
+const ROLLOUT_HOST_SHARE: f64 = 0.5;
 
 /// Milliseconds between two tellings of a cell, for each host (`evidence_ms_a_host`).
-const EVIDENCE_MS_A_HOST: f64 = 150.0;
+const EVIDENCE_INTERVAL_PER_HOST_MS: f64 = 150.0;
 
 /// The proven version's cells are told so much more seldom.
-const PROVEN_FACTOR: f64 = 3.0;
+const STABLE_INTERVAL_FACTOR: f64 = 3.0;
 
 /// Link ends of a host: three opened and about three accepted.
-const LINK_ENDS: f64 = 6.0;
+const CONNECTIONS_PER_HOST: f64 = 6.0;
 
-struct Slopes<'a>(&'a Record);
+struct RecordedSlopes<'a>(&'a SeriesByName);
 
-impl Slopes<'_> {
+impl RecordedSlopes<'_> {
     fn series(&self, name: &str) -> &Series {
         self.0.get(name).unwrap_or_else(|| panic!("{name} is not recorded"))
     }
 
-    fn at(&self, name: &str, size: f64) -> f64 {
-        self.series(name).at(size)
+    fn estimate_at(&self, name: &str, size: f64) -> f64 {
+        self.series(name).estimate_at(size)
     }
 
     /// Gets the mean of the points, where the figure does not depend on the size.
@@ -116,164 +117,188 @@
 
     /// Gets the figure at a size, but never less than at the largest size measured: what falls with
     /// the size there is not taken to go on falling.
-    fn at_least_last(&self, name: &str, size: f64) -> f64 {
-        self.at(name, size).max(self.last(name))
+    fn at_least_last_measured(&self, name: &str, size: f64) -> f64 {
+        self.estimate_at(name, size).max(self.last_measured(name))
     }
 
     /// Gets the figure at the largest size measured.
-    fn last(&self, name: &str) -> f64 {
+    fn last_measured(&self, name: &str) -> f64 {
         self.series(name).points.last().map_or(0.0, |p| p.1)
     }
 }
 
-fn changes_a_second(size: &Size) -> f64 {
-    size.changes / 86_400.0
+fn changes_per_second(size: &DeploymentSize) -> f64 {
+    size.changes_per_day / 86_400.0
 }
 
-fn requests_a_host(size: &Size) -> f64 {
-    size.requests / size.hosts
+fn requests_per_host(size: &DeploymentSize) -> f64 {
+    size.requests_per_second / size.hosts
 }
 
 /// What a host does, and what each of it uses.
 const ROLES: [Role; 8] = [
     Role {
         name: "membership, beats, watch, load reads (measured together at rest)",
-        control: true,
-        used: |s, z| Use {
-            core: s.at_least_last("rest-core", z.hosts),
-            bytes: s.at_least_last("rest-bytes", z.hosts),
-            memory: s.at("members-bytes", z.hosts) * KEPT_FACTOR / MIB,
+        is_control: true,
+        resource_use: |slopes, size| ResourceUse {
+            core_percent: slopes.at_least_last_measured("rest-core", size.hosts),
+            bytes_per_second: slopes.at_least_last_measured("rest-bytes", size.hosts),
+            memory_mib: slopes.estimate_at("members-bytes", size.hosts) * JSON_MEMORY_FACTOR / MIB,
         },
     },
     Role {
         name: "configuration: spread, copy and view",
-        control: true,
-        used: |s, z| Use {
-            core: (s.at_least_last("change-core", z.hosts) / 1_000.0
-                + s.at("view-build", z.replicas) / 1e6)
-                * changes_a_second(z)
+        is_control: true,
+        resource_use: |slopes, size| ResourceUse {
+            core_percent: (slopes.at_least_last_measured("change-core", size.hosts) / 1_000.0
+                + slopes.estimate_at("view-build", size.replicas) / 1e6)
+                * changes_per_second(size)
                 * 100.0,
-            bytes: s.at_least_last("change-bytes", z.hosts) * changes_a_second(z),
-            memory: s.at("config-memory", z.replicas) / MIB,
+            bytes_per_second: slopes.at_least_last_measured("change-bytes", size.hosts)
+                * changes_per_second(size),
+            memory_mib: slopes.estimate_at("config-memory", size.replicas) / MIB,
         },
     },
     Role {
         name: "evidence of one running roll-out",
-        control: true,
-        used: |s, z| {
-            let cell = s.series("evidence-bytes").fit().slope;
-            let every = EVIDENCE_MS_A_HOST * z.hosts / 1_000.0;
-            let cells = z.hosts * (PARTICIPANTS + 1.0 / PROVEN_FACTOR) / every;
-            Use {
-                core: 0.0,
-                bytes: cells * cell * LINK_ENDS,
-                memory: z.hosts * 2.0 * cell * KEPT_FACTOR / MIB,
+        is_control: true,
+        resource_use: |slopes, size| {
+            let bytes_per_entry = slopes.series("evidence-bytes").fit().slope;
+            let report_interval_s = EVIDENCE_INTERVAL_PER_HOST_MS * size.hosts / 1_000.0;
+            let entries_per_second = size.hosts
+                * (ROLLOUT_HOST_SHARE + 1.0 / STABLE_INTERVAL_FACTOR)
+                / report_interval_s;
+            ResourceUse {
+                core_percent: 0.0,
+                bytes_per_second: entries_per_second * bytes_per_entry * CONNECTIONS_PER_HOST,
+                memory_mib: size.hosts * 2.0 * bytes_per_entry * JSON_MEMORY_FACTOR / MIB,
             }
         },
     },
     Role {
         name: "process at rest: program, threads, libraries",
-        control: true,
-        used: |s, z| Use { memory: s.at("resident", z.hosts), ..Use::default() },
+        is_control: true,
+        resource_use: |slopes, size| ResourceUse {
+            memory_mib: slopes.estimate_at("resident", size.hosts),
+            ..ResourceUse::default()
+        },
     },
     Role {
         name: "ledger: copies sent and held, segments",
-        control: false,
-        used: |s, z| Use {
-            core: 0.0,
-            bytes: requests_a_host(z)
-                * (2.0 * s.series("hold-bytes").fit().slope
-                    + s.series("segment-bytes").fit().slope),
-            memory: requests_a_host(z) * z.flush * 2.0 * BILL_KEPT / MIB,
+        is_control: false,
+        resource_use: |slopes, size| ResourceUse {
+            core_percent: 0.0,
+            bytes_per_second: requests_per_host(size)
+                * (2.0 * slopes.series("hold-bytes").fit().slope
+                    + slopes.series("segment-bytes").fit().slope),
+            memory_mib: requests_per_host(size) * size.flush_interval_s * 2.0 * PENDING_BILL_BYTES
+                / MIB,
         },
     },
     Role {
         name: "session tokens",
-        control: false,
-        used: |s, z| Use {
-            core: requests_a_host(z) * s.mean("session-read") / 1e6 * 100.0,
-            ..Use::default()
+        is_control: false,
+        resource_use: |slopes, size| ResourceUse {
+            core_percent: requests_per_host(size) * slopes.mean("session-read") / 1e6 * 100.0,
+            ..ResourceUse::default()
         },
     },
     Role {
         name: "placement",
-        control: false,
-        used: |s, z| Use {
-            core: requests_a_host(z) * s.at("pick", z.replicas) / 1e6 * 100.0,
-            ..Use::default()
+        is_control: false,
+        resource_use: |slopes, size| ResourceUse {
+            core_percent: requests_per_host(size) * slopes.estimate_at("pick", size.replicas) / 1e6
+                * 100.0,
+            ..ResourceUse::default()
         },
     },
     Role {
         name: "requests themselves: callers' and endpoints' side, 20 events each",
-        control: false,
-        used: |s, z| Use {
-            core: requests_a_host(z) * s.mean("path-core") / 1_000.0 * 100.0,
-            ..Use::default()
+        is_control: false,
+        resource_use: |slopes, size| ResourceUse {
+            core_percent: requests_per_host(size) * slopes.mean("path-core") / 1_000.0 * 100.0,
+            ..ResourceUse::default()
         },
     },
 ];
 
 /// Works out what control uses on a host of a deployment.
-pub fn control_total(record: &Record, size: &Size) -> Use {
-    let slopes = Slopes(record);
-    let mut total = Use::default();
-    for role in ROLES.iter().filter(|r| r.control) {
-        let used = (role.used)(&slopes, size);
-        total.core += used.core;
-        total.bytes += used.bytes;
-        total.memory += used.memory;
+pub fn total_control_use(record: &SeriesByName, size: &DeploymentSize) -> ResourceUse {
+    let slopes = RecordedSlopes(record);
+    let mut total = ResourceUse::default();
+    for role in ROLES.iter().filter(|r| r.is_control) {
+        let resource_use = (role.resource_use)(&slopes, size);
+        total.core_percent += resource_use.core_percent;
+        total.bytes_per_second += resource_use.bytes_per_second;
+        total.memory_mib += resource_use.memory_mib;
     }
     total
 }
 
 /// Calls on the object API, a second, over all hosts.
-pub fn platform_calls(record: &Record, size: &Size) -> [(&'static str, f64, f64); 4] {
-    let slopes = Slopes(record);
+pub fn object_api_calls(
+    record: &SeriesByName,
+    size: &DeploymentSize,
+) -> [(&'static str, f64, f64); 4] {
+    let slopes = RecordedSlopes(record);
     let domains = 4.0;
     // The series is measured in four domains; it does not grow with the hosts.
-    let rest = slopes.last("rest-reads");
-    let writes = size.hosts / size.flush;
-    let burst = slopes.last("change-reads").max(0.0) * 10.0;
-    let lost = size.hosts / domains;
+    let idle_reads = slopes.last_measured("rest-reads");
+    let writes = size.hosts / size.flush_interval_s;
+    let burst_reads = slopes.last_measured("change-reads").max(0.0) * 10.0;
+    let failed_hosts = size.hosts / domains;
     [
-        ("at rest", rest, writes),
-        ("in a burst of 10 changes a second", rest + burst, writes + 10.0),
+        ("at rest", idle_reads, writes),
+        ("in a burst of 10 changes a second", idle_reads + burst_reads, writes + 10.0),
         (
             "a failure domain lost: its segments written by holders within a flush",
-            rest,
-            writes + lost / size.flush,
+            idle_reads,
+            writes + failed_hosts / size.flush_interval_s,
+        ),
+        (
+            "after a long outage, all flush at once (bounded by retry with jitter)",
+            idle_reads,
+            size.hosts,
         ),
-        ("after a long outage, all flush at once (bounded by retry with jitter)", rest, size.hosts),
     ]
 }
 
 /// Renders the measured part of the page.
-pub fn render(record: &Record) -> String {
-    let slopes = Slopes(record);
+pub fn render(record: &SeriesByName) -> String {
+    let slopes = RecordedSlopes(record);
     let mut out = String::from("\n### Use on one host\n\n");
     for size in &SIZES {
-        let Size { name, hosts, replicas, requests, changes, .. } = size;
+        let DeploymentSize { name, hosts, replicas, requests_per_second, changes_per_day, .. } =
+            size;
         out.push_str(&format!(
-            "**{name}**: {hosts} hosts, {replicas} replicas, {requests} requests/s, {changes} changes a day\n\n\
+            "**{name}**: {hosts} hosts, {replicas} replicas, {requests_per_second} requests/s, {changes_per_day} changes a day\n\n\
              | role | core % | bytes/s | MiB |\n|---|---|---|---|\n"
         ));
         for role in &ROLES {
-            let u = (role.used)(&slopes, size);
-            let kind = if role.control { "" } else { " (traffic)" };
+            let resource_use = (role.resource_use)(&slopes, size);
+            let suffix = if role.is_control { "" } else { " (traffic)" };
             out.push_str(&format!(
-                "| {}{kind} | {:.3} | {:.0} | {:.2} |\n",
-                role.name, u.core, u.bytes, u.memory
+                "| {}{suffix} | {:.3} | {:.0} | {:.2} |\n",
+                role.name,
+                resource_use.core_percent,
+                resource_use.bytes_per_second,
+                resource_use.memory_mib
             ));
         }
-        let total = control_total(record, size);
+        let total = total_control_use(record, size);
         out.push_str(&format!(
             "| **control in all** | **{:.2}** of {} | **{:.0}** of {:.0} | **{:.1}** of {} |\n\n",
-            total.core, BUDGET.core, total.bytes, BUDGET.bytes, total.memory, BUDGET.memory
+            total.core_percent,
+            CONTROL_BUDGET.core_percent,
+            total.bytes_per_second,
+            CONTROL_BUDGET.bytes_per_second,
+            total.memory_mib,
+            CONTROL_BUDGET.memory_mib
         ));
     }
     out.push_str("### Calls on the object API, all hosts, a second\n\n| case | deployment | reads | writes |\n|---|---|---|---|\n");
     for size in &SIZES {
-        for (case, reads, writes) in platform_calls(record, size) {
+        for (case, reads, writes) in object_api_calls(record, size) {
             out.push_str(&format!("| {case} | {} | {reads:.1} | {writes:.1} |\n", size.name));
         }
     }
@@ -284,7 +309,7 @@
         let target = match s.size.as_str() {
             "hosts" => SIZES[2].hosts,
             "replicas" => SIZES[2].replicas,
-            _ => s.largest(),
+            _ => s.max_size(),
         };
         out.push_str(&format!(
             "| `{name}` (`{}`) | {} | {} | {} | {:.4} + {:.6} x | {:.1} times |\n",
@@ -292,9 +317,9 @@
             s.unit,
             s.size,
             points.join(", "),
-            line.base,
+            line.intercept,
             line.slope,
-            target / s.largest()
+            target / s.max_size()
         ));
     }
     out.push('\n');
@@ -302,7 +327,7 @@
 }
 
 /// Gets the page with its measured part rendered anew.
-pub fn page(text: &str, record: &Record) -> Result<String> {
+pub fn render_page(text: &str, record: &SeriesByName) -> Result<String> {
     let (before, rest) = text.split_once(MARKERS.0).context("the begin marker")?;
     let (_, after) = rest.split_once(MARKERS.1).context("the end marker")?;
     Ok(format!("{before}{}{}{}{after}", MARKERS.0, render(record), MARKERS.1))
@@ -310,11 +335,11 @@
 
 /// Reads the page.
 pub fn read_page() -> Result<String> {
-    Ok(std::fs::read_to_string(docs().join("CAPACITY.md"))?)
+    Ok(std::fs::read_to_string(docs_dir().join("CAPACITY.md"))?)
 }
 
 /// Writes the page with its measured part rendered anew.
-pub fn write_page(record: &Record) -> Result<()> {
-    let text = page(&read_page()?, record)?;
-    Ok(std::fs::write(docs().join("CAPACITY.md"), text)?)
+pub fn write_page(record: &SeriesByName) -> Result<()> {
+    let text = render_page(&read_page()?, record)?;
+    Ok(std::fs::write(docs_dir().join("CAPACITY.md"), text)?)
 }
--- a/crates/tidetrack-bench/src/control.rs
+++ b/crates/tidetrack-bench/src/control.rs
@@ -9,29 +9,29 @@
 use tidetrack_testkit::fleet::{Fleet, FleetOptions};
 use tidetrack_wire::platform::config_object_name;
 
-use crate::record::{Gather, Record};
+use crate::record::{SeriesByName, SeriesCollector};
 
 const COMMAND: &str = "tidetrack-bench control";
 
 /// Time for a fleet to come to rest.
-const SETTLE: Duration = Duration::from_secs(12);
+const SETTLE_TIME: Duration = Duration::from_secs(12);
 
 /// Length of one measurement.
-const SPAN: Duration = Duration::from_secs(10);
+const MEASUREMENT_TIME: Duration = Duration::from_secs(10);
 
 /// Changes whose spread is timed.
-const CHANGES: usize = 12;
+const TIMED_CHANGES: usize = 12;
 
 /// Pause between changes while their bytes are counted.
-const CHANGE_GAP: Duration = Duration::from_millis(500);
+const CHANGE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Ticks of processor time in a second.
-const TICKS: f64 = 100.0;
+const TICKS_PER_SECOND: f64 = 100.0;
 
 /// Finds the router beside this program.
 pub fn router_binary() -> Result<PathBuf> {
-    let own = std::env::current_exe()?;
-    let path = own.parent().context("a folder")?.join("tidetrack-router");
+    let executable = std::env::current_exe()?;
+    let path = executable.parent().context("a folder")?.join("tidetrack-router");
     anyhow::ensure!(path.exists(), "build tidetrack-router first: {}", path.display());
     Ok(path)
 }
@@ -45,45 +45,46 @@
     Ok(fields[9].parse()?)
 }
 
-struct Sample {
-    ticks: u64,
+struct ResourceSample {
+    cpu_ticks: u64,
     bytes: u64,
     reads: u64,
-    at: Instant,
+    taken_at: Instant,
 }
 
-fn sample(fleet: &Fleet) -> Result<Sample> {
-    let ticks: Result<Vec<u64>> =
+fn take_sample(fleet: &Fleet) -> Result<ResourceSample> {
+    let cpu_ticks: Result<Vec<u64>> =
         fleet.hosts.iter().map(|h| h.process().processor_ticks()).collect();
     let counts = fleet.objects.counts();
-    Ok(Sample {
-        ticks: ticks?.iter().sum(),
+    Ok(ResourceSample {
+        cpu_ticks: cpu_ticks?.iter().sum(),
         bytes: loopback_bytes()?,
         reads: counts.reads + counts.watches,
-        at: Instant::now(),
+        taken_at: Instant::now(),
     })
 }
 
-struct Rates {
+struct ResourceRates {
     core_percent: f64,
     bytes: f64,
     reads: f64,
 }
 
 /// Works out what one host used between two samples.
-fn rates(hosts: usize, from: &Sample, to: &Sample) -> Rates {
-    let seconds = (to.at - from.at).as_secs_f64();
-    let each = seconds * hosts as f64;
-    Rates {
-        core_percent: (to.ticks - from.ticks) as f64 / TICKS / each * 100.0,
+fn resource_rates(hosts: usize, from: &ResourceSample, to: &ResourceSample) -> ResourceRates {
+    let seconds = (to.taken_at - from.taken_at).as_secs_f64();
+    let host_seconds = seconds * hosts as f64;
+    ResourceRates {
+        core_percent: (to.cpu_ticks - from.cpu_ticks) as f64 / TICKS_PER_SECOND / host_seconds
+            * 100.0,
         // Every byte on the loopback is sent by one end and received by the other.
-        bytes: (to.bytes - from.bytes) as f64 * 2.0 / each,
+        bytes: (to.bytes - from.bytes) as f64 * 2.0 / host_seconds,
         reads: (to.reads - from.reads) as f64 / seconds,
     }
 }
 
 /// Changes an object that no decision rests on; gets the new revision.
-fn change(fleet: &Fleet, text: &str) -> Result<u64> {
+fn write_change(fleet: &Fleet, text: &str) -> Result<u64> {
     let key = ObjectKey::new(ObjectKind::Model, "model");
     let there = fleet.platform.fetch(&config_object_name(&key))?;
     let mut object = Object::from_json(ObjectKind::Model, &there.body.unwrap_or_default())?;
@@ -94,14 +95,14 @@
 }
 
 /// Times the spread of one change; gets milliseconds for each host.
-fn spread(fleet: &Fleet, text: &str) -> Result<Vec<f64>> {
+fn measure_propagation(fleet: &Fleet, text: &str) -> Result<Vec<f64>> {
     let from = Instant::now();
-    let revision = change(fleet, text)?;
-    let mut waiting: Vec<usize> = (0..fleet.hosts.len()).collect();
+    let revision = write_change(fleet, text)?;
+    let mut pending_hosts: Vec<usize> = (0..fleet.hosts.len()).collect();
     let mut times = Vec::new();
-    while !waiting.is_empty() {
+    while !pending_hosts.is_empty() {
         anyhow::ensure!(from.elapsed() < Duration::from_secs(30), "a change did not spread");
-        waiting.retain(|h| {
+        pending_hosts.retain(|h| {
             let there = fleet.hosts[*h].status().is_some_and(|s| s.in_force >= revision);
             if there {
                 times.push(from.elapsed().as_secs_f64() * 1_000.0);
@@ -113,9 +114,9 @@
 }
 
 /// Measures fleets of the given sizes.
-pub fn run(sizes: &[usize]) -> Result<Record> {
+pub fn run(sizes: &[usize]) -> Result<SeriesByName> {
     let binary = router_binary()?;
-    let mut gather = Gather::default();
+    let mut collector = SeriesCollector::default();
     for hosts in sizes {
         eprintln!("control: {hosts} hosts");
         let options = FleetOptions {
@@ -126,54 +127,62 @@
             ..FleetOptions::default()
         };
         let fleet = Fleet::start(&binary, options)?;
-        measure(&fleet, &mut gather)?;
+        measure(&fleet, &mut collector)?;
     }
-    Ok(gather.into_record())
+    Ok(collector.into_record())
 }
 
-fn measure(fleet: &Fleet, gather: &mut Gather) -> Result<()> {
+fn measure(fleet: &Fleet, collector: &mut SeriesCollector) -> Result<()> {
     let hosts = fleet.hosts.len();
     let n = hosts as f64;
-    std::thread::sleep(SETTLE);
-    let from = sample(fleet)?;
-    std::thread::sleep(SPAN);
-    let to = sample(fleet)?;
-    let rest = rates(hosts, &from, &to);
+    std::thread::sleep(SETTLE_TIME);
+    let from = take_sample(fleet)?;
+    std::thread::sleep(MEASUREMENT_TIME);
+    let to = take_sample(fleet)?;
+    let idle_rates = resource_rates(hosts, &from, &to);
     let resident: Result<Vec<u64>> =
         fleet.hosts.iter().map(|h| h.process().resident_kib()).collect();
     let resident = resident?.iter().sum::<u64>() as f64 / n / 1024.0;
 
-    let from = sample(fleet)?;
+    let from = take_sample(fleet)?;
     let mut changes = 0;
-    while from.at.elapsed() < SPAN {
-        change(fleet, &format!("change {changes}"))?;
+    while from.taken_at.elapsed() < MEASUREMENT_TIME {
+        write_change(fleet, &format!("change {changes}"))?;
         changes += 1;
-        std::thread::sleep(CHANGE_GAP);
+        std::thread::sleep(CHANGE_INTERVAL);
     }
-    let to = sample(fleet)?;
-    let busy = rates(hosts, &from, &to);
-    let per_second = f64::from(changes) / (to.at - from.at).as_secs_f64();
+    let to = take_sample(fleet)?;
+    let changing_rates = resource_rates(hosts, &from, &to);
+    let per_second = f64::from(changes) / (to.taken_at - from.taken_at).as_secs_f64();
 
     let mut times = Vec::new();
-    for i in 0..CHANGES {
-        times.extend(spread(fleet, &format!("timed {i}"))?);
+    for i in 0..TIMED_CHANGES {
+        times.extend(measure_propagation(fleet, &format!("timed {i}"))?);
     }
     times.sort_by(f64::total_cmp);
-    let mut point = |name: &str, unit: &str, figure: f64| {
-        gather.point(name, (unit, "hosts", COMMAND), n, figure);
+    let mut add_point = |name: &str, unit: &str, value: f64| {
+        collector.add_point(name, (unit, "hosts", COMMAND), n, value);
     };
-    point("rest-core", "% of a core", rest.core_percent);
-    point("rest-bytes", "bytes/s a host", rest.bytes);
-    point("rest-reads", "object API reads/s in all", rest.reads);
-    point("resident", "MiB", resident);
-    point("change-bytes", "bytes a host and change", (busy.bytes - rest.bytes) / per_second);
-    point(
+    add_point("rest-core", "% of a core", idle_rates.core_percent);
+    add_point("rest-bytes", "bytes/s a host", idle_rates.bytes);
+    add_point("rest-reads", "object API reads/s in all", idle_rates.reads);
+    add_point("resident", "MiB", resident);
+    add_point(
+        "change-bytes",
+        "bytes a host and change",
+        (changing_rates.bytes - idle_rates.bytes) / per_second,
+    );
+    add_point(
         "change-core",
         "core ms a host and change",
-        (busy.core_percent - rest.core_percent) / per_second * 10.0,
+        (changing_rates.core_percent - idle_rates.core_percent) / per_second * 10.0,
+    );
+    add_point(
+        "change-reads",
+        "object API reads a change",
+        (changing_rates.reads - idle_rates.reads) / per_second,
     );
-    point("change-reads", "object API reads a change", (busy.reads - rest.reads) / per_second);
-    point("in-force-median", "ms", times[times.len() / 2]);
-    point("in-force-worst", "ms", times[times.len() - 1]);
+    add_point("in-force-median", "ms", times[times.len() / 2]);
+    add_point("in-force-worst", "ms", times[times.len() - 1]);
     Ok(())
 }
--- /dev/null
+++ b/crates/tidetrack-bench/src/endpoint_model.rs
@@ -0,0 +1,348 @@
+//! Modelled endpoints on virtual time: batching, prefix caches, reports that lag, some degraded.
+
+use std::cmp::Reverse;
+use std::collections::{BinaryHeap, VecDeque};
+use std::sync::Arc;
+
+use hdrhistogram::Histogram;
+use rand::rngs::StdRng;
+use rand::{RngExt, SeedableRng};
+
+use tidetrack_core::placement::{
+    request_work, ring_position_of, EndpointState, PlacementRequest, PoolEndpoint, PoolView,
+};
+use tidetrack_core::units::{Millis, Tokens};
+
+/// Slots of an endpoint.
+const SLOTS: usize = 8;
+
+/// Microseconds of one answer token.
+const TOKEN_US: u64 = 20_000;
+
+/// Microseconds of one prompt token that is not cached.
+const PREFILL_US: u64 = 60;
+
+/// A cached prompt costs one part in so many.
+const CACHED_PREFILL_DIVISOR: u64 = 10;
+
+/// Prefixes that an endpoint's cache holds.
+const CACHE_CAPACITY: usize = 24;
+
+/// A degraded endpoint is slower by this factor.
+const SLOWDOWN_FACTOR: u64 = 4;
+
+/// Reports are read this often and are so old by then, in microseconds.
+const REPORT_INTERVAL_AND_AGE_US: (u64, u64) = (1_000_000, 500_000);
+
+/// How a request is placed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum PlacementStrategy {
+    /// The router's own.
+    Tidetrack,
+    /// The router's own, without early refusals.
+    Unbounded,
+    /// Each host in turn.
+    RoundRobin,
+    /// The least loaded by the last report.
+    LeastReported,
+    /// The better of two drawn, by the last report.
+    RandomOfTwo,
+}
+
+/// How a run is made.
+#[derive(Clone, Debug)]
+pub struct SimulationConfig {
+    /// The seed.
+    pub seed: u64,
+    /// Entry hosts.
+    pub hosts: usize,
+    /// Endpoints.
+    pub endpoints: usize,
+    /// Whether half of them are degraded.
+    pub degraded: bool,
+    /// Requests a second over what the endpoints can do in a second.
+    pub load: f64,
+    /// Requests.
+    pub requests: usize,
+    /// A first token after so many milliseconds is too late.
+    pub deadline_ms: u64,
+    /// How requests are placed.
+    pub strategy: PlacementStrategy,
+}
+
+/// What came of a run.
+#[derive(Clone, Debug)]
+pub struct SimulationOutcome {
+    /// Milliseconds to the first token.
+    pub first_token_ms: Histogram<u64>,
+    /// Answers in time, a second.
+    pub goodput: f64,
+    /// Requests refused before anything ran.
+    pub refused_requests: usize,
+    /// Answers that came too late.
+    pub late_responses: usize,
+}
+
+struct Request {
+    host: usize,
+    arrived_us: u64,
+    prefix: usize,
+    prompt_tokens: u64,
+    response_tokens: u64,
+}
+
+#[derive(Default)]
+struct Endpoint {
+    slowdown: u64,
+    running: usize,
+    pending: VecDeque<usize>,
+    cache: VecDeque<usize>,
+    outstanding_work: u64,
+    work_history: VecDeque<(u64, u64)>,
+}
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+enum Event {
+    Arrival(usize),
+    Completion(usize, usize),
+    Report,
+}
+
+struct Host {
+    pool: PoolView,
+    reported: Vec<u64>,
+    next_endpoint: usize,
+}
+
+fn build_hosts(config: &SimulationConfig) -> Vec<Host> {
+    let endpoint = |i| PoolEndpoint {
+        id: format!("e{i}").parse().expect("an endpoint"),
+        address: String::new(),
+        failure_domain: "d".parse().expect("a failure domain"),
+        state: Arc::new(EndpointState::default()),
+    };
+    let slots = if config.strategy == PlacementStrategy::Unbounded { 0 } else { SLOTS as u32 };
+    let host = |h| Host {
+        pool: PoolView::new((0..config.endpoints).map(endpoint).collect(), slots),
+        reported: vec![0; config.endpoints],
+        next_endpoint: h,
+    };
+    (0..config.hosts).map(host).collect()
+}
+
+fn generate_requests(config: &SimulationConfig, rng: &mut StdRng) -> Vec<Request> {
+    // A mean request: 1,000 prompt tokens half of them cached, 60 answer tokens.
+    let speed: f64 = (0..config.endpoints)
+        .map(|i| if config.degraded && i % 2 == 0 { 1.0 / SLOWDOWN_FACTOR as f64 } else { 1.0 })
+        .sum();
+    let mean_us = 1_000.0 * 0.55 * PREFILL_US as f64 + 60.0 * TOKEN_US as f64;
+    let rate = speed * SLOTS as f64 * 1e6 / mean_us * config.load;
+    let mut now = 0.0;
+    let request = |_| {
+        now += -(1.0 - rng.random::<f64>()).ln() / rate * 1e6;
+        // Few prefixes are met often; one request in ten is a long history.
+        let prefix = (200.0 * rng.random::<f64>().powi(3)) as usize;
+        let is_long = rng.random_range(0..10) == 0;
+        Request {
+            host: rng.random_range(0..config.hosts),
+            arrived_us: now as u64,
+            prefix,
+            prompt_tokens: if is_long { 6_000 } else { 440 },
+            response_tokens: if is_long { 150 } else { 50 },
+        }
+    };
+    (0..config.requests).map(request).collect()
+}
+
+/// The world of one run.
+struct Simulation<'a> {
+    config: &'a SimulationConfig,
+    hosts: Vec<Host>,
+    endpoints: Vec<Endpoint>,
+    requests: Vec<Request>,
+    pending: BinaryHeap<Reverse<(u64, u64, Event)>>,
+    next_sequence: u64,
+    rng: StdRng,
+    outcome: SimulationOutcome,
+    responses_in_time: usize,
+    last_event_us: u64,
+}
+
+/// Carries a run out.
+pub fn simulate(config: &SimulationConfig) -> SimulationOutcome {
+    let mut rng = StdRng::seed_from_u64(config.seed);
+    let requests = generate_requests(config, &mut rng);
+    let endpoint = |i| Endpoint {
+        slowdown: if config.degraded && i % 2 == 0 { SLOWDOWN_FACTOR } else { 1 },
+        ..Endpoint::default()
+    };
+    let first_token_ms =
+        Histogram::new_with_bounds(1, 10_000_000, 3).expect("the bounds are in order");
+    let mut simulation = Simulation {
+        config,
+        hosts: build_hosts(config),
+        endpoints: (0..config.endpoints).map(endpoint).collect(),
+        requests,
+        pending: BinaryHeap::new(),
+        next_sequence: 0,
+        rng,
+        outcome: SimulationOutcome {
+            first_token_ms,
+            goodput: 0.0,
+            refused_requests: 0,
+            late_responses: 0,
+        },
+        responses_in_time: 0,
+        last_event_us: 1,
+    };
+    for i in 0..simulation.requests.len() {
+        let at = simulation.requests[i].arrived_us;
+        simulation.schedule(at, Event::Arrival(i));
+    }
+    simulation.schedule(0, Event::Report);
+    simulation.run_events();
+    let arrivals_us = simulation.requests.last().map_or(1, |r| r.arrived_us);
+    simulation.outcome.goodput = simulation.responses_in_time as f64 / (arrivals_us as f64 / 1e6);
+    simulation.outcome
+}
+
+impl Simulation<'_> {
+    fn schedule(&mut self, at: u64, event: Event) {
+        self.next_sequence += 1;
+        self.pending.push(Reverse((at, self.next_sequence, event)));
+    }
+
+    fn run_events(&mut self) {
+        let mut unfinished = self.requests.len();
+        while let Some(Reverse((now, _, event))) = self.pending.pop() {
+            match event {
+                Event::Arrival(r) => unfinished -= usize::from(!self.handle_arrival(now, r)),
+                Event::Completion(e, r) => {
+                    self.handle_completion(now, e, r);
+                    unfinished -= 1;
+                }
+                Event::Report => {
+                    self.update_reports(now);
+                    if unfinished > 0 {
+                        self.schedule(now + REPORT_INTERVAL_AND_AGE_US.0, Event::Report);
+                    }
+                }
+            }
+            self.last_event_us = now;
+        }
+    }
+
+    /// Places a request; tells whether it was taken.
+    fn handle_arrival(&mut self, now: u64, r: usize) -> bool {
+        let Some(e) = self.place(now, r) else {
+            self.outcome.refused_requests += 1;
+            return false;
+        };
+        let request = &self.requests[r];
+        let outstanding_work =
+            request_work(Tokens(request.prompt_tokens), Tokens(request.response_tokens));
+        self.hosts[request.host].pool.endpoints()[e].state.begin_work(outstanding_work);
+        self.endpoints[e].outstanding_work += outstanding_work;
+        if self.endpoints[e].running < SLOTS {
+            self.start(now, e, r);
+        } else {
+            self.endpoints[e].pending.push_back(r);
+        }
+        true
+    }
+
+    fn place(&mut self, now: u64, r: usize) -> Option<usize> {
+        let request = &self.requests[r];
+        let host = &mut self.hosts[request.host];
+        let endpoint_count = self.config.endpoints;
+        match self.config.strategy {
+            PlacementStrategy::Tidetrack | PlacementStrategy::Unbounded => {
+                let placement_request = PlacementRequest {
+                    ring_position: ring_position_of(&request.prefix.to_le_bytes()),
+                    salt: self.rng.random(),
+                    required_tokens: Tokens(request.prompt_tokens + request.response_tokens),
+                    tried: &[],
+                    priority: 0,
+                    ..PlacementRequest::default()
+                };
+                let selected =
+                    host.pool.pick(Millis(now / 1_000 + 1_000_000), &placement_request).ok()?;
+                selected.id.as_str()[1..].parse().ok()
+            }
+            PlacementStrategy::RoundRobin => {
+                host.next_endpoint = (host.next_endpoint + 1) % endpoint_count;
+                Some(host.next_endpoint)
+            }
+            PlacementStrategy::LeastReported => {
+                (0..endpoint_count).min_by_key(|e| host.reported[*e])
+            }
+            PlacementStrategy::RandomOfTwo => {
+                let (a, b) = (
+                    self.rng.random_range(0..endpoint_count),
+                    self.rng.random_range(0..endpoint_count),
+                );
+                Some(if host.reported[a] <= host.reported[b] { a } else { b })
+            }
+        }
+    }
+
+    fn start(&mut self, now: u64, e: usize, r: usize) {
+        let request = &self.requests[r];
+        let endpoint = &mut self.endpoints[e];
+        endpoint.running += 1;
+        let cached_position = endpoint.cache.iter().position(|p| *p == request.prefix);
+        if let Some(at) = cached_position {
+            endpoint.cache.remove(at);
+        }
+        endpoint.cache.push_back(request.prefix);
+        if endpoint.cache.len() > CACHE_CAPACITY {
+            endpoint.cache.pop_front();
+        }
+        let prefill = request.prompt_tokens * PREFILL_US
+            / if cached_position.is_some() { CACHED_PREFILL_DIVISOR } else { 1 };
+        let first_token_at = now + (prefill + TOKEN_US) * endpoint.slowdown;
+        let completed_at = first_token_at + request.response_tokens * TOKEN_US * endpoint.slowdown;
+        let elapsed_ms = (first_token_at - request.arrived_us) / 1_000;
+        self.outcome.first_token_ms.saturating_record(elapsed_ms);
+        match elapsed_ms <= self.config.deadline_ms {
+            true => self.responses_in_time += 1,
+            false => self.outcome.late_responses += 1,
+        }
+        self.schedule(completed_at, Event::Completion(e, r));
+    }
+
+    fn handle_completion(&mut self, now: u64, e: usize, r: usize) {
+        let request = &self.requests[r];
+        let outstanding_work =
+            request_work(Tokens(request.prompt_tokens), Tokens(request.response_tokens));
+        let endpoint = &mut self.endpoints[e];
+        endpoint.running -= 1;
+        endpoint.outstanding_work -= outstanding_work;
+        let total = endpoint.outstanding_work;
+        let endpoint_state = &self.hosts[request.host].pool.endpoints()[e].state;
+        endpoint_state.end_work(outstanding_work);
+        endpoint_state.record_duration(outstanding_work, now - request.arrived_us);
+        // An answer carries the load as it is when the answer ends.
+        endpoint_state.record_load_report(Millis(now / 1_000 + 1_000_000), total, Tokens(0));
+        if let Some(next) = self.endpoints[e].pending.pop_front() {
+            self.start(now, e, next);
+        }
+    }
+
+    /// Every host reads what the endpoints' load was a while ago.
+    fn update_reports(&mut self, now: u64) {
+        for e in 0..self.endpoints.len() {
+            let endpoint = &mut self.endpoints[e];
+            endpoint.work_history.push_back((now, endpoint.outstanding_work));
+            while endpoint.work_history.len() > 1
+                && endpoint.work_history[1].0 + REPORT_INTERVAL_AND_AGE_US.1 <= now
+            {
+                endpoint.work_history.pop_front();
+            }
+            let outstanding_work = endpoint.work_history.front().map_or(0, |h| h.1);
+            for host in &mut self.hosts {
+                host.reported[e] = outstanding_work;
+            }
+        }
+    }
+}
--- a/crates/tidetrack-bench/src/main.rs
+++ b/crates/tidetrack-bench/src/main.rs
@@ -28,10 +28,10 @@
         return Ok(());
     }
     if matches.free.first().is_some_and(|c| c == "decisions") {
-        return show_decisions(matches.opt_present("record"));
+        return run_decisions(matches.opt_present("record"));
     }
     if matches.free.first().is_some_and(|c| c == "capacity") {
-        let recorded = record::read()?;
+        let recorded = record::read_recorded()?;
         print!("{}", capacity::render(&recorded));
         return capacity::write_page(&recorded);
     }
@@ -39,29 +39,29 @@
         let text = matches.opt_str("hosts").unwrap_or_else(|| default.to_string());
         text.split(',').map(|n| Ok(n.trim().parse()?)).collect()
     };
-    let measured = match matches.free.first().map(String::as_str) {
+    let series = match matches.free.first().map(String::as_str) {
         Some("path") => path::run()?,
         Some("control") => control::run(&sizes("7,20,60")?)?,
         Some("spread") => spread::run(&sizes("7,60,180,540")?)?,
         Some("state") => state::run()?,
         _ => bail!("no such command\n{usage}"),
     };
-    let text = record::render(&measured);
+    let text = record::render(&series);
     if matches.opt_present("record") {
-        record::add(measured)?;
+        record::update_recorded(series)?;
     }
     print!("{text}");
     Ok(())
 }
 
-fn show_decisions(keep: bool) -> Result<()> {
-    let figures = decisions::all();
-    let page = decisions::page(&figures);
+fn run_decisions(should_record: bool) -> Result<()> {
+    let results = decisions::all_results();
+    let page = decisions::render_page(&results);
     print!("{page}");
-    if keep {
-        std::fs::write(record::docs().join("BENCHMARKS.md"), page)?;
+    if should_record {
+        std::fs::write(record::docs_dir().join("BENCHMARKS.md"), page)?;
     }
-    match figures.iter().all(decisions::Figure::holds) {
+    match results.iter().all(decisions::BenchmarkResult::is_within_bound) {
         true => Ok(()),
         false => bail!("a figure is past its bound"),
     }
--- a/crates/tidetrack-bench/src/path.rs
+++ b/crates/tidetrack-bench/src/path.rs
@@ -14,7 +14,7 @@
 use tidetrack_testkit::fleet::{Fleet, FleetOptions, KEY};
 
 use crate::control::router_binary;
-use crate::record::{Gather, Record};
+use crate::record::{SeriesByName, SeriesCollector};
 
 const COMMAND: &str = "tidetrack-bench path";
 
@@ -22,26 +22,26 @@
 const STREAMS: usize = 50;
 
 /// Requests of each stream's thread.
-const REQUESTS: usize = 40;
+const REQUESTS_PER_STREAM: usize = 40;
 
 /// Tokens of an answer.
-const TOKENS: u64 = 20;
+const TOKENS_PER_RESPONSE: u64 = 20;
 
 /// Time of one token, in microseconds.
-const TOKEN_US: u64 = 5_000;
+const TOKEN_TIME_US: u64 = 5_000;
 
 /// Longest pause between two requests of a stream's thread, in milliseconds.
-const MOST_PAUSE_MS: u64 = 100;
+const MAX_PAUSE_MS: u64 = 100;
 
 /// Bound on the added 99th percentile, in milliseconds.
-pub const BOUND_ADDED_P99_MS: f64 = 5.0;
+pub const MAX_ADDED_P99_MS: f64 = 5.0;
 
 /// Bound on the resident memory, in MiB.
-pub const BOUND_RESIDENT_MIB: f64 = 32.0;
+pub const MAX_RESIDENT_MIB: f64 = 32.0;
 
-struct Timed {
-    first_us: Histogram<u64>,
-    whole_us: Histogram<u64>,
+struct LoadResult {
+    first_event_us: Histogram<u64>,
+    total_us: Histogram<u64>,
     failed: usize,
     seconds: f64,
 }
@@ -51,9 +51,9 @@
 }
 
 /// Runs streams at a time against a host.
-fn load(caller: &Caller) -> Timed {
+fn run_load(caller: &Caller) -> LoadResult {
     let barrier = Arc::new(Barrier::new(STREAMS));
-    let from = Instant::now();
+    let started_at = Instant::now();
     let threads: Vec<_> = (0..STREAMS)
         .map(|i| {
             let (caller, barrier) = (caller.clone(), barrier.clone());
@@ -62,96 +62,101 @@
                 let mut rng = StdRng::seed_from_u64(i as u64);
                 let mut request = |n| {
                     // Without a pause of random length all streams would begin at one instant.
-                    std::thread::sleep(Duration::from_millis(rng.random_range(0..MOST_PAUSE_MS)));
-                    one(&caller, i * REQUESTS + n)
+                    std::thread::sleep(Duration::from_millis(rng.random_range(0..MAX_PAUSE_MS)));
+                    send_request(&caller, i * REQUESTS_PER_STREAM + n)
                 };
-                (0..REQUESTS).map(&mut request).collect::<Vec<_>>()
+                (0..REQUESTS_PER_STREAM).map(&mut request).collect::<Vec<_>>()
             })
         })
         .collect();
-    let mut timed = Timed { first_us: histogram(), whole_us: histogram(), failed: 0, seconds: 0.0 };
+    let mut load_result =
+        LoadResult { first_event_us: histogram(), total_us: histogram(), failed: 0, seconds: 0.0 };
     for thread in threads {
         for result in thread.join().expect("a caller") {
             match result {
-                Some((first, whole)) => {
-                    timed.first_us.saturating_record(first.as_micros() as u64);
-                    timed.whole_us.saturating_record(whole.as_micros() as u64);
+                Some((first_event, total)) => {
+                    load_result.first_event_us.saturating_record(first_event.as_micros() as u64);
+                    load_result.total_us.saturating_record(total.as_micros() as u64);
                 }
-                None => timed.failed += 1,
+                None => load_result.failed += 1,
             }
         }
     }
-    timed.seconds = from.elapsed().as_secs_f64();
-    timed
+    load_result.seconds = started_at.elapsed().as_secs_f64();
+    load_result
 }
 
 /// Makes one request; gets the times to its first event and its end.
-fn one(caller: &Caller, n: usize) -> Option<(Duration, Duration)> {
-    let from = Instant::now();
-    let mut response = caller.chat("chat", &format!("n{n}"), true, TOKENS).send_lazy().ok()?;
+fn send_request(caller: &Caller, n: usize) -> Option<(Duration, Duration)> {
+    let started_at = Instant::now();
+    let mut response =
+        caller.chat("chat", &format!("n{n}"), true, TOKENS_PER_RESPONSE).send_lazy().ok()?;
     let mut buf = [0; 4096];
-    let read = response.read(&mut buf).ok()?;
-    let first = from.elapsed();
+    let read_bytes = response.read(&mut buf).ok()?;
+    let first_event = started_at.elapsed();
     let mut rest = Vec::new();
     response.read_to_end(&mut rest).ok()?;
-    let whole = from.elapsed();
-    let ended = String::from_utf8_lossy(&rest).contains("[DONE]");
-    (response.status_code == 200 && read > 0 && ended).then_some((first, whole))
+    let total = started_at.elapsed();
+    let is_complete = String::from_utf8_lossy(&rest).contains("[DONE]");
+    (response.status_code == 200 && read_bytes > 0 && is_complete).then_some((first_event, total))
 }
 
-fn ms(histogram: &Histogram<u64>, quantile: f64) -> f64 {
+fn quantile_ms(histogram: &Histogram<u64>, quantile: f64) -> f64 {
     histogram.value_at_quantile(quantile) as f64 / 1_000.0
 }
 
 /// Measures the path and prints figure, bound and baseline.
-pub fn run() -> Result<Record> {
+pub fn run() -> Result<SeriesByName> {
     let engine = EngineOptions {
         slots: 256,
-        token_us: TOKEN_US,
+        token_us: TOKEN_TIME_US,
         token_us_each: 0,
-        answer_tokens: TOKENS,
+        answer_tokens: TOKENS_PER_RESPONSE,
         ..EngineOptions::default()
     };
     let options =
         FleetOptions { hosts: 2, engine, direct: true, threads: 64, ..FleetOptions::default() };
     let fleet = Fleet::start(&router_binary()?, options)?;
     let host = &fleet.hosts[0];
-    let direct = Caller { host: fleet.old_address.clone(), key: KEY.into() };
-    load(&host.caller());
-    let ticks = host.process().processor_ticks()?;
-    let routed = load(&host.caller());
-    let ticks = host.process().processor_ticks()? - ticks;
-    let straight = load(&direct);
-    let requests = (STREAMS * REQUESTS) as f64;
-    let resident = host.process().resident_kib()? as f64 / 1024.0;
-    println!("{STREAMS} streams at a time, {TOKENS} tokens of {TOKEN_US} us, {requests} requests");
+    let direct_caller = Caller { host: fleet.old_address.clone(), key: KEY.into() };
+    run_load(&host.caller());
+    let cpu_ticks = host.process().processor_ticks()?;
+    let routed_result = run_load(&host.caller());
+    let cpu_ticks = host.process().processor_ticks()? - cpu_ticks;
+    let direct_result = run_load(&direct_caller);
+    let request_count = (STREAMS * REQUESTS_PER_STREAM) as f64;
+    let resident_mib = host.process().resident_kib()? as f64 / 1024.0;
+    println!("{STREAMS} streams at a time, {TOKENS_PER_RESPONSE} tokens of {TOKEN_TIME_US} us, {request_count} requests");
     println!("             first p50  p99   whole p50  p99   requests/s  failed");
-    for (name, t) in [("straight", &straight), ("routed", &routed)] {
+    for (name, result) in [("straight", &direct_result), ("routed", &routed_result)] {
         println!(
             "{name:<12} {:>8.2} {:>6.2} {:>9.2} {:>6.2} {:>9.1} {:>7}",
-            ms(&t.first_us, 0.5),
-            ms(&t.first_us, 0.99),
-            ms(&t.whole_us, 0.5),
-            ms(&t.whole_us, 0.99),
-            requests / t.seconds,
-            t.failed
+            quantile_ms(&result.first_event_us, 0.5),
+            quantile_ms(&result.first_event_us, 0.99),
+            quantile_ms(&result.total_us, 0.5),
+            quantile_ms(&result.total_us, 0.99),
+            request_count / result.seconds,
+            result.failed
         );
     }
-    let added = |q| ms(&routed.first_us, q) - ms(&straight.first_us, q);
-    let cpu = ticks as f64 * 10.0 / requests;
+    let added_ms = |q| {
+        quantile_ms(&routed_result.first_event_us, q)
+            - quantile_ms(&direct_result.first_event_us, q)
+    };
+    let cpu_ms = cpu_ticks as f64 * 10.0 / request_count;
     println!(
-        "added to the first event: p50 {:.2} ms, p99 {:.2} ms (bound {BOUND_ADDED_P99_MS})",
-        added(0.5),
-        added(0.99)
+        "added to the first event: p50 {:.2} ms, p99 {:.2} ms (bound {MAX_ADDED_P99_MS})",
+        added_ms(0.5),
+        added_ms(0.99)
     );
-    println!("processor time: {cpu:.2} ms a request; resident {resident:.1} MiB (bound {BOUND_RESIDENT_MIB})");
-    let mut gather = Gather::default();
-    let mut point = |name: &str, unit: &str, figure: f64| {
-        gather.point(name, (unit, "streams", COMMAND), STREAMS as f64, figure);
+    println!("processor time: {cpu_ms:.2} ms a request; resident {resident_mib:.1} MiB (bound {MAX_RESIDENT_MIB})");
+    let mut collector = SeriesCollector::default();
+    let mut add_point = |name: &str, unit: &str, value: f64| {
+        collector.add_point(name, (unit, "streams", COMMAND), STREAMS as f64, value);
     };
-    point("path-added-p50", "ms", added(0.5));
-    point("path-added-p99", "ms", added(0.99));
-    point("path-core", "core ms a request", cpu);
-    point("path-resident", "MiB", resident);
-    Ok(gather.into_record())
+    add_point("path-added-p50", "ms", added_ms(0.5));
+    add_point("path-added-p99", "ms", added_ms(0.99));
+    add_point("path-core", "core ms a request", cpu_ms);
+    add_point("path-resident", "MiB", resident_mib);
+    Ok(collector.into_record())
 }
--- a/crates/tidetrack-bench/src/spread.rs
+++ b/crates/tidetrack-bench/src/spread.rs
@@ -5,8 +5,8 @@
 
 use anyhow::Result;
 
-use crate::record::{Gather, Record};
-use crate::virtual_fleet::{Broken, Schedule, World};
+use crate::record::{SeriesByName, SeriesCollector};
+use crate::virtual_fleet::{InjectedBug, Schedule, Simulation};
 
 const COMMAND: &str = "tidetrack-bench spread";
 
@@ -14,44 +14,46 @@
 const SETTLE_MS: u64 = 25_000;
 
 /// Virtual time measured, in milliseconds.
-const SPAN_MS: u64 = 12_000;
+const MEASUREMENT_MS: u64 = 12_000;
 
 /// Measures fleets of the given sizes.
-pub fn run(sizes: &[usize]) -> Result<Record> {
-    let mut gather = Gather::default();
+pub fn run(sizes: &[usize]) -> Result<SeriesByName> {
+    let mut collector = SeriesCollector::default();
     for hosts in sizes {
         eprintln!("spread: {hosts} virtual hosts");
-        let mut world = World::new(Schedule {
+        let mut simulation = Simulation::new(Schedule {
             seed: 1,
             hosts: *hosts,
             domains: 4,
-            length_ms: SETTLE_MS + SPAN_MS,
+            fault_phase_ms: SETTLE_MS + MEASUREMENT_MS,
             faults: false,
-            new_quality: 0.85,
-            broken: Broken::Nothing,
+            canary_quality: 0.85,
+            injected_bug: InjectedBug::NoBug,
         });
-        world.run_until(SETTLE_MS).map_err(anyhow::Error::msg)?;
-        let before = world.seen.clone();
-        world.run_until(SETTLE_MS + SPAN_MS).map_err(anyhow::Error::msg)?;
-        let seen = &world.seen;
+        simulation.run_until(SETTLE_MS).map_err(anyhow::Error::msg)?;
+        let stats_before = simulation.stats.clone();
+        simulation.run_until(SETTLE_MS + MEASUREMENT_MS).map_err(anyhow::Error::msg)?;
+        let stats = &simulation.stats;
         let n = *hosts as f64;
-        let host_seconds = n * SPAN_MS as f64 / 1_000.0;
-        let mut in_force = seen.in_force_ms[before.in_force_ms.len()..].to_vec();
+        let host_seconds = n * MEASUREMENT_MS as f64 / 1_000.0;
+        let mut in_force = stats.in_force_ms[stats_before.in_force_ms.len()..].to_vec();
         in_force.sort_unstable();
-        let mut point = |name: &str, unit: &str, figure: f64| {
-            gather.point(name, (unit, "hosts", COMMAND), n, figure);
+        let mut add_point = |name: &str, unit: &str, value: f64| {
+            collector.add_point(name, (unit, "hosts", COMMAND), n, value);
         };
         // Each message is sent by one host and received by another.
-        let messages = (seen.messages - before.messages) as f64 * 2.0 / host_seconds;
-        let bytes = (seen.bytes - before.bytes) as f64 * 2.0 / host_seconds;
-        let core = (seen.node_ns - before.node_ns) as f64 / host_seconds / 1e9 * 100.0;
-        point("virtual-messages", "messages/s a host", messages);
-        point("virtual-bytes", "bytes/s a host", bytes);
-        point("virtual-core", "% of a core", core);
-        if let Some(worst) = in_force.last() {
-            point("virtual-in-force-median", "ms", in_force[in_force.len() / 2] as f64);
-            point("virtual-in-force-worst", "ms", *worst as f64);
+        let messages = (stats.messages - stats_before.messages) as f64 * 2.0 / host_seconds;
+        let bytes = (stats.bytes - stats_before.bytes) as f64 * 2.0 / host_seconds;
+        let cpu_percent =
+            (stats.control_state_ns - stats_before.control_state_ns) as f64 / host_seconds / 1e9
+                * 100.0;
+        add_point("virtual-messages", "messages/s a host", messages);
+        add_point("virtual-bytes", "bytes/s a host", bytes);
+        add_point("virtual-core", "% of a core", cpu_percent);
+        if let Some(max_in_force) = in_force.last() {
+            add_point("virtual-in-force-median", "ms", in_force[in_force.len() / 2] as f64);
+            add_point("virtual-in-force-worst", "ms", *max_in_force as f64);
         }
     }
-    Ok(gather.into_record())
+    Ok(collector.into_record())
 }
--- a/crates/tidetrack-bench/src/state.rs
+++ b/crates/tidetrack-bench/src/state.rs
@@ -21,7 +21,7 @@
 use tidetrack_core::units::{Micros, Millis, Tokens};
 use tidetrack_core::view::ViewBuilder;
 
-use crate::record::{Gather, Record};
+use crate::record::{SeriesByName, SeriesCollector};
 
 const COMMAND: &str = "tidetrack-bench state";
 
@@ -35,19 +35,19 @@
 const HOSTS: [usize; 4] = [7, 60, 180, 540];
 
 /// Copies made to measure memory.
-const COPIES: usize = 8;
+const MEMORY_COPIES: usize = 8;
 
 /// Picks timed.
-const PICKS: u64 = 200_000;
+const PICK_COUNT: u64 = 200_000;
 
-fn resident() -> Result<f64> {
+fn resident_bytes() -> Result<f64> {
     let text = std::fs::read_to_string("/proc/self/statm")?;
     let pages: f64 = text.split_whitespace().nth(1).unwrap_or("0").parse()?;
     Ok(pages * 4096.0)
 }
 
 /// Makes a configuration with so many replicas.
-pub fn store_of(replicas: usize) -> Store {
+pub fn build_store(replicas: usize) -> Store {
     let mut entries = Vec::new();
     let mut put = |key: ObjectKey, object: Object| {
         let version = entries.len() as u64 + 1;
@@ -90,57 +90,57 @@
     }
 }
 
-fn ring() -> KeyRing {
+fn key_ring() -> KeyRing {
     KeyRing { current: Key { id: "k1".into(), secret: "0123456789abcdef".into() }, previous: None }
 }
 
 fn bill(n: u64) -> Bill {
     let version = "model-12@3".parse().expect("a version");
-    let part = LineItem(version, Tokens(1_200), Tokens(420), Micros(5_300));
-    Bill(n, "school-north".parse().expect("a workspace"), vec![part], BillOutcome::Complete)
+    let line_item = LineItem(version, Tokens(1_200), Tokens(420), Micros(5_300));
+    Bill(n, "school-north".parse().expect("a workspace"), vec![line_item], BillOutcome::Complete)
 }
 
-/// Times `f` over `count` runs; gets microseconds for each.
-fn timed(count: u64, mut f: impl FnMut(u64)) -> f64 {
-    let from = Instant::now();
-    (0..count).for_each(&mut f);
-    from.elapsed().as_secs_f64() * 1e6 / count as f64
+/// Times `operation` over `count` runs; gets microseconds for each.
+fn mean_time_us(count: u64, mut operation: impl FnMut(u64)) -> f64 {
+    let started_at = Instant::now();
+    (0..count).for_each(&mut operation);
+    started_at.elapsed().as_secs_f64() * 1e6 / count as f64
 }
 
 /// Measures all parts.
-pub fn run() -> Result<Record> {
-    let mut gather = Gather::default();
-    configuration(&mut gather)?;
-    members(&mut gather)?;
-    messages(&mut gather)?;
-    tokens(&mut gather);
-    Ok(gather.into_record())
+pub fn run() -> Result<SeriesByName> {
+    let mut collector = SeriesCollector::default();
+    measure_configuration(&mut collector)?;
+    measure_members(&mut collector)?;
+    measure_messages(&mut collector)?;
+    measure_tokens(&mut collector);
+    Ok(collector.into_record())
 }
 
-fn configuration(gather: &mut Gather) -> Result<()> {
+fn measure_configuration(collector: &mut SeriesCollector) -> Result<()> {
     for replicas in REPLICAS {
         let n = replicas as f64;
-        let before = resident()?;
-        let stores: Vec<Store> = (0..COPIES).map(|_| store_of(replicas)).collect();
-        let mut kept = Vec::new();
+        let before = resident_bytes()?;
+        let stores: Vec<Store> = (0..MEMORY_COPIES).map(|_| build_store(replicas)).collect();
+        let mut built_views = Vec::new();
         let mut build_us = 0.0;
         for store in &stores {
             let mut builder = ViewBuilder::default();
-            let from = Instant::now();
+            let started_at = Instant::now();
             let (view, _) = builder.build(&incarnation(0), store, &Facts::default());
-            build_us += from.elapsed().as_secs_f64() * 1e6;
-            kept.push((builder, Arc::new(view)));
+            build_us += started_at.elapsed().as_secs_f64() * 1e6;
+            built_views.push((builder, Arc::new(view)));
         }
-        let memory = (resident()? - before) / COPIES as f64;
-        let mut point = |name: &str, unit: &str, figure: f64| {
-            gather.point(name, (unit, "replicas", COMMAND), n, figure);
+        let memory = (resident_bytes()? - before) / MEMORY_COPIES as f64;
+        let mut add_point = |name: &str, unit: &str, value: f64| {
+            collector.add_point(name, (unit, "replicas", COMMAND), n, value);
         };
-        point("config-memory", "bytes", memory.max(0.0));
-        point("view-build", "us", build_us / COPIES as f64);
-        let view = &kept[0].1;
+        add_point("config-memory", "bytes", memory.max(0.0));
+        add_point("view-build", "us", build_us / MEMORY_COPIES as f64);
+        let view = &built_views[0].1;
         let pools: Vec<_> = view.pools.values().collect();
-        let pick = timed(PICKS, |i| {
-            let ask = PlacementRequest {
+        let pick_us = mean_time_us(PICK_COUNT, |i| {
+            let request = PlacementRequest {
                 ring_position: i.wrapping_mul(0x9e37_79b9_7f4a_7c15),
                 salt: i,
                 required_tokens: Tokens(100),
@@ -149,10 +149,10 @@
                 ..PlacementRequest::default()
             };
             let pool = pools[i as usize % pools.len()];
-            let picked = pool.pick(Millis(1_000), &ask).expect("an endpoint");
-            std::hint::black_box(picked);
+            let endpoint = pool.pick(Millis(1_000), &request).expect("an endpoint");
+            std::hint::black_box(endpoint);
         });
-        point("pick", "us", pick);
+        add_point("pick", "us", pick_us);
     }
     Ok(())
 }
@@ -168,10 +168,10 @@
     }
 }
 
-fn members(gather: &mut Gather) -> Result<()> {
+fn measure_members(collector: &mut SeriesCollector) -> Result<()> {
     for hosts in HOSTS {
-        let before = resident()?;
-        let copies = COPIES * 4;
+        let before = resident_bytes()?;
+        let copies = MEMORY_COPIES * 4;
         let lists: Vec<Members> = (0..copies)
             .map(|_| {
                 let mut list = Members::new(member(0));
@@ -181,13 +181,13 @@
                 list
             })
             .collect();
-        let memory = (resident()? - before).max(0.0) / copies as f64;
-        let links = timed(200, |_| {
+        let memory = (resident_bytes()? - before).max(0.0) / copies as f64;
+        let links_us = mean_time_us(200, |_| {
             std::hint::black_box(lists[0].links());
         });
         let n = hosts as f64;
-        gather.point("members-memory", ("bytes", "hosts", COMMAND), n, memory);
-        gather.point("links-chosen", ("us", "hosts", COMMAND), n, links);
+        collector.add_point("members-memory", ("bytes", "hosts", COMMAND), n, memory);
+        collector.add_point("links-chosen", ("us", "hosts", COMMAND), n, links_us);
     }
     Ok(())
 }
@@ -197,7 +197,7 @@
 }
 
 /// Bytes of what travels or is kept, over how much of it there is.
-fn messages(gather: &mut Gather) -> Result<()> {
+fn measure_messages(collector: &mut SeriesCollector) -> Result<()> {
     for count in [1u64, 10, 100, 1_000] {
         let bills: Vec<Bill> = (1..=count).map(|i| bill(1_000_000 + i)).collect();
         let call = HoldCall {
@@ -208,11 +208,11 @@
         };
         let segment = Segment { origin: incarnation(1), number: 7, bills };
         let n = count as f64;
-        gather.point("hold-bytes", ("bytes", "bills", COMMAND), n, json_len(&call)?);
-        gather.point("segment-bytes", ("bytes", "bills", COMMAND), n, json_len(&segment)?);
+        collector.add_point("hold-bytes", ("bytes", "bills", COMMAND), n, json_len(&call)?);
+        collector.add_point("segment-bytes", ("bytes", "bills", COMMAND), n, json_len(&segment)?);
     }
-    for cells in [1usize, 16, 64] {
-        let items: Vec<Item> = (0..cells)
+    for entry_count in [1usize, 16, 64] {
+        let items: Vec<Item> = (0..entry_count)
             .map(|i| {
                 let version = "model-12@3".parse().expect("a version");
                 let key = EvidenceKey { version, generation: 1, observer: incarnation(i) };
@@ -227,18 +227,23 @@
                 Item::Evidence(key, counts)
             })
             .collect();
-        let n = cells as f64;
-        gather.point("evidence-bytes", ("bytes", "cells", COMMAND), n, json_len(&items)?);
+        let n = entry_count as f64;
+        collector.add_point("evidence-bytes", ("bytes", "cells", COMMAND), n, json_len(&items)?);
     }
     for hosts in HOSTS {
-        let all: Vec<Item> = (0..hosts).map(|i| Item::Member(member(i))).collect();
-        gather.point("members-bytes", ("bytes", "hosts", COMMAND), hosts as f64, json_len(&all)?);
+        let member_items: Vec<Item> = (0..hosts).map(|i| Item::Member(member(i))).collect();
+        collector.add_point(
+            "members-bytes",
+            ("bytes", "hosts", COMMAND),
+            hosts as f64,
+            json_len(&member_items)?,
+        );
     }
     Ok(())
 }
 
-fn tokens(gather: &mut Gather) {
-    let ring = ring();
+fn measure_tokens(collector: &mut SeriesCollector) {
+    let key_ring = key_ring();
     let workspace = "school-north".parse().expect("a workspace");
     let session = Session {
         workspace,
@@ -247,19 +252,21 @@
         generation: 1,
         nonce: 77,
     };
-    let token = session.to_token(&ring);
+    let token = session.to_token(&key_ring);
     for count in [1_000u64, 10_000, 50_000] {
         let n = count as f64;
-        let read = timed(count, |_| {
-            std::hint::black_box(Session::from_token(&token, &session.workspace, &ring).is_ok());
+        let read_us = mean_time_us(count, |_| {
+            std::hint::black_box(
+                Session::from_token(&token, &session.workspace, &key_ring).is_ok(),
+            );
         });
         let options = TicketOptions { max_tickets: count as usize, ..TicketOptions::default() };
-        let mut book = TicketRegistry::new(incarnation(1), options);
-        let made = timed(count, |_| {
-            let ticket = book.issue(Millis(1), &session.workspace).expect("a ticket");
-            std::hint::black_box(ticket.to_token(&ring));
+        let mut registry = TicketRegistry::new(incarnation(1), options);
+        let issue_us = mean_time_us(count, |_| {
+            let ticket = registry.issue(Millis(1), &session.workspace).expect("a ticket");
+            std::hint::black_box(ticket.to_token(&key_ring));
         });
-        gather.point("session-read", ("us", "sessions", COMMAND), n, read);
-        gather.point("ticket-made", ("us", "tickets", COMMAND), n, made);
+        collector.add_point("session-read", ("us", "sessions", COMMAND), n, read_us);
+        collector.add_point("ticket-made", ("us", "tickets", COMMAND), n, issue_us);
     }
 }
--- a/crates/tidetrack-bench/src/virtual_fleet/checks.rs
+++ b/crates/tidetrack-bench/src/virtual_fleet/checks.rs
@@ -7,12 +7,13 @@
 use tidetrack_core::ledger::{sum_segments, Bill};
 use tidetrack_core::view::ChosenVersion;
 
-use super::platform::{new_version, workspace};
+use super::platform::{canary_version, workspace};
 use super::{
-    Host, World, CAP, IN_FORCE_MS, LIMIT, LOAN_MS, MOST_CHECKED, SETTLE_MS, STALE_MS, TICK_MS,
+    Host, Simulation, EXPOSURE_CAP, MAX_CHECKED_HOSTS, MAX_IN_FORCE_MS, MAX_LOAN_MS,
+    REQUESTS_PER_SECOND_LIMIT, SETTLE_MS, STALE_MS, TICK_INTERVAL_MS,
 };
 
-impl World {
+impl Simulation {
     /// A host's word on how fresh it is must be true: it has all that was accepted by then.
     pub(super) fn check_fresh(&self, h: usize) -> Result<(), String> {
         let host = &self.hosts[h];
@@ -20,10 +21,11 @@
         let at = at.0.saturating_sub(host.offset);
         for (accepted, key, version) in self.platform.writes.iter().rev() {
             if *accepted < at {
-                let has = host.node.store.lookup(key).map_or(0, |e| e.version);
-                if has < *version {
-                    let what = format!("{} says it is fresh as of {at} and lacks {key}", host.name);
-                    return self.fail(what);
+                let stored_version = host.node.store.lookup(key).map_or(0, |e| e.version);
+                if stored_version < *version {
+                    let message =
+                        format!("{} says it is fresh as of {at} and lacks {key}", host.name);
+                    return self.fail(message);
                 }
             }
             if accepted + 20_000 < at {
@@ -38,23 +40,31 @@
         let key = ObjectKey::new(ObjectKind::Withdrawal, chosen.version.to_string());
         let writes = &self.platform.writes;
         let Some((accepted, ..)) = writes.iter().find(|(_, k, _)| *k == key) else { return Ok(()) };
-        let quiet = self.now >= self.last_fault + SETTLE_MS;
-        let healthy = self.platform.up
-            && self.hosts.iter().all(|h| h.up && !h.cut_peers && !h.cut_platform)
+        let has_settled = self.now >= self.last_fault_at + SETTLE_MS;
+        let is_healthy = self.platform.is_up
+            && self
+                .hosts
+                .iter()
+                .all(|h| h.is_up && !h.is_cut_from_peers && !h.is_cut_from_platform)
             && self.hosts.iter().all(|h| h.paused_until + SETTLE_MS < self.now);
-        let born = self.hosts[h].born_at;
-        if (quiet && healthy || !self.schedule.faults) && *accepted + IN_FORCE_MS < self.now {
+        let started_at = self.hosts[h].started_at;
+        if (has_settled && is_healthy || !self.schedule.faults)
+            && *accepted + MAX_IN_FORCE_MS < self.now
+        {
             return self.fail(format!("h{h} put work on {} after its withdrawal", chosen.version));
         }
         // What a host was told itself binds it at once; a stale host keeps off unproven versions.
-        let now = self.local(h);
+        let now = self.host_time(h);
         let host = &self.hosts[h];
-        let stale = host.node.confirmation_age(now).is_none_or(|a| a.0 > STALE_MS);
-        if stale && chosen.version == new_version() {
+        let is_stale = host.node.confirmation_age(now).is_none_or(|a| a.0 > STALE_MS);
+        if is_stale && chosen.version == canary_version() {
             return self.fail(format!("h{h}, stale, put work on an unproven version"));
         }
-        let known = host.node.store.lookup(&key).is_some();
-        if known && self.now > born + TICK_MS * 2 && host.view.revision >= *accepted {
+        let knows_withdrawal = host.node.store.lookup(&key).is_some();
+        if knows_withdrawal
+            && self.now > started_at + TICK_INTERVAL_MS * 2
+            && host.view.revision >= *accepted
+        {
             let version = host.view.versions.get(&chosen.version);
             if version.is_some_and(|v| v.is_barred) {
                 return self.fail(format!("h{h} put work on a version that it knows is barred"));
@@ -65,48 +75,51 @@
 
     /// Never more unjudged requests on the new version than the cap, over the whole fleet.
     pub(super) fn check_cap(&self) -> Result<(), String> {
-        if self.hosts.len() > MOST_CHECKED {
+        if self.hosts.len() > MAX_CHECKED_HOSTS {
             return Ok(());
         }
-        let alive: u64 = self.hosts.iter().filter(|h| h.up).map(Host::spent).sum();
-        let spent = (alive + self.spent_by_dead).max(self.started);
-        match spent <= CAP + self.judged {
+        let alive: u64 = self.hosts.iter().filter(|h| h.is_up).map(Host::spent).sum();
+        let spent = (alive + self.spent_by_stopped_hosts).max(self.started);
+        match spent <= EXPOSURE_CAP + self.judged {
             true => Ok(()),
             false => {
-                let what = format!("{spent} on the new version, {} judged, cap {CAP}", self.judged);
-                self.fail(what)
+                let message = format!(
+                    "{spent} on the new version, {} judged, cap {EXPOSURE_CAP}",
+                    self.judged
+                );
+                self.fail(message)
             }
         }
     }
 
     /// The shares never sum past the limit while the hosts agree on how many they are.
     pub(super) fn check_limits(&mut self) -> Result<(), String> {
-        if self.hosts.len() > MOST_CHECKED {
+        if self.hosts.len() > MAX_CHECKED_HOSTS {
             return Ok(());
         }
-        let settled = |h: &Host| !h.up || self.now > h.born_at + 5_000;
+        let settled = |h: &Host| !h.is_up || self.now > h.started_at + 5_000;
         let counts: BTreeSet<usize> =
-            self.hosts.iter().filter(|h| h.up).map(|h| h.node.members.iter().count()).collect();
+            self.hosts.iter().filter(|h| h.is_up).map(|h| h.node.members.iter().count()).collect();
         // A loan made while they disagreed may still run.
         if counts.len() != 1 || !self.hosts.iter().all(settled) {
-            self.disagreed_at = self.now;
+            self.last_disagreement_at = self.now;
         }
-        if self.now < self.disagreed_at + LOAN_MS {
+        if self.now < self.last_disagreement_at + MAX_LOAN_MS {
             return Ok(());
         }
         let mut sum = 0.0;
         for h in 0..self.hosts.len() {
-            let now = self.local(h);
-            if self.hosts[h].up {
+            let now = self.host_time(h);
+            if self.hosts[h].is_up {
                 let limits = self.hosts[h].node.limits.clone();
                 let rates = limits.lock().expect("no holder of the lock panics").rates(now);
                 sum += rates.get(&workspace()).copied().unwrap_or(0.0);
             }
         }
         let agreed = *counts.first().expect("there is one");
-        let up = self.hosts.iter().filter(|h| h.up).count();
-        if agreed >= up && sum > LIMIT + 1e-6 {
-            return self.fail(format!("shares sum to {sum}, limit {LIMIT}"));
+        let up = self.hosts.iter().filter(|h| h.is_up).count();
+        if agreed >= up && sum > REQUESTS_PER_SECOND_LIMIT + 1e-6 {
+            return self.fail(format!("shares sum to {sum}, limit {REQUESTS_PER_SECOND_LIMIT}"));
         }
         Ok(())
     }
@@ -122,14 +135,14 @@
         if let Some(lost) = self.answered.difference(&billed).next() {
             return self.fail(format!("{lost} was answered and not billed"));
         }
-        if let Some(extra) = billed.difference(&self.made).next() {
-            return self.fail(format!("{extra} was billed and never made"));
+        if let Some(unexpected) = billed.difference(&self.completed_requests).next() {
+            return self.fail(format!("{unexpected} was billed and never made"));
         }
         let totals = sum_segments(self.platform.segments.values());
         if totals.requests != billed.len() as u64 {
             return self.fail(format!("{} requests, {} counted", billed.len(), totals.requests));
         }
-        self.seen.answered = self.answered.len() as u64;
+        self.stats.answered = self.answered.len() as u64;
         Ok(())
     }
 }
--- a/crates/tidetrack-bench/src/virtual_fleet/event.rs
+++ b/crates/tidetrack-bench/src/virtual_fleet/event.rs
@@ -12,7 +12,7 @@
 use tidetrack_core::units::Millis;
 use tidetrack_core::view::ChosenVersion;
 
-use super::{Broken, World, TICK_MS};
+use super::{InjectedBug, Simulation, TICK_INTERVAL_MS};
 
 pub(super) enum Event {
     Tick(usize),
@@ -20,86 +20,86 @@
     Exchange {
         to: usize,
         from: usize,
-        life: u64,
+        incarnation_id: u64,
         sent_at: Millis,
         message: Box<Exchange>,
     },
     Reply {
         to: usize,
         from: HostId,
-        life: u64,
+        incarnation_id: u64,
         sent_at: Millis,
         nonce: u64,
         message: Box<Exchange>,
     },
-    Failed {
-        at: usize,
-        life: u64,
+    ExchangeFailed {
+        host: usize,
+        incarnation_id: u64,
         to: HostId,
     },
-    Probed {
-        at: usize,
-        life: u64,
+    ProbeDone {
+        host: usize,
+        incarnation_id: u64,
         target: HostId,
         reached: bool,
     },
-    Read {
-        by: usize,
-        life: u64,
-        asked_at: Millis,
+    StoreRead {
+        host: usize,
+        incarnation_id: u64,
+        requested_at: Millis,
         after: u64,
     },
-    ReadDone {
-        at: usize,
-        life: u64,
-        asked_at: Millis,
+    StoreReadDone {
+        host: usize,
+        incarnation_id: u64,
+        requested_at: Millis,
         list: Option<(u64, Vec<Entry>)>,
         delta: Option<Delta>,
     },
-    Hold {
+    HoldBills {
         to: usize,
         from: usize,
-        life: u64,
+        incarnation_id: u64,
         batch: u64,
         call: HoldCall,
     },
-    HoldDone {
-        at: usize,
-        life: u64,
+    BillsHeld {
+        host: usize,
+        incarnation_id: u64,
         batch: u64,
         held: bool,
     },
-    Write {
-        by: usize,
-        life: u64,
+    WriteSegment {
+        host: usize,
+        incarnation_id: u64,
         segment: Segment,
     },
-    WriteDone {
-        at: usize,
-        life: u64,
+    SegmentWritten {
+        host: usize,
+        incarnation_id: u64,
         origin: Incarnation,
-        stands: Option<Segment>,
+        stored: Option<Segment>,
     },
-    WriteState {
-        by: usize,
-        life: u64,
+    WriteRolloutState {
+        host: usize,
+        incarnation_id: u64,
         expected: u64,
         state: RolloutState,
     },
-    StateDone {
-        at: usize,
-        life: u64,
+    RolloutStateWritten {
+        host: usize,
+        incarnation_id: u64,
         version: u64,
         state: RolloutState,
     },
-    Done {
-        at: usize,
-        life: u64,
+    ResponseDone {
+        host: usize,
+        incarnation_id: u64,
         chosen: Box<ChosenVersion>,
     },
-    Rate {
-        at: usize,
-        life: u64,
+    Rating {
+        host: usize,
+        incarnation_id: u64,
         chosen: Box<ChosenVersion>,
     },
     TicketCall {
@@ -108,8 +108,8 @@
         hops: u32,
     },
     TicketDone {
-        at: usize,
-        life: u64,
+        host: usize,
+        incarnation_id: u64,
         ticket: Ticket,
         lost: bool,
     },
@@ -117,109 +117,122 @@
     Fault,
 }
 
-impl World {
+impl Simulation {
     /// Gets the host that an event happens on, with the life that it is meant for.
-    pub(super) fn place(event: &Event) -> Option<(usize, Option<u64>)> {
+    pub(super) fn target_host(event: &Event) -> Option<(usize, Option<u64>)> {
         match event {
             Event::Tick(h) | Event::Traffic(h) => Some((*h, None)),
-            Event::Exchange { to, .. } | Event::Hold { to, .. } => Some((*to, None)),
+            Event::Exchange { to, .. } | Event::HoldBills { to, .. } => Some((*to, None)),
             Event::TicketCall { to, .. } => Some((*to, None)),
-            Event::Reply { to, life, .. } => Some((*to, Some(*life))),
-            Event::Failed { at, life, .. }
-            | Event::Probed { at, life, .. }
-            | Event::ReadDone { at, life, .. }
-            | Event::HoldDone { at, life, .. }
-            | Event::WriteDone { at, life, .. }
-            | Event::StateDone { at, life, .. }
-            | Event::Done { at, life, .. }
-            | Event::Rate { at, life, .. }
-            | Event::TicketDone { at, life, .. } => Some((*at, Some(*life))),
+            Event::Reply { to, incarnation_id, .. } => Some((*to, Some(*incarnation_id))),
+            Event::ExchangeFailed { host, incarnation_id, .. }
+            | Event::ProbeDone { host, incarnation_id, .. }
+            | Event::StoreReadDone { host, incarnation_id, .. }
+            | Event::BillsHeld { host, incarnation_id, .. }
+            | Event::SegmentWritten { host, incarnation_id, .. }
+            | Event::RolloutStateWritten { host, incarnation_id, .. }
+            | Event::ResponseDone { host, incarnation_id, .. }
+            | Event::Rating { host, incarnation_id, .. }
+            | Event::TicketDone { host, incarnation_id, .. } => {
+                Some((*host, Some(*incarnation_id)))
+            }
             // These happen at the platform, whatever became of who asked.
-            Event::Read { .. } | Event::Write { .. } | Event::WriteState { .. } => None,
+            Event::StoreRead { .. }
+            | Event::WriteSegment { .. }
+            | Event::WriteRolloutState { .. } => None,
             Event::Operator | Event::Fault => None,
         }
     }
 
     pub(super) fn step(&mut self, event: Event) -> Result<(), String> {
-        if let Some((host, life)) = World::place(&event) {
+        if let Some((host, incarnation_id)) = Simulation::target_host(&event) {
             let repeats = matches!(event, Event::Tick(_) | Event::Traffic(_));
             let h = &self.hosts[host];
-            if !h.up || life.is_some_and(|l| l != h.life) {
+            if !h.is_up || incarnation_id.is_some_and(|l| l != h.incarnation_id) {
                 if repeats {
-                    self.at(self.now + TICK_MS, event);
+                    self.schedule_event(self.now + TICK_INTERVAL_MS, event);
                 }
                 return Ok(());
             }
             if h.paused_until > self.now {
                 // Whatever comes to a paused process waits in its sockets.
                 let until = h.paused_until;
-                self.at(until, event);
+                self.schedule_event(until, event);
                 return Ok(());
             }
         }
         match event {
             Event::Tick(h) => self.tick(h)?,
             Event::Traffic(h) => self.traffic(h)?,
-            Event::Exchange { to, from, life, sent_at, message } => {
-                self.exchange(to, from, life, sent_at, *message);
+            Event::Exchange { to, from, incarnation_id, sent_at, message } => {
+                self.exchange(to, from, incarnation_id, sent_at, *message);
             }
             Event::Reply { to, from, sent_at, nonce, message, .. } => {
-                let now = self.local(to);
-                let sent_at = match self.schedule.broken {
-                    Broken::FreshOnArrival => now,
+                let now = self.host_time(to);
+                let sent_at = match self.schedule.injected_bug {
+                    InjectedBug::FreshnessFromArrival => now,
                     _ => sent_at,
                 };
                 let started = Instant::now();
                 self.hosts[to].node.on_reply(now, &from, sent_at, nonce, *message);
-                self.seen.node_ns += started.elapsed().as_nanos() as u64;
+                self.stats.control_state_ns += started.elapsed().as_nanos() as u64;
                 self.check_fresh(to)?;
             }
-            Event::Failed { at, to, .. } => self.hosts[at].node.on_exchange_failed(&to),
-            Event::Probed { at, target, reached, .. } => {
-                let now = self.local(at);
-                self.hosts[at].node.on_probe(now, &target, reached);
+            Event::ExchangeFailed { host, to, .. } => self.hosts[host].node.on_exchange_failed(&to),
+            Event::ProbeDone { host, target, reached, .. } => {
+                let now = self.host_time(host);
+                self.hosts[host].node.on_probe(now, &target, reached);
+            }
+            Event::StoreRead { host, incarnation_id, requested_at, after } => {
+                self.read(host, incarnation_id, requested_at, after)
             }
-            Event::Read { by, life, asked_at, after } => self.read(by, life, asked_at, after),
-            Event::ReadDone { at, asked_at, list, delta, .. } => {
-                let node = &mut self.hosts[at].node;
+            Event::StoreReadDone { host, requested_at, list, delta, .. } => {
+                let node = &mut self.hosts[host].node;
                 if let Some((revision, entries)) = list {
-                    node.on_list(asked_at, revision, entries);
+                    node.on_list(requested_at, revision, entries);
                 }
                 if let Some(delta) = delta {
-                    node.on_changes(asked_at, delta);
+                    node.on_changes(requested_at, delta);
                 }
-                self.check_fresh(at)?;
+                self.check_fresh(host)?;
             }
-            Event::Hold { to, from, life, batch, call } => {
-                let held = self.hosts[to].keeper.hold_for(call);
+            Event::HoldBills { to, from, incarnation_id, batch, call } => {
+                let held = self.hosts[to].replicator.hold_for(call);
                 if let Some(ms) = self.latency().filter(|_| self.reachable(to, from)) {
-                    self.at(self.now + ms, Event::HoldDone { at: from, life, batch, held });
+                    self.schedule_event(
+                        self.now + ms,
+                        Event::BillsHeld { host: from, incarnation_id, batch, held },
+                    );
                 }
             }
-            Event::HoldDone { at, batch, held, .. } => {
-                let now = self.local(at);
-                self.hosts[at].keeper.hold_done(now, batch, held);
-                self.pump(at);
+            Event::BillsHeld { host, batch, held, .. } => {
+                let now = self.host_time(host);
+                self.hosts[host].replicator.hold_done(now, batch, held);
+                self.execute_replicator_actions(host);
+            }
+            Event::WriteSegment { host, incarnation_id, segment } => {
+                self.write_segment(host, incarnation_id, segment)
+            }
+            Event::SegmentWritten { host, origin, stored, .. } => {
+                let now = self.host_time(host);
+                self.hosts[host].replicator.write_done(now, &origin, stored);
+                self.execute_replicator_actions(host);
             }
-            Event::Write { by, life, segment } => self.write_segment(by, life, segment),
-            Event::WriteDone { at, origin, stands, .. } => {
-                let now = self.local(at);
-                self.hosts[at].keeper.write_done(now, &origin, stands);
-                self.pump(at);
+            Event::WriteRolloutState { host, incarnation_id, expected, state } => {
+                self.write_state(host, incarnation_id, expected, state);
             }
-            Event::WriteState { by, life, expected, state } => {
-                self.write_state(by, life, expected, state);
+            Event::RolloutStateWritten { host, version, state, .. } => {
+                self.on_rollout_state_written(host, version, &state)
             }
-            Event::StateDone { at, version, state, .. } => self.state_done(at, version, &state),
-            Event::Done { at, chosen, .. } => self.done(at, *chosen),
-            Event::Rate { at, chosen, .. } => self.rate(at, &chosen),
+            Event::ResponseDone { host, chosen, .. } => self.on_response_done(host, *chosen),
+            Event::Rating { host, chosen, .. } => self.record_rating(host, &chosen),
             Event::TicketCall { to, ticket, hops } => self.ticket_call(to, ticket, hops)?,
-            Event::TicketDone { at, ticket, lost, .. } => {
-                let now = self.local(at);
+            Event::TicketDone { host, ticket, lost, .. } => {
+                let now = self.host_time(host);
                 let answer = (!lost).then_some(StoredResponse { status: 200, body: None });
-                self.hosts[at].tickets.record_outcome(now, &ticket, answer);
+                self.hosts[host].tickets.record_outcome(now, &ticket, answer);
             }
-            Event::Operator => self.operate(),
+            Event::Operator => self.run_operator(),
             Event::Fault => self.fault(),
         }
         self.check_cap()
--- a/crates/tidetrack-bench/src/virtual_fleet/steps.rs
+++ b/crates/tidetrack-bench/src/virtual_fleet/exchange.rs
@@ -7,28 +7,28 @@
 use tidetrack_core::node::{Action, Exchange};
 use tidetrack_core::units::Millis;
 
-use super::platform::new_version;
-use super::{Broken, Event, World, CALL_TIMEOUT_MS, TICK_MS};
+use super::platform::canary_version;
+use super::{Event, InjectedBug, Simulation, CALL_TIMEOUT_MS, TICK_INTERVAL_MS};
 
-impl World {
+impl Simulation {
     pub(super) fn tick(&mut self, h: usize) -> Result<(), String> {
-        let now = self.local(h);
-        self.at(self.now + TICK_MS, Event::Tick(h));
+        let now = self.host_time(h);
+        self.schedule_event(self.now + TICK_INTERVAL_MS, Event::Tick(h));
         let from = Instant::now();
         let actions = self.hosts[h].node.tick(now);
-        self.seen.node_ns += from.elapsed().as_nanos() as u64;
+        self.stats.control_state_ns += from.elapsed().as_nanos() as u64;
         for action in actions {
-            self.act(h, action);
+            self.execute_action(h, action);
         }
         let spent = self.hosts[h].spent();
-        let told = std::mem::replace(&mut self.hosts[h].spent_told, spent);
-        if spent > told {
-            let counts = VersionCounts { started: spent - told, ..VersionCounts::default() };
-            self.hosts[h].node.record_counts(&new_version(), 1, true, &counts);
+        let reported = std::mem::replace(&mut self.hosts[h].spent_reported, spent);
+        if spent > reported {
+            let counts = VersionCounts { started: spent - reported, ..VersionCounts::default() };
+            self.hosts[h].node.record_counts(&canary_version(), 1, true, &counts);
         }
         self.publish(h)?;
-        self.ask_platform(h);
-        self.rollout_duty(h);
+        self.read_platform_if_due(h);
+        self.update_rollout(h);
         let epoch = self.hosts[h].node.members.epoch();
         if self.hosts[h].holders_epoch != Some(epoch) {
             self.hosts[h].holders_epoch = Some(epoch);
@@ -38,70 +38,79 @@
                 address: m.peer_address.clone(),
             });
             let holders = holders.collect();
-            self.hosts[h].keeper.set_holders(holders);
+            self.hosts[h].replicator.set_holders(holders);
         }
-        self.pump(h);
+        self.execute_replicator_actions(h);
         self.check_limits()
     }
 
     pub(super) fn publish(&mut self, h: usize) -> Result<(), String> {
-        let now = self.local(h);
+        let now = self.host_time(h);
         let host = &mut self.hosts[h];
         if !host.node.take_changed() {
             return Ok(());
         }
         let view = host.node.view(now, &mut host.builder);
-        let broken = self.schedule.broken == Broken::IgnoredWithdrawal;
-        if !(broken && host.view.revision > 0) {
+        let injected_bug = self.schedule.injected_bug == InjectedBug::IgnoredWithdrawal;
+        if !(injected_bug && host.view.revision > 0) {
             host.view = view;
         }
         let mut reverted = None;
         for entry in host.node.store.iter() {
-            let seen = host.seen.entry(entry.key.clone()).or_default();
-            if entry.version < *seen {
+            let stats = host.last_versions.entry(entry.key.clone()).or_default();
+            if entry.version < *stats {
                 reverted =
-                    Some(format!("{} went back from {seen} to {}", entry.key, entry.version));
+                    Some(format!("{} went back from {stats} to {}", entry.key, entry.version));
             }
-            *seen = entry.version;
+            *stats = entry.version;
         }
-        if let Some(what) = reverted {
-            return self.fail(what);
+        if let Some(message) = reverted {
+            return self.fail(message);
         }
         let view = self.hosts[h].view.clone();
         self.hosts[h].node.quarantine_bad_versions(&view);
-        self.note_in_force();
+        self.record_in_force();
         Ok(())
     }
 
     /// Notes when the last host had each revision in force.
-    pub(super) fn note_in_force(&mut self) {
-        let up = self.hosts.iter().filter(|h| h.up);
+    pub(super) fn record_in_force(&mut self) {
+        let up = self.hosts.iter().filter(|h| h.is_up);
         let least = up.map(|h| h.view.revision).min().unwrap_or(0);
         let reached: Vec<u64> = self.in_force.range(..=least).map(|(r, _)| *r).collect();
         for revision in reached {
             let accepted = self.in_force.remove(&revision).expect("it was listed");
-            self.seen.in_force_ms.push(self.now - accepted);
+            self.stats.in_force_ms.push(self.now - accepted);
         }
     }
 
-    pub(super) fn act(&mut self, h: usize, action: Action) {
-        let life = self.hosts[h].life;
+    pub(super) fn execute_action(&mut self, h: usize, action: Action) {
+        let incarnation_id = self.hosts[h].incarnation_id;
         match action {
             Action::Log(..) => {}
             Action::Exchange { to, message, .. } => {
-                self.seen.messages += 1;
-                self.seen.bytes += serde_json::to_string(&message).map_or(0, |s| s.len() as u64);
+                self.stats.messages += 1;
+                self.stats.bytes += serde_json::to_string(&message).map_or(0, |s| s.len() as u64);
                 let target = self.index(&to);
                 let arrives = self.latency().filter(|_| self.reachable(h, target));
-                let sent_at = self.local(h);
+                let sent_at = self.host_time(h);
                 match arrives {
                     Some(ms) => {
                         let message = Box::new(message);
-                        let event = Event::Exchange { to: target, from: h, life, sent_at, message };
-                        self.at(self.now + ms, event);
+                        let event = Event::Exchange {
+                            to: target,
+                            from: h,
+                            incarnation_id,
+                            sent_at,
+                            message,
+                        };
+                        self.schedule_event(self.now + ms, event);
                     }
                     None => {
-                        self.at(self.now + CALL_TIMEOUT_MS, Event::Failed { at: h, life, to });
+                        self.schedule_event(
+                            self.now + CALL_TIMEOUT_MS,
+                            Event::ExchangeFailed { host: h, incarnation_id, to },
+                        );
                     }
                 }
             }
@@ -109,7 +118,10 @@
                 let (v, t) = (self.index(&via), self.index(&target));
                 let paused = self.hosts[t].paused_until > self.now;
                 let reached = self.reachable(h, v) && self.reachable(v, t) && !paused;
-                self.at(self.now + 60, Event::Probed { at: h, life, target, reached });
+                self.schedule_event(
+                    self.now + 60,
+                    Event::ProbeDone { host: h, incarnation_id, target, reached },
+                );
             }
         }
     }
@@ -118,27 +130,28 @@
         &mut self,
         to: usize,
         from: usize,
-        life: u64,
+        incarnation_id: u64,
         sent_at: Millis,
         message: Exchange,
     ) {
-        let now = self.local(to);
+        let now = self.host_time(to);
         let nonce = message.nonce;
         let from_instant = Instant::now();
         let reply = self.hosts[to].node.on_exchange(now, message);
-        self.seen.node_ns += from_instant.elapsed().as_nanos() as u64;
-        self.seen.messages += 1;
-        self.seen.bytes += serde_json::to_string(&reply).map_or(0, |s| s.len() as u64);
+        self.stats.control_state_ns += from_instant.elapsed().as_nanos() as u64;
+        self.stats.messages += 1;
+        self.stats.bytes += serde_json::to_string(&reply).map_or(0, |s| s.len() as u64);
         let name = self.hosts[to].name.clone();
         match self.latency().filter(|_| self.reachable(to, from)) {
             Some(ms) => {
                 let message = Box::new(reply);
-                let event = Event::Reply { to: from, from: name, life, sent_at, nonce, message };
-                self.at(self.now + ms, event);
+                let event =
+                    Event::Reply { to: from, from: name, incarnation_id, sent_at, nonce, message };
+                self.schedule_event(self.now + ms, event);
             }
             None => {
-                let event = Event::Failed { at: from, life, to: name };
-                self.at(self.now + CALL_TIMEOUT_MS, event);
+                let event = Event::ExchangeFailed { host: from, incarnation_id, to: name };
+                self.schedule_event(self.now + CALL_TIMEOUT_MS, event);
             }
         }
     }
--- a/crates/tidetrack-bench/src/virtual_fleet/faults.rs
+++ b/crates/tidetrack-bench/src/virtual_fleet/faults.rs
@@ -2,86 +2,89 @@
 
 use rand::RngExt;
 
-use super::{Event, Host, World, KILLS_APART_MS};
+use super::{Event, Host, Simulation, MIN_DOMAIN_LOSS_INTERVAL_MS};
 
-impl World {
+impl Simulation {
     pub(super) fn fault(&mut self) {
-        if self.healed {
+        if self.is_healed {
             return;
         }
         let gap = self.rng.random_range(200..6_000);
-        self.at(self.now + gap, Event::Fault);
-        self.last_fault = self.now;
-        self.seen.faults += 1;
+        self.schedule_event(self.now + gap, Event::Fault);
+        self.last_fault_at = self.now;
+        self.stats.faults += 1;
         let h = self.rng.random_range(0..self.hosts.len());
         match self.rng.random_range(0..10) {
-            0 => self.platform.up = false,
-            1 | 2 => self.platform.up = true,
-            3 => self.hosts[h].cut_platform = !self.hosts[h].cut_platform,
-            4 => self.hosts[h].cut_peers = !self.hosts[h].cut_peers,
+            0 => self.platform.is_up = false,
+            1 | 2 => self.platform.is_up = true,
+            3 => self.hosts[h].is_cut_from_platform = !self.hosts[h].is_cut_from_platform,
+            4 => self.hosts[h].is_cut_from_peers = !self.hosts[h].is_cut_from_peers,
             5 => {
                 let ms = self.rng.random_range(500..9_000);
                 self.hosts[h].paused_until = self.now + ms;
             }
-            6 | 7 => self.kill_domain(h),
-            8 => self.revive(),
+            6 | 7 => self.stop_domain(h),
+            8 => self.restart_stopped_hosts(),
             _ => {
                 self.hosts.iter_mut().for_each(|h| {
-                    h.cut_peers = false;
-                    h.cut_platform = false;
+                    h.is_cut_from_peers = false;
+                    h.is_cut_from_platform = false;
                 });
             }
         }
     }
 
     /// Ends all hosts of one failure domain, but not so soon after another that no copy was made.
-    fn kill_domain(&mut self, h: usize) {
-        let cut = self.hosts.iter().any(|h| h.cut_peers || h.paused_until > self.now);
-        if self.now < self.next_kill || cut || !self.copies_are_elsewhere(self.hosts[h].domain) {
+    fn stop_domain(&mut self, h: usize) {
+        let cut = self.hosts.iter().any(|h| h.is_cut_from_peers || h.paused_until > self.now);
+        if self.now < self.next_domain_loss_at
+            || cut
+            || !self.has_copies_in_other_domains(self.hosts[h].domain)
+        {
             return;
         }
-        self.next_kill = self.now + KILLS_APART_MS;
+        self.next_domain_loss_at = self.now + MIN_DOMAIN_LOSS_INTERVAL_MS;
         let domain = self.hosts[h].domain;
         for i in 0..self.hosts.len() {
-            if self.hosts[i].domain == domain && self.hosts[i].up {
-                self.spent_by_dead += self.hosts[i].spent();
-                self.hosts[i].up = false;
+            if self.hosts[i].domain == domain && self.hosts[i].is_up {
+                self.spent_by_stopped_hosts += self.hosts[i].spent();
+                self.hosts[i].is_up = false;
             }
         }
     }
 
     /// Tells whether the hosts of a domain have their copies in another one. Where no other domain is
-    /// left, the loss of the last one is past what a copy can bear; `docs/design/billing.md` says so.
-    fn copies_are_elsewhere(&self, domain: usize) -> bool {
-        let elsewhere = |h: &Host| {
-            let holder = h.keeper.holder().map(|i| self.index(&i.host));
-            h.keeper.bills_to_transfer() == 0
-                && holder.is_some_and(|i| self.hosts[i].domain != domain && self.hosts[i].up)
+    /// left, the loss of the last one is past what a copy can bear; `docs_dir/design/billing.md` says so.
+    fn has_copies_in_other_domains(&self, domain: usize) -> bool {
+        let is_copied_elsewhere = |h: &Host| {
+            let holder = h.replicator.holder().map(|i| self.index(&i.host));
+            h.replicator.bills_to_transfer() == 0
+                && holder.is_some_and(|i| self.hosts[i].domain != domain && self.hosts[i].is_up)
         };
-        self.hosts.iter().filter(|h| h.up && h.domain == domain).all(elsewhere)
+        self.hosts.iter().filter(|h| h.is_up && h.domain == domain).all(is_copied_elsewhere)
     }
 
-    pub(super) fn revive(&mut self) {
+    pub(super) fn restart_stopped_hosts(&mut self) {
         let count = self.hosts.len();
         for i in 0..count {
-            if !self.hosts[i].up {
+            if !self.hosts[i].is_up {
                 let (domain, offset) =
                     (self.hosts[i].domain, self.rng.random_range(1_000_000..9_000_000));
-                let life = self.rng.random::<u32>().into();
-                self.hosts[i] = Host::new(i, domain, life, offset, self.now, count);
+                let incarnation_id = self.rng.random::<u32>().into();
+                self.hosts[i] = Host::new(i, domain, incarnation_id, offset, self.now, count);
             }
         }
     }
 
-    pub(super) fn heal(&mut self) {
-        self.healed = true;
-        self.last_fault = self.now;
-        self.platform.up = true;
+    pub(super) fn end_faults(&mut self) {
+        self.is_healed = true;
+        self.last_fault_at = self.now;
+        self.platform.is_up = true;
         for host in &mut self.hosts {
-            host.cut_peers = false;
-            host.cut_platform = false;
+            host.is_cut_from_peers = false;
+            host.is_cut_from_platform = false;
             host.paused_until = 0;
         }
-        self.revive();
+        self.restart_stopped_hosts();
     }
 }
--- a/crates/tidetrack-bench/src/virtual_fleet/host.rs
+++ b/crates/tidetrack-bench/src/virtual_fleet/host.rs
@@ -11,30 +11,30 @@
 use tidetrack_core::units::Millis;
 use tidetrack_core::view::{View, ViewBuilder};
 
-use super::platform::new_version;
+use super::platform::canary_version;
 
 pub(super) struct Host {
     pub(super) name: HostId,
     pub(super) domain: usize,
     pub(super) offset: u64,
-    pub(super) life: u64,
-    pub(super) up: bool,
+    pub(super) incarnation_id: u64,
+    pub(super) is_up: bool,
     pub(super) paused_until: u64,
-    pub(super) cut_platform: bool,
-    pub(super) cut_peers: bool,
+    pub(super) is_cut_from_platform: bool,
+    pub(super) is_cut_from_peers: bool,
     pub(super) node: Node,
     pub(super) builder: ViewBuilder,
     pub(super) view: View,
-    pub(super) keeper: BillReplicator,
+    pub(super) replicator: BillReplicator,
     pub(super) holders_epoch: Option<u64>,
     pub(super) tickets: TicketRegistry,
-    pub(super) asked_platform_at: u64,
-    pub(super) writing_state: bool,
+    pub(super) last_platform_read_at: u64,
+    pub(super) is_writing_state: bool,
     pub(super) rollout_since: (u64, u64),
-    pub(super) next_bill: u64,
-    pub(super) spent_told: u64,
-    pub(super) seen: BTreeMap<ObjectKey, u64>,
-    pub(super) born_at: u64,
+    pub(super) next_bill_number: u64,
+    pub(super) spent_reported: u64,
+    pub(super) last_versions: BTreeMap<ObjectKey, u64>,
+    pub(super) started_at: u64,
 }
 
 fn member(name: &HostId, domain: usize, nonce: u64) -> Member {
@@ -52,43 +52,47 @@
     pub(super) fn new(
         index: usize,
         domain: usize,
-        life: u64,
+        incarnation_id: u64,
         offset: u64,
         now: u64,
-        all: usize,
+        host_count: usize,
     ) -> Host {
         let name: HostId = format!("h{index}").parse().expect("a host");
-        let own = member(&name, domain, life);
+        let own = member(&name, domain, incarnation_id);
         let incarnation = own.incarnation.clone();
-        let mut node = Node::new(own, NodeOptions::default(), life);
-        let seeds = (0..all).map(|i| format!("h{i}"));
+        let mut node = Node::new(own, NodeOptions::default(), incarnation_id);
+        let seeds = (0..host_count).map(|i| format!("h{i}"));
         node.set_seeds(seeds.map(|h| (h.parse().expect("a host"), h)).collect());
         Host {
             name,
             domain,
             offset,
-            life,
-            up: true,
+            incarnation_id,
+            is_up: true,
             paused_until: 0,
-            cut_platform: false,
-            cut_peers: false,
+            is_cut_from_platform: false,
+            is_cut_from_peers: false,
             node,
             builder: ViewBuilder::default(),
             view: View::default(),
-            keeper: BillReplicator::new(Millis(now + offset), incarnation.clone(), Millis(2_000)),
+            replicator: BillReplicator::new(
+                Millis(now + offset),
+                incarnation.clone(),
+                Millis(2_000),
+            ),
             holders_epoch: None,
             tickets: TicketRegistry::new(incarnation, TicketOptions::default()),
-            asked_platform_at: 0,
-            writing_state: false,
+            last_platform_read_at: 0,
+            is_writing_state: false,
             rollout_since: (0, 0),
-            next_bill: 0,
-            spent_told: 0,
-            seen: BTreeMap::new(),
-            born_at: now,
+            next_bill_number: 0,
+            spent_reported: 0,
+            last_versions: BTreeMap::new(),
+            started_at: now,
         }
     }
 
     pub(super) fn spent(&self) -> u64 {
-        self.builder.credits(&new_version(), 1).map_or(0, |c| c.spent())
+        self.builder.credits(&canary_version(), 1).map_or(0, |c| c.spent())
     }
 }
--- a/crates/tidetrack-bench/src/virtual_fleet/mod.rs
+++ b/crates/tidetrack-bench/src/virtual_fleet/mod.rs
@@ -15,32 +15,32 @@
 use tidetrack_core::units::Millis;
 
 mod checks;
-mod duties;
 mod event;
+mod exchange;
 mod faults;
 mod host;
 mod platform;
+mod platform_access;
 mod requests;
-mod steps;
 
 use event::Event;
 use host::Host;
-use platform::{first_objects, Platform};
+use platform::{initial_objects, Platform};
 
 /// Most unjudged requests on the new version, in every stage.
-pub const CAP: u64 = 20;
+pub const EXPOSURE_CAP: u64 = 20;
 
 /// Roll-outs of a large fleet are looked at when the clock is a multiple of this.
-const DUTY_MS: u64 = 300;
+const ROLLOUT_CHECK_INTERVAL_MS: u64 = 300;
 
 /// A host's tick.
-const TICK_MS: u64 = 50;
+const TICK_INTERVAL_MS: u64 = 50;
 
 /// A call that got no answer has failed after this time.
 const CALL_TIMEOUT_MS: u64 = 1_500;
 
 /// A change must be in force after this time without faults.
-const IN_FORCE_MS: u64 = 4_000;
+const MAX_IN_FORCE_MS: u64 = 4_000;
 
 /// Time for a fleet to find itself after the last fault.
 const SETTLE_MS: u64 = 11_000;
@@ -49,25 +49,25 @@
 const STALE_MS: u64 = 10_000;
 
 /// Larger fleets are only measured: the checks look at all hosts after every step.
-const MOST_CHECKED: usize = 20;
+const MAX_CHECKED_HOSTS: usize = 20;
 
 /// The longest that a loan can run.
-const LOAN_MS: u64 = 5_000;
+const MAX_LOAN_MS: u64 = 5_000;
 
 /// Time between two losses of a failure domain: the first must be found out and made good.
-const KILLS_APART_MS: u64 = 18_000;
+const MIN_DOMAIN_LOSS_INTERVAL_MS: u64 = 18_000;
 
 /// Traffic goes on for so long after everything is healed.
-const HEALED_TRAFFIC_MS: u64 = 18_000;
+const TRAFFIC_AFTER_FAULTS_MS: u64 = 18_000;
 
 /// Requests a second of the one workspace.
-const LIMIT: f64 = 100.0;
+const REQUESTS_PER_SECOND_LIMIT: f64 = 100.0;
 
 /// A guard that a test breaks on purpose, to show that the checks see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Broken {
+pub enum InjectedBug {
     /// None: everything must hold.
-    Nothing,
+    NoBug,
     /// Traffic decides on the first view that it got.
     IgnoredWithdrawal,
     /// A holder that takes over writes under a name of its own.
@@ -75,11 +75,11 @@
     /// Credits are not asked for.
     IgnoredCap,
     /// An answer is ended before its bill is safe.
-    EarlyEnd,
+    EarlyResponseEnd,
     /// A ticket is run by whichever host it comes to.
     SharedTicket,
     /// Freshness is counted from when an answer arrived.
-    FreshOnArrival,
+    FreshnessFromArrival,
 }
 
 /// How a schedule is made.
@@ -92,35 +92,35 @@
     /// Failure domains.
     pub domains: usize,
     /// Length before everything is healed, in milliseconds.
-    pub length_ms: u64,
+    pub fault_phase_ms: u64,
     /// Whether faults are drawn.
     pub faults: bool,
     /// True quality of the new version.
-    pub new_quality: f64,
+    pub canary_quality: f64,
     /// The broken guard.
-    pub broken: Broken,
+    pub injected_bug: InjectedBug,
 }
 
 impl Schedule {
     /// Makes the schedule of a seed.
     pub fn of(seed: u64) -> Schedule {
-        let new_quality = if seed.is_multiple_of(2) { 0.85 } else { 0.3 };
-        let broken = Broken::Nothing;
+        let canary_quality = if seed.is_multiple_of(2) { 0.85 } else { 0.3 };
+        let injected_bug = InjectedBug::NoBug;
         Schedule {
             seed,
             hosts: 5,
             domains: 3,
-            length_ms: 30_000,
+            fault_phase_ms: 30_000,
             faults: true,
-            new_quality,
-            broken,
+            canary_quality,
+            injected_bug,
         }
     }
 }
 
 /// What a run saw, for reports.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
+pub struct RunStats {
     /// Messages between hosts.
     pub messages: u64,
     /// Bytes of them, as JSON.
@@ -128,11 +128,11 @@
     /// Faults.
     pub faults: u64,
     /// Nanoseconds spent in the hosts' control state.
-    pub node_ns: u64,
+    pub control_state_ns: u64,
     /// Requests answered.
     pub answered: u64,
     /// Requests on the new version.
-    pub exposed: u64,
+    pub canary_requests: u64,
     /// Calls with a ticket.
     pub tickets: u64,
     /// Milliseconds until each accepted change was in force on the last host.
@@ -140,43 +140,43 @@
 }
 
 /// The world of one schedule.
-pub struct World {
+pub struct Simulation {
     schedule: Schedule,
     now: u64,
-    order: u64,
+    next_sequence: u64,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
     events: HashMap<u64, Event>,
     rng: StdRng,
     platform: Platform,
     hosts: Vec<Host>,
-    last_fault: u64,
-    healed: bool,
-    next_kill: u64,
+    last_fault_at: u64,
+    is_healed: bool,
+    next_domain_loss_at: u64,
     /// Credits spent by lives that are gone, and answers judged, as the test sees them.
-    spent_by_dead: u64,
+    spent_by_stopped_hosts: u64,
     judged: u64,
     started: u64,
     answered: BTreeSet<RequestId>,
-    made: BTreeSet<RequestId>,
-    runs: HashMap<Ticket, u64>,
+    completed_requests: BTreeSet<RequestId>,
+    executions: HashMap<Ticket, u64>,
     in_force: BTreeMap<u64, u64>,
-    disagreed_at: u64,
+    last_disagreement_at: u64,
     /// What was seen.
-    pub seen: Seen,
+    pub stats: RunStats,
 }
 
-impl World {
+impl Simulation {
     /// Makes the world of a schedule.
-    pub fn new(schedule: Schedule) -> World {
+    pub fn new(schedule: Schedule) -> Simulation {
         let mut rng = StdRng::seed_from_u64(schedule.seed);
         let mut platform = Platform {
-            up: true,
+            is_up: true,
             revision: 0,
             objects: BTreeMap::new(),
             writes: Vec::new(),
             segments: BTreeMap::new(),
         };
-        for (key, object) in first_objects() {
+        for (key, object) in initial_objects() {
             platform.write(0, &key, 0, Some(object.to_json()));
         }
         let count = schedule.hosts;
@@ -186,74 +186,75 @@
                 Host::new(i, i % schedule.domains, rng.random::<u32>().into(), offset, 0, count)
             })
             .collect();
-        let mut world = World {
+        let mut simulation = Simulation {
             now: 0,
-            order: 0,
+            next_sequence: 0,
             queue: BinaryHeap::new(),
             events: HashMap::new(),
             rng,
             platform,
             hosts,
-            last_fault: 0,
-            healed: false,
-            next_kill: 0,
-            spent_by_dead: 0,
+            last_fault_at: 0,
+            is_healed: false,
+            next_domain_loss_at: 0,
+            spent_by_stopped_hosts: 0,
             judged: 0,
             started: 0,
             answered: BTreeSet::new(),
-            made: BTreeSet::new(),
-            runs: HashMap::new(),
+            completed_requests: BTreeSet::new(),
+            executions: HashMap::new(),
             in_force: BTreeMap::new(),
-            disagreed_at: 0,
-            seen: Seen::default(),
+            last_disagreement_at: 0,
+            stats: RunStats::default(),
             schedule,
         };
         for i in 0..count {
-            world.at(i as u64 % TICK_MS, Event::Tick(i));
-            world.at(200 + i as u64, Event::Traffic(i));
+            simulation.schedule_event(i as u64 % TICK_INTERVAL_MS, Event::Tick(i));
+            simulation.schedule_event(200 + i as u64, Event::Traffic(i));
         }
-        world.at(3_000, Event::Operator);
-        if world.schedule.faults {
-            world.at(2_000, Event::Fault);
+        simulation.schedule_event(3_000, Event::Operator);
+        if simulation.schedule.faults {
+            simulation.schedule_event(2_000, Event::Fault);
         }
-        world
+        simulation
     }
 
     /// Runs the whole schedule and heals at its end; gives the first broken promise.
     pub fn run(&mut self) -> Result<(), String> {
-        self.run_until(self.schedule.length_ms)?;
-        self.heal();
-        self.run_until(self.schedule.length_ms + HEALED_TRAFFIC_MS + 20_000)?;
+        self.run_until(self.schedule.fault_phase_ms)?;
+        self.end_faults();
+        self.run_until(self.schedule.fault_phase_ms + TRAFFIC_AFTER_FAULTS_MS + 20_000)?;
         self.check_ledger()
     }
 
     /// Runs up to an instant.
     pub fn run_until(&mut self, until: u64) -> Result<(), String> {
-        while let Some(Reverse((at, order))) = self.queue.pop() {
+        while let Some(Reverse((at, next_sequence))) = self.queue.pop() {
             if at > until {
-                self.queue.push(Reverse((at, order)));
+                self.queue.push(Reverse((at, next_sequence)));
                 return Ok(());
             }
             self.now = at;
-            let event = self.events.remove(&order).expect("every queued number has an event");
+            let event =
+                self.events.remove(&next_sequence).expect("every queued number has an event");
             self.step(event)?;
         }
         Ok(())
     }
 
-    fn fail<T>(&self, what: String) -> Result<T, String> {
-        Err(format!("seed {} at {} ms: {what}", self.schedule.seed, self.now))
+    fn fail<T>(&self, message: String) -> Result<T, String> {
+        Err(format!("seed {} at {} ms: {message}", self.schedule.seed, self.now))
     }
 
-    fn at(&mut self, at: u64, event: Event) {
-        self.order += 1;
-        self.queue.push(Reverse((at, self.order)));
-        self.events.insert(self.order, event);
+    fn schedule_event(&mut self, at: u64, event: Event) {
+        self.next_sequence += 1;
+        self.queue.push(Reverse((at, self.next_sequence)));
+        self.events.insert(self.next_sequence, event);
     }
 
     /// Draws the time of a message on its way; `None` if it is lost.
     fn latency(&mut self) -> Option<u64> {
-        if !self.schedule.faults || self.healed {
+        if !self.schedule.faults || self.is_healed {
             return Some(self.rng.random_range(1..10));
         }
         match self.rng.random_range(0..100) {
@@ -263,7 +264,7 @@
         }
     }
 
-    fn local(&self, host: usize) -> Millis {
+    fn host_time(&self, host: usize) -> Millis {
         Millis(self.now + self.hosts[host].offset)
     }
 
@@ -273,10 +274,10 @@
 
     fn reachable(&self, from: usize, to: usize) -> bool {
         let (a, b) = (&self.hosts[from], &self.hosts[to]);
-        a.up && b.up && !a.cut_peers && !b.cut_peers
+        a.is_up && b.is_up && !a.is_cut_from_peers && !b.is_cut_from_peers
     }
 
     fn platform_reachable(&self, host: usize) -> bool {
-        self.platform.up && self.hosts[host].up && !self.hosts[host].cut_platform
+        self.platform.is_up && self.hosts[host].is_up && !self.hosts[host].is_cut_from_platform
     }
 }
--- a/crates/tidetrack-bench/src/virtual_fleet/platform.rs
+++ b/crates/tidetrack-bench/src/virtual_fleet/platform.rs
@@ -13,21 +13,21 @@
 use tidetrack_core::store::Entry;
 use tidetrack_core::units::Micros;
 
-use super::{Event, World, CAP, LIMIT, STALE_MS};
+use super::{Event, Simulation, EXPOSURE_CAP, REQUESTS_PER_SECOND_LIMIT, STALE_MS};
 
 pub(super) struct Platform {
-    pub(super) up: bool,
+    pub(super) is_up: bool,
     pub(super) revision: u64,
     pub(super) objects: BTreeMap<ObjectKey, Entry>,
     pub(super) writes: Vec<(u64, ObjectKey, u64)>,
     pub(super) segments: BTreeMap<String, Segment>,
 }
 
-pub(super) fn old_version() -> VersionRef {
+pub(super) fn stable_version() -> VersionRef {
     "m@1".parse().expect("a version")
 }
 
-pub(super) fn new_version() -> VersionRef {
+pub(super) fn canary_version() -> VersionRef {
     "m@2".parse().expect("a version")
 }
 
@@ -35,7 +35,7 @@
     "w".parse().expect("a workspace")
 }
 
-pub(super) fn first_objects() -> Vec<(ObjectKey, Object)> {
+pub(super) fn initial_objects() -> Vec<(ObjectKey, Object)> {
     let pool = Pool { endpoints: BTreeMap::new(), slots: 1, fenced: false };
     let version = |_: &str| {
         Object::Version(Version {
@@ -46,23 +46,23 @@
             context_tokens: 1,
         })
     };
-    let stage = |share| Stage { share, cap: CAP, judged: 1_000_000 };
+    let stage = |share| Stage { share, cap: EXPOSURE_CAP, judged: 1_000_000 };
     let rollout = Rollout {
-        from: old_version(),
-        to: new_version(),
+        from: stable_version(),
+        to: canary_version(),
         stages: vec![stage(0.5)],
         when_stale: WhenStale::StableOnly,
         stale_ms: STALE_MS,
     };
-    let allow = [old_version(), new_version()].into();
+    let allow = [stable_version(), canary_version()].into();
     let caller = Workspace {
         key_digests: BTreeSet::new(),
         allow,
-        requests_per_second: LIMIT,
+        requests_per_second: REQUESTS_PER_SECOND_LIMIT,
         concurrency: 1_000,
     };
     let model =
-        tidetrack_core::config::Model { serving: old_version(), description: String::new() };
+        tidetrack_core::config::Model { serving: stable_version(), description: String::new() };
     vec![
         (ObjectKey::new(ObjectKind::Pool, "p"), Object::Pool(pool)),
         (ObjectKey::new(ObjectKind::Version, "m@1"), version("m@1")),
@@ -95,26 +95,26 @@
     }
 }
 
-impl World {
+impl Simulation {
     /// The operator touches an object, and withdraws a version in the second half.
-    pub(super) fn operate(&mut self) {
-        if self.now > self.schedule.length_ms {
+    pub(super) fn run_operator(&mut self) {
+        if self.now > self.schedule.fault_phase_ms {
             return;
         }
         let gap = self.rng.random_range(1_000..5_000);
-        self.at(self.now + gap, Event::Operator);
-        if !self.platform.up {
+        self.schedule_event(self.now + gap, Event::Operator);
+        if !self.platform.is_up {
             return;
         }
-        let withdraws = self.now > self.schedule.length_ms / 2;
+        let is_withdrawing = self.now > self.schedule.fault_phase_ms / 2;
         let version =
-            if self.schedule.seed.is_multiple_of(3) { old_version() } else { new_version() };
-        let (key, object) = match withdraws {
+            if self.schedule.seed.is_multiple_of(3) { stable_version() } else { canary_version() };
+        let (key, object) = match is_withdrawing {
             true => {
                 let withdrawal = Withdrawal { generation: 1, reason: String::new() };
                 (ObjectKey::new(ObjectKind::Withdrawal, version), Object::Withdrawal(withdrawal))
             }
-            false => first_objects().swap_remove(3),
+            false => initial_objects().swap_remove(3),
         };
         let present = self.platform.objects.get(&key).map_or(0, |e| e.version);
         if let Some(revision) = self.platform.write(self.now, &key, present, Some(object.to_json()))
--- a/crates/tidetrack-bench/src/virtual_fleet/requests.rs
+++ b/crates/tidetrack-bench/src/virtual_fleet/requests.rs
@@ -10,27 +10,28 @@
 use tidetrack_core::units::{Micros, Tokens};
 use tidetrack_core::view::{ChosenVersion, Freshness};
 
-use super::platform::{new_version, workspace};
-use super::{Broken, Event, World, CALL_TIMEOUT_MS, HEALED_TRAFFIC_MS};
+use super::platform::{canary_version, workspace};
+use super::{Event, InjectedBug, Simulation, CALL_TIMEOUT_MS, TRAFFIC_AFTER_FAULTS_MS};
 
-impl World {
+impl Simulation {
     pub(super) fn traffic(&mut self, h: usize) -> Result<(), String> {
         let gap = self.rng.random_range(20..120);
-        self.at(self.now + gap, Event::Traffic(h));
-        let ended = self.now > self.schedule.length_ms + HEALED_TRAFFIC_MS;
+        self.schedule_event(self.now + gap, Event::Traffic(h));
+        let ended = self.now > self.schedule.fault_phase_ms + TRAFFIC_AFTER_FAULTS_MS;
         if ended || self.hosts[h].view.revision == 0 {
             return Ok(());
         }
-        let now = self.local(h);
-        let draw: f64 = self.rng.random();
+        let now = self.host_time(h);
+        let random_fraction: f64 = self.rng.random();
         let host = &self.hosts[h];
         let Some(age) = host.node.confirmation_age(now) else { return Ok(()) };
         let Some(caller) = host.view.workspaces.get(&workspace()) else { return Ok(()) };
         let model = "m".parse().expect("a model");
-        let mut chosen = host.view.choose_version(caller, &model, draw, Freshness { age });
-        if self.schedule.broken == Broken::IgnoredCap && draw < 0.5 {
+        let mut chosen =
+            host.view.choose_version(caller, &model, random_fraction, Freshness { age });
+        if self.schedule.injected_bug == InjectedBug::IgnoredCap && random_fraction < 0.5 {
             chosen = Ok(ChosenVersion {
-                version: new_version(),
+                version: canary_version(),
                 generation: 1,
                 pool: "p".parse().expect("a pool"),
                 credit: None,
@@ -41,61 +42,70 @@
         }
         let Ok(chosen) = chosen else { return Ok(()) };
         self.check_withdrawn(h, &chosen)?;
-        if chosen.version == new_version() {
+        if chosen.version == canary_version() {
             self.started += 1;
-            self.seen.exposed += 1;
+            self.stats.canary_requests += 1;
         }
-        let life = self.hosts[h].life;
+        let incarnation_id = self.hosts[h].incarnation_id;
         let ms = self.rng.random_range(20..400);
-        self.at(self.now + ms, Event::Done { at: h, life, chosen: Box::new(chosen) });
+        self.schedule_event(
+            self.now + ms,
+            Event::ResponseDone { host: h, incarnation_id, chosen: Box::new(chosen) },
+        );
         Ok(())
     }
 
-    pub(super) fn done(&mut self, h: usize, chosen: ChosenVersion) {
-        let unproven = chosen.version == new_version();
+    pub(super) fn on_response_done(&mut self, h: usize, chosen: ChosenVersion) {
+        let is_canary = chosen.version == canary_version();
         let answered = VersionCounts { answered: 1, ..VersionCounts::default() };
         let host = &mut self.hosts[h];
-        host.node.record_counts(&chosen.version, 1, unproven, &answered);
-        host.next_bill += 1;
-        let number = host.next_bill;
+        host.node.record_counts(&chosen.version, 1, is_canary, &answered);
+        host.next_bill_number += 1;
+        let number = host.next_bill_number;
         let part = LineItem(chosen.version.clone(), Tokens(1), Tokens(1), Micros(1));
-        host.keeper.add_bill(Bill(number, workspace(), vec![part], BillOutcome::Complete));
+        host.replicator.add_bill(Bill(number, workspace(), vec![part], BillOutcome::Complete));
         let id = RequestId { incarnation: host.node.incarnation().clone(), number };
-        self.made.insert(id.clone());
-        match self.schedule.broken {
+        self.completed_requests.insert(id.clone());
+        match self.schedule.injected_bug {
             // The end marker goes first; the bill is on its way with the next tick.
-            Broken::EarlyEnd => drop(self.answered.insert(id)),
-            _ => self.pump(h),
+            InjectedBug::EarlyResponseEnd => drop(self.answered.insert(id)),
+            _ => self.execute_replicator_actions(h),
         }
-        if unproven || self.rng.random_range(0..4) == 0 {
-            let life = self.hosts[h].life;
+        if is_canary || self.rng.random_range(0..4) == 0 {
+            let incarnation_id = self.hosts[h].incarnation_id;
             let ms = self.rng.random_range(20..300);
-            self.at(self.now + ms, Event::Rate { at: h, life, chosen: Box::new(chosen) });
+            self.schedule_event(
+                self.now + ms,
+                Event::Rating { host: h, incarnation_id, chosen: Box::new(chosen) },
+            );
         }
     }
 
-    pub(super) fn rate(&mut self, h: usize, chosen: &ChosenVersion) {
-        let unproven = chosen.version == new_version();
-        let quality = if unproven { self.schedule.new_quality } else { 0.85 };
+    pub(super) fn record_rating(&mut self, h: usize, chosen: &ChosenVersion) {
+        let is_canary = chosen.version == canary_version();
+        let quality = if is_canary { self.schedule.canary_quality } else { 0.85 };
         let mut counts = VersionCounts::default();
         counts.add_rating(quality + self.rng.random_range(-0.1..0.1));
-        self.judged += u64::from(unproven);
-        self.hosts[h].node.record_counts(&chosen.version, 1, unproven, &counts);
+        self.judged += u64::from(is_canary);
+        self.hosts[h].node.record_counts(&chosen.version, 1, is_canary, &counts);
     }
 
     /// Carries out what the keeper of a host's bills wants done.
-    pub(super) fn pump(&mut self, h: usize) {
-        let now = self.local(h);
-        let life = self.hosts[h].life;
-        for action in self.hosts[h].keeper.poll_actions(now) {
+    pub(super) fn execute_replicator_actions(&mut self, h: usize) {
+        let now = self.host_time(h);
+        let incarnation_id = self.hosts[h].incarnation_id;
+        for action in self.hosts[h].replicator.poll_actions(now) {
             match action {
                 ReplicatorAction::Hold { holder, batch, call } => {
                     let to = self.index(&holder.parse().expect("a host"));
                     let arrives = self.latency().filter(|_| self.reachable(h, to));
-                    let failed = Event::HoldDone { at: h, life, batch, held: false };
-                    self.at(self.now + CALL_TIMEOUT_MS, failed);
+                    let failed = Event::BillsHeld { host: h, incarnation_id, batch, held: false };
+                    self.schedule_event(self.now + CALL_TIMEOUT_MS, failed);
                     if let Some(ms) = arrives {
-                        self.at(self.now + ms, Event::Hold { to, from: h, life, batch, call });
+                        self.schedule_event(
+                            self.now + ms,
+                            Event::HoldBills { to, from: h, incarnation_id, batch, call },
+                        );
                     }
                 }
                 ReplicatorAction::Write(segment) => self.send_segment(h, segment),
@@ -107,7 +117,7 @@
                     let members = &self.hosts[h].node.members;
                     let gone: Vec<Incarnation> =
                         of.into_iter().filter(|i| members.is_gone(i)).collect();
-                    self.hosts[h].keeper.take_over(&gone);
+                    self.hosts[h].replicator.take_over(&gone);
                 }
                 ReplicatorAction::Flushed(_) => {}
             }
@@ -115,42 +125,58 @@
     }
 
     pub(super) fn send_segment(&mut self, h: usize, mut segment: Segment) {
-        let life = self.hosts[h].life;
+        let incarnation_id = self.hosts[h].incarnation_id;
         let own = segment.origin.host == self.hosts[h].name;
-        if self.schedule.broken == Broken::DoubleFlush && !own {
+        if self.schedule.injected_bug == InjectedBug::DoubleFlush && !own {
             segment.origin.nonce ^= 1;
         }
         match self.latency().filter(|_| self.platform_reachable(h)) {
-            Some(ms) => self.at(self.now + ms, Event::Write { by: h, life, segment }),
+            Some(ms) => self.schedule_event(
+                self.now + ms,
+                Event::WriteSegment { host: h, incarnation_id, segment },
+            ),
             None => {
-                let event = Event::WriteDone { at: h, life, origin: segment.origin, stands: None };
-                self.at(self.now + CALL_TIMEOUT_MS, event);
+                let event = Event::SegmentWritten {
+                    host: h,
+                    incarnation_id,
+                    origin: segment.origin,
+                    stored: None,
+                };
+                self.schedule_event(self.now + CALL_TIMEOUT_MS, event);
             }
         }
     }
 
     /// Creates a segment if absent, and reads what stands: the settled write of the router.
-    pub(super) fn write_segment(&mut self, by: usize, life: u64, segment: Segment) {
+    pub(super) fn write_segment(
+        &mut self,
+        from_host: usize,
+        incarnation_id: u64,
+        segment: Segment,
+    ) {
         let origin = segment.origin.clone();
-        let stands = self.platform.up.then(|| {
+        let stored = self.platform.is_up.then(|| {
             let name = segment.object_name();
             self.platform.segments.entry(name).or_insert(segment).clone()
         });
-        let reply = self.latency().filter(|_| self.platform_reachable(by));
+        let reply = self.latency().filter(|_| self.platform_reachable(from_host));
         let ms = reply.unwrap_or(CALL_TIMEOUT_MS);
-        let stands = stands.filter(|_| reply.is_some());
-        self.at(self.now + ms, Event::WriteDone { at: by, life, origin, stands });
+        let stored = stored.filter(|_| reply.is_some());
+        self.schedule_event(
+            self.now + ms,
+            Event::SegmentWritten { host: from_host, incarnation_id, origin, stored },
+        );
     }
 
     pub(super) fn start_ticket(&mut self, h: usize) {
-        let now = self.local(h);
+        let now = self.host_time(h);
         let Ok(ticket) = self.hosts[h].tickets.issue(now, &workspace()) else { return };
-        self.seen.tickets += 1;
+        self.stats.tickets += 1;
         let calls = self.rng.random_range(1..4);
         for _ in 0..calls {
             let to = self.rng.random_range(0..self.hosts.len());
             let at = self.now + self.rng.random_range(1..8_000);
-            self.at(at, Event::TicketCall { to, ticket: ticket.clone(), hops: 0 });
+            self.schedule_event(at, Event::TicketCall { to, ticket: ticket.clone(), hops: 0 });
         }
     }
 
@@ -160,35 +186,40 @@
         ticket: Ticket,
         hops: u32,
     ) -> Result<(), String> {
-        let now = self.local(h);
+        let now = self.host_time(h);
         let host = &mut self.hosts[h];
-        let ours = ticket.issued_by == *host.node.incarnation();
-        if !ours && self.schedule.broken != Broken::SharedTicket {
-            let maker = self.index(&ticket.issued_by.host);
-            if let Some(ms) = self.latency().filter(|_| hops == 0 && self.reachable(h, maker)) {
-                let event = Event::TicketCall { to: maker, ticket, hops: 1 };
-                self.at(self.now + ms, event);
+        let is_issuer = ticket.issued_by == *host.node.incarnation();
+        if !is_issuer && self.schedule.injected_bug != InjectedBug::SharedTicket {
+            let issuer = self.index(&ticket.issued_by.host);
+            if let Some(ms) = self.latency().filter(|_| hops == 0 && self.reachable(h, issuer)) {
+                let event = Event::TicketCall { to: issuer, ticket, hops: 1 };
+                self.schedule_event(self.now + ms, event);
             }
             return Ok(());
         }
         let admitted = host.tickets.admit(now, &ticket);
-        let runs = self.runs.entry(ticket.clone()).or_default();
+        let executions = self.executions.entry(ticket.clone()).or_default();
         match admitted {
-            Ok(TicketAdmission::Execute) => *runs += 1,
+            Ok(TicketAdmission::Execute) => *executions += 1,
             Ok(TicketAdmission::Replay(_)) => {}
-            Err(_) if self.schedule.broken == Broken::SharedTicket && !ours => *runs += 1,
-            Err(e) if e.executed == tidetrack_core::codes::Executed::No && *runs > 0 => {
+            Err(_) if self.schedule.injected_bug == InjectedBug::SharedTicket && !is_issuer => {
+                *executions += 1
+            }
+            Err(e) if e.executed == tidetrack_core::codes::Executed::No && *executions > 0 => {
                 return self.fail(format!("a refusal said that {ticket:?} was not run"));
             }
             Err(_) => return Ok(()),
         }
-        if self.runs[&ticket] > 1 {
+        if self.executions[&ticket] > 1 {
             return self.fail(format!("{ticket:?} ran twice"));
         }
-        let life = self.hosts[h].life;
+        let incarnation_id = self.hosts[h].incarnation_id;
         let lost = self.rng.random_range(0..5) == 0;
         let ms = self.rng.random_range(5..500);
-        self.at(self.now + ms, Event::TicketDone { at: h, life, ticket, lost });
+        self.schedule_event(
+            self.now + ms,
+            Event::TicketDone { host: h, incarnation_id, ticket, lost },
+        );
         Ok(())
     }
 }
