--- a/crates/tidetrack-bench/src/capacity.rs
+++ b/crates/tidetrack-bench/src/capacity.rs
@@ -1,37 +1,38 @@
-//! The tables of `docs_dir/CAPACITY.md`, worked out from recorded slopes.
+//! Computes the tables of `docs/CAPACITY.md` from the recorded series.
 //!
-//! The page's prose is written by hand; what stands between its markers is rendered here, and a test
-//! compares the two.
+//! The prose of the page is written by hand. This module renders the part between the markers, and a
+//! test checks that the page is up to date.
 
 use anyhow::{Context, Result};
 
 use crate::record::{docs_dir, Series, SeriesByName};
 
-/// Where the rendered part begins and ends.
+/// Markers around the rendered part of the page.
 const MARKERS: (&str, &str) = ("<!-- measured: begin -->\n", "<!-- measured: end -->");
 
-/// Budgets of one host for control, from the users' first letter.
+/// Control-plane budget of one host, as required by the users.
 pub const CONTROL_BUDGET: ResourceUse =
     ResourceUse { core_percent: 1.7, bytes_per_second: 8_000.0, memory_mib: 32.0 };
 
-/// A deployment's size.
+/// Size of a deployment.
 #[derive(Clone, Copy, Debug)]
 pub struct DeploymentSize {
-    /// Name.
+    /// Name of the deployment in the tables.
     pub name: &'static str,
-    /// Entry hosts.
+    /// Number of router hosts.
     pub hosts: f64,
-    /// Model replicas.
+    /// Number of model replicas.
     pub replicas: f64,
-    /// Requests a second over all hosts.
+    /// Requests per second over all hosts.
     pub requests_per_second: f64,
-    /// Changes of the configuration a day.
+    /// Configuration changes per day.
     pub changes_per_day: f64,
-    /// Seconds between segments of one host.
+    /// Interval between two ledger segments that a host writes, in seconds.
     pub flush_interval_s: f64,
 }
 
-/// Today's two sizes and the target. Today's requests and changes are assumed.
+/// The two present deployments and the target. The request and change rates of the present
+/// deployments are assumptions.
 pub const SIZES: [DeploymentSize; 3] = [
     DeploymentSize {
         name: "Kitab Bet",
@@ -59,69 +60,71 @@
     },
 ];
 
-/// What one role uses on one host.
+/// Resource use on one host.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ResourceUse {
-    /// Percent of a core.
+    /// CPU use, in percent of one core.
     pub core_percent: f64,
-    /// Bytes a second, sent and received.
+    /// Bytes sent and received per second.
     pub bytes_per_second: f64,
-    /// MiB.
+    /// Memory, in MiB.
     pub memory_mib: f64,
 }
 
-/// A role with what it uses, and whether it counts as control.
+/// A function of a host with its resource use; `is_control` tells whether the use counts against the
+/// control-plane budget.
 struct Role {
     name: &'static str,
     is_control: bool,
     resource_use: fn(&RecordedSlopes<'_>, &DeploymentSize) -> ResourceUse,
 }
 
-/// Bytes of a MiB.
+/// Number of bytes per MiB.
 const MIB: f64 = 1_048_576.0;
 
-/// Members of JSON are kept at about this multiple of their bytes on the wire. Assumed.
+/// Assumed ratio of the memory of a stored item to the size of its JSON.
 const JSON_MEMORY_FACTOR: f64 = 4.0;
 
-/// Bytes of a bill while it is pending or held. Assumed: three small allocations.
+/// Assumed memory of a pending or held bill, in bytes: three small allocations.
 const PENDING_BILL_BYTES: f64 = 400.0;
 
-/// Hosts with credits in a stage at half of the traffic, as a share of all.
+/// Fraction of the hosts that hold credits in a roll-out stage with half of the traffic.
 const ROLLOUT_HOST_SHARE: f64 = 0.5;
 
-/// Milliseconds between two tellings of a cell, for each host (`evidence_ms_a_host`).
+/// Interval between two reports of an evidence entry, in milliseconds per host of the fleet
+/// (`evidence_ms_a_host`).
 const EVIDENCE_INTERVAL_PER_HOST_MS: f64 = 150.0;
 
-/// The proven version's cells are told so much more seldom.
+/// Factor by which the report interval is longer for evidence entries of the stable version.
 const STABLE_INTERVAL_FACTOR: f64 = 3.0;
 
-/// Link ends of a host: three opened and about three accepted.
+/// Number of peer connections of a host: three outgoing and about three incoming.
 const CONNECTIONS_PER_HOST: f64 = 6.0;
 
 struct RecordedSlopes<'a>(&'a SeriesByName);
 
 impl RecordedSlopes<'_> {
     fn series(&self, name: &str) -> &Series {
-        self.0.get(name).unwrap_or_else(|| panic!("{name} is not recorded"))
+        self.0.get(name).unwrap_or_else(|| panic!("series {name} is not recorded"))
     }
 
     fn estimate_at(&self, name: &str, size: f64) -> f64 {
         self.series(name).estimate_at(size)
     }
 
-    /// Gets the mean of the points, where the figure does not depend on the size.
+    /// Returns the mean of the points, for a series that does not depend on the size.
     fn mean(&self, name: &str) -> f64 {
         let points = &self.series(name).points;
         points.iter().map(|p| p.1).sum::<f64>() / points.len() as f64
     }
 
-    /// Gets the figure at a size, but never less than at the largest size measured: what falls with
-    /// the size there is not taken to go on falling.
+    /// Estimates the value at a size, but returns at least the value at the largest measured size. A
+    /// decrease within the measured range is not extrapolated.
     fn at_least_last_measured(&self, name: &str, size: f64) -> f64 {
         self.estimate_at(name, size).max(self.last_measured(name))
     }
 
-    /// Gets the figure at the largest size measured.
+    /// Returns the value at the largest measured size.
     fn last_measured(&self, name: &str) -> f64 {
         self.series(name).points.last().map_or(0.0, |p| p.1)
     }
@@ -135,7 +138,7 @@
     size.requests_per_second / size.hosts
 }
 
-/// What a host does, and what each of it uses.
+/// Functions of a host with their resource use.
 const ROLES: [Role; 8] = [
     Role {
         name: "membership, beats, watch, load reads (measured together at rest)",
@@ -222,7 +225,7 @@
     },
 ];
 
-/// Works out what control uses on a host of a deployment.
+/// Computes the total control-plane resource use on one host of a deployment.
 pub fn total_control_use(record: &SeriesByName, size: &DeploymentSize) -> ResourceUse {
     let slopes = RecordedSlopes(record);
     let mut total = ResourceUse::default();
@@ -235,14 +238,14 @@
     total
 }
 
-/// Calls on the object API, a second, over all hosts.
+/// Estimates the object API reads and writes per second over all hosts, for each load case.
 pub fn object_api_calls(
     record: &SeriesByName,
     size: &DeploymentSize,
 ) -> [(&'static str, f64, f64); 4] {
     let slopes = RecordedSlopes(record);
     let domains = 4.0;
-    // The series is measured in four domains; it does not grow with the hosts.
+    // The series is measured with four failure domains and does not grow with the number of hosts.
     let idle_reads = slopes.last_measured("rest-reads");
     let writes = size.hosts / size.flush_interval_s;
     let burst_reads = slopes.last_measured("change-reads").max(0.0) * 10.0;
@@ -263,7 +266,7 @@
     ]
 }
 
-/// Renders the measured part of the page.
+/// Renders the part of the page between the markers.
 pub fn render(record: &SeriesByName) -> String {
     let slopes = RecordedSlopes(record);
     let mut out = String::from("\n### Use on one host\n\n");
@@ -326,19 +329,21 @@
     out
 }
 
-/// Gets the page with its measured part rendered anew.
+/// Returns the page text with the part between the markers rendered again.
+///
+/// Returns an error if a marker is missing.
 pub fn render_page(text: &str, record: &SeriesByName) -> Result<String> {
-    let (before, rest) = text.split_once(MARKERS.0).context("the begin marker")?;
-    let (_, after) = rest.split_once(MARKERS.1).context("the end marker")?;
+    let (before, rest) = text.split_once(MARKERS.0).context("the page has no begin marker")?;
+    let (_, after) = rest.split_once(MARKERS.1).context("the page has no end marker")?;
     Ok(format!("{before}{}{}{}{after}", MARKERS.0, render(record), MARKERS.1))
 }
 
-/// Reads the page.
+/// Reads `docs/CAPACITY.md`.
 pub fn read_page() -> Result<String> {
     Ok(std::fs::read_to_string(docs_dir().join("CAPACITY.md"))?)
 }
 
-/// Writes the page with its measured part rendered anew.
+/// Updates the part of `docs/CAPACITY.md` between the markers.
 pub fn write_page(record: &SeriesByName) -> Result<()> {
     let text = render_page(&read_page()?, record)?;
     Ok(std::fs::write(docs_dir().join("CAPACITY.md"), text)?)
--- a/crates/tidetrack-bench/src/control.rs
+++ b/crates/tidetrack-bench/src/control.rs
@@ -1,4 +1,4 @@
-//! What control costs a host, with real router processes and the real transport.
+//! Measures the control-plane cost per host with real router processes and the real transport.
 
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
@@ -13,35 +13,43 @@
 
 const COMMAND: &str = "tidetrack-bench control";
 
-/// Time for a fleet to come to rest.
+/// Time for a started fleet to become idle.
 const SETTLE_TIME: Duration = Duration::from_secs(12);
 
-/// Length of one measurement.
+/// Duration of one measurement.
 const MEASUREMENT_TIME: Duration = Duration::from_secs(10);
 
-/// Changes whose spread is timed.
+/// Number of configuration changes whose propagation is timed.
 const TIMED_CHANGES: usize = 12;
 
-/// Pause between changes while their bytes are counted.
+/// Pause between changes while their bytes and CPU time are measured.
 const CHANGE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Ticks of processor time in a second.
+/// Clock ticks per second of CPU time in `/proc/PID/stat`.
 const TICKS_PER_SECOND: f64 = 100.0;
 
-/// Finds the router beside this program.
+/// Returns the path of the router binary in the directory of the current executable.
+///
+/// Returns an error if the router has not been built.
 pub fn router_binary() -> Result<PathBuf> {
     let executable = std::env::current_exe()?;
-    let path = executable.parent().context("a folder")?.join("tidetrack-router");
+    let path = executable
+        .parent()
+        .context("the executable has no parent directory")?
+        .join("tidetrack-router");
     anyhow::ensure!(path.exists(), "build tidetrack-router first: {}", path.display());
     Ok(path)
 }
 
-/// Gets the bytes that the loopback device has sent so far.
+/// Returns the number of bytes that the loopback device has sent.
 fn loopback_bytes() -> Result<u64> {
     let text = std::fs::read_to_string("/proc/net/dev")?;
-    let line = text.lines().find(|l| l.trim_start().starts_with("lo:")).context("lo")?;
+    let line = text
+        .lines()
+        .find(|l| l.trim_start().starts_with("lo:"))
+        .context("/proc/net/dev has no loopback device")?;
     let fields: Vec<&str> = line.split_whitespace().collect();
-    // After the name come eight fields of what was received, then what was sent.
+    // Field 0 is the name, fields 1 to 8 count received data, and field 9 is the bytes sent.
     Ok(fields[9].parse()?)
 }
 
@@ -70,20 +78,22 @@
     reads: f64,
 }
 
-/// Works out what one host used between two samples.
+/// Computes the average resource use between two samples: per host for CPU and bytes, in total for
+/// object API reads.
 fn resource_rates(hosts: usize, from: &ResourceSample, to: &ResourceSample) -> ResourceRates {
     let seconds = (to.taken_at - from.taken_at).as_secs_f64();
     let host_seconds = seconds * hosts as f64;
     ResourceRates {
         core_percent: (to.cpu_ticks - from.cpu_ticks) as f64 / TICKS_PER_SECOND / host_seconds
             * 100.0,
-        // Every byte on the loopback is sent by one end and received by the other.
+        // Every loopback byte counts twice: once for its sender and once for its receiver.
         bytes: (to.bytes - from.bytes) as f64 * 2.0 / host_seconds,
         reads: (to.reads - from.reads) as f64 / seconds,
     }
 }
 
-/// Changes an object that no decision rests on; gets the new revision.
+/// Changes the description of a model, which affects no routing decision, and returns the new
+/// revision.
 fn write_change(fleet: &Fleet, text: &str) -> Result<u64> {
     let key = ObjectKey::new(ObjectKind::Model, "model");
     let there = fleet.platform.fetch(&config_object_name(&key))?;
@@ -94,14 +104,17 @@
     Ok(fleet.platform.write(&config_object_name(&key), there.version, &object.to_json())?.version)
 }
 
-/// Times the spread of one change; gets milliseconds for each host.
+/// Writes one change and returns the milliseconds until it is in force on each host.
 fn measure_propagation(fleet: &Fleet, text: &str) -> Result<Vec<f64>> {
     let from = Instant::now();
     let revision = write_change(fleet, text)?;
     let mut pending_hosts: Vec<usize> = (0..fleet.hosts.len()).collect();
     let mut times = Vec::new();
     while !pending_hosts.is_empty() {
-        anyhow::ensure!(from.elapsed() < Duration::from_secs(30), "a change did not spread");
+        anyhow::ensure!(
+            from.elapsed() < Duration::from_secs(30),
+            "a configuration change is not in force on all hosts after 30 s"
+        );
         pending_hosts.retain(|h| {
             let there = fleet.hosts[*h].status().is_some_and(|s| s.in_force >= revision);
             if there {
@@ -113,12 +126,12 @@
     Ok(times)
 }
 
-/// Measures fleets of the given sizes.
+/// Measures one fleet for each of the given numbers of hosts.
 pub fn run(sizes: &[usize]) -> Result<SeriesByName> {
     let binary = router_binary()?;
     let mut collector = SeriesCollector::default();
     for hosts in sizes {
-        eprintln!("control: {hosts} hosts");
+        eprintln!("control: measuring {hosts} hosts");
         let options = FleetOptions {
             hosts: *hosts,
             domains: 4,
--- a/crates/tidetrack-bench/src/decisions.rs
+++ b/crates/tidetrack-bench/src/decisions.rs
@@ -1,4 +1,4 @@
-//! The decisions against baselines, seeded, on virtual time.
+//! Seeded, simulated benchmarks of routing and roll-out decisions, compared with simple baselines.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -12,23 +12,23 @@
 
 use crate::endpoint_model::{simulate, PlacementStrategy, SimulationConfig, SimulationOutcome};
 
-/// One figure with its bound and baselines.
+/// One benchmark result with its bound and baselines.
 #[derive(Clone, Debug)]
 pub struct BenchmarkResult {
-    /// What was measured.
+    /// Description of the measured quantity and its scenario.
     pub name: String,
-    /// The figure.
+    /// Measured value, in the unit that `name` gives.
     pub value: f64,
-    /// The bound that CI holds it to.
+    /// Bound that CI enforces.
     pub bound: f64,
-    /// Whether the figure must stay below the bound.
+    /// Whether `bound` is an upper bound; otherwise it is a lower bound.
     pub is_upper_bound: bool,
-    /// The baselines' figures in the same run.
+    /// Names and values of the baselines in the same run.
     pub baselines: Vec<(String, f64)>,
 }
 
 impl BenchmarkResult {
-    /// Tells whether the figure is within its bound.
+    /// Reports whether the value satisfies its bound.
     pub fn is_within_bound(&self) -> bool {
         if self.is_upper_bound {
             self.value <= self.bound
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Renders the figure as a row of a Markdown table.
+    /// Renders the result as a row of a Markdown table.
     pub fn markdown_row(&self) -> String {
         let sign = if self.is_upper_bound { "<=" } else { ">=" };
         let baselines: Vec<String> =
@@ -60,7 +60,7 @@
     })
 }
 
-/// First token with lagging reports and half of the pool degraded.
+/// Measures the time to the first token with delayed load reports and half of the pool degraded.
 pub fn routing() -> Vec<BenchmarkResult> {
     let placers = [
         ("round robin", PlacementStrategy::RoundRobin),
@@ -85,12 +85,13 @@
     ]
 }
 
-/// Bounds on the first token's times in `routing`, in milliseconds.
+/// Upper bounds on the percentiles of the time to the first token in `routing`, in milliseconds.
 const BOUND_P50_MS: f64 = 100.0;
 const BOUND_P95_MS: f64 = 800.0;
 const BOUND_P99_MS: f64 = 1_900.0;
 
-/// Answers in time under 1, 2 and 4 times the capacity.
+/// Measures responses within the deadline at 2 and 4 times the capacity, relative to
+/// those at exactly the capacity.
 pub fn overload() -> Vec<BenchmarkResult> {
     let goodput_at_capacity = simulate_strategy(PlacementStrategy::Tidetrack, false, 1.0).goodput;
     let result = |load_ratio: f64| {
@@ -113,7 +114,7 @@
     vec![result(2.0), result(4.0)]
 }
 
-/// Cost and quality of a cascade.
+/// Compares the cost and quality of a model cascade with fixed choices of a model.
 pub fn cascades() -> Vec<BenchmarkResult> {
     let policy = Policy {
         program: r#"if "tag" in req.tags { "small" } else if req.prompt_chars > 4000 { "strong" } else { #{rungs: ["small", "strong"], accept: 0.83} }"#.into(),
@@ -171,11 +172,11 @@
     ]
 }
 
-/// Costs of an answer, in those of the strong model.
+/// Cost of a response per prompt character, relative to the strong model.
 const SMALL_COST: f64 = 0.1;
 const STRONG_COST: f64 = 1.0;
 
-/// One request with the true quality of each model's answer.
+/// A request with the true quality of each model's response, in [0, 1].
 struct CascadeRequest {
     has_tag: bool,
     prompt_chars: i64,
@@ -187,7 +188,7 @@
     fn random(rng: &mut StdRng) -> CascadeRequest {
         let has_tag = rng.random_range(0..10) < 4;
         let difficulty = if has_tag { 0.0 } else { rng.random::<f64>().powi(3) };
-        // Long prompts are harder on the whole, and many are not.
+        // Prompt length correlates with difficulty only loosely: many long prompts are easy.
         let prompt_chars = match has_tag {
             true => rng.random_range(40..400),
             false => {
@@ -205,20 +206,20 @@
     }
 }
 
-/// How a version under roll-out behaves.
+/// True quality and error rate of a simulated version.
 #[derive(Clone, Copy, Debug)]
 struct VersionBehavior {
     quality: f64,
     error_rate: f64,
 }
 
-/// How the proven version answers.
+/// Behavior of the stable version.
 const STABLE_BEHAVIOR: VersionBehavior = VersionBehavior { quality: 0.80, error_rate: 0.01 };
 
-/// Requests a second on the route, over 7 hosts.
+/// Requests per second on the route, over all 7 hosts.
 const REQUESTS_PER_SECOND: u64 = 70;
 
-/// What came of a roll-out.
+/// Exposure and result of a simulated roll-out.
 struct RolloutResult {
     exposed_requests: u64,
     max_unjudged: u64,
@@ -232,12 +233,12 @@
         return;
     }
     counts.answered += 1;
-    // A rating is the sum of four draws: near normal, deviation about 0.12.
+    // The sum of four uniform values is nearly normal, with a standard deviation of about 0.12.
     let noise: f64 = (0..4).map(|_| rng.random_range(-0.1..0.1)).sum();
     counts.add_rating(behavior.quality + noise);
 }
 
-/// Rolls a version out by the core's rules, one look a second.
+/// Simulates a roll-out with the rules of `tidetrack_core`, evaluated once per second.
 fn simulate_rollout(seed: u64, canary: VersionBehavior) -> RolloutResult {
     let mut rng = StdRng::seed_from_u64(seed);
     let stage = |share, cap, judged| Stage { share, cap, judged };
@@ -272,7 +273,8 @@
                 generation: 1,
                 observer: host.clone(),
             };
-            // Judgements of this second are known only after it.
+            // A host's new evidence is merged after this check because judgments become known with
+            // a delay.
             result.max_unjudged =
                 result.max_unjudged.max(count_unjudged(&evidence, &counts_by_host));
             evidence.merge(key("m@1"), &counts_by_host[h].1);
@@ -304,14 +306,14 @@
     started.saturating_sub(evidence.total(&version, 1).judged_count())
 }
 
-/// The baseline: fixed shares, a look at the mean after every fixed window.
+/// Simulates the baseline: fixed shares, with a comparison of the means after each fixed window.
 fn simulate_fixed_windows(seed: u64, canary: VersionBehavior) -> RolloutResult {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut result = RolloutResult { exposed_requests: 0, max_unjudged: 0, is_aborted: false };
     for share in [0.05, 0.25, 0.5] {
         let (mut canary_counts, mut stable_counts) =
             (VersionCounts::default(), VersionCounts::default());
-        // Ten minutes a window.
+        // Each window lasts 600 seconds.
         for _ in 0..REQUESTS_PER_SECOND * 600 {
             if rng.random::<f64>() < share {
                 simulate_response(&mut rng, canary, &mut canary_counts);
@@ -331,7 +333,7 @@
     result
 }
 
-/// Exposure to bad versions and the rate of good ones stopped.
+/// Measures exposure to bad versions and the share of good versions that are wrongly stopped.
 pub fn rollouts() -> Vec<BenchmarkResult> {
     let bad = [
         ("quality 5 points down", VersionBehavior { quality: 0.75, ..STABLE_BEHAVIOR }, 1_400.0),
@@ -387,12 +389,12 @@
     results
 }
 
-/// All decision figures.
+/// Runs all decision benchmarks.
 pub fn all_results() -> Vec<BenchmarkResult> {
     [routing(), overload(), cascades(), rollouts()].concat()
 }
 
-/// Renders `docs_dir/BENCHMARKS.md`.
+/// Renders the results as the text of `docs/BENCHMARKS.md`.
 pub fn render_page(results: &[BenchmarkResult]) -> String {
     let mut page = String::from(
         "# Benchmarks\n\nMade by `cargo run --release --bin tidetrack-bench -- decisions --record`. \
--- a/crates/tidetrack-bench/src/endpoint_model.rs
+++ b/crates/tidetrack-bench/src/endpoint_model.rs
@@ -1,4 +1,5 @@
-//! Modelled endpoints on virtual time: batching, prefix caches, reports that lag, some degraded.
+//! Simulates endpoints with batching, prefix caches, delayed load reports and degraded members, on
+//! virtual time.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -13,73 +14,73 @@
 };
 use tidetrack_core::units::{Millis, Tokens};
 
-/// Slots of an endpoint.
+/// Number of requests that an endpoint runs concurrently.
 const SLOTS: usize = 8;
 
-/// Microseconds of one answer token.
+/// Time to generate one response token, in microseconds.
 const TOKEN_US: u64 = 20_000;
 
-/// Microseconds of one prompt token that is not cached.
+/// Time to process one uncached prompt token, in microseconds.
 const PREFILL_US: u64 = 60;
 
-/// A cached prompt costs one part in so many.
+/// Divisor of the prefill time for a prompt whose prefix is cached.
 const CACHED_PREFILL_DIVISOR: u64 = 10;
 
-/// Prefixes that an endpoint's cache holds.
+/// Number of prefixes in an endpoint's least-recently-used cache.
 const CACHE_CAPACITY: usize = 24;
 
-/// A degraded endpoint is slower by this factor.
+/// Factor by which a degraded endpoint is slower.
 const SLOWDOWN_FACTOR: u64 = 4;
 
-/// Reports are read this often and are so old by then, in microseconds.
+/// Interval between load reports and their age when they are read, in microseconds.
 const REPORT_INTERVAL_AND_AGE_US: (u64, u64) = (1_000_000, 500_000);
 
-/// How a request is placed.
+/// Strategy that selects an endpoint for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlacementStrategy {
-    /// The router's own.
+    /// Placement of the router, with early refusals.
     Tidetrack,
-    /// The router's own, without early refusals.
+    /// Placement of the router, without early refusals.
     Unbounded,
-    /// Each host in turn.
+    /// Round-robin over the endpoints, with a separate position per host.
     RoundRobin,
-    /// The least loaded by the last report.
+    /// Endpoint with the least work in the last load report.
     LeastReported,
-    /// The better of two drawn, by the last report.
+    /// The less loaded of two random endpoints, by the last load report.
     RandomOfTwo,
 }
 
-/// How a run is made.
+/// Parameters of a simulation.
 #[derive(Clone, Debug)]
 pub struct SimulationConfig {
-    /// The seed.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Entry hosts.
+    /// Number of router hosts.
     pub hosts: usize,
-    /// Endpoints.
+    /// Number of endpoints.
     pub endpoints: usize,
-    /// Whether half of them are degraded.
+    /// Whether half of the endpoints are degraded.
     pub degraded: bool,
-    /// Requests a second over what the endpoints can do in a second.
+    /// Arrival rate as a multiple of the capacity of the endpoints.
     pub load: f64,
-    /// Requests.
+    /// Total number of requests.
     pub requests: usize,
-    /// A first token after so many milliseconds is too late.
+    /// Deadline for the first token, in milliseconds after arrival.
     pub deadline_ms: u64,
-    /// How requests are placed.
+    /// Endpoint selection strategy.
     pub strategy: PlacementStrategy,
 }
 
-/// What came of a run.
+/// Results of a simulation.
 #[derive(Clone, Debug)]
 pub struct SimulationOutcome {
-    /// Milliseconds to the first token.
+    /// Times from arrival to the first token, in milliseconds.
     pub first_token_ms: Histogram<u64>,
-    /// Answers in time, a second.
+    /// Responses whose first token met the deadline, per second of arrivals.
     pub goodput: f64,
-    /// Requests refused before anything ran.
+    /// Requests refused before execution.
     pub refused_requests: usize,
-    /// Answers that came too late.
+    /// Responses whose first token missed the deadline.
     pub late_responses: usize,
 }
 
@@ -131,7 +132,8 @@
 }
 
 fn generate_requests(config: &SimulationConfig, rng: &mut StdRng) -> Vec<Request> {
-    // A mean request: 1,000 prompt tokens half of them cached, 60 answer tokens.
+    // Mean request: 1,000 prompt tokens, half of them cached (0.1 of the prefill time), and 60
+    // response tokens.
     let speed: f64 = (0..config.endpoints)
         .map(|i| if config.degraded && i % 2 == 0 { 1.0 / SLOWDOWN_FACTOR as f64 } else { 1.0 })
         .sum();
@@ -140,7 +142,7 @@
     let mut now = 0.0;
     let request = |_| {
         now += -(1.0 - rng.random::<f64>()).ln() / rate * 1e6;
-        // Few prefixes are met often; one request in ten is a long history.
+        // A few prefixes are frequent; one request in ten carries a long conversation history.
         let prefix = (200.0 * rng.random::<f64>().powi(3)) as usize;
         let is_long = rng.random_range(0..10) == 0;
         Request {
@@ -154,7 +156,7 @@
     (0..config.requests).map(request).collect()
 }
 
-/// The world of one run.
+/// State of one simulation.
 struct Simulation<'a> {
     config: &'a SimulationConfig,
     hosts: Vec<Host>,
@@ -168,7 +170,7 @@
     last_event_us: u64,
 }
 
-/// Carries a run out.
+/// Runs a simulation and returns its results.
 pub fn simulate(config: &SimulationConfig) -> SimulationOutcome {
     let mut rng = StdRng::seed_from_u64(config.seed);
     let requests = generate_requests(config, &mut rng);
@@ -177,7 +179,7 @@
         ..Endpoint::default()
     };
     let first_token_ms =
-        Histogram::new_with_bounds(1, 10_000_000, 3).expect("the bounds are in order");
+        Histogram::new_with_bounds(1, 10_000_000, 3).expect("the histogram bounds are valid");
     let mut simulation = Simulation {
         config,
         hosts: build_hosts(config),
@@ -232,7 +234,7 @@
         }
     }
 
-    /// Places a request; tells whether it was taken.
+    /// Sends a request to an endpoint, or counts it as refused. Reports whether it was accepted.
     fn handle_arrival(&mut self, now: u64, r: usize) -> bool {
         let Some(e) = self.place(now, r) else {
             self.outcome.refused_requests += 1;
@@ -322,14 +324,14 @@
         let endpoint_state = &self.hosts[request.host].pool.endpoints()[e].state;
         endpoint_state.end_work(outstanding_work);
         endpoint_state.record_duration(outstanding_work, now - request.arrived_us);
-        // An answer carries the load as it is when the answer ends.
+        // Each response reports the load of its endpoint at the time the response ends.
         endpoint_state.record_load_report(Millis(now / 1_000 + 1_000_000), total, Tokens(0));
         if let Some(next) = self.endpoints[e].pending.pop_front() {
             self.start(now, e, next);
         }
     }
 
-    /// Every host reads what the endpoints' load was a while ago.
+    /// Gives every host the load of the endpoints as of the age of a load report.
     fn update_reports(&mut self, now: u64) {
         for e in 0..self.endpoints.len() {
             let endpoint = &mut self.endpoints[e];
--- a/crates/tidetrack-bench/src/lib.rs
+++ b/crates/tidetrack-bench/src/lib.rs
@@ -1,7 +1,7 @@
-//! Measurements of tidetrack, and the virtual fleet that its seeded tests run on.
+//! Benchmarks of tidetrack and the simulated fleet that the seeded fault tests use.
 //!
-//! Each measurement prints its figure, its bound and its baseline from one run, and records the
-//! points from which `docs_dir/CAPACITY.md` and `docs_dir/BENCHMARKS.md` are made.
+//! Each benchmark prints its results, with bounds and baselines from the same run where it has them.
+//! `docs/CAPACITY.md` and `docs/BENCHMARKS.md` are rendered from the results.
 
 #![forbid(unsafe_code)]
 #![warn(rust_2018_idioms)]
--- a/crates/tidetrack-bench/src/main.rs
+++ b/crates/tidetrack-bench/src/main.rs
@@ -1,4 +1,4 @@
-//! `tidetrack-bench COMMAND`: measurements, each with figure, bound and baseline.
+//! Command line of the benchmarks: `tidetrack-bench COMMAND [options]`.
 
 use anyhow::{anyhow, bail, Result};
 use getopts::Options;
@@ -8,18 +8,18 @@
 const USAGE: &str = "tidetrack-bench COMMAND [options]
 
 commands:
-  path      what the router adds to a request, against the engine alone
-  control   what control costs a host: real processes, real transport
-  spread    messages, bytes and spread at sizes past one machine, on the virtual clock
-  state     state, bytes and time of single parts
-  capacity  render the tables of docs/CAPACITY.md from the recorded points
-  decisions placement, overload, cascades and roll-outs against baselines";
+  path      latency and CPU time that the router adds compared with direct engine requests
+  control   control-plane CPU, memory and traffic per host, with real processes and transport
+  spread    control messages and configuration propagation in simulated fleets
+  state     memory, serialized size and CPU time of individual components
+  capacity  render the tables of docs/CAPACITY.md from the recorded series
+  decisions placement, overload, cascades and roll-outs compared with baselines";
 
 fn main() -> Result<()> {
     let args: Vec<String> = std::env::args().collect();
     let mut options = Options::new();
-    options.optopt("", "hosts", "sizes for control and spread", "N,N,N");
-    options.optflag("", "record", "keep the points in docs/measured");
+    options.optopt("", "hosts", "comma-separated numbers of hosts for control and spread", "N,N,N");
+    options.optflag("", "record", "store the results below docs/");
     options.optflag("h", "help", "print this help");
     let usage = options.usage(USAGE);
     let matches = options.parse(&args[1..]).map_err(|e| anyhow!("{e}\n{usage}"))?;
@@ -44,7 +44,7 @@
         Some("control") => control::run(&sizes("7,20,60")?)?,
         Some("spread") => spread::run(&sizes("7,60,180,540")?)?,
         Some("state") => state::run()?,
-        _ => bail!("no such command\n{usage}"),
+        _ => bail!("missing or unknown command\n{usage}"),
     };
     let text = record::render(&series);
     if matches.opt_present("record") {
@@ -63,6 +63,6 @@
     }
     match results.iter().all(decisions::BenchmarkResult::is_within_bound) {
         true => Ok(()),
-        false => bail!("a figure is past its bound"),
+        false => bail!("at least one benchmark result is outside its bound"),
     }
 }
--- a/crates/tidetrack-bench/src/path.rs
+++ b/crates/tidetrack-bench/src/path.rs
@@ -1,4 +1,5 @@
-//! What the router adds to a request, against going straight to the engine in the same run.
+//! Measures the latency and CPU time that the router adds to a request, compared with requests sent
+//! directly to the engine in the same run.
 
 use std::io::Read;
 use std::sync::{Arc, Barrier};
@@ -18,25 +19,25 @@
 
 const COMMAND: &str = "tidetrack-bench path";
 
-/// Streams at a time.
+/// Number of concurrent streams.
 const STREAMS: usize = 50;
 
-/// Requests of each stream's thread.
+/// Number of requests that each stream thread sends.
 const REQUESTS_PER_STREAM: usize = 40;
 
-/// Tokens of an answer.
+/// Number of tokens in each response.
 const TOKENS_PER_RESPONSE: u64 = 20;
 
-/// Time of one token, in microseconds.
+/// Time the engine takes to generate one token, in microseconds.
 const TOKEN_TIME_US: u64 = 5_000;
 
-/// Longest pause between two requests of a stream's thread, in milliseconds.
+/// Upper limit of the random pause before each request of a stream thread, in milliseconds.
 const MAX_PAUSE_MS: u64 = 100;
 
-/// Bound on the added 99th percentile, in milliseconds.
+/// Upper bound on the increase of the 99th percentile of the time to the first event, in milliseconds.
 pub const MAX_ADDED_P99_MS: f64 = 5.0;
 
-/// Bound on the resident memory, in MiB.
+/// Upper bound on the router's resident memory, in MiB.
 pub const MAX_RESIDENT_MIB: f64 = 32.0;
 
 struct LoadResult {
@@ -47,10 +48,10 @@
 }
 
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, 60_000_000, 3).expect("the bounds are in order")
+    Histogram::new_with_bounds(1, 60_000_000, 3).expect("the histogram bounds are valid")
 }
 
-/// Runs streams at a time against a host.
+/// Sends `STREAMS` concurrent streams to a host and collects their latencies.
 fn run_load(caller: &Caller) -> LoadResult {
     let barrier = Arc::new(Barrier::new(STREAMS));
     let started_at = Instant::now();
@@ -61,7 +62,7 @@
                 barrier.wait();
                 let mut rng = StdRng::seed_from_u64(i as u64);
                 let mut request = |n| {
-                    // Without a pause of random length all streams would begin at one instant.
+                    // The random pause keeps the streams from all starting at the same instant.
                     std::thread::sleep(Duration::from_millis(rng.random_range(0..MAX_PAUSE_MS)));
                     send_request(&caller, i * REQUESTS_PER_STREAM + n)
                 };
@@ -72,7 +73,7 @@
     let mut load_result =
         LoadResult { first_event_us: histogram(), total_us: histogram(), failed: 0, seconds: 0.0 };
     for thread in threads {
-        for result in thread.join().expect("a caller") {
+        for result in thread.join().expect("the stream thread does not panic") {
             match result {
                 Some((first_event, total)) => {
                     load_result.first_event_us.saturating_record(first_event.as_micros() as u64);
@@ -86,7 +87,9 @@
     load_result
 }
 
-/// Makes one request; gets the times to its first event and its end.
+/// Sends one streaming request and returns the times to its first bytes and to its end.
+///
+/// Returns `None` if the request fails or its stream ends without the `[DONE]` marker.
 fn send_request(caller: &Caller, n: usize) -> Option<(Duration, Duration)> {
     let started_at = Instant::now();
     let mut response =
@@ -105,7 +108,7 @@
     histogram.value_at_quantile(quantile) as f64 / 1_000.0
 }
 
-/// Measures the path and prints figure, bound and baseline.
+/// Runs the benchmark and prints the results next to their bounds and the direct baseline.
 pub fn run() -> Result<SeriesByName> {
     let engine = EngineOptions {
         slots: 256,
@@ -126,8 +129,8 @@
     let direct_result = run_load(&direct_caller);
     let request_count = (STREAMS * REQUESTS_PER_STREAM) as f64;
     let resident_mib = host.process().resident_kib()? as f64 / 1024.0;
-    println!("{STREAMS} streams at a time, {TOKENS_PER_RESPONSE} tokens of {TOKEN_TIME_US} us, {request_count} requests");
-    println!("             first p50  p99   whole p50  p99   requests/s  failed");
+    println!("{STREAMS} concurrent streams, {TOKENS_PER_RESPONSE} tokens of {TOKEN_TIME_US} us, {request_count} requests");
+    println!("             first p50  p99   total p50  p99   requests/s  failed");
     for (name, result) in [("straight", &direct_result), ("routed", &routed_result)] {
         println!(
             "{name:<12} {:>8.2} {:>6.2} {:>9.2} {:>6.2} {:>9.1} {:>7}",
@@ -145,11 +148,11 @@
     };
     let cpu_ms = cpu_ticks as f64 * 10.0 / request_count;
     println!(
-        "added to the first event: p50 {:.2} ms, p99 {:.2} ms (bound {MAX_ADDED_P99_MS})",
+        "added time to the first event: p50 {:.2} ms, p99 {:.2} ms (bound {MAX_ADDED_P99_MS})",
         added_ms(0.5),
         added_ms(0.99)
     );
-    println!("processor time: {cpu_ms:.2} ms a request; resident {resident_mib:.1} MiB (bound {MAX_RESIDENT_MIB})");
+    println!("CPU time: {cpu_ms:.2} ms per request; resident {resident_mib:.1} MiB (bound {MAX_RESIDENT_MIB})");
     let mut collector = SeriesCollector::default();
     let mut add_point = |name: &str, unit: &str, value: f64| {
         collector.add_point(name, (unit, "streams", COMMAND), STREAMS as f64, value);
--- a/crates/tidetrack-bench/src/record.rs
+++ b/crates/tidetrack-bench/src/record.rs
@@ -1,4 +1,4 @@
-//! Recorded measurements: points of a figure over a size, kept as JSON in `docs_dir/measured`.
+//! Recorded benchmark series, stored as JSON below `docs/measured`.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -7,30 +7,30 @@
 use anyhow::{Context, Result};
 use serde::{Deserialize, Serialize};
 
-/// A figure measured at several sizes.
+/// A quantity measured at several sizes, such as numbers of hosts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Series {
-    /// What the size counts.
+    /// What the sizes count, for example `hosts` or `replicas`.
     pub size: String,
-    /// Unit of the figure.
+    /// Unit of the measured values.
     pub unit: String,
-    /// Size and figure.
+    /// Measured points as pairs of size and value.
     pub points: Vec<(f64, f64)>,
-    /// The command that measures it.
+    /// Command that produces the series.
     pub command: String,
 }
 
-/// A straight line through the points of a series.
+/// A least-squares line through the points of a series.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LinearFit {
-    /// Figure at size 0.
+    /// Value at size 0.
     pub intercept: f64,
-    /// Growth for each one of the size.
+    /// Increase of the value per unit of size.
     pub slope: f64,
 }
 
 impl Series {
-    /// Fits a line by least squares.
+    /// Fits a line to the points by least squares. The slope is 0 if all points have the same size.
     pub fn fit(&self) -> LinearFit {
         let n = self.points.len() as f64;
         let mean = |f: fn(&(f64, f64)) -> f64| self.points.iter().map(f).sum::<f64>() / n;
@@ -41,22 +41,22 @@
         LinearFit { intercept: my - slope * mx, slope }
     }
 
-    /// Works the figure out at a size, never below nothing.
+    /// Estimates the value at `size` from the fitted line, clamped to 0 or above.
     pub fn estimate_at(&self, size: f64) -> f64 {
         let fit = self.fit();
         (fit.intercept + fit.slope * size).max(0.0)
     }
 
-    /// Gets the largest size measured.
+    /// Returns the largest measured size.
     pub fn max_size(&self) -> f64 {
         self.points.iter().map(|p| p.0).fold(0.0, f64::max)
     }
 }
 
-/// All recorded series by name.
+/// Benchmark series by name.
 pub type SeriesByName = BTreeMap<String, Series>;
 
-/// Gets the repository's folder of documents.
+/// Returns the path of the repository's `docs` directory.
 pub fn docs_dir() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs")
 }
@@ -65,14 +65,16 @@
     docs_dir().join("measured/slopes.json")
 }
 
-/// Reads what was recorded.
+/// Reads the recorded series. Returns an error if the file is missing or is not valid JSON.
 pub fn read_recorded() -> Result<SeriesByName> {
     let text = std::fs::read_to_string(slopes_file())
         .with_context(|| slopes_file().display().to_string())?;
     Ok(serde_json::from_str(&text)?)
 }
 
-/// Adds series to what was recorded, replacing those of the same name.
+/// Adds series to the recorded file and replaces those with the same name.
+///
+/// A file that is missing or cannot be read is replaced.
 pub fn update_recorded(new: SeriesByName) -> Result<()> {
     let mut record = read_recorded().unwrap_or_default();
     record.extend(new);
@@ -81,14 +83,14 @@
     Ok(std::fs::write(slopes_file(), text + "\n")?)
 }
 
-/// Renders series for a person.
+/// Renders the series as text, one per line, with their points and fitted lines.
 pub fn render(record: &SeriesByName) -> String {
     let mut text = String::new();
     for (name, series) in record {
         let points: Vec<String> =
             series.points.iter().map(|(x, y)| format!("{x}: {y:.4}")).collect();
         let fit = series.fit();
-        // Writing to a string does not fail.
+        // Writing to a `String` cannot fail.
         let _ = writeln!(
             text,
             "{name} ({} over {}): {} | {:.4} + {:.6} x",
@@ -102,14 +104,15 @@
     text
 }
 
-/// Gathers points of several series while a measurement runs.
+/// Collects the points of several series while a benchmark runs.
 #[derive(Debug, Default)]
 pub struct SeriesCollector {
     record: SeriesByName,
 }
 
 impl SeriesCollector {
-    /// Adds a point.
+    /// Adds a point to the series `name`; `description` holds its unit, what its sizes count, and its
+    /// command.
     pub fn add_point(
         &mut self,
         name: &str,
@@ -127,7 +130,7 @@
         series.points.push((size, value));
     }
 
-    /// Gets all series.
+    /// Returns the collected series.
     pub fn into_record(self) -> SeriesByName {
         self.record
     }
@@ -138,7 +141,7 @@
     use super::*;
 
     #[test]
-    fn a_line_is_found_through_its_points() {
+    fn points_on_a_line_are_fitted_exactly() {
         let points = vec![(1.0, 5.0), (2.0, 7.0), (4.0, 11.0)];
         let series = Series { size: "n".into(), unit: "u".into(), points, command: String::new() };
         let fit = series.fit();
--- a/crates/tidetrack-bench/src/spread.rs
+++ b/crates/tidetrack-bench/src/spread.rs
@@ -1,7 +1,7 @@
-//! The hosts' control state at sizes that no one machine can run as processes: messages, bytes,
-//! spread and processor time on the virtual clock.
+//! Measures control messages, bytes, CPU time and configuration propagation on a virtual clock, for
+//! fleets that are too large to run as processes on one machine.
 //!
-//! Bytes are those of the messages' JSON; what the transport adds is measured by `control`.
+//! Byte counts cover the JSON of the messages; the `control` benchmark includes transport overhead.
 
 use anyhow::Result;
 
@@ -10,17 +10,19 @@
 
 const COMMAND: &str = "tidetrack-bench spread";
 
-/// Virtual time for a fleet to find itself, in milliseconds.
+/// Virtual time in which the hosts discover each other before the measurement, in milliseconds.
 const SETTLE_MS: u64 = 25_000;
 
-/// Virtual time measured, in milliseconds.
+/// Virtual duration of the measurement, in milliseconds.
 const MEASUREMENT_MS: u64 = 12_000;
 
-/// Measures fleets of the given sizes.
+/// Measures one fleet for each of the given numbers of hosts.
+///
+/// Returns an error if the simulation violates an invariant.
 pub fn run(sizes: &[usize]) -> Result<SeriesByName> {
     let mut collector = SeriesCollector::default();
     for hosts in sizes {
-        eprintln!("spread: {hosts} virtual hosts");
+        eprintln!("spread: simulating {hosts} hosts");
         let mut simulation = Simulation::new(Schedule {
             seed: 1,
             hosts: *hosts,
@@ -41,7 +43,7 @@
         let mut add_point = |name: &str, unit: &str, value: f64| {
             collector.add_point(name, (unit, "hosts", COMMAND), n, value);
         };
-        // Each message is sent by one host and received by another.
+        // Every message counts twice: once for its sender and once for its receiver.
         let messages = (stats.messages - stats_before.messages) as f64 * 2.0 / host_seconds;
         let bytes = (stats.bytes - stats_before.bytes) as f64 * 2.0 / host_seconds;
         let cpu_percent =
--- a/crates/tidetrack-bench/src/state.rs
+++ b/crates/tidetrack-bench/src/state.rs
@@ -1,4 +1,4 @@
-//! State, bytes and processor time of single parts, over the sizes that they grow with.
+//! Measures memory, serialized size and CPU time of individual components at several sizes.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -25,19 +25,19 @@
 
 const COMMAND: &str = "tidetrack-bench state";
 
-/// Versions that the replicas are spread over.
+/// Number of model versions that the replicas are distributed over.
 const VERSIONS: usize = 28;
 
-/// Replicas at today's sizes, in between, and at the target.
+/// Numbers of replicas: about a present deployment, two sizes in between, and the target.
 const REPLICAS: [usize; 4] = [20, 400, 1_400, 4_200];
 
-/// Hosts at today's sizes, in between, and at the target.
+/// Numbers of hosts: a present deployment, two sizes in between, and the target.
 const HOSTS: [usize; 4] = [7, 60, 180, 540];
 
-/// Copies made to measure memory.
+/// Number of copies built per memory measurement; the memory of one copy is their mean.
 const MEMORY_COPIES: usize = 8;
 
-/// Picks timed.
+/// Number of endpoint selections per timing.
 const PICK_COUNT: u64 = 200_000;
 
 fn resident_bytes() -> Result<f64> {
@@ -46,7 +46,7 @@
     Ok(pages * 4096.0)
 }
 
-/// Makes a configuration with so many replicas.
+/// Builds a configuration with the given number of replicas, distributed over `VERSIONS` pools.
 pub fn build_store(replicas: usize) -> Store {
     let mut entries = Vec::new();
     let mut put = |key: ObjectKey, object: Object| {
@@ -100,14 +100,14 @@
     Bill(n, "school-north".parse().expect("a workspace"), vec![line_item], BillOutcome::Complete)
 }
 
-/// Times `operation` over `count` runs; gets microseconds for each.
+/// Runs `operation` `count` times and returns its mean duration in microseconds.
 fn mean_time_us(count: u64, mut operation: impl FnMut(u64)) -> f64 {
     let started_at = Instant::now();
     (0..count).for_each(&mut operation);
     started_at.elapsed().as_secs_f64() * 1e6 / count as f64
 }
 
-/// Measures all parts.
+/// Measures all components.
 pub fn run() -> Result<SeriesByName> {
     let mut collector = SeriesCollector::default();
     measure_configuration(&mut collector)?;
@@ -196,7 +196,7 @@
     Ok(serde_json::to_string(value)?.len() as f64)
 }
 
-/// Bytes of what travels or is kept, over how much of it there is.
+/// Measures the JSON size of messages and stored objects for several numbers of entries.
 fn measure_messages(collector: &mut SeriesCollector) -> Result<()> {
     for count in [1u64, 10, 100, 1_000] {
         let bills: Vec<Bill> = (1..=count).map(|i| bill(1_000_000 + i)).collect();
--- a/crates/tidetrack-bench/src/virtual_fleet/checks.rs
+++ b/crates/tidetrack-bench/src/virtual_fleet/checks.rs
@@ -1,4 +1,4 @@
-//! What must hold after every step, against what only the test can see.
+//! Invariants of the simulation, checked against global state that no single host can see.
 
 use std::collections::BTreeSet;
 
@@ -14,7 +14,8 @@
 };
 
 impl Simulation {
-    /// A host's word on how fresh it is must be true: it has all that was accepted by then.
+    /// Checks that a host has every change accepted before the time as of which it reports its
+    /// configuration as confirmed.
     pub(super) fn check_fresh(&self, h: usize) -> Result<(), String> {
         let host = &self.hosts[h];
         let Some(at) = host.node.confirmed_at() else { return Ok(()) };
@@ -24,7 +25,7 @@
                 let stored_version = host.node.store.lookup(key).map_or(0, |e| e.version);
                 if stored_version < *version {
                     let message =
-                        format!("{} says it is fresh as of {at} and lacks {key}", host.name);
+                        format!("{} reports its configuration as confirmed at {at} ms but lacks the newest version of {key}", host.name);
                     return self.fail(message);
                 }
             }
@@ -35,7 +36,8 @@
         Ok(())
     }
 
-    /// No new work on a withdrawn version, once the withdrawal could be known.
+    /// Checks that a host starts no request on a withdrawn version once it must know the withdrawal, and
+    /// none on the canary version while its configuration is stale.
     pub(super) fn check_withdrawn(&self, h: usize, chosen: &ChosenVersion) -> Result<(), String> {
         let key = ObjectKey::new(ObjectKind::Withdrawal, chosen.version.to_string());
         let writes = &self.platform.writes;
@@ -51,14 +53,19 @@
         if (has_settled && is_healthy || !self.schedule.faults)
             && *accepted + MAX_IN_FORCE_MS < self.now
         {
-            return self.fail(format!("h{h} put work on {} after its withdrawal", chosen.version));
+            return self.fail(format!(
+                "h{h} started a request on {} after its withdrawal",
+                chosen.version
+            ));
         }
-        // What a host was told itself binds it at once; a stale host keeps off unproven versions.
+        // A withdrawal in its own store binds a host at once; a stale host must not use the canary version.
         let now = self.host_time(h);
         let host = &self.hosts[h];
         let is_stale = host.node.confirmation_age(now).is_none_or(|a| a.0 > STALE_MS);
         if is_stale && chosen.version == canary_version() {
-            return self.fail(format!("h{h}, stale, put work on an unproven version"));
+            return self.fail(format!(
+                "h{h} started a request on the canary version with a stale configuration"
+            ));
         }
         let knows_withdrawal = host.node.store.lookup(&key).is_some();
         if knows_withdrawal
@@ -67,13 +74,15 @@
         {
             let version = host.view.versions.get(&chosen.version);
             if version.is_some_and(|v| v.is_barred) {
-                return self.fail(format!("h{h} put work on a version that it knows is barred"));
+                return self.fail(format!(
+                    "h{h} started a request on a version that its view marks as barred"
+                ));
             }
         }
         Ok(())
     }
 
-    /// Never more unjudged requests on the new version than the cap, over the whole fleet.
+    /// Checks that the fleet never has more unjudged requests on the canary version than the cap.
     pub(super) fn check_cap(&self) -> Result<(), String> {
         if self.hosts.len() > MAX_CHECKED_HOSTS {
             return Ok(());
@@ -84,7 +93,7 @@
             true => Ok(()),
             false => {
                 let message = format!(
-                    "{spent} on the new version, {} judged, cap {EXPOSURE_CAP}",
+                    "{spent} requests on the canary version, {} judged, cap {EXPOSURE_CAP}",
                     self.judged
                 );
                 self.fail(message)
@@ -92,7 +101,7 @@
         }
     }
 
-    /// The shares never sum past the limit while the hosts agree on how many they are.
+    /// Checks that the hosts' shares never exceed the limit while the hosts agree on their number.
     pub(super) fn check_limits(&mut self) -> Result<(), String> {
         if self.hosts.len() > MAX_CHECKED_HOSTS {
             return Ok(());
@@ -100,7 +109,7 @@
         let settled = |h: &Host| !h.is_up || self.now > h.started_at + 5_000;
         let counts: BTreeSet<usize> =
             self.hosts.iter().filter(|h| h.is_up).map(|h| h.node.members.iter().count()).collect();
-        // A loan made while they disagreed may still run.
+        // A loan made while the hosts disagreed may still be active.
         if counts.len() != 1 || !self.hosts.iter().all(settled) {
             self.last_disagreement_at = self.now;
         }
@@ -116,15 +125,18 @@
                 sum += rates.get(&workspace()).copied().unwrap_or(0.0);
             }
         }
-        let agreed = *counts.first().expect("there is one");
+        let agreed = *counts.first().expect("at least one host is up");
         let up = self.hosts.iter().filter(|h| h.is_up).count();
         if agreed >= up && sum > REQUESTS_PER_SECOND_LIMIT + 1e-6 {
-            return self.fail(format!("shares sum to {sum}, limit {REQUESTS_PER_SECOND_LIMIT}"));
+            return self.fail(format!(
+                "the rate shares sum to {sum} requests/s, limit {REQUESTS_PER_SECOND_LIMIT}"
+            ));
         }
         Ok(())
     }
 
-    /// Every answered request is in the ledger; none is there that was not made; none counts twice.
+    /// Checks that the ledger contains every request whose response was released, no request that was
+    /// not completed, and no request twice.
     pub(super) fn check_ledger(&mut self) -> Result<(), String> {
         let mut billed: BTreeSet<RequestId> = BTreeSet::new();
         for segment in self.platform.segments.values() {
@@ -133,14 +145,18 @@
             billed.extend(segment.bills.iter().map(id));
         }
         if let Some(lost) = self.answered.difference(&billed).next() {
-            return self.fail(format!("{lost} was answered and not billed"));
+            return self.fail(format!("{lost} was answered but not billed"));
         }
         if let Some(unexpected) = billed.difference(&self.completed_requests).next() {
-            return self.fail(format!("{unexpected} was billed and never made"));
+            return self.fail(format!("{unexpected} was billed but never completed"));
         }
         let totals = sum_segments(self.platform.segments.values());
         if totals.requests != billed.len() as u64 {
-            return self.fail(format!("{} requests, {} counted", billed.len(), totals.requests));
+            return self.fail(format!(
+                "the ledger has {} distinct requests but its totals count {}",
+                billed.len(),
+                totals.requests
+            ));
         }
         self.stats.answered = self.answered.len() as u64;
         Ok(())
--- a/crates/tidetrack-bench/src/virtual_fleet/event.rs
+++ b/crates/tidetrack-bench/src/virtual_fleet/event.rs
@@ -1,4 +1,4 @@
-//! What happens in the world, and who takes it.
+//! Events of the simulation and their dispatch to the hosts.
 
 use std::time::Instant;
 
@@ -118,7 +118,9 @@
 }
 
 impl Simulation {
-    /// Gets the host that an event happens on, with the life that it is meant for.
+    /// Returns the host that handles an event and the incarnation that the event is addressed to.
+    ///
+    /// The incarnation is `None` if any incarnation of the host handles the event.
     pub(super) fn target_host(event: &Event) -> Option<(usize, Option<u64>)> {
         match event {
             Event::Tick(h) | Event::Traffic(h) => Some((*h, None)),
@@ -136,7 +138,7 @@
             | Event::TicketDone { host, incarnation_id, .. } => {
                 Some((*host, Some(*incarnation_id)))
             }
-            // These happen at the platform, whatever became of who asked.
+            // The platform handles these even if the requesting host has stopped.
             Event::StoreRead { .. }
             | Event::WriteSegment { .. }
             | Event::WriteRolloutState { .. } => None,
@@ -155,7 +157,7 @@
                 return Ok(());
             }
             if h.paused_until > self.now {
-                // Whatever comes to a paused process waits in its sockets.
+                // Data for a paused process waits in its sockets.
                 let until = h.paused_until;
                 self.schedule_event(until, event);
                 return Ok(());
--- a/crates/tidetrack-bench/src/virtual_fleet/exchange.rs
+++ b/crates/tidetrack-bench/src/virtual_fleet/exchange.rs
@@ -1,4 +1,4 @@
-//! A host's tick, the view that it publishes, and its messages to others.
+//! Ticks of a host, publication of its view, and its message exchange with other hosts.
 
 use std::time::Instant;
 
@@ -59,8 +59,10 @@
         for entry in host.node.store.iter() {
             let stats = host.last_versions.entry(entry.key.clone()).or_default();
             if entry.version < *stats {
-                reverted =
-                    Some(format!("{} went back from {stats} to {}", entry.key, entry.version));
+                reverted = Some(format!(
+                    "the stored version of {} went back from {stats} to {}",
+                    entry.key, entry.version
+                ));
             }
             *stats = entry.version;
         }
@@ -73,13 +75,13 @@
         Ok(())
     }
 
-    /// Notes when the last host had each revision in force.
+    /// Records how long each revision took to be in force on all running hosts.
     pub(super) fn record_in_force(&mut self) {
         let up = self.hosts.iter().filter(|h| h.is_up);
         let least = up.map(|h| h.view.revision).min().unwrap_or(0);
         let reached: Vec<u64> = self.in_force.range(..=least).map(|(r, _)| *r).collect();
         for revision in reached {
-            let accepted = self.in_force.remove(&revision).expect("it was listed");
+            let accepted = self.in_force.remove(&revision).expect("the revision was just listed");
             self.stats.in_force_ms.push(self.now - accepted);
         }
     }
--- a/crates/tidetrack-bench/src/virtual_fleet/faults.rs
+++ b/crates/tidetrack-bench/src/virtual_fleet/faults.rs
@@ -1,4 +1,4 @@
-//! The faults that are drawn, and their end.
+//! Random faults and their end.
 
 use rand::RngExt;
 
@@ -34,7 +34,8 @@
         }
     }
 
-    /// Ends all hosts of one failure domain, but not so soon after another that no copy was made.
+    /// Stops all hosts of the failure domain of `h`, unless a recent loss or another fault could have
+    /// prevented the bills of the domain from being copied to another one.
     fn stop_domain(&mut self, h: usize) {
         let cut = self.hosts.iter().any(|h| h.is_cut_from_peers || h.paused_until > self.now);
         if self.now < self.next_domain_loss_at
@@ -53,8 +54,8 @@
         }
     }
 
-    /// Tells whether the hosts of a domain have their copies in another one. Where no other domain is
-    /// left, the loss of the last one is past what a copy can bear; `docs_dir/design/billing.md` says so.
+    /// Reports whether all running hosts of a domain have copied their bills to a running host in another
+    /// domain. Copies cannot protect against the loss of the last domain; see `docs/design/billing.md`.
     fn has_copies_in_other_domains(&self, domain: usize) -> bool {
         let is_copied_elsewhere = |h: &Host| {
             let holder = h.replicator.holder().map(|i| self.index(&i.host));
--- a/crates/tidetrack-bench/src/virtual_fleet/host.rs
+++ b/crates/tidetrack-bench/src/virtual_fleet/host.rs
@@ -1,4 +1,5 @@
-//! A host of the world: the core's state machines and what a process keeps beside them.
+//! A simulated host: the state machines of `tidetrack_core` and the state that a router process keeps
+//! for them.
 
 use std::collections::BTreeMap;
 
--- a/crates/tidetrack-bench/src/virtual_fleet/mod.rs
+++ b/crates/tidetrack-bench/src/virtual_fleet/mod.rs
@@ -1,8 +1,8 @@
-//! Many hosts' state machines under one virtual clock, with random faults drawn from a seed.
+//! Simulates a fleet of hosts on one virtual clock, with random faults generated from a seed.
 //!
-//! The hosts' code is the core's own; what is small and fake here is what carries messages, the
-//! object API, and traffic. Every host has a clock of its own that starts anywhere. After every step
-//! the promises are checked against what only the test can see.
+//! The hosts run the state machines of `tidetrack_core`; the message transport, the object API and the
+//! traffic are simulated. Each host has its own clock with a random offset. The invariants are checked
+//! during the simulation against global state that no single host can see.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap};
@@ -27,82 +27,84 @@
 use host::Host;
 use platform::{initial_objects, Platform};
 
-/// Most unjudged requests on the new version, in every stage.
+/// Maximum number of requests on the canary version without a judgment, in every stage.
 pub const EXPOSURE_CAP: u64 = 20;
 
-/// Roll-outs of a large fleet are looked at when the clock is a multiple of this.
+/// Large fleets evaluate roll-outs only when the clock is a multiple of this, in milliseconds.
 const ROLLOUT_CHECK_INTERVAL_MS: u64 = 300;
 
-/// A host's tick.
+/// Interval between two ticks of a host, in milliseconds.
 const TICK_INTERVAL_MS: u64 = 50;
 
-/// A call that got no answer has failed after this time.
+/// Time after which a call without a response fails, in milliseconds.
 const CALL_TIMEOUT_MS: u64 = 1_500;
 
-/// A change must be in force after this time without faults.
+/// Time within which a change must be in force when there are no faults, in milliseconds.
 const MAX_IN_FORCE_MS: u64 = 4_000;
 
-/// Time for a fleet to find itself after the last fault.
+/// Time for the hosts to recover after the last fault, in milliseconds.
 const SETTLE_MS: u64 = 11_000;
 
-/// A host that could not confirm its configuration for so long is stale.
+/// Age of the last confirmation after which the configuration of a host is stale, in milliseconds.
 const STALE_MS: u64 = 10_000;
 
-/// Larger fleets are only measured: the checks look at all hosts after every step.
+/// Largest fleet for which the fleet-wide invariants are checked: these checks visit all hosts after
+/// every step or tick, which is too slow for larger fleets.
 const MAX_CHECKED_HOSTS: usize = 20;
 
-/// The longest that a loan can run.
+/// Maximum duration of a rate limit loan, in milliseconds.
 const MAX_LOAN_MS: u64 = 5_000;
 
-/// Time between two losses of a failure domain: the first must be found out and made good.
+/// Minimum time between two losses of a failure domain, in milliseconds: the fleet must detect the
+/// first loss and restore the lost copies before the next one.
 const MIN_DOMAIN_LOSS_INTERVAL_MS: u64 = 18_000;
 
-/// Traffic goes on for so long after everything is healed.
+/// Duration of the traffic after all faults have ended, in milliseconds.
 const TRAFFIC_AFTER_FAULTS_MS: u64 = 18_000;
 
-/// Requests a second of the one workspace.
+/// Limit of requests per second of the only workspace.
 const REQUESTS_PER_SECOND_LIMIT: f64 = 100.0;
 
-/// A guard that a test breaks on purpose, to show that the checks see it.
+/// A bug that a test injects to prove that the invariant checks detect it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedBug {
-    /// None: everything must hold.
+    /// No bug: all invariants must hold.
     NoBug,
-    /// Traffic decides on the first view that it got.
+    /// Hosts keep using the first view that they received.
     IgnoredWithdrawal,
-    /// A holder that takes over writes under a name of its own.
+    /// A holder that takes over bills writes them under a different incarnation.
     DoubleFlush,
-    /// Credits are not asked for.
+    /// Requests go to the canary version without a credit.
     IgnoredCap,
-    /// An answer is ended before its bill is safe.
+    /// A response is ended before its bill is replicated.
     EarlyResponseEnd,
-    /// A ticket is run by whichever host it comes to.
+    /// The host that receives a ticket executes it, even if another host issued it.
     SharedTicket,
-    /// Freshness is counted from when an answer arrived.
+    /// The age of the configuration is measured from the arrival of a reply, not from its request.
     FreshnessFromArrival,
 }
 
-/// How a schedule is made.
+/// Parameters of a simulated schedule of faults.
 #[derive(Clone, Debug)]
 pub struct Schedule {
-    /// The seed of everything random.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// Hosts.
+    /// Number of hosts.
     pub hosts: usize,
-    /// Failure domains.
+    /// Number of failure domains.
     pub domains: usize,
-    /// Length before everything is healed, in milliseconds.
+    /// Duration of the phase with faults, in milliseconds.
     pub fault_phase_ms: u64,
-    /// Whether faults are drawn.
+    /// Whether random faults occur.
     pub faults: bool,
-    /// True quality of the new version.
+    /// True quality of the canary version, in [0, 1].
     pub canary_quality: f64,
-    /// The broken guard.
+    /// Bug to inject.
     pub injected_bug: InjectedBug,
 }
 
 impl Schedule {
-    /// Makes the schedule of a seed.
+    /// Creates the schedule for a seed: even seeds have a good canary version, odd seeds a bad one.
     pub fn of(seed: u64) -> Schedule {
         let canary_quality = if seed.is_multiple_of(2) { 0.85 } else { 0.3 };
         let injected_bug = InjectedBug::NoBug;
@@ -118,28 +120,28 @@
     }
 }
 
-/// What a run saw, for reports.
+/// Counters of a simulation.
 #[derive(Clone, Debug, Default)]
 pub struct RunStats {
-    /// Messages between hosts.
+    /// Messages sent between hosts.
     pub messages: u64,
-    /// Bytes of them, as JSON.
+    /// Total size of the messages as JSON, in bytes.
     pub bytes: u64,
-    /// Faults.
+    /// Number of fault events.
     pub faults: u64,
-    /// Nanoseconds spent in the hosts' control state.
+    /// Real time spent in the hosts' control-plane state machines, in nanoseconds.
     pub control_state_ns: u64,
-    /// Requests answered.
+    /// Requests whose response was released. Set by the final ledger check.
     pub answered: u64,
-    /// Requests on the new version.
+    /// Requests sent to the canary version.
     pub canary_requests: u64,
-    /// Calls with a ticket.
+    /// Tickets issued.
     pub tickets: u64,
-    /// Milliseconds until each accepted change was in force on the last host.
+    /// Time until each accepted change was in force on all running hosts, in milliseconds.
     pub in_force_ms: Vec<u64>,
 }
 
-/// The world of one schedule.
+/// Simulation of one schedule.
 pub struct Simulation {
     schedule: Schedule,
     now: u64,
@@ -152,7 +154,7 @@
     last_fault_at: u64,
     is_healed: bool,
     next_domain_loss_at: u64,
-    /// Credits spent by lives that are gone, and answers judged, as the test sees them.
+    /// Credits spent by stopped incarnations, counted by the test itself.
     spent_by_stopped_hosts: u64,
     judged: u64,
     started: u64,
@@ -161,12 +163,12 @@
     executions: HashMap<Ticket, u64>,
     in_force: BTreeMap<u64, u64>,
     last_disagreement_at: u64,
-    /// What was seen.
+    /// Counters of the simulation so far.
     pub stats: RunStats,
 }
 
 impl Simulation {
-    /// Makes the world of a schedule.
+    /// Creates the hosts and the object API of a schedule.
     pub fn new(schedule: Schedule) -> Simulation {
         let mut rng = StdRng::seed_from_u64(schedule.seed);
         let mut platform = Platform {
@@ -219,7 +221,9 @@
         simulation
     }
 
-    /// Runs the whole schedule and heals at its end; gives the first broken promise.
+    /// Runs the whole schedule, ends all faults and checks the ledger.
+    ///
+    /// Returns the first violated invariant as an error.
     pub fn run(&mut self) -> Result<(), String> {
         self.run_until(self.schedule.fault_phase_ms)?;
         self.end_faults();
@@ -227,7 +231,9 @@
         self.check_ledger()
     }
 
-    /// Runs up to an instant.
+    /// Runs all events up to the virtual time `until`, in milliseconds.
+    ///
+    /// Returns the first violated invariant as an error.
     pub fn run_until(&mut self, until: u64) -> Result<(), String> {
         while let Some(Reverse((at, next_sequence))) = self.queue.pop() {
             if at > until {
@@ -235,8 +241,10 @@
                 return Ok(());
             }
             self.now = at;
-            let event =
-                self.events.remove(&next_sequence).expect("every queued number has an event");
+            let event = self
+                .events
+                .remove(&next_sequence)
+                .expect("every queued sequence number has an event");
             self.step(event)?;
         }
         Ok(())
@@ -252,7 +260,7 @@
         self.events.insert(self.next_sequence, event);
     }
 
-    /// Draws the time of a message on its way; `None` if it is lost.
+    /// Returns a random message delay in milliseconds, or `None` if the message is lost.
     fn latency(&mut self) -> Option<u64> {
         if !self.schedule.faults || self.is_healed {
             return Some(self.rng.random_range(1..10));
--- a/crates/tidetrack-bench/src/virtual_fleet/platform.rs
+++ b/crates/tidetrack-bench/src/virtual_fleet/platform.rs
@@ -1,4 +1,4 @@
-//! The fake object API, what it begins with, and the operator who writes to it.
+//! The simulated object API, its initial objects, and the operator that changes them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -96,7 +96,7 @@
 }
 
 impl Simulation {
-    /// The operator touches an object, and withdraws a version in the second half.
+    /// Rewrites the model object, or withdraws a version in the second half of the fault phase.
     pub(super) fn run_operator(&mut self) {
         if self.now > self.schedule.fault_phase_ms {
             return;
--- a/crates/tidetrack-bench/src/virtual_fleet/platform_access.rs
+++ b/crates/tidetrack-bench/src/virtual_fleet/platform_access.rs
@@ -1,4 +1,4 @@
-//! What hosts ask of the platform and write there: reads, and the states of roll-outs.
+//! Access of the hosts to the platform: configuration reads and writes of roll-out states.
 
 use tidetrack_core::config::{Object, ObjectKey, ObjectKind, RolloutState};
 use tidetrack_core::store::{Delta, Entry};
@@ -52,7 +52,7 @@
         let now = self.host_time(h);
         let global = self.now;
         let host = &mut self.hosts[h];
-        // A roll-out is looked at a few times a second, as the router does.
+        // Like the router, large fleets evaluate roll-outs only a few times per second.
         if !global.is_multiple_of(ROLLOUT_CHECK_INTERVAL_MS)
             && self.schedule.hosts > MAX_CHECKED_HOSTS
         {
@@ -104,7 +104,7 @@
         if let Some(revision) = written {
             self.in_force.insert(revision, self.now);
         }
-        // The write took effect; its reply may be lost all the same.
+        // The reply may be lost even though the write took effect.
         let reply = self.latency().filter(|_| self.platform_reachable(from_host));
         let (ms, version) = match reply {
             Some(ms) => (ms, written.unwrap_or(0)),
--- a/crates/tidetrack-bench/src/virtual_fleet/requests.rs
+++ b/crates/tidetrack-bench/src/virtual_fleet/requests.rs
@@ -1,4 +1,4 @@
-//! Traffic of the hosts: requests, ratings, bills and tickets.
+//! Simulated traffic: requests, ratings, bills and tickets.
 
 use rand::RngExt;
 
@@ -67,7 +67,7 @@
         let id = RequestId { incarnation: host.node.incarnation().clone(), number };
         self.completed_requests.insert(id.clone());
         match self.schedule.injected_bug {
-            // The end marker goes first; the bill is on its way with the next tick.
+            // The response ends first; the next tick sends the bill.
             InjectedBug::EarlyResponseEnd => drop(self.answered.insert(id)),
             _ => self.execute_replicator_actions(h),
         }
@@ -90,7 +90,7 @@
         self.hosts[h].node.record_counts(&chosen.version, 1, is_canary, &counts);
     }
 
-    /// Carries out what the keeper of a host's bills wants done.
+    /// Executes the pending actions of a host's bill replicator.
     pub(super) fn execute_replicator_actions(&mut self, h: usize) {
         let now = self.host_time(h);
         let incarnation_id = self.hosts[h].incarnation_id;
@@ -147,7 +147,8 @@
         }
     }
 
-    /// Creates a segment if absent, and reads what stands: the settled write of the router.
+    /// Creates a segment if it is absent and returns the stored one to the writer, like the write of the
+    /// router that ends once it knows the stored segment.
     pub(super) fn write_segment(
         &mut self,
         from_host: usize,
@@ -206,12 +207,13 @@
                 *executions += 1
             }
             Err(e) if e.executed == tidetrack_core::codes::Executed::No && *executions > 0 => {
-                return self.fail(format!("a refusal said that {ticket:?} was not run"));
+                return self
+                    .fail(format!("{ticket:?} was refused as not executed after it was executed"));
             }
             Err(_) => return Ok(()),
         }
         if self.executions[&ticket] > 1 {
-            return self.fail(format!("{ticket:?} ran twice"));
+            return self.fail(format!("{ticket:?} was executed twice"));
         }
         let incarnation_id = self.hosts[h].incarnation_id;
         let lost = self.rng.random_range(0..5) == 0;
--- a/crates/tidetrack-bench/tests/capacity.rs
+++ b/crates/tidetrack-bench/tests/capacity.rs
@@ -1,29 +1,30 @@
-//! The capacity page agrees with the recorded slopes, and control fits its budget at the target.
+//! Checks that the capacity page matches the recorded series and that the control plane stays within
+//! its budget at every deployment size.
 
 use tidetrack_bench::capacity::{read_page, render_page, total_control_use, CONTROL_BUDGET, SIZES};
 use tidetrack_bench::record;
 
 #[test]
-fn the_page_is_what_the_recorded_slopes_give() {
-    let recorded = record::read_recorded().expect("the slopes");
-    let text = read_page().expect("the page");
+fn the_page_matches_the_recorded_series() {
+    let recorded = record::read_recorded().expect("the recorded series can be read");
+    let text = read_page().expect("docs/CAPACITY.md can be read");
     assert!(
-        render_page(&text, &recorded).expect("markers") == text,
-        "run tidetrack-bench capacity"
+        render_page(&text, &recorded).expect("the page has both markers") == text,
+        "docs/CAPACITY.md is out of date; run tidetrack-bench capacity"
     );
 }
 
 #[test]
-fn another_slope_gives_another_page() {
-    let mut recorded = record::read_recorded().expect("the slopes");
-    let text = read_page().expect("the page");
+fn a_changed_series_changes_the_page() {
+    let mut recorded = record::read_recorded().expect("the recorded series can be read");
+    let text = read_page().expect("docs/CAPACITY.md can be read");
     recorded.get_mut("rest-bytes").expect("a series").points[0].1 += 1_000.0;
-    assert!(render_page(&text, &recorded).expect("markers") != text);
+    assert!(render_page(&text, &recorded).expect("the page has both markers") != text);
 }
 
 #[test]
-fn every_series_has_points_and_control_fits_its_budget() {
-    let recorded = record::read_recorded().expect("the slopes");
+fn every_series_has_enough_points_and_control_stays_within_its_budget() {
+    let recorded = record::read_recorded().expect("the recorded series can be read");
     for (name, series) in &recorded {
         let min_points = if series.size == "streams" { 1 } else { 3 };
         assert!(series.points.len() >= min_points, "{name}: {} points", series.points.len());
--- a/crates/tidetrack-bench/tests/schedules.rs
+++ b/crates/tidetrack-bench/tests/schedules.rs
@@ -1,5 +1,5 @@
-//! Thousands of seeded schedules of faults; a failure names its seed. Each guard is broken on
-//! purpose once, to show that the checks see it.
+//! Runs thousands of seeded fault schedules and checks the invariants; each failure names its seed.
+//! Further tests inject one bug each and check that the invariants detect it.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
@@ -8,7 +8,7 @@
 
 const SCHEDULE_COUNT: u64 = 2_000;
 
-/// Seeds within which a broken guard must be seen.
+/// Number of seeds within which an injected bug must be detected.
 const SEEDS_PER_BUG: u64 = 300;
 
 fn run(schedule: Schedule) -> Result<RunStats, String> {
@@ -46,12 +46,12 @@
     failed.sort();
     let [faults, answered, canary_requests, tickets] = sums.into_inner().expect("no thread panics");
     println!(
-        "{faults} faults, {answered} answered, {canary_requests} on the new version, {tickets} tickets"
+        "{faults} faults, {answered} answered, {canary_requests} on the canary version, {tickets} tickets"
     );
     let count = failed.len();
     assert!(
         failed.is_empty(),
-        "{count} of {SCHEDULE_COUNT}:\n{}",
+        "{count} of {SCHEDULE_COUNT} schedules failed:\n{}",
         failed[..count.min(12)].join("\n")
     );
     assert!(
@@ -64,8 +64,8 @@
 
 #[test]
 fn the_same_seed_produces_the_same_run() {
-    let first = run(Schedule::of(7)).expect("a run");
-    let second = run(Schedule::of(7)).expect("a run");
+    let first = run(Schedule::of(7)).expect("all invariants hold");
+    let second = run(Schedule::of(7)).expect("all invariants hold");
     assert_eq!(
         (first.messages, first.bytes, first.answered),
         (second.messages, second.bytes, second.answered)
@@ -77,7 +77,7 @@
     let found: Vec<String> = runs.filter_map(Result::err).collect();
     assert!(
         found.iter().any(|e| e.contains(expected_message)),
-        "{injected_bug:?} was not seen: {found:?}"
+        "{injected_bug:?} was not detected; the failures were: {found:?}"
     );
 }
 
@@ -88,7 +88,7 @@
 
 #[test]
 fn a_double_flush_is_detected() {
-    assert_detected(InjectedBug::DoubleFlush, "billed and never made");
+    assert_detected(InjectedBug::DoubleFlush, "billed but never completed");
 }
 
 #[test]
@@ -103,10 +103,10 @@
 
 #[test]
 fn a_ticket_executed_by_another_host_is_detected() {
-    assert_detected(InjectedBug::SharedTicket, "ran twice");
+    assert_detected(InjectedBug::SharedTicket, "was executed twice");
 }
 
 #[test]
 fn freshness_measured_from_reply_arrival_is_detected() {
-    assert_detected(InjectedBug::FreshnessFromArrival, "says it is fresh");
+    assert_detected(InjectedBug::FreshnessFromArrival, "reports its configuration as confirmed");
 }
