--- a/crates/tidetrack-bench/src/decisions.rs
+++ b/crates/tidetrack-bench/src/decisions.rs
@@ -47,12 +47,16 @@
     }
 }
 
-fn simulate_strategy(strategy: PlacementStrategy, degraded: bool, load: f64) -> SimulationOutcome {
+fn simulate_strategy(
+    strategy: PlacementStrategy,
+    has_degraded_endpoints: bool,
+    load: f64,
+) -> SimulationOutcome {
     simulate(&SimulationConfig {
         seed: 11,
         hosts: 7,
         endpoints: 20,
-        degraded,
+        has_degraded_endpoints,
         load,
         requests: 20_000,
         deadline_ms: 5_000,
@@ -62,14 +66,14 @@
 
 /// Measures the time to the first token with delayed load reports and half of the pool degraded.
 pub fn routing() -> Vec<BenchmarkResult> {
-    let placers = [
+    let strategies = [
         ("round robin", PlacementStrategy::RoundRobin),
         ("least reported", PlacementStrategy::LeastReported),
         ("random of two", PlacementStrategy::RandomOfTwo),
     ];
     let tidetrack = simulate_strategy(PlacementStrategy::Tidetrack, true, 0.6);
     let baselines: Vec<(&str, SimulationOutcome)> =
-        placers.iter().map(|(n, p)| (*n, simulate_strategy(*p, true, 0.6))).collect();
+        strategies.iter().map(|(n, p)| (*n, simulate_strategy(*p, true, 0.6))).collect();
     let quantile_ms = |o: &SimulationOutcome, q: f64| o.first_token_ms.value_at_quantile(q) as f64;
     let result = |name: &str, q: f64, bound: f64| BenchmarkResult {
         name: format!("first token {name}, ms; 20 replicas, half of them 4 times slower, load 0.6"),
@@ -119,7 +123,7 @@
     let policy = Policy {
         program: r#"if "tag" in req.tags { "small" } else if req.prompt_chars > 4000 { "strong" } else { #{rungs: ["small", "strong"], accept: 0.83} }"#.into(),
         mode: Mode::Full,
-        fallback: vec!["strong".parse().expect("a model")],
+        fallback: vec!["strong".parse().expect("a valid model name")],
         max_steps: 1_000,
         deadline_ms: 1_000,
         cases: Vec::new(),
@@ -132,7 +136,7 @@
         let case = CascadeRequest::random(&mut rng);
         let tags = if case.has_tag { vec!["tag".to_string()] } else { Vec::new() };
         let features = Features { tags, prompt_chars: case.prompt_chars, ..Features::default() };
-        let plan = program.decide(&features, &[]).expect("a plan");
+        let plan = program.decide(&features, &[]).expect("the program returns a plan");
         let rating = case.small_quality + rng.random_range(-0.05..0.05);
         let escalates = plan.accept.is_some_and(|accept| rating < accept);
         let small = (case.small_quality, SMALL_COST);
@@ -243,14 +247,14 @@
     let mut rng = StdRng::seed_from_u64(seed);
     let stage = |share, cap, judged| Stage { share, cap, judged };
     let spec = Rollout {
-        from: "m@1".parse().expect("a version"),
-        to: "m@2".parse().expect("a version"),
+        from: "m@1".parse().expect("a valid version name"),
+        to: "m@2".parse().expect("a valid version name"),
         stages: vec![stage(0.05, 40, 150), stage(0.25, 100, 600), stage(0.5, 200, 1_500)],
         when_stale: WhenStale::StableOnly,
         stale_ms: 10_000,
     };
     let alive: BTreeSet<Incarnation> =
-        (0..7).map(|i| format!("h{i}~1").parse().expect("an incarnation")).collect();
+        (0..7).map(|i| format!("h{i}~1").parse().expect("a valid incarnation")).collect();
     let mut evidence = Evidence::default();
     let mut state = initial_state(1);
     let mut counts_by_host = vec![(VersionCounts::default(), VersionCounts::default()); 7];
@@ -269,7 +273,7 @@
                 }
             }
             let key = |version: &str| EvidenceKey {
-                version: version.parse().expect("a version"),
+                version: version.parse().expect("a valid version name"),
                 generation: 1,
                 observer: host.clone(),
             };
@@ -302,7 +306,7 @@
 
 fn count_unjudged(evidence: &Evidence, counts_by_host: &[(VersionCounts, VersionCounts)]) -> u64 {
     let started: u64 = counts_by_host.iter().map(|(canary, _)| canary.started).sum();
-    let version = "m@2".parse().expect("a version");
+    let version = "m@2".parse().expect("a valid version name");
     started.saturating_sub(evidence.total(&version, 1).judged_count())
 }
 
--- a/crates/tidetrack-bench/src/endpoint_model.rs
+++ b/crates/tidetrack-bench/src/endpoint_model.rs
@@ -60,7 +60,7 @@
     /// Number of endpoints.
     pub endpoints: usize,
     /// Whether half of the endpoints are degraded.
-    pub degraded: bool,
+    pub has_degraded_endpoints: bool,
     /// Arrival rate as a multiple of the capacity of the endpoints.
     pub load: f64,
     /// Total number of requests.
@@ -96,7 +96,7 @@
 struct Endpoint {
     slowdown: u64,
     running: usize,
-    pending: VecDeque<usize>,
+    waiting_requests: VecDeque<usize>,
     cache: VecDeque<usize>,
     outstanding_work: u64,
     work_history: VecDeque<(u64, u64)>,
@@ -117,9 +117,9 @@
 
 fn build_hosts(config: &SimulationConfig) -> Vec<Host> {
     let endpoint = |i| PoolEndpoint {
-        id: format!("e{i}").parse().expect("an endpoint"),
+        id: format!("e{i}").parse().expect("a valid endpoint name"),
         address: String::new(),
-        failure_domain: "d".parse().expect("a failure domain"),
+        failure_domain: "d".parse().expect("a valid failure domain name"),
         state: Arc::new(EndpointState::default()),
     };
     let slots = if config.strategy == PlacementStrategy::Unbounded { 0 } else { SLOTS as u32 };
@@ -135,7 +135,13 @@
     // Mean request: 1,000 prompt tokens, half of them cached (0.1 of the prefill time), and 60
     // response tokens.
     let speed: f64 = (0..config.endpoints)
-        .map(|i| if config.degraded && i % 2 == 0 { 1.0 / SLOWDOWN_FACTOR as f64 } else { 1.0 })
+        .map(|i| {
+            if config.has_degraded_endpoints && i % 2 == 0 {
+                1.0 / SLOWDOWN_FACTOR as f64
+            } else {
+                1.0
+            }
+        })
         .sum();
     let mean_us = 1_000.0 * 0.55 * PREFILL_US as f64 + 60.0 * TOKEN_US as f64;
     let rate = speed * SLOTS as f64 * 1e6 / mean_us * config.load;
@@ -162,7 +168,7 @@
     hosts: Vec<Host>,
     endpoints: Vec<Endpoint>,
     requests: Vec<Request>,
-    pending: BinaryHeap<Reverse<(u64, u64, Event)>>,
+    event_queue: BinaryHeap<Reverse<(u64, u64, Event)>>,
     next_sequence: u64,
     rng: StdRng,
     outcome: SimulationOutcome,
@@ -175,7 +181,7 @@
     let mut rng = StdRng::seed_from_u64(config.seed);
     let requests = generate_requests(config, &mut rng);
     let endpoint = |i| Endpoint {
-        slowdown: if config.degraded && i % 2 == 0 { SLOWDOWN_FACTOR } else { 1 },
+        slowdown: if config.has_degraded_endpoints && i % 2 == 0 { SLOWDOWN_FACTOR } else { 1 },
         ..Endpoint::default()
     };
     let first_token_ms =
@@ -185,7 +191,7 @@
         hosts: build_hosts(config),
         endpoints: (0..config.endpoints).map(endpoint).collect(),
         requests,
-        pending: BinaryHeap::new(),
+        event_queue: BinaryHeap::new(),
         next_sequence: 0,
         rng,
         outcome: SimulationOutcome {
@@ -211,21 +217,23 @@
 impl Simulation<'_> {
     fn schedule(&mut self, at: u64, event: Event) {
         self.next_sequence += 1;
-        self.pending.push(Reverse((at, self.next_sequence, event)));
+        self.event_queue.push(Reverse((at, self.next_sequence, event)));
     }
 
     fn run_events(&mut self) {
-        let mut unfinished = self.requests.len();
-        while let Some(Reverse((now, _, event))) = self.pending.pop() {
+        let mut unfinished_requests = self.requests.len();
+        while let Some(Reverse((now, _, event))) = self.event_queue.pop() {
             match event {
-                Event::Arrival(r) => unfinished -= usize::from(!self.handle_arrival(now, r)),
+                Event::Arrival(r) => {
+                    unfinished_requests -= usize::from(!self.handle_arrival(now, r))
+                }
                 Event::Completion(e, r) => {
                     self.handle_completion(now, e, r);
-                    unfinished -= 1;
+                    unfinished_requests -= 1;
                 }
                 Event::Report => {
                     self.update_reports(now);
-                    if unfinished > 0 {
+                    if unfinished_requests > 0 {
                         self.schedule(now + REPORT_INTERVAL_AND_AGE_US.0, Event::Report);
                     }
                 }
@@ -241,14 +249,13 @@
             return false;
         };
         let request = &self.requests[r];
-        let outstanding_work =
-            request_work(Tokens(request.prompt_tokens), Tokens(request.response_tokens));
-        self.hosts[request.host].pool.endpoints()[e].state.begin_work(outstanding_work);
-        self.endpoints[e].outstanding_work += outstanding_work;
+        let work = request_work(Tokens(request.prompt_tokens), Tokens(request.response_tokens));
+        self.hosts[request.host].pool.endpoints()[e].state.begin_work(work);
+        self.endpoints[e].outstanding_work += work;
         if self.endpoints[e].running < SLOTS {
             self.start(now, e, r);
         } else {
-            self.endpoints[e].pending.push_back(r);
+            self.endpoints[e].waiting_requests.push_back(r);
         }
         true
     }
@@ -315,18 +322,17 @@
 
     fn handle_completion(&mut self, now: u64, e: usize, r: usize) {
         let request = &self.requests[r];
-        let outstanding_work =
-            request_work(Tokens(request.prompt_tokens), Tokens(request.response_tokens));
+        let work = request_work(Tokens(request.prompt_tokens), Tokens(request.response_tokens));
         let endpoint = &mut self.endpoints[e];
         endpoint.running -= 1;
-        endpoint.outstanding_work -= outstanding_work;
+        endpoint.outstanding_work -= work;
         let total = endpoint.outstanding_work;
         let endpoint_state = &self.hosts[request.host].pool.endpoints()[e].state;
-        endpoint_state.end_work(outstanding_work);
-        endpoint_state.record_duration(outstanding_work, now - request.arrived_us);
+        endpoint_state.end_work(work);
+        endpoint_state.record_duration(work, now - request.arrived_us);
         // Each response reports the load of its endpoint at the time the response ends.
         endpoint_state.record_load_report(Millis(now / 1_000 + 1_000_000), total, Tokens(0));
-        if let Some(next) = self.endpoints[e].pending.pop_front() {
+        if let Some(next) = self.endpoints[e].waiting_requests.pop_front() {
             self.start(now, e, next);
         }
     }
--- a/crates/tidetrack-bench/src/spread.rs
+++ b/crates/tidetrack-bench/src/spread.rs
@@ -28,7 +28,7 @@
             hosts: *hosts,
             domains: 4,
             fault_phase_ms: SETTLE_MS + MEASUREMENT_MS,
-            faults: false,
+            has_faults: false,
             canary_quality: 0.85,
             injected_bug: InjectedBug::NoBug,
         });
--- a/crates/tidetrack-bench/src/state.rs
+++ b/crates/tidetrack-bench/src/state.rs
@@ -57,9 +57,10 @@
     for v in 0..versions {
         let endpoints = (v..replicas).step_by(versions).map(|i| {
             let address = format!("10.{}.{}.{}:8000", i / 65_536, i / 256 % 256, i % 256);
-            let failure_domain = format!("d{}", i % 4).parse().expect("a failure domain");
+            let failure_domain =
+                format!("d{}", i % 4).parse().expect("a valid failure domain name");
             (
-                format!("replica-{i}").parse().expect("an endpoint"),
+                format!("replica-{i}").parse().expect("a valid endpoint name"),
                 Endpoint { address, failure_domain },
             )
         });
@@ -67,14 +68,17 @@
         put(ObjectKey::new(ObjectKind::Pool, format!("pool-{v}")), Object::Pool(pool));
         let name = format!("model-{v}@1");
         let version = Version {
-            pool: format!("pool-{v}").parse().expect("a pool"),
+            pool: format!("pool-{v}").parse().expect("a valid pool name"),
             generation: 1,
             price_in: Micros(1),
             price_out: Micros(1),
             context_tokens: 32_768,
         };
         put(ObjectKey::new(ObjectKind::Version, &name), Object::Version(version));
-        let model = Model { serving: name.parse().expect("a version"), description: String::new() };
+        let model = Model {
+            serving: name.parse().expect("a valid version name"),
+            description: String::new(),
+        };
         put(ObjectKey::new(ObjectKind::Model, format!("model-{v}")), Object::Model(model));
     }
     let to = entries.len() as u64;
@@ -85,7 +89,7 @@
 
 fn incarnation(n: usize) -> Incarnation {
     Incarnation {
-        host: format!("host-{n}").parse().expect("a host"),
+        host: format!("host-{n}").parse().expect("a valid host name"),
         nonce: rendezvous("life", &n.to_string()),
     }
 }
@@ -95,9 +99,14 @@
 }
 
 fn bill(n: u64) -> Bill {
-    let version = "model-12@3".parse().expect("a version");
+    let version = "model-12@3".parse().expect("a valid version name");
     let line_item = LineItem(version, Tokens(1_200), Tokens(420), Micros(5_300));
-    Bill(n, "school-north".parse().expect("a workspace"), vec![line_item], BillOutcome::Complete)
+    Bill(
+        n,
+        "school-north".parse().expect("a valid workspace name"),
+        vec![line_item],
+        BillOutcome::Complete,
+    )
 }
 
 /// Runs `operation` `count` times and returns its mean duration in microseconds.
@@ -149,7 +158,8 @@
                 ..PlacementRequest::default()
             };
             let pool = pools[i as usize % pools.len()];
-            let endpoint = pool.pick(Millis(1_000), &request).expect("an endpoint");
+            let endpoint =
+                pool.pick(Millis(1_000), &request).expect("the pool has an available endpoint");
             std::hint::black_box(endpoint);
         });
         add_point("pick", "us", pick_us);
@@ -164,7 +174,7 @@
         state: MemberState::Alive,
         peer_address: format!("10.0.{}.{}:9000", n / 256, n % 256),
         caller_address: format!("10.0.{}.{}:8000", n / 256, n % 256),
-        failure_domain: format!("d{}", n % 4).parse().expect("a failure domain"),
+        failure_domain: format!("d{}", n % 4).parse().expect("a valid failure domain name"),
     }
 }
 
@@ -214,7 +224,7 @@
     for entry_count in [1usize, 16, 64] {
         let items: Vec<Item> = (0..entry_count)
             .map(|i| {
-                let version = "model-12@3".parse().expect("a version");
+                let version = "model-12@3".parse().expect("a valid version name");
                 let key = EvidenceKey { version, generation: 1, observer: incarnation(i) };
                 let counts = VersionCounts {
                     started: 1234,
@@ -244,11 +254,11 @@
 
 fn measure_tokens(collector: &mut SeriesCollector) {
     let key_ring = key_ring();
-    let workspace = "school-north".parse().expect("a workspace");
+    let workspace = "school-north".parse().expect("a valid workspace name");
     let session = Session {
         workspace,
-        route: "assistant".parse().expect("a route"),
-        version: "model-12@3".parse().expect("a version"),
+        route: "assistant".parse().expect("a valid route name"),
+        version: "model-12@3".parse().expect("a valid version name"),
         generation: 1,
         nonce: 77,
     };
@@ -263,7 +273,8 @@
         let options = TicketOptions { max_tickets: count as usize, ..TicketOptions::default() };
         let mut registry = TicketRegistry::new(incarnation(1), options);
         let issue_us = mean_time_us(count, |_| {
-            let ticket = registry.issue(Millis(1), &session.workspace).expect("a ticket");
+            let ticket =
+                registry.issue(Millis(1), &session.workspace).expect("a ticket can be issued");
             std::hint::black_box(ticket.to_token(&key_ring));
         });
         collector.add_point("session-read", ("us", "sessions", COMMAND), n, read_us);
--- a/crates/tidetrack-bench/src/virtual_fleet/checks.rs
+++ b/crates/tidetrack-bench/src/virtual_fleet/checks.rs
@@ -16,7 +16,7 @@
 impl Simulation {
     /// Checks that a host has every change accepted before the time as of which it reports its
     /// configuration as confirmed.
-    pub(super) fn check_fresh(&self, h: usize) -> Result<(), String> {
+    pub(super) fn check_freshness(&self, h: usize) -> Result<(), String> {
         let host = &self.hosts[h];
         let Some(at) = host.node.confirmed_at() else { return Ok(()) };
         let at = at.0.saturating_sub(host.offset);
@@ -37,7 +37,8 @@
     }
 
     /// Checks that a host starts no request on a withdrawn version once it must know the withdrawal, and
-    /// none on the canary version while its configuration is stale.
+    /// none on the canary version while its configuration is stale. Versions without a withdrawal are
+    /// not checked.
     pub(super) fn check_withdrawn(&self, h: usize, chosen: &ChosenVersion) -> Result<(), String> {
         let key = ObjectKey::new(ObjectKind::Withdrawal, chosen.version.to_string());
         let writes = &self.platform.writes;
@@ -50,7 +51,7 @@
                 .all(|h| h.is_up && !h.is_cut_from_peers && !h.is_cut_from_platform)
             && self.hosts.iter().all(|h| h.paused_until + SETTLE_MS < self.now);
         let started_at = self.hosts[h].started_at;
-        if (has_settled && is_healthy || !self.schedule.faults)
+        if (has_settled && is_healthy || !self.schedule.has_faults)
             && *accepted + MAX_IN_FORCE_MS < self.now
         {
             return self.fail(format!(
@@ -58,7 +59,8 @@
                 chosen.version
             ));
         }
-        // A withdrawal in its own store binds a host at once; a stale host must not use the canary version.
+        // A withdrawal in its own store binds a host at once. A stale host must not use the canary
+        // version.
         let now = self.host_time(h);
         let host = &self.hosts[h];
         let is_stale = host.node.confirmation_age(now).is_none_or(|a| a.0 > STALE_MS);
@@ -88,13 +90,13 @@
             return Ok(());
         }
         let alive: u64 = self.hosts.iter().filter(|h| h.is_up).map(Host::spent).sum();
-        let spent = (alive + self.spent_by_stopped_hosts).max(self.started);
-        match spent <= EXPOSURE_CAP + self.judged {
+        let spent = (alive + self.spent_by_stopped_hosts).max(self.started_canary_requests);
+        match spent <= EXPOSURE_CAP + self.judged_canary_responses {
             true => Ok(()),
             false => {
                 let message = format!(
                     "{spent} requests on the canary version, {} judged, cap {EXPOSURE_CAP}",
-                    self.judged
+                    self.judged_canary_responses
                 );
                 self.fail(message)
             }
@@ -106,11 +108,11 @@
         if self.hosts.len() > MAX_CHECKED_HOSTS {
             return Ok(());
         }
-        let settled = |h: &Host| !h.is_up || self.now > h.started_at + 5_000;
-        let counts: BTreeSet<usize> =
+        let has_joined = |h: &Host| !h.is_up || self.now > h.started_at + 5_000;
+        let member_counts: BTreeSet<usize> =
             self.hosts.iter().filter(|h| h.is_up).map(|h| h.node.members.iter().count()).collect();
         // A loan made while the hosts disagreed may still be active.
-        if counts.len() != 1 || !self.hosts.iter().all(settled) {
+        if member_counts.len() != 1 || !self.hosts.iter().all(has_joined) {
             self.last_disagreement_at = self.now;
         }
         if self.now < self.last_disagreement_at + MAX_LOAN_MS {
@@ -125,9 +127,9 @@
                 sum += rates.get(&workspace()).copied().unwrap_or(0.0);
             }
         }
-        let agreed = *counts.first().expect("at least one host is up");
-        let up = self.hosts.iter().filter(|h| h.is_up).count();
-        if agreed >= up && sum > REQUESTS_PER_SECOND_LIMIT + 1e-6 {
+        let member_count = *member_counts.first().expect("at least one host is up");
+        let running_count = self.hosts.iter().filter(|h| h.is_up).count();
+        if member_count >= running_count && sum > REQUESTS_PER_SECOND_LIMIT + 1e-6 {
             return self.fail(format!(
                 "the rate shares sum to {sum} requests/s, limit {REQUESTS_PER_SECOND_LIMIT}"
             ));
--- a/crates/tidetrack-bench/src/virtual_fleet/event.rs
+++ b/crates/tidetrack-bench/src/virtual_fleet/event.rs
@@ -146,7 +146,7 @@
         }
     }
 
-    pub(super) fn step(&mut self, event: Event) -> Result<(), String> {
+    pub(super) fn handle_event(&mut self, event: Event) -> Result<(), String> {
         if let Some((host, incarnation_id)) = Simulation::target_host(&event) {
             let repeats = matches!(event, Event::Tick(_) | Event::Traffic(_));
             let h = &self.hosts[host];
@@ -175,10 +175,10 @@
                     InjectedBug::FreshnessFromArrival => now,
                     _ => sent_at,
                 };
-                let started = Instant::now();
+                let started_at = Instant::now();
                 self.hosts[to].node.on_reply(now, &from, sent_at, nonce, *message);
-                self.stats.control_state_ns += started.elapsed().as_nanos() as u64;
-                self.check_fresh(to)?;
+                self.stats.control_state_ns += started_at.elapsed().as_nanos() as u64;
+                self.check_freshness(to)?;
             }
             Event::ExchangeFailed { host, to, .. } => self.hosts[host].node.on_exchange_failed(&to),
             Event::ProbeDone { host, target, reached, .. } => {
@@ -196,11 +196,11 @@
                 if let Some(delta) = delta {
                     node.on_changes(requested_at, delta);
                 }
-                self.check_fresh(host)?;
+                self.check_freshness(host)?;
             }
             Event::HoldBills { to, from, incarnation_id, batch, call } => {
                 let held = self.hosts[to].replicator.hold_for(call);
-                if let Some(ms) = self.latency().filter(|_| self.reachable(to, from)) {
+                if let Some(ms) = self.latency().filter(|_| self.is_reachable(to, from)) {
                     self.schedule_event(
                         self.now + ms,
                         Event::BillsHeld { host: from, incarnation_id, batch, held },
--- a/crates/tidetrack-bench/src/virtual_fleet/exchange.rs
+++ b/crates/tidetrack-bench/src/virtual_fleet/exchange.rs
@@ -14,9 +14,9 @@
     pub(super) fn tick(&mut self, h: usize) -> Result<(), String> {
         let now = self.host_time(h);
         self.schedule_event(self.now + TICK_INTERVAL_MS, Event::Tick(h));
-        let from = Instant::now();
+        let started_at = Instant::now();
         let actions = self.hosts[h].node.tick(now);
-        self.stats.control_state_ns += from.elapsed().as_nanos() as u64;
+        self.stats.control_state_ns += started_at.elapsed().as_nanos() as u64;
         for action in actions {
             self.execute_action(h, action);
         }
@@ -51,20 +51,20 @@
             return Ok(());
         }
         let view = host.node.view(now, &mut host.builder);
-        let injected_bug = self.schedule.injected_bug == InjectedBug::IgnoredWithdrawal;
-        if !(injected_bug && host.view.revision > 0) {
+        let ignores_withdrawal = self.schedule.injected_bug == InjectedBug::IgnoredWithdrawal;
+        if !(ignores_withdrawal && host.view.revision > 0) {
             host.view = view;
         }
         let mut reverted = None;
         for entry in host.node.store.iter() {
-            let stats = host.last_versions.entry(entry.key.clone()).or_default();
-            if entry.version < *stats {
+            let previous_version = host.last_versions.entry(entry.key.clone()).or_default();
+            if entry.version < *previous_version {
                 reverted = Some(format!(
-                    "the stored version of {} went back from {stats} to {}",
+                    "the stored version of {} went back from {previous_version} to {}",
                     entry.key, entry.version
                 ));
             }
-            *stats = entry.version;
+            *previous_version = entry.version;
         }
         if let Some(message) = reverted {
             return self.fail(message);
@@ -77,11 +77,15 @@
 
     /// Records how long each revision took to be in force on all running hosts.
     pub(super) fn record_in_force(&mut self) {
-        let up = self.hosts.iter().filter(|h| h.is_up);
-        let least = up.map(|h| h.view.revision).min().unwrap_or(0);
-        let reached: Vec<u64> = self.in_force.range(..=least).map(|(r, _)| *r).collect();
+        let running_hosts = self.hosts.iter().filter(|h| h.is_up);
+        let min_revision = running_hosts.map(|h| h.view.revision).min().unwrap_or(0);
+        let reached: Vec<u64> =
+            self.revisions_not_in_force.range(..=min_revision).map(|(r, _)| *r).collect();
         for revision in reached {
-            let accepted = self.in_force.remove(&revision).expect("the revision was just listed");
+            let accepted = self
+                .revisions_not_in_force
+                .remove(&revision)
+                .expect("the revision was just listed");
             self.stats.in_force_ms.push(self.now - accepted);
         }
     }
@@ -93,10 +97,10 @@
             Action::Exchange { to, message, .. } => {
                 self.stats.messages += 1;
                 self.stats.bytes += serde_json::to_string(&message).map_or(0, |s| s.len() as u64);
-                let target = self.index(&to);
-                let arrives = self.latency().filter(|_| self.reachable(h, target));
+                let target = self.host_index(&to);
+                let delay_ms = self.latency().filter(|_| self.is_reachable(h, target));
                 let sent_at = self.host_time(h);
-                match arrives {
+                match delay_ms {
                     Some(ms) => {
                         let message = Box::new(message);
                         let event = Event::Exchange {
@@ -117,9 +121,9 @@
                 }
             }
             Action::Probe { via, target, .. } => {
-                let (v, t) = (self.index(&via), self.index(&target));
-                let paused = self.hosts[t].paused_until > self.now;
-                let reached = self.reachable(h, v) && self.reachable(v, t) && !paused;
+                let (v, t) = (self.host_index(&via), self.host_index(&target));
+                let is_paused = self.hosts[t].paused_until > self.now;
+                let reached = self.is_reachable(h, v) && self.is_reachable(v, t) && !is_paused;
                 self.schedule_event(
                     self.now + 60,
                     Event::ProbeDone { host: h, incarnation_id, target, reached },
@@ -138,13 +142,13 @@
     ) {
         let now = self.host_time(to);
         let nonce = message.nonce;
-        let from_instant = Instant::now();
+        let started_at = Instant::now();
         let reply = self.hosts[to].node.on_exchange(now, message);
-        self.stats.control_state_ns += from_instant.elapsed().as_nanos() as u64;
+        self.stats.control_state_ns += started_at.elapsed().as_nanos() as u64;
         self.stats.messages += 1;
         self.stats.bytes += serde_json::to_string(&reply).map_or(0, |s| s.len() as u64);
         let name = self.hosts[to].name.clone();
-        match self.latency().filter(|_| self.reachable(to, from)) {
+        match self.latency().filter(|_| self.is_reachable(to, from)) {
             Some(ms) => {
                 let message = Box::new(reply);
                 let event =
--- a/crates/tidetrack-bench/src/virtual_fleet/faults.rs
+++ b/crates/tidetrack-bench/src/virtual_fleet/faults.rs
@@ -6,7 +6,7 @@
 
 impl Simulation {
     pub(super) fn fault(&mut self) {
-        if self.is_healed {
+        if self.have_faults_ended {
             return;
         }
         let gap = self.rng.random_range(200..6_000);
@@ -58,7 +58,7 @@
     /// domain. Copies cannot protect against the loss of the last domain; see `docs/design/billing.md`.
     fn has_copies_in_other_domains(&self, domain: usize) -> bool {
         let is_copied_elsewhere = |h: &Host| {
-            let holder = h.replicator.holder().map(|i| self.index(&i.host));
+            let holder = h.replicator.holder().map(|i| self.host_index(&i.host));
             h.replicator.bills_to_transfer() == 0
                 && holder.is_some_and(|i| self.hosts[i].domain != domain && self.hosts[i].is_up)
         };
@@ -78,7 +78,7 @@
     }
 
     pub(super) fn end_faults(&mut self) {
-        self.is_healed = true;
+        self.have_faults_ended = true;
         self.last_fault_at = self.now;
         self.platform.is_up = true;
         for host in &mut self.hosts {
--- a/crates/tidetrack-bench/src/virtual_fleet/host.rs
+++ b/crates/tidetrack-bench/src/virtual_fleet/host.rs
@@ -45,25 +45,25 @@
         state: MemberState::Alive,
         peer_address: name.to_string(),
         caller_address: name.to_string(),
-        failure_domain: format!("d{domain}").parse().expect("a failure domain"),
+        failure_domain: format!("d{domain}").parse().expect("a valid failure domain name"),
     }
 }
 
 impl Host {
     pub(super) fn new(
-        index: usize,
+        host_index: usize,
         domain: usize,
         incarnation_id: u64,
         offset: u64,
         now: u64,
         host_count: usize,
     ) -> Host {
-        let name: HostId = format!("h{index}").parse().expect("a host");
+        let name: HostId = format!("h{host_index}").parse().expect("a valid host name");
         let own = member(&name, domain, incarnation_id);
         let incarnation = own.incarnation.clone();
         let mut node = Node::new(own, NodeOptions::default(), incarnation_id);
         let seeds = (0..host_count).map(|i| format!("h{i}"));
-        node.set_seeds(seeds.map(|h| (h.parse().expect("a host"), h)).collect());
+        node.set_seeds(seeds.map(|h| (h.parse().expect("a valid host name"), h)).collect());
         Host {
             name,
             domain,
--- a/crates/tidetrack-bench/src/virtual_fleet/mod.rs
+++ b/crates/tidetrack-bench/src/virtual_fleet/mod.rs
@@ -96,7 +96,7 @@
     /// Duration of the phase with faults, in milliseconds.
     pub fault_phase_ms: u64,
     /// Whether random faults occur.
-    pub faults: bool,
+    pub has_faults: bool,
     /// True quality of the canary version, in [0, 1].
     pub canary_quality: f64,
     /// Bug to inject.
@@ -113,7 +113,7 @@
             hosts: 5,
             domains: 3,
             fault_phase_ms: 30_000,
-            faults: true,
+            has_faults: true,
             canary_quality,
             injected_bug,
         }
@@ -145,23 +145,23 @@
 pub struct Simulation {
     schedule: Schedule,
     now: u64,
-    next_sequence: u64,
+    last_sequence: u64,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
     events: HashMap<u64, Event>,
     rng: StdRng,
     platform: Platform,
     hosts: Vec<Host>,
     last_fault_at: u64,
-    is_healed: bool,
+    have_faults_ended: bool,
     next_domain_loss_at: u64,
     /// Credits spent by stopped incarnations, counted by the test itself.
     spent_by_stopped_hosts: u64,
-    judged: u64,
-    started: u64,
+    judged_canary_responses: u64,
+    started_canary_requests: u64,
     answered: BTreeSet<RequestId>,
     completed_requests: BTreeSet<RequestId>,
     executions: HashMap<Ticket, u64>,
-    in_force: BTreeMap<u64, u64>,
+    revisions_not_in_force: BTreeMap<u64, u64>,
     last_disagreement_at: u64,
     /// Counters of the simulation so far.
     pub stats: RunStats,
@@ -190,22 +190,22 @@
             .collect();
         let mut simulation = Simulation {
             now: 0,
-            next_sequence: 0,
+            last_sequence: 0,
             queue: BinaryHeap::new(),
             events: HashMap::new(),
             rng,
             platform,
             hosts,
             last_fault_at: 0,
-            is_healed: false,
+            have_faults_ended: false,
             next_domain_loss_at: 0,
             spent_by_stopped_hosts: 0,
-            judged: 0,
-            started: 0,
+            judged_canary_responses: 0,
+            started_canary_requests: 0,
             answered: BTreeSet::new(),
             completed_requests: BTreeSet::new(),
             executions: HashMap::new(),
-            in_force: BTreeMap::new(),
+            revisions_not_in_force: BTreeMap::new(),
             last_disagreement_at: 0,
             stats: RunStats::default(),
             schedule,
@@ -215,7 +215,7 @@
             simulation.schedule_event(200 + i as u64, Event::Traffic(i));
         }
         simulation.schedule_event(3_000, Event::Operator);
-        if simulation.schedule.faults {
+        if simulation.schedule.has_faults {
             simulation.schedule_event(2_000, Event::Fault);
         }
         simulation
@@ -235,17 +235,15 @@
     ///
     /// Returns the first violated invariant as an error.
     pub fn run_until(&mut self, until: u64) -> Result<(), String> {
-        while let Some(Reverse((at, next_sequence))) = self.queue.pop() {
+        while let Some(Reverse((at, sequence))) = self.queue.pop() {
             if at > until {
-                self.queue.push(Reverse((at, next_sequence)));
+                self.queue.push(Reverse((at, sequence)));
                 return Ok(());
             }
             self.now = at;
-            let event = self
-                .events
-                .remove(&next_sequence)
-                .expect("every queued sequence number has an event");
-            self.step(event)?;
+            let event =
+                self.events.remove(&sequence).expect("every queued sequence number has an event");
+            self.handle_event(event)?;
         }
         Ok(())
     }
@@ -255,14 +253,14 @@
     }
 
     fn schedule_event(&mut self, at: u64, event: Event) {
-        self.next_sequence += 1;
-        self.queue.push(Reverse((at, self.next_sequence)));
-        self.events.insert(self.next_sequence, event);
+        self.last_sequence += 1;
+        self.queue.push(Reverse((at, self.last_sequence)));
+        self.events.insert(self.last_sequence, event);
     }
 
     /// Returns a random message delay in milliseconds, or `None` if the message is lost.
     fn latency(&mut self) -> Option<u64> {
-        if !self.schedule.faults || self.is_healed {
+        if !self.schedule.has_faults || self.have_faults_ended {
             return Some(self.rng.random_range(1..10));
         }
         match self.rng.random_range(0..100) {
@@ -276,16 +274,16 @@
         Millis(self.now + self.hosts[host].offset)
     }
 
-    fn index(&self, name: &HostId) -> usize {
+    fn host_index(&self, name: &HostId) -> usize {
         name.as_str()[1..].parse().expect("hosts are named h and a number")
     }
 
-    fn reachable(&self, from: usize, to: usize) -> bool {
+    fn is_reachable(&self, from: usize, to: usize) -> bool {
         let (a, b) = (&self.hosts[from], &self.hosts[to]);
         a.is_up && b.is_up && !a.is_cut_from_peers && !b.is_cut_from_peers
     }
 
-    fn platform_reachable(&self, host: usize) -> bool {
+    fn is_platform_reachable(&self, host: usize) -> bool {
         self.platform.is_up && self.hosts[host].is_up && !self.hosts[host].is_cut_from_platform
     }
 }
--- a/crates/tidetrack-bench/src/virtual_fleet/platform.rs
+++ b/crates/tidetrack-bench/src/virtual_fleet/platform.rs
@@ -24,22 +24,22 @@
 }
 
 pub(super) fn stable_version() -> VersionRef {
-    "m@1".parse().expect("a version")
+    "m@1".parse().expect("a valid version name")
 }
 
 pub(super) fn canary_version() -> VersionRef {
-    "m@2".parse().expect("a version")
+    "m@2".parse().expect("a valid version name")
 }
 
 pub(super) fn workspace() -> WorkspaceId {
-    "w".parse().expect("a workspace")
+    "w".parse().expect("a valid workspace name")
 }
 
 pub(super) fn initial_objects() -> Vec<(ObjectKey, Object)> {
     let pool = Pool { endpoints: BTreeMap::new(), slots: 1, fenced: false };
     let version = |_: &str| {
         Object::Version(Version {
-            pool: "p".parse().expect("a pool"),
+            pool: "p".parse().expect("a valid pool name"),
             generation: 1,
             price_in: Micros(1),
             price_out: Micros(1),
@@ -119,7 +119,7 @@
         let present = self.platform.objects.get(&key).map_or(0, |e| e.version);
         if let Some(revision) = self.platform.write(self.now, &key, present, Some(object.to_json()))
         {
-            self.in_force.insert(revision, self.now);
+            self.revisions_not_in_force.insert(revision, self.now);
         }
     }
 }
--- a/crates/tidetrack-bench/src/virtual_fleet/platform_access.rs
+++ b/crates/tidetrack-bench/src/virtual_fleet/platform_access.rs
@@ -16,7 +16,7 @@
         }
         let (incarnation_id, after) = (host.incarnation_id, host.node.store.complete_to());
         self.hosts[h].last_platform_read_at = self.now;
-        if let Some(ms) = self.latency().filter(|_| self.platform_reachable(h)) {
+        if let Some(ms) = self.latency().filter(|_| self.is_platform_reachable(h)) {
             self.schedule_event(
                 self.now + ms,
                 Event::StoreRead { host: h, incarnation_id, requested_at: now, after },
@@ -41,7 +41,7 @@
             0 => (Some((to, entries)), None),
             _ => (None, Some(Delta { from: after, to, entries })),
         };
-        if let Some(ms) = self.latency().filter(|_| self.platform_reachable(from_host)) {
+        if let Some(ms) = self.latency().filter(|_| self.is_platform_reachable(from_host)) {
             let event =
                 Event::StoreReadDone { host: from_host, incarnation_id, requested_at, list, delta };
             self.schedule_event(self.now + ms, event);
@@ -71,7 +71,7 @@
         state.operation_id = format!("{}-{}", host.name, global);
         host.is_writing_state = true;
         let (incarnation_id, expected) = (host.incarnation_id, rollout.state_version);
-        match self.latency().filter(|_| self.platform_reachable(h)) {
+        match self.latency().filter(|_| self.is_platform_reachable(h)) {
             Some(ms) => {
                 self.schedule_event(
                     self.now + ms,
@@ -102,10 +102,10 @@
             false => None,
         };
         if let Some(revision) = written {
-            self.in_force.insert(revision, self.now);
+            self.revisions_not_in_force.insert(revision, self.now);
         }
         // The reply may be lost even though the write took effect.
-        let reply = self.latency().filter(|_| self.platform_reachable(from_host));
+        let reply = self.latency().filter(|_| self.is_platform_reachable(from_host));
         let (ms, version) = match reply {
             Some(ms) => (ms, written.unwrap_or(0)),
             None => (CALL_TIMEOUT_MS, 0),
--- a/crates/tidetrack-bench/src/virtual_fleet/requests.rs
+++ b/crates/tidetrack-bench/src/virtual_fleet/requests.rs
@@ -17,8 +17,8 @@
     pub(super) fn traffic(&mut self, h: usize) -> Result<(), String> {
         let gap = self.rng.random_range(20..120);
         self.schedule_event(self.now + gap, Event::Traffic(h));
-        let ended = self.now > self.schedule.fault_phase_ms + TRAFFIC_AFTER_FAULTS_MS;
-        if ended || self.hosts[h].view.revision == 0 {
+        let has_ended = self.now > self.schedule.fault_phase_ms + TRAFFIC_AFTER_FAULTS_MS;
+        if has_ended || self.hosts[h].view.revision == 0 {
             return Ok(());
         }
         let now = self.host_time(h);
@@ -26,14 +26,14 @@
         let host = &self.hosts[h];
         let Some(age) = host.node.confirmation_age(now) else { return Ok(()) };
         let Some(caller) = host.view.workspaces.get(&workspace()) else { return Ok(()) };
-        let model = "m".parse().expect("a model");
+        let model = "m".parse().expect("a valid model name");
         let mut chosen =
             host.view.choose_version(caller, &model, random_fraction, Freshness { age });
         if self.schedule.injected_bug == InjectedBug::IgnoredCap && random_fraction < 0.5 {
             chosen = Ok(ChosenVersion {
                 version: canary_version(),
                 generation: 1,
-                pool: "p".parse().expect("a pool"),
+                pool: "p".parse().expect("a valid pool name"),
                 credit: None,
             });
         }
@@ -43,7 +43,7 @@
         let Ok(chosen) = chosen else { return Ok(()) };
         self.check_withdrawn(h, &chosen)?;
         if chosen.version == canary_version() {
-            self.started += 1;
+            self.started_canary_requests += 1;
             self.stats.canary_requests += 1;
         }
         let incarnation_id = self.hosts[h].incarnation_id;
@@ -62,8 +62,8 @@
         host.node.record_counts(&chosen.version, 1, is_canary, &answered);
         host.next_bill_number += 1;
         let number = host.next_bill_number;
-        let part = LineItem(chosen.version.clone(), Tokens(1), Tokens(1), Micros(1));
-        host.replicator.add_bill(Bill(number, workspace(), vec![part], BillOutcome::Complete));
+        let line_item = LineItem(chosen.version.clone(), Tokens(1), Tokens(1), Micros(1));
+        host.replicator.add_bill(Bill(number, workspace(), vec![line_item], BillOutcome::Complete));
         let id = RequestId { incarnation: host.node.incarnation().clone(), number };
         self.completed_requests.insert(id.clone());
         match self.schedule.injected_bug {
@@ -86,7 +86,7 @@
         let quality = if is_canary { self.schedule.canary_quality } else { 0.85 };
         let mut counts = VersionCounts::default();
         counts.add_rating(quality + self.rng.random_range(-0.1..0.1));
-        self.judged += u64::from(is_canary);
+        self.judged_canary_responses += u64::from(is_canary);
         self.hosts[h].node.record_counts(&chosen.version, 1, is_canary, &counts);
     }
 
@@ -97,11 +97,11 @@
         for action in self.hosts[h].replicator.poll_actions(now) {
             match action {
                 ReplicatorAction::Hold { holder, batch, call } => {
-                    let to = self.index(&holder.parse().expect("a host"));
-                    let arrives = self.latency().filter(|_| self.reachable(h, to));
+                    let to = self.host_index(&holder.parse().expect("a valid host name"));
+                    let delay_ms = self.latency().filter(|_| self.is_reachable(h, to));
                     let failed = Event::BillsHeld { host: h, incarnation_id, batch, held: false };
                     self.schedule_event(self.now + CALL_TIMEOUT_MS, failed);
-                    if let Some(ms) = arrives {
+                    if let Some(ms) = delay_ms {
                         self.schedule_event(
                             self.now + ms,
                             Event::HoldBills { to, from: h, incarnation_id, batch, call },
@@ -126,11 +126,11 @@
 
     pub(super) fn send_segment(&mut self, h: usize, mut segment: Segment) {
         let incarnation_id = self.hosts[h].incarnation_id;
-        let own = segment.origin.host == self.hosts[h].name;
-        if self.schedule.injected_bug == InjectedBug::DoubleFlush && !own {
+        let is_own = segment.origin.host == self.hosts[h].name;
+        if self.schedule.injected_bug == InjectedBug::DoubleFlush && !is_own {
             segment.origin.nonce ^= 1;
         }
-        match self.latency().filter(|_| self.platform_reachable(h)) {
+        match self.latency().filter(|_| self.is_platform_reachable(h)) {
             Some(ms) => self.schedule_event(
                 self.now + ms,
                 Event::WriteSegment { host: h, incarnation_id, segment },
@@ -160,7 +160,7 @@
             let name = segment.object_name();
             self.platform.segments.entry(name).or_insert(segment).clone()
         });
-        let reply = self.latency().filter(|_| self.platform_reachable(from_host));
+        let reply = self.latency().filter(|_| self.is_platform_reachable(from_host));
         let ms = reply.unwrap_or(CALL_TIMEOUT_MS);
         let stored = stored.filter(|_| reply.is_some());
         self.schedule_event(
@@ -191,8 +191,8 @@
         let host = &mut self.hosts[h];
         let is_issuer = ticket.issued_by == *host.node.incarnation();
         if !is_issuer && self.schedule.injected_bug != InjectedBug::SharedTicket {
-            let issuer = self.index(&ticket.issued_by.host);
-            if let Some(ms) = self.latency().filter(|_| hops == 0 && self.reachable(h, issuer)) {
+            let issuer = self.host_index(&ticket.issued_by.host);
+            if let Some(ms) = self.latency().filter(|_| hops == 0 && self.is_reachable(h, issuer)) {
                 let event = Event::TicketCall { to: issuer, ticket, hops: 1 };
                 self.schedule_event(self.now + ms, event);
             }
--- a/crates/tidetrack-bench/tests/capacity.rs
+++ b/crates/tidetrack-bench/tests/capacity.rs
@@ -18,7 +18,7 @@
 fn a_changed_series_changes_the_page() {
     let mut recorded = record::read_recorded().expect("the recorded series can be read");
     let text = read_page().expect("docs/CAPACITY.md can be read");
-    recorded.get_mut("rest-bytes").expect("a series").points[0].1 += 1_000.0;
+    recorded.get_mut("rest-bytes").expect("rest-bytes is recorded").points[0].1 += 1_000.0;
     assert!(render_page(&text, &recorded).expect("the page has both markers") != text);
 }
 
