--- a/crates/tidetrack-bench/src/control.rs
+++ b/crates/tidetrack-bench/src/control.rs
@@ -44,10 +44,7 @@
 /// Returns the number of bytes that the loopback device has sent.
 fn loopback_bytes() -> Result<u64> {
     let text = std::fs::read_to_string("/proc/net/dev")?;
-    let line = text
-        .lines()
-        .find(|l| l.trim_start().starts_with("lo:"))
-        .context("/proc/net/dev has no loopback device")?;
+    let line = text.lines().find(|l| l.trim_start().starts_with("lo:")).context("lo")?;
     let fields: Vec<&str> = line.split_whitespace().collect();
     // Field 0 is the name, fields 1 to 8 count received data, and field 9 is the bytes sent.
     Ok(fields[9].parse()?)
@@ -142,7 +139,7 @@
         let fleet = Fleet::start(&binary, options)?;
         measure(&fleet, &mut collector)?;
     }
-    Ok(collector.into_record())
+    Ok(collector.into_series())
 }
 
 fn measure(fleet: &Fleet, collector: &mut SeriesCollector) -> Result<()> {
--- a/crates/tidetrack-bench/src/path.rs
+++ b/crates/tidetrack-bench/src/path.rs
@@ -161,5 +161,5 @@
     add_point("path-added-p99", "ms", added_ms(0.99));
     add_point("path-core", "core ms a request", cpu_ms);
     add_point("path-resident", "MiB", resident_mib);
-    Ok(collector.into_record())
+    Ok(collector.into_series())
 }
--- a/crates/tidetrack-bench/src/record.rs
+++ b/crates/tidetrack-bench/src/record.rs
@@ -131,7 +131,7 @@
     }
 
     /// Returns the collected series.
-    pub fn into_record(self) -> SeriesByName {
+    pub fn into_series(self) -> SeriesByName {
         self.record
     }
 }
--- a/crates/tidetrack-bench/src/spread.rs
+++ b/crates/tidetrack-bench/src/spread.rs
@@ -57,5 +57,5 @@
             add_point("virtual-in-force-worst", "ms", *max_in_force as f64);
         }
     }
-    Ok(collector.into_record())
+    Ok(collector.into_series())
 }
--- a/crates/tidetrack-bench/src/state.rs
+++ b/crates/tidetrack-bench/src/state.rs
@@ -123,7 +123,7 @@
     measure_members(&mut collector)?;
     measure_messages(&mut collector)?;
     measure_tokens(&mut collector);
-    Ok(collector.into_record())
+    Ok(collector.into_series())
 }
 
 fn measure_configuration(collector: &mut SeriesCollector) -> Result<()> {
--- a/crates/tidetrack-bench/src/virtual_fleet/host.rs
+++ b/crates/tidetrack-bench/src/virtual_fleet/host.rs
@@ -51,14 +51,14 @@
 
 impl Host {
     pub(super) fn new(
-        host_index: usize,
+        index: usize,
         domain: usize,
         incarnation_id: u64,
         offset: u64,
         now: u64,
         host_count: usize,
     ) -> Host {
-        let name: HostId = format!("h{host_index}").parse().expect("a valid host name");
+        let name: HostId = format!("h{index}").parse().expect("a valid host name");
         let own = member(&name, domain, incarnation_id);
         let incarnation = own.incarnation.clone();
         let mut node = Node::new(own, NodeOptions::default(), incarnation_id);
