--- a/crates/tidetrack-bench/src/virtual_fleet/mod.rs
+++ b/crates/tidetrack-bench/src/virtual_fleet/mod.rs
@@ -1,8 +1,8 @@
-//! Many hosts' state machines under one virtual clock, with random faults drawn from a seed.
+//! Simulates a fleet of hosts on one virtual clock, with random faults generated from a seed.
 //!
-//! The hosts' code is the core's own; what is small and fake here is what carries messages, the
-//! object API, and traffic. Every host has a clock of its own that starts anywhere. After every step
-//! the promises are checked against what only the test can see.
+//! The hosts run the state machines of `tidetrack_core`; the message transport, the object API and the
+//! traffic are simulated. Each host has its own clock with a random offset. The invariants are checked
+//! during the simulation against global state that no single host can see.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap};
@@ -15,168 +15,170 @@
 use tidetrack_core::units::Millis;
 
 mod checks;
-mod duties;
 mod event;
+mod exchange;
 mod faults;
 mod host;
 mod platform;
+mod platform_access;
 mod requests;
-mod steps;
 
 use event::Event;
 use host::Host;
-use platform::{first_objects, Platform};
+use platform::{initial_objects, Platform};
 
-/// Most unjudged requests on the new version, in every stage.
-pub const CAP: u64 = 20;
+/// Maximum number of requests on the canary version without a judgment, in every stage.
+pub const EXPOSURE_CAP: u64 = 20;
 
-/// Roll-outs of a large fleet are looked at when the clock is a multiple of this.
-const DUTY_MS: u64 = 300;
+/// Large fleets evaluate roll-outs only when the clock is a multiple of this, in milliseconds.
+const ROLLOUT_CHECK_INTERVAL_MS: u64 = 300;
 
-/// A host's tick.
-const TICK_MS: u64 = 50;
+/// Interval between two ticks of a host, in milliseconds.
+const TICK_INTERVAL_MS: u64 = 50;
 
-/// A call that got no answer has failed after this time.
+/// Time after which a call without a response fails, in milliseconds.
 const CALL_TIMEOUT_MS: u64 = 1_500;
 
-/// A change must be in force after this time without faults.
-const IN_FORCE_MS: u64 = 4_000;
+/// Time within which a change must be in force when there are no faults, in milliseconds.
+const MAX_IN_FORCE_MS: u64 = 4_000;
 
-/// Time for a fleet to find itself after the last fault.
+/// Time for the hosts to recover after the last fault, in milliseconds.
 const SETTLE_MS: u64 = 11_000;
 
-/// A host that could not confirm its configuration for so long is stale.
+/// Age of the last confirmation after which the configuration of a host is stale, in milliseconds.
 const STALE_MS: u64 = 10_000;
 
-/// Larger fleets are only measured: the checks look at all hosts after every step.
-const MOST_CHECKED: usize = 20;
+/// Largest fleet for which the fleet-wide invariants are checked: these checks visit all hosts after
+/// every step or tick, which is too slow for larger fleets.
+const MAX_CHECKED_HOSTS: usize = 20;
 
-/// The longest that a loan can run.
-const LOAN_MS: u64 = 5_000;
+/// Maximum duration of a rate limit loan, in milliseconds.
+const MAX_LOAN_MS: u64 = 5_000;
 
-/// Time between two losses of a failure domain: the first must be found out and made good.
-const KILLS_APART_MS: u64 = 18_000;
+/// Minimum time between two losses of a failure domain, in milliseconds: the fleet must detect the
+/// first loss and restore the lost copies before the next one.
+const MIN_DOMAIN_LOSS_INTERVAL_MS: u64 = 18_000;
 
-/// Traffic goes on for so long after everything is healed.
-const HEALED_TRAFFIC_MS: u64 = 18_000;
+/// Duration of the traffic after all faults have ended, in milliseconds.
+const TRAFFIC_AFTER_FAULTS_MS: u64 = 18_000;
 
-/// Requests a second of the one workspace.
-const LIMIT: f64 = 100.0;
+/// Limit of requests per second of the only workspace.
+const REQUESTS_PER_SECOND_LIMIT: f64 = 100.0;
 
-/// A guard that a test breaks on purpose, to show that the checks see it.
+/// A bug that a test injects to prove that the invariant checks detect it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Broken {
-    /// None: everything must hold.
-    Nothing,
-    /// Traffic decides on the first view that it got.
+pub enum InjectedBug {
+    /// No bug: all invariants must hold.
+    NoBug,
+    /// Hosts keep using the first view that they received.
     IgnoredWithdrawal,
-    /// A holder that takes over writes under a name of its own.
+    /// A holder that takes over bills writes them under a different incarnation.
     DoubleFlush,
-    /// Credits are not asked for.
+    /// Requests go to the canary version without a credit.
     IgnoredCap,
-    /// An answer is ended before its bill is safe.
-    EarlyEnd,
-    /// A ticket is run by whichever host it comes to.
+    /// A response is ended before its bill is replicated.
+    EarlyResponseEnd,
+    /// The host that receives a ticket executes it, even if another host issued it.
     SharedTicket,
-    /// Freshness is counted from when an answer arrived.
-    FreshOnArrival,
+    /// The age of the configuration is measured from the arrival of a reply, not from its request.
+    FreshnessFromArrival,
 }
 
-/// How a schedule is made.
+/// Parameters of a simulated schedule of faults.
 #[derive(Clone, Debug)]
 pub struct Schedule {
-    /// The seed of everything random.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// Hosts.
+    /// Number of hosts.
     pub hosts: usize,
-    /// Failure domains.
+    /// Number of failure domains.
     pub domains: usize,
-    /// Length before everything is healed, in milliseconds.
-    pub length_ms: u64,
-    /// Whether faults are drawn.
-    pub faults: bool,
-    /// True quality of the new version.
-    pub new_quality: f64,
-    /// The broken guard.
-    pub broken: Broken,
+    /// Duration of the phase with faults, in milliseconds.
+    pub fault_phase_ms: u64,
+    /// Whether random faults occur.
+    pub has_faults: bool,
+    /// True quality of the canary version, in [0, 1].
+    pub canary_quality: f64,
+    /// Bug to inject.
+    pub injected_bug: InjectedBug,
 }
 
 impl Schedule {
-    /// Makes the schedule of a seed.
+    /// Creates the schedule for a seed: even seeds have a good canary version, odd seeds a bad one.
     pub fn of(seed: u64) -> Schedule {
-        let new_quality = if seed.is_multiple_of(2) { 0.85 } else { 0.3 };
-        let broken = Broken::Nothing;
+        let canary_quality = if seed.is_multiple_of(2) { 0.85 } else { 0.3 };
+        let injected_bug = InjectedBug::NoBug;
         Schedule {
             seed,
             hosts: 5,
             domains: 3,
-            length_ms: 30_000,
-            faults: true,
-            new_quality,
-            broken,
+            fault_phase_ms: 30_000,
+            has_faults: true,
+            canary_quality,
+            injected_bug,
         }
     }
 }
 
-/// What a run saw, for reports.
+/// Counters of a simulation.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
-    /// Messages between hosts.
+pub struct RunStats {
+    /// Messages sent between hosts.
     pub messages: u64,
-    /// Bytes of them, as JSON.
+    /// Total size of the messages as JSON, in bytes.
     pub bytes: u64,
-    /// Faults.
+    /// Number of fault events.
     pub faults: u64,
-    /// Nanoseconds spent in the hosts' control state.
-    pub node_ns: u64,
-    /// Requests answered.
+    /// Real time spent in the hosts' control-plane state machines, in nanoseconds.
+    pub control_state_ns: u64,
+    /// Requests whose response was released. Set by the final ledger check.
     pub answered: u64,
-    /// Requests on the new version.
-    pub exposed: u64,
-    /// Calls with a ticket.
+    /// Requests sent to the canary version.
+    pub canary_requests: u64,
+    /// Tickets issued.
     pub tickets: u64,
-    /// Milliseconds until each accepted change was in force on the last host.
+    /// Time until each accepted change was in force on all running hosts, in milliseconds.
     pub in_force_ms: Vec<u64>,
 }
 
-/// The world of one schedule.
-pub struct World {
+/// Simulation of one schedule.
+pub struct Simulation {
     schedule: Schedule,
     now: u64,
-    order: u64,
+    last_sequence: u64,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
     events: HashMap<u64, Event>,
     rng: StdRng,
     platform: Platform,
     hosts: Vec<Host>,
-    last_fault: u64,
-    healed: bool,
-    next_kill: u64,
-    /// Credits spent by lives that are gone, and answers judged, as the test sees them.
-    spent_by_dead: u64,
-    judged: u64,
-    started: u64,
+    last_fault_at: u64,
+    have_faults_ended: bool,
+    next_domain_loss_at: u64,
+    /// Credits spent by stopped incarnations, counted by the test itself.
+    spent_by_stopped_hosts: u64,
+    judged_canary_responses: u64,
+    started_canary_requests: u64,
     answered: BTreeSet<RequestId>,
-    made: BTreeSet<RequestId>,
-    runs: HashMap<Ticket, u64>,
-    in_force: BTreeMap<u64, u64>,
-    disagreed_at: u64,
-    /// What was seen.
-    pub seen: Seen,
+    completed_requests: BTreeSet<RequestId>,
+    executions: HashMap<Ticket, u64>,
+    revisions_not_in_force: BTreeMap<u64, u64>,
+    last_disagreement_at: u64,
+    /// Counters of the simulation so far.
+    pub stats: RunStats,
 }
 
-impl World {
-    /// Makes the world of a schedule.
-    pub fn new(schedule: Schedule) -> World {
+impl Simulation {
+    /// Creates the hosts and the object API of a schedule.
+    pub fn new(schedule: Schedule) -> Simulation {
         let mut rng = StdRng::seed_from_u64(schedule.seed);
         let mut platform = Platform {
-            up: true,
+            is_up: true,
             revision: 0,
             objects: BTreeMap::new(),
             writes: Vec::new(),
             segments: BTreeMap::new(),
         };
-        for (key, object) in first_objects() {
+        for (key, object) in initial_objects() {
             platform.write(0, &key, 0, Some(object.to_json()));
         }
         let count = schedule.hosts;
@@ -186,74 +188,79 @@
                 Host::new(i, i % schedule.domains, rng.random::<u32>().into(), offset, 0, count)
             })
             .collect();
-        let mut world = World {
+        let mut simulation = Simulation {
             now: 0,
-            order: 0,
+            last_sequence: 0,
             queue: BinaryHeap::new(),
             events: HashMap::new(),
             rng,
             platform,
             hosts,
-            last_fault: 0,
-            healed: false,
-            next_kill: 0,
-            spent_by_dead: 0,
-            judged: 0,
-            started: 0,
+            last_fault_at: 0,
+            have_faults_ended: false,
+            next_domain_loss_at: 0,
+            spent_by_stopped_hosts: 0,
+            judged_canary_responses: 0,
+            started_canary_requests: 0,
             answered: BTreeSet::new(),
-            made: BTreeSet::new(),
-            runs: HashMap::new(),
-            in_force: BTreeMap::new(),
-            disagreed_at: 0,
-            seen: Seen::default(),
+            completed_requests: BTreeSet::new(),
+            executions: HashMap::new(),
+            revisions_not_in_force: BTreeMap::new(),
+            last_disagreement_at: 0,
+            stats: RunStats::default(),
             schedule,
         };
         for i in 0..count {
-            world.at(i as u64 % TICK_MS, Event::Tick(i));
-            world.at(200 + i as u64, Event::Traffic(i));
+            simulation.schedule_event(i as u64 % TICK_INTERVAL_MS, Event::Tick(i));
+            simulation.schedule_event(200 + i as u64, Event::Traffic(i));
         }
-        world.at(3_000, Event::Operator);
-        if world.schedule.faults {
-            world.at(2_000, Event::Fault);
+        simulation.schedule_event(3_000, Event::Operator);
+        if simulation.schedule.has_faults {
+            simulation.schedule_event(2_000, Event::Fault);
         }
-        world
+        simulation
     }
 
-    /// Runs the whole schedule and heals at its end; gives the first broken promise.
+    /// Runs the whole schedule, ends all faults and checks the ledger.
+    ///
+    /// Returns the first violated invariant as an error.
     pub fn run(&mut self) -> Result<(), String> {
-        self.run_until(self.schedule.length_ms)?;
-        self.heal();
-        self.run_until(self.schedule.length_ms + HEALED_TRAFFIC_MS + 20_000)?;
+        self.run_until(self.schedule.fault_phase_ms)?;
+        self.end_faults();
+        self.run_until(self.schedule.fault_phase_ms + TRAFFIC_AFTER_FAULTS_MS + 20_000)?;
         self.check_ledger()
     }
 
-    /// Runs up to an instant.
+    /// Runs all events up to the virtual time `until`, in milliseconds.
+    ///
+    /// Returns the first violated invariant as an error.
     pub fn run_until(&mut self, until: u64) -> Result<(), String> {
-        while let Some(Reverse((at, order))) = self.queue.pop() {
+        while let Some(Reverse((at, sequence))) = self.queue.pop() {
             if at > until {
-                self.queue.push(Reverse((at, order)));
+                self.queue.push(Reverse((at, sequence)));
                 return Ok(());
             }
             self.now = at;
-            let event = self.events.remove(&order).expect("every queued number has an event");
-            self.step(event)?;
+            let event =
+                self.events.remove(&sequence).expect("every queued sequence number has an event");
+            self.handle_event(event)?;
         }
         Ok(())
     }
 
-    fn fail<T>(&self, what: String) -> Result<T, String> {
-        Err(format!("seed {} at {} ms: {what}", self.schedule.seed, self.now))
+    fn fail<T>(&self, message: String) -> Result<T, String> {
+        Err(format!("seed {} at {} ms: {message}", self.schedule.seed, self.now))
     }
 
-    fn at(&mut self, at: u64, event: Event) {
-        self.order += 1;
-        self.queue.push(Reverse((at, self.order)));
-        self.events.insert(self.order, event);
+    fn schedule_event(&mut self, at: u64, event: Event) {
+        self.last_sequence += 1;
+        self.queue.push(Reverse((at, self.last_sequence)));
+        self.events.insert(self.last_sequence, event);
     }
 
-    /// Draws the time of a message on its way; `None` if it is lost.
+    /// Returns a random message delay in milliseconds, or `None` if the message is lost.
     fn latency(&mut self) -> Option<u64> {
-        if !self.schedule.faults || self.healed {
+        if !self.schedule.has_faults || self.have_faults_ended {
             return Some(self.rng.random_range(1..10));
         }
         match self.rng.random_range(0..100) {
@@ -263,20 +270,20 @@
         }
     }
 
-    fn local(&self, host: usize) -> Millis {
+    fn host_time(&self, host: usize) -> Millis {
         Millis(self.now + self.hosts[host].offset)
     }
 
-    fn index(&self, name: &HostId) -> usize {
+    fn host_index(&self, name: &HostId) -> usize {
         name.as_str()[1..].parse().expect("hosts are named h and a number")
     }
 
-    fn reachable(&self, from: usize, to: usize) -> bool {
+    fn is_reachable(&self, from: usize, to: usize) -> bool {
         let (a, b) = (&self.hosts[from], &self.hosts[to]);
-        a.up && b.up && !a.cut_peers && !b.cut_peers
+        a.is_up && b.is_up && !a.is_cut_from_peers && !b.is_cut_from_peers
     }
 
-    fn platform_reachable(&self, host: usize) -> bool {
-        self.platform.up && self.hosts[host].up && !self.hosts[host].cut_platform
+    fn is_platform_reachable(&self, host: usize) -> bool {
+        self.platform.is_up && self.hosts[host].is_up && !self.hosts[host].is_cut_from_platform
     }
 }
