--- a/crates/tidetrack-router/tests/crashes.rs
+++ b/crates/tidetrack-router/tests/crashes.rs
@@ -1,4 +1,4 @@
-//! Requests that crash the endpoints of a plain service, through routers' own interface.
+//! Requests that crash the endpoints of a plain service, sent through the routers' own interface.
 
 use std::net::TcpListener;
 use std::path::Path;
@@ -9,19 +9,19 @@
 use tidetrack_testkit::crashing::{Crashing, Manners, DEADLY};
 use tidetrack_testkit::fleet::{Fleet, FleetOptions};
 
-/// Time after which hosts in touch know what one of them learned.
+/// Time after which connected hosts know what one of them has learned.
 const PROPAGATION_TIME: Duration = Duration::from_millis(3_000);
 
-/// Sends of a deadly request that may follow that time, as the users' pages have it.
+/// Maximum number of attempts of a crashing request after that time, as the user documentation states.
 const MAX_ATTEMPTS_AFTER_PROPAGATION: usize = 3;
 
-/// How long an endpoint listens on after its connections were closed.
+/// Time for which an endpoint keeps listening after it closes its connections.
 const LISTEN_AFTER_CLOSE: Duration = Duration::from_millis(10);
 
 const HOSTS: usize = 4;
 const ENDPOINTS: usize = 6;
 
-/// Starts an endpoint that crashes under deadly requests, or one that fails them.
+/// Starts an endpoint that crashes on the deadly request, or answers it with status 500 if it survives.
 fn start_endpoint(survives: bool) -> Crashing {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address").to_string();
@@ -58,13 +58,13 @@
     send(fleet.hosts[host].caller().post("/v1/services/frail/x", body))
 }
 
-/// Guards against each router running a request anew under which endpoints crashed at other routers.
+/// Guards against each router retrying a request that has already crashed endpoints at other routers.
 #[test]
 fn a_request_that_crashes_endpoints_is_barred_by_all_routers_after_the_third() {
     assert_request_is_barred((0..ENDPOINTS).map(|_| start_endpoint(false)).collect());
 }
 
-/// Guards against taking an endpoint's failure for a run that ended well.
+/// Guards against counting a failure response of one endpoint as a successful execution.
 #[test]
 fn a_failure_at_one_endpoint_does_not_clear_a_request_that_crashes_the_others() {
     assert_request_is_barred((0..ENDPOINTS).map(|n| start_endpoint(n == 0)).collect());
--- a/crates/tidetrack-router/tests/load.rs
+++ b/crates/tidetrack-router/tests/load.rs
@@ -1,4 +1,5 @@
-//! The load tool on real processes while a host is killed and another stopped: no promise breaks.
+//! Runs the load tool against real processes while one host is killed and another is terminated, and
+//! checks that no guarantee is broken.
 
 use std::path::Path;
 use std::time::Duration;
@@ -25,7 +26,7 @@
 
     let running = std::thread::spawn(move || run(&load, &|_, _| {}));
     wait_for("traffic", || (fleet.old.counts().finished > 50).then_some(()));
-    // A paused host would hold the callers that meet it; that case stands in `promises.rs`.
+    // A paused host would block the callers connected to it. `promises.rs` covers that case.
     fleet.hosts[3].kill();
     let before = fleet.old.counts().finished;
     wait_for("traffic past the failures", || {
--- a/crates/tidetrack-router/tests/path.rs
+++ b/crates/tidetrack-router/tests/path.rs
@@ -1,4 +1,5 @@
-//! The whole path with real processes behind proxies: answers, streams, cuts and swapped answers.
+//! The complete request path with real processes behind proxies: responses, streams, lost connections and
+//! responses that belong to another attempt.
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -42,7 +43,7 @@
 fn a_cut_stream_is_never_presented_as_complete() {
     let fleet = fleet(1);
     let caller = fleet.hosts[0].caller();
-    // The engine's port is cut, so that the rest cannot be had either.
+    // The link to the engine is cut, so the rest of the stream cannot be fetched by another attempt.
     fleet.to_old.set(Fault::CutAfter(1500));
 
     let reply = send(caller.chat("chat", "long", true, 200));
@@ -85,7 +86,7 @@
 
     let reply = send(caller.chat("chat", "mine", false, 3));
 
-    // One endpoint only: the attempt cannot be made elsewhere.
+    // There is only one endpoint, so no attempt can be made at another one.
     assert_eq!(reply.code(), "TT-3005");
     assert_eq!(reply.ran(), Some(Executed::Unknown));
     assert!(send(caller.chat("chat", "mine", false, 3)).text().contains("mine"));
@@ -168,7 +169,7 @@
     let others = send(caller.chat("chat", "meanwhile", false, 3));
     slow_caller.set_read_timeout(Some(Duration::from_secs(20))).expect("an option");
     let mut answer = [0; 12];
-    // A byte now and then, until the router has had enough.
+    // Sends single bytes until the router refuses the request.
     let refused = wait_for("a refusal", || {
         let _ = slow_caller.write_all(b" ");
         slow_caller.set_nonblocking(true).expect("an option");
@@ -200,8 +201,8 @@
     let process = fleet.hosts[0].process();
     assert_eq!(send(caller.chat("chat", "before", false, 3)).status, 200);
 
-    // The limit is on a file's number, and closed files leave lower numbers free: more connections
-    // than there can be such numbers, and fewer than the listener's queue takes.
+    // The limit applies to the highest file descriptor number, and closed files leave lower numbers free. The
+    // test therefore opens more connections than there are such numbers, but fewer than the listen backlog holds.
     process.limit_files(process.open_files().expect("a count"));
     let idle_connections: Vec<TcpStream> =
         (0..100).filter_map(|_| TcpStream::connect(&caller.host).ok()).collect();
--- a/crates/tidetrack-router/tests/pause.rs
+++ b/crates/tidetrack-router/tests/pause.rs
@@ -1,34 +1,31 @@
-//! What counts as a confirmation of the configuration after a pause of the process.
+//! Which responses confirm the configuration after a pause of the process.
 //!
-//! What was seen: a host that had been paused while a version was withdrawn ran a request on it, first
-//! thing after.
+//! The tests guard against a host that executes a request on a withdrawn version right after a pause. The
+//! host queries another host and is paused; meanwhile the version is withdrawn on all other hosts. When the
+//! host resumes, it reads a response from its socket that was sent before the withdrawal, and treats its
+//! configuration as confirmed.
 //!
-//! Order of events: the host asked another one, and was paused. The version was withdrawn and gone from all
-//! other hosts. The host went on, found an answer to its question in its socket, given before the withdrawal,
-//! and took its configuration for confirmed.
-//!
-//! Cause: an answer that came after the pause was taken for one to a question asked after it; so was one
-//! that had come just before, between two looks of the control thread.
-//!
-//! Evidence: the first two tests here, in which the gate says confirmed although nothing was asked after
-//! the pause. In the run that was seen other tests had used up the descriptors of the test's process, so that
-//! the host may also have met nobody and gone on as in an outage: the two are not told apart.
+//! Two responses must not count: one that arrives after the pause to a query sent before it, and one that
+//! arrived just before the pause, between two ticks of the control thread. The first two tests fail if the
+//! admission state is confirmed although no query was sent after the pause. The same symptom can also arise
+//! when a host finds no peers, for example because file descriptors are exhausted, and continues as in an
+//! outage; the symptom alone does not distinguish the two causes.
 
 use tidetrack_core::units::Millis;
 use tidetrack_core::view::ConfigConfirmation;
 use tidetrack_router::shared::AdmissionState;
 
-/// The last look of the control thread before the pause.
+/// Time of the control thread's last tick before the pause, in milliseconds.
 const PAUSED_AT_MS: u64 = 10_000;
 
-/// The first one after it.
+/// Time of the control thread's first tick after the pause, in milliseconds.
 const RESUMED_AT_MS: u64 = 12_500;
 
 fn confirmed(proof_at: u64, queried_at: u64) -> Option<ConfigConfirmation> {
     Some(ConfigConfirmation { confirmed_at: Millis(proof_at), requested_at: Millis(queried_at) })
 }
 
-/// The gate of a host that was confirmed 1.5 s before its pause.
+/// Returns the admission state of a host whose configuration was confirmed 1.5 s before its pause.
 fn paused_state() -> AdmissionState {
     let admission = AdmissionState::default();
     admission.tick(
@@ -76,7 +73,7 @@
         true,
     );
     let before = admission.is_unconfirmed(Millis(RESUMED_AT_MS + 5));
-    // The other host's own proof was older than the question.
+    // The proof of the other host is older than the query.
     admission.tick(
         Millis(RESUMED_AT_MS + 50),
         confirmed(RESUMED_AT_MS - 1_000, RESUMED_AT_MS + 20),
--- a/crates/tidetrack-router/tests/promises.rs
+++ b/crates/tidetrack-router/tests/promises.rs
@@ -1,4 +1,5 @@
-//! What must always hold, with seven real processes behind proxies: kills, cuts, pauses, outages.
+//! Guarantees that always hold, checked on seven real processes behind proxies under kills, lost
+//! connections, pauses and outages.
 
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -46,7 +47,7 @@
     fleet.objects.set_faults(PlatformFaults { down, ..PlatformFaults::default() });
 }
 
-/// Adds the ledger up once it holds as many requests as were answered.
+/// Waits until the ledger holds at least `answered` requests, then returns the number of billed requests.
 fn billed_requests(fleet: &Fleet, answered: u64) -> u64 {
     let mut last = 0;
     wait_for("a full ledger", || {
@@ -64,7 +65,7 @@
     let revision = withdraw(&fleet, "model@2");
     fleet.wait_all("the change", |s| s.applied_revision >= revision);
     let healthy_time = start.elapsed();
-    // Half of the hosts lose the platform; the others pass the change on.
+    // Four of the seven hosts lose the platform. The other three relay the change to them.
     fleet.hosts.iter().skip(HOSTS / 2).for_each(|h| h.to_platform.set(Fault::Cut));
     let start = Instant::now();
     let revision = withdraw(&fleet, "model@1");
@@ -110,7 +111,7 @@
         });
         assert_eq!(send_request(&fleet, i, "x").code(), "TT-2005");
     }
-    // The caller's request waits in the paused host's socket and is read first thing after.
+    // The request waits in the paused host's socket and is the first thing the host reads after the pause.
     let caller = fleet.hosts[2].caller();
     let waiting = std::thread::spawn(move || send(caller.chat("chat", "late", false, 3)));
     std::thread::sleep(Duration::from_millis(1500));
@@ -132,7 +133,8 @@
     fleet.hosts[0].kill();
     cut_off_platform(&fleet, true);
 
-    // The others know of each other; the new life knows only whom the list named before the outage.
+    // The other hosts know each other; the new incarnation knows only hosts that the host list named before
+    // the outage.
     fleet.start_host(0).expect("a process");
     let early_code = send_request(&fleet, 0, "too early").code();
     cut_off_platform(&fleet, false);
@@ -191,12 +193,12 @@
                     u64::from(send_request(&fleet, host, &format!("{round} {i}")).status == 200);
             }
         }
-        // Right after the last byte: the bill is on another host, not in the object API.
+        // Immediately after the last byte the bill is stored on another host but not yet in the object API.
         fleet.hosts[round].kill();
         fleet.start_host(round).expect("a process");
         fleet.wait_whole();
-        // The holder writes what it held before it is killed itself: origin and holder lost within a
-        // flush is past what one copy can bear, as `docs/design/billing.md` says.
+        // Waits until the holder has written its bills before it is killed in turn. One copy does not protect
+        // against losing origin and holder within one flush interval, see `docs/design/billing.md`.
         assert_eq!(billed_requests(&fleet, answered), answered);
     }
 
@@ -227,11 +229,11 @@
     let ticket = fleet.hosts[1].caller().ticket().expect("a ticket");
     let key_header = (headers::TICKET, ticket.as_str());
 
-    // The same and other hosts, and an answer that is lost.
+    // A lost response, then repeats of the call at the same host and at others.
     fleet.service.set_faults(ServiceFaults { lose_next: 1, ..ServiceFaults::default() });
     let lost = grant(&fleet, 1, "sword", key_header);
     let repeats: Vec<Reply> = (0..HOSTS).map(|h| grant(&fleet, h, "sword", key_header)).collect();
-    // A maker that dies, and comes back with another life.
+    // The host that issued the ticket is killed and restarts as a new incarnation.
     let orphan = fleet.hosts[2].caller().ticket().expect("a ticket");
     fleet.hosts[2].kill();
     fleet.start_host(2).expect("a process");
@@ -323,7 +325,7 @@
         ..FleetOptions::default()
     });
     let id = "to-2".parse().expect("a roll-out");
-    // Three hosts lose the platform and all others: no message reaches them.
+    // Three hosts lose the platform and all other hosts, so no message reaches them.
     for host in &fleet.hosts[..3] {
         host.to_platform.set(Fault::Cut);
         host.to_peer.set(Fault::Cut);
@@ -353,7 +355,7 @@
     stop.store(true, Ordering::Release);
     load.into_iter().for_each(|l| l.join().expect("a caller"));
 
-    // The cap is 12 unjudged at a time; a drop of 0.65 is found after 20 ratings.
+    // At most 12 unjudged requests are allowed at a time. A quality drop of 0.65 is detected after 20 ratings.
     let exposed = fleet.new.counts().started;
     println!("a bad version answered {exposed} requests, {exposed_before_stop} before the stop was written");
     assert!(exposed <= 12 * 5, "{exposed}");
@@ -381,9 +383,9 @@
         rate: 70.0,
         ..FleetOptions::default()
     });
-    // A lone caller that waits for each answer offers less than the share of its host on a busy
-    // machine (12 calls a second were seen, none refused), and a second in which it sends nothing
-    // had no count of its own: one call of over a second ended the test before its checks.
+    // A single sequential caller may offer less than its host's share on a busy machine (12 calls per second,
+    // none refused). A second without any call has no count of its own either, so a per-second check would
+    // fail on one call that takes longer than a second. Several callers and totals avoid both.
     const CALLERS: usize = 6;
     const SECONDS: usize = 8;
     let caller = fleet.hosts[0].caller();
@@ -409,15 +411,15 @@
         "all on one host, limit 70: passed by second {passed_by_second:?}, \
          refused {refused_by_second:?}, longest call {longest:?}"
     );
-    // A base share of 10/s for each of 7 hosts; loans move the others' to the busy one, so a call
-    // is refused only where the share with its loans is used.
+    // Each of the 7 hosts has a base share of 10 requests per second. Loans move the shares of the other hosts
+    // to the busy one, so a call is refused only when the share including its loans is used up.
     assert!(passed > 4 * 15 || refused == 0, "{passed_by_second:?} {refused_by_second:?}");
     assert!(passed + refused > 0, "nothing was asked");
     assert!(passed <= 4 * 70, "{passed_by_second:?}");
 }
 
-/// Calls one after another until `seconds` after `from`: the second each began in, how long it
-/// took, and whether it was passed; what isn't must be refused truthfully.
+/// Sends sequential calls until `seconds` seconds after `start`. Returns for each call the second in which
+/// it began, its duration and whether it was admitted. A refused call must report that it was not executed.
 fn calls_until(caller: &Caller, start: Instant, seconds: usize) -> Vec<(usize, Duration, bool)> {
     let mut calls = Vec::new();
     loop {
--- a/crates/tidetrack-router/tests/reads.rs
+++ b/crates/tidetrack-router/tests/reads.rs
@@ -1,10 +1,10 @@
-//! How often a host reads what it has read already.
+//! Repeated reads of configuration that a host has already read.
 //!
-//! What users would see: a change of the configuration costs the object API and a small host's link
-//! nearly twice its size, and what follows it waits as long. Order of events: the reader hands a change
-//! to the control thread and asks at once for what follows the revision that traffic decides on, which
-//! is still the one before; the object API answers at once with the same change. Evidence: the bytes
-//! that pass between the host and the object API below. A list was not seen to be read twice.
+//! The first test guards against reading each change nearly twice, which doubles the load on the object API
+//! and on a small host's link and delays later changes. The reader passes a change to the control thread
+//! and immediately requests what follows the revision in force, which is still the previous one, so the
+//! object API returns the same change again. The tests count the bytes between the host and the object API.
+//! The second test checks that a list is not read twice either; that fault has not been observed.
 
 use std::path::Path;
 
@@ -12,16 +12,16 @@
 use tidetrack_testkit::fleet::{Fleet, FleetOptions};
 use tidetrack_wire::platform::config_object_name;
 
-/// Bytes of a large object; the object API takes up to 1 MiB.
+/// Size of a large object in bytes. The object API accepts up to 1 MiB.
 const LARGE_OBJECT_BYTES: usize = 600_000;
 
-/// Large objects that are written one after the other.
+/// Number of large objects, written one after another.
 const LARGE_OBJECTS: usize = 5;
 
-/// Bytes of a small object.
+/// Size of a small object in bytes.
 const SMALL_OBJECT_BYTES: usize = 600;
 
-/// Small objects that a host begins with.
+/// Number of small objects that exist when a host starts.
 const SMALL_OBJECTS: usize = 1_000;
 
 fn fleet() -> Fleet {
@@ -29,7 +29,7 @@
     Fleet::start(Path::new(env!("CARGO_BIN_EXE_tidetrack-router")), options).expect("a fleet")
 }
 
-/// Writes an object of about so many bytes; gives its version.
+/// Writes an object with a description of `bytes` bytes and returns its version.
 fn write(fleet: &Fleet, n: usize, bytes: usize) -> u64 {
     let serving = "model@1".parse().expect("a version");
     let object = Object::Model(Model { serving, description: "x".repeat(bytes) });
@@ -74,6 +74,6 @@
         / (SMALL_OBJECTS * SMALL_OBJECT_BYTES) as f64;
     let reads = fleet.objects.counts().reads - reads;
     println!("{read_ratio:.2} times the bodies were read, in {reads} gets and lists");
-    // Names, versions and quotes are about a sixth more.
+    // Names, versions and quotation marks add about one sixth.
     assert!(read_ratio < 1.6, "{read_ratio} times the configuration");
 }
--- a/crates/tidetrack-router/tests/slow_store.rs
+++ b/crates/tidetrack-router/tests/slow_store.rs
@@ -1,10 +1,9 @@
 //! The object API behind a slow link.
 //!
-//! What users would see: a host alone, or whose neighbours are as slow, decides on an old configuration
-//! for good once a change is large, and bills that were kept through an outage are never written. Order
-//! of events: a read or a write begins; it is given up after a fixed two or three seconds, however much
-//! of it has passed; the next try begins from nothing and is given up as well. Evidence: the tries and
-//! the bytes below.
+//! The tests guard against fixed time limits of two or three seconds for reads and writes, applied however
+//! much data has been transferred. Each retry then starts from the beginning and fails as well. A host that
+//! is alone, or whose neighbors are as slow, keeps deciding on an old configuration forever after a large
+//! change, and bills stored during an outage are never written.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -17,13 +16,13 @@
 use tidetrack_testkit::wait_for;
 use tidetrack_wire::platform::{config_object_name, ListedHost, ListedState, PlatformClient};
 
-/// Bytes a second of a link of 1 Mbit/s.
+/// Rate of a 1 Mbit/s link, in bytes per second.
 const SLOW_BYTES_PER_SECOND: u64 = 125_000;
 
-/// Bytes of a change: 4.8 s over the slow link.
+/// Size of a change in bytes. It takes 4.8 s over the slow link.
 const LARGE_CHANGE_BYTES: usize = 600_000;
 
-/// Bytes of a segment with 5,000 bills, the most that one carries: 2.4 s over the slow link.
+/// Size in bytes of a segment with 5,000 bills, the maximum per segment. It takes 2.4 s over the slow link.
 const SEGMENT_BYTES: usize = 300_000;
 
 #[test]
@@ -86,7 +85,7 @@
     let options = FleetOptions { hosts: 1, times, ..FleetOptions::default() };
     let fleet =
         Fleet::start(Path::new(env!("CARGO_BIN_EXE_tidetrack-router")), options).expect("a fleet");
-    // The size aimed at: 4,200 endpoints before 540 hosts.
+    // Target fleet size: 540 hosts in front of 4,200 endpoints.
     let endpoint = |n: usize| ListedHost {
         name: format!("endpoint-of-a-large-fleet-{n:04}"),
         role: "endpoint".into(),
