--- a/crates/tidetrack-plane/tests/call.rs
+++ b/crates/tidetrack-plane/tests/call.rs
@@ -29,13 +29,13 @@
 
 /// Starts a host that answers one request, sending the body in chunks with pauses.
 fn start_slow_host() -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let address = listener.local_addr().expect("valid address");
     std::thread::spawn(move || {
-        let (mut stream, _) = listener.accept().expect("a connection");
-        assert!(stream.read(&mut [0; 1_024]).expect("a question") > 0);
+        let (mut stream, _) = listener.accept().expect("the connection is established");
+        assert!(stream.read(&mut [0; 1_024]).expect("a request arrives") > 0);
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {REPLY_BYTES}\r\n\r\n");
-        stream.write_all(head.as_bytes()).expect("a reader");
+        stream.write_all(head.as_bytes()).expect("the caller reads the response head");
         for _ in 0..REPLY_BYTES / CHUNK_BYTES {
             if stream.write_all(&[0; CHUNK_BYTES]).is_err() {
                 return;
@@ -48,7 +48,10 @@
 
 /// Returns the time since `start` in milliseconds.
 fn elapsed_millis(start: Instant) -> Millis {
-    Millis(u64::try_from(start.elapsed().as_millis()).expect("a short time"))
+    Millis(
+        u64::try_from(start.elapsed().as_millis())
+            .expect("the duration fits into u64 milliseconds"),
+    )
 }
 
 /// Requests endpoint changes from a host for `duration` while hosts keep reporting them. Returns the
@@ -88,7 +91,7 @@
     };
     tokio::select! {
         result = feed::fetch_changes(&pool, address, FeedKind::Endpoints, KNOWN_REVISION, &reply_control) => {
-            panic!("the reply has ended: {:?}", result.err());
+            panic!("the slow reply ended before the test did: {:?}", result.err());
         }
         () = reporting => fetches,
     }
@@ -101,7 +104,7 @@
 #[test]
 fn a_slow_small_reply_is_fetched_from_the_store() {
     let rt = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let rt = rt.expect("a runtime starts");
+    let rt = rt.expect("the runtime starts");
     let address = start_slow_host();
 
     let fetches = LocalSet::new().block_on(&rt, fetch_from_host(address, MAX_TIME_TO_STORE_READ));
--- a/crates/tidetrack-plane/tests/feed.rs
+++ b/crates/tidetrack-plane/tests/feed.rs
@@ -22,7 +22,7 @@
 
 #[test]
 fn only_missing_changes_are_returned() {
-    let changes = log().changes_after(20).expect("changes after 20");
+    let changes = log().changes_after(20).expect("the log covers revision 20");
 
     assert_eq!((changes.complete_to, changes.list), (30, None));
     assert_eq!(changes.batches, vec![batch(30)]);
@@ -30,7 +30,7 @@
 
 #[test]
 fn a_host_behind_the_list_also_gets_the_list() {
-    let changes = log().changes_after(5).expect("a list and changes");
+    let changes = log().changes_after(5).expect("the log returns the list and changes");
 
     assert_eq!(changes.list, Some(list(10)));
     assert_eq!(changes.batches, vec![batch(20), batch(30)]);
@@ -45,7 +45,10 @@
     assert!(!log.reset_to_list(list(29)));
 
     assert_eq!(log.position(), 30);
-    assert_eq!(log.changes_after(10).expect("changes").batches, vec![batch(20), batch(30)]);
+    assert_eq!(
+        log.changes_after(10).expect("the log covers revision 10").batches,
+        vec![batch(20), batch(30)]
+    );
 }
 
 #[test]
@@ -58,7 +61,7 @@
 
     assert_eq!(log.changes_after(10), None);
     assert_eq!(log.changes_after(30), None);
-    assert_eq!(log.changes_after(40).expect("changes after 40").batches, vec![large(50)]);
+    assert_eq!(log.changes_after(40).expect("the log covers revision 40").batches, vec![large(50)]);
 }
 
 #[test]
@@ -67,7 +70,7 @@
 
     log.advance(45);
 
-    let changes = log.changes_after(30).expect("nothing new");
+    let changes = log.changes_after(30).expect("the log covers the revision");
     assert_eq!((changes.complete_to, changes.batches), (45, vec![]));
 }
 
@@ -86,12 +89,13 @@
     log.push(batch(20));
     log.push(batch(30));
 
-    let changes: Vec<_> =
-        [5, 10, 20].map(|after| log.changes_after(after).expect("the newest")).into();
+    let changes: Vec<_> = [5, 10, 20]
+        .map(|after| log.changes_after(after).expect("the newest state is available"))
+        .into();
 
     assert!(
         changes.iter().all(|t| t.list.is_none() && t.batches == vec![batch(30)]),
         "{changes:?}"
     );
-    assert!(log.changes_after(30).expect("nothing new").batches.is_empty());
+    assert!(log.changes_after(30).expect("the log covers the revision").batches.is_empty());
 }
--- a/crates/tidetrack-plane/tests/idle_timeouts.rs
+++ b/crates/tidetrack-plane/tests/idle_timeouts.rs
@@ -52,14 +52,14 @@
             let body = ResponseBody::from_bytes(Bytes::from(vec![b'x'; response_bytes]));
             Box::pin(async move { Response::new(body) })
         }),
-        on_accept_error: Rc::new(|e| panic!("accept: {e}")),
+        on_accept_error: Rc::new(|e| panic!("accept failed: {e}")),
         on_closed: Rc::new(|_| {}),
     }
 }
 
 /// Starts a server that answers each request with a body of `response_bytes` bytes.
 fn start_server(limit: Duration, response_bytes: usize) -> Server {
-    let limit = u64::try_from(limit.as_millis()).expect("a short time");
+    let limit = u64::try_from(limit.as_millis()).expect("the duration fits into u64 milliseconds");
     let limit = Arc::new(AtomicU64::new(limit));
     let (tx, rx) = mpsc::channel();
     let server_limit = limit.clone();
@@ -67,11 +67,12 @@
         let rt = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()
-            .expect("a runtime starts");
-        let any_port = "127.0.0.1:0".parse().expect("an address");
+            .expect("the runtime starts");
+        let any_port = "127.0.0.1:0".parse().expect("valid address");
         LocalSet::new().block_on(&rt, async move {
             let listener = listen(any_port).expect("the server listens");
-            tx.send(listener.local_addr().expect("an address")).expect("the test waits for it");
+            tx.send(listener.local_addr().expect("valid address"))
+                .expect("the test waits for the address");
             let (_stage, stage) = watch::channel(StopStage::Serving);
             let opts = options(server_limit, response_bytes);
             accept_loop(listener, opts, Rc::new(Connections::default()), stage).await;
@@ -81,11 +82,11 @@
 }
 
 fn connect(server: &Server) -> TcpStream {
-    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-    socket.set_recv_buffer_size(RECEIVE_BUFFER_BYTES).expect("an option");
+    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("the socket is created");
+    socket.set_recv_buffer_size(RECEIVE_BUFFER_BYTES).expect("the socket option is set");
     socket.connect(&server.address.into()).expect("the server listens");
     let caller = TcpStream::from(socket);
-    caller.set_read_timeout(Some(READ_TIMEOUT)).expect("an option");
+    caller.set_read_timeout(Some(READ_TIMEOUT)).expect("the socket option is set");
     caller
 }
 
@@ -102,7 +103,7 @@
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
         let mut byte = [0; 1];
-        caller.read_exact(&mut byte).expect("the head comes");
+        caller.read_exact(&mut byte).expect("the response head arrives");
         head.extend(byte);
     }
     let chunk = response_bytes.div_ceil(BODY_CHUNKS as usize);
@@ -110,7 +111,7 @@
     while remaining > 0 {
         std::thread::sleep(pause);
         let mut bytes = vec![0; chunk.min(remaining)];
-        caller.read_exact(&mut bytes).expect("the body comes");
+        caller.read_exact(&mut bytes).expect("the response body arrives");
         remaining -= bytes.len();
     }
 }
@@ -120,14 +121,14 @@
     let response_bytes = 300_000;
     let server = start_server(Duration::from_millis(1_000), response_bytes);
     let mut caller = connect(&server);
-    assert!(send_request(&mut caller), "first request");
+    assert!(send_request(&mut caller), "the first request got no response");
     read_response(&mut caller, response_bytes, Duration::from_millis(600) / BODY_CHUNKS);
 
     std::thread::sleep(Duration::from_millis(700));
 
     assert!(
         send_request(&mut caller),
-        "the connection was closed after a rest of 0.7 of the limit"
+        "the connection was closed after an idle time of 0.7 of the timeout"
     );
 }
 
@@ -136,12 +137,12 @@
     let response_bytes = 16 << 20;
     let server = start_server(Duration::from_millis(500), response_bytes);
     let mut caller = connect(&server);
-    assert!(send_request(&mut caller), "first request");
+    assert!(send_request(&mut caller), "the first request got no response");
 
     std::thread::sleep(Duration::from_millis(2_500));
     read_response(&mut caller, response_bytes, Duration::ZERO);
 
-    assert!(send_request(&mut caller), "the connection was closed after no rest at all");
+    assert!(send_request(&mut caller), "the connection was closed without any idle time");
 }
 
 #[test]
@@ -149,15 +150,18 @@
     let response_bytes = 10;
     let server = start_server(Duration::from_millis(300), response_bytes);
     let mut caller = connect(&server);
-    assert!(send_request(&mut caller), "first request");
+    assert!(send_request(&mut caller), "the first request got no response");
     read_response(&mut caller, response_bytes, Duration::ZERO);
 
     server.limit.store(20_000, Ordering::Relaxed);
-    assert!(send_request(&mut caller), "second request");
+    assert!(send_request(&mut caller), "the second request got no response");
     read_response(&mut caller, response_bytes, Duration::ZERO);
     std::thread::sleep(Duration::from_millis(2_000));
 
-    assert!(send_request(&mut caller), "the connection was closed after a tenth of its limit");
+    assert!(
+        send_request(&mut caller),
+        "the connection was closed after a tenth of its idle timeout"
+    );
 }
 
 #[test]
@@ -165,7 +169,7 @@
     let response_bytes = 10;
     let server = start_server(Duration::from_millis(300), response_bytes);
     let mut caller = connect(&server);
-    assert!(send_request(&mut caller), "first request");
+    assert!(send_request(&mut caller), "the first request got no response");
     read_response(&mut caller, response_bytes, Duration::ZERO);
 
     let ended = caller.read(&mut [0; 1]);
--- a/crates/tidetrack-plane/tests/messages.rs
+++ b/crates/tidetrack-plane/tests/messages.rs
@@ -20,24 +20,25 @@
 const MAX_TALLY_BYTES: usize = 1_050;
 
 fn message(endpoints: usize) -> PeerMessage {
-    let key = |i| EndpointKey::from(&format!("i-{i:010}").parse::<EndpointId>().expect("a name"));
+    let key =
+        |i| EndpointKey::from(&format!("i-{i:010}").parse::<EndpointId>().expect("valid name"));
     let tally = TallyReport {
-        service: "model-service".parse().expect("a name"),
-        version: "v2".parse().expect("a name"),
+        service: "model-service".parse().expect("valid name"),
+        version: "v2".parse().expect("valid name"),
         age_ms: 4_000,
         tally: Tally::default(),
         baseline: Vec::new(),
     };
     PeerMessage {
-        from: "edge-some-hall-1".parse().expect("a name"),
+        from: "edge-some-hall-1".parse().expect("valid name"),
         incarnation: 0,
-        address: "10.1.0.40:8229".parse().expect("an address"),
-        failure_domain: "some-hall".parse().expect("a name"),
+        address: "10.1.0.40:8229".parse().expect("valid address"),
+        failure_domain: "some-hall".parse().expect("valid name"),
         is_well_connected: false,
         wants_reply: true,
         stamp_ms: 604_800_000,
         echo_ms: Some(604_800_000),
-        known_addresses: vec!["10.1.0.41:8229".parse().expect("an address"); 6],
+        known_addresses: vec!["10.1.0.41:8229".parse().expect("valid address"); 6],
         update: PeerUpdate {
             proof: Some(ProofReport { version: 1_000, age_ms: 900 }),
             loads: (0..endpoints).map(|i| (key(i), 2_000)).collect(),
@@ -48,7 +49,7 @@
 }
 
 fn encoded_size(endpoints: usize) -> usize {
-    postcard::to_allocvec(&message(endpoints)).expect("it can be written").len()
+    postcard::to_allocvec(&message(endpoints)).expect("the message is serialized").len()
 }
 
 #[test]
@@ -64,7 +65,7 @@
 fn prefix_reports_have_a_bounded_size() {
     let prefixes = PrefixIndex::default();
     for i in 0..5_000u64 {
-        let endpoint = format!("i-{i:010}").parse::<EndpointId>().expect("a name");
+        let endpoint = format!("i-{i:010}").parse::<EndpointId>().expect("valid name");
         prefixes.record_use(
             Millis(i),
             PrefixKey::new(&i.to_string(), None),
@@ -73,9 +74,9 @@
     }
 
     let encoded = prefixes.reports(Millis(5_000), Millis(20_000));
-    let bytes = postcard::to_allocvec(&encoded).expect("it can be written").len();
+    let bytes = postcard::to_allocvec(&encoded).expect("the message is serialized").len();
 
-    println!("bytes of what a message tells of prefixes: {bytes}");
+    println!("prefix reports in a message: {bytes} bytes");
     assert!(bytes <= MAX_PREFIX_REPORT_BYTES, "{bytes}");
 }
 
@@ -85,11 +86,11 @@
     let baseline = Baseline::default();
     for i in 0..5_000 {
         let response = ObservedResponse {
-            service: "model-service".parse().expect("a name"),
+            service: "model-service".parse().expect("valid name"),
             canary_version: None,
-            endpoint: format!("i-{i:010}").parse().expect("a name"),
+            endpoint: format!("i-{i:010}").parse().expect("valid name"),
             is_load_concentrated: false,
-            route: format!("route-{i}").parse().expect("a name"),
+            route: format!("route-{i}").parse().expect("valid name"),
             model: None,
             outcome: AttemptOutcome::Complete,
             has_failed_before: false,
@@ -107,18 +108,22 @@
         );
     }
 
-    let encoded = postcard::to_allocvec(judge.tally(Millis(5_000))).expect("it can be written");
+    let encoded =
+        postcard::to_allocvec(judge.tally(Millis(5_000))).expect("the message is serialized");
 
-    println!("bytes of what a message tells of a roll-out: {}", encoded.len());
+    println!("tally of a roll-out in a message: {} bytes", encoded.len());
     assert!(encoded.len() <= MAX_TALLY_BYTES, "{}", encoded.len());
 }
 
 #[test]
 fn messages_round_trip_and_truncated_ones_are_rejected() {
     let message = message(20);
-    let bytes = postcard::to_allocvec(&message).expect("it can be written");
+    let bytes = postcard::to_allocvec(&message).expect("the message is serialized");
 
-    assert_eq!(postcard::from_bytes::<PeerMessage>(&bytes).expect("it can be read"), message);
+    assert_eq!(
+        postcard::from_bytes::<PeerMessage>(&bytes).expect("the message is deserialized"),
+        message
+    );
     for len in 0..bytes.len() {
         assert!(postcard::from_bytes::<PeerMessage>(&bytes[..len]).is_err(), "{len} bytes");
     }
--- a/crates/tidetrack-plane/tests/report_sizes.rs
+++ b/crates/tidetrack-plane/tests/report_sizes.rs
@@ -13,7 +13,7 @@
 const NOW: Millis = Millis(604_800_000);
 
 fn fingerprint(n: usize) -> Fingerprint {
-    let workspace: WorkspaceId = format!("w-{}", n % 12).parse().expect("a name");
+    let workspace: WorkspaceId = format!("w-{}", n % 12).parse().expect("valid name");
     Fingerprint::of(&RequestIdentity {
         workspace: Some(&workspace),
         hostname: "shop.example",
@@ -24,7 +24,7 @@
 }
 
 fn bytes<T: serde::Serialize>(report: &T) -> usize {
-    postcard::to_allocvec(report).expect("plain values").len()
+    postcard::to_allocvec(report).expect("the report is serialized").len()
 }
 
 #[test]
@@ -32,9 +32,9 @@
     let suspects = Suspects::default();
     for n in 0..1_024 {
         for crash in 0..8 {
-            let endpoint: EndpointId = format!("e-{n}-{crash}").parse().expect("a name");
+            let endpoint: EndpointId = format!("e-{n}-{crash}").parse().expect("valid name");
             let at = NOW + Millis(crash * 1_000);
-            let domain = "hall".parse().expect("a name");
+            let domain = "hall".parse().expect("valid name");
             suspects.record_crash(at, fingerprint(n), &endpoint, &domain, at);
         }
     }
@@ -42,7 +42,7 @@
     let report = suspects.reports_for_round(NOW + Millis(8_000));
 
     let size = bytes(&report);
-    println!("{} barred requests told of {}: {size} bytes", report.len(), suspects.len());
+    println!("{} of {} barred requests reported: {size} bytes", report.len(), suspects.len());
     assert_eq!(suspects.len(), 1_024);
     assert!(size <= MAX_REPORT_BYTES, "{size} bytes");
 }
@@ -51,13 +51,13 @@
 fn reports_of_limits_have_a_bounded_size() {
     let mut limits = EndpointLimits::default();
     for n in 0..4_200 {
-        let id: EndpointId = format!("e-{n}").parse().expect("a name");
+        let id: EndpointId = format!("e-{n}").parse().expect("valid name");
         limits.record_response(NOW, EndpointKey::from(&id), Some(Rate(1.6)));
     }
 
     let report = limits.reports_for_round(NOW + Millis(100));
 
     let size = bytes(&report);
-    println!("{} limits told of 4200: {size} bytes", report.len());
+    println!("{} of 4200 limits reported: {size} bytes", report.len());
     assert!(size <= MAX_REPORT_BYTES, "{size} bytes");
 }
--- a/crates/tidetrack-plane/tests/server.rs
+++ b/crates/tidetrack-plane/tests/server.rs
@@ -68,7 +68,10 @@
     ServerOptions {
         max_connections: CONNECTIONS * 2,
         limits: Rc::new(|| {
-            let limit = Millis(u64::try_from(TIMEOUT.as_millis()).expect("a short time"));
+            let limit = Millis(
+                u64::try_from(TIMEOUT.as_millis())
+                    .expect("the duration fits into u64 milliseconds"),
+            );
             CallerLimits { head_timeout: limit, idle_timeout: limit, ..CallerLimits::default() }
         }),
         handler: Rc::new(move |_| {
@@ -79,7 +82,7 @@
                 Response::new(ResponseBody::from_bytes(Bytes::from_static(b"ok")))
             })
         }),
-        on_accept_error: Rc::new(|e| panic!("accept: {e}")),
+        on_accept_error: Rc::new(|e| panic!("accept failed: {e}")),
         on_closed: Rc::new(|_| {}),
     }
 }
@@ -88,9 +91,9 @@
     let rt = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .expect("a runtime starts");
+        .expect("the runtime starts");
     let local = LocalSet::new();
-    let any_port = "127.0.0.1:0".parse().expect("an address");
+    let any_port = "127.0.0.1:0".parse().expect("valid address");
     let listener = rt.block_on(async { listen(any_port) }).expect("the server listens");
     let address = listener.local_addr().expect("the listener has an address");
     let dropped = Rc::new(Cell::new(0));
@@ -100,7 +103,7 @@
     let callers = (0..CONNECTIONS)
         .map(|_| {
             let caller = TcpStream::connect(address).expect("the server listens");
-            caller.set_read_timeout(Some(RUN_DURATION)).expect("a time is set");
+            caller.set_read_timeout(Some(RUN_DURATION)).expect("the read timeout is set");
             caller
         })
         .collect();
@@ -110,7 +113,7 @@
 impl Fixture {
     fn send(&mut self, bytes: &[u8]) {
         for caller in &mut self.callers {
-            caller.write_all(bytes).expect("bytes are sent");
+            caller.write_all(bytes).expect("the bytes are sent");
         }
     }
 
@@ -141,7 +144,7 @@
     let mut fixture = fixture();
     fixture.send(REQUEST);
     fixture.run();
-    assert_eq!(fixture.count_ok_responses(), CONNECTIONS, "first requests");
+    assert_eq!(fixture.count_ok_responses(), CONNECTIONS, "not every first request got a response");
 
     fixture.send(REQUEST);
     std::thread::sleep(STALL_DURATION);
--- a/crates/tidetrack-plane/tests/stall_aware_sleep.rs
+++ b/crates/tidetrack-plane/tests/stall_aware_sleep.rs
@@ -16,7 +16,7 @@
 fn run(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let tasks = tokio::task::LocalSet::new();
-    tasks.block_on(&runtime.expect("a runtime"), test);
+    tasks.block_on(&runtime.expect("the runtime starts"), test);
 }
 
 /// Blocks the thread `stalls` times, as a stopped process would be. Returns the count of stalls so far.
@@ -42,11 +42,7 @@
 
         stall_aware_sleep(SLEEP_DURATION).await;
 
-        assert!(
-            stall_count.get() <= 6,
-            "it waited through {} times without a core",
-            stall_count.get()
-        );
+        assert!(stall_count.get() <= 6, "the sleep lasted through {} stalls", stall_count.get());
     });
 }
 
--- a/crates/tidetrack-router/tests/crashes.rs
+++ b/crates/tidetrack-router/tests/crashes.rs
@@ -23,8 +23,8 @@
 
 /// Starts an endpoint that crashes on the deadly request, or answers it with status 500 if it survives.
 fn start_endpoint(survives: bool) -> Crashing {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("an address").to_string();
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let address = listener.local_addr().expect("valid address").to_string();
     drop(listener);
     let answer =
         |status| format!("HTTP/1.1 {status}\r\nContent-Length: 4\r\nConnection: close\r\n\r\ndone");
@@ -51,7 +51,8 @@
         "[service.frail]\nworkspaces = [\"caller\"]\nendpoints = {{ {endpoint_entries} }}\n"
     );
     let options = FleetOptions { hosts: HOSTS, domains: 2, more, ..FleetOptions::default() };
-    Fleet::start(Path::new(env!("CARGO_BIN_EXE_tidetrack-router")), options).expect("a fleet")
+    Fleet::start(Path::new(env!("CARGO_BIN_EXE_tidetrack-router")), options)
+        .expect("the fleet starts")
 }
 
 fn send_request(fleet: &Fleet, host: usize, body: &str) -> Reply {
@@ -91,7 +92,10 @@
             std::thread::sleep(Duration::from_millis(250).saturating_sub(start.elapsed()));
         }
         is_finished.store(true, Ordering::Release);
-        (normal_statuses.join().expect("a caller"), last.expect("a reply"))
+        (
+            normal_statuses.join().expect("the caller thread does not panic"),
+            last.expect("at least one reply"),
+        )
     });
 
     let mut crashes: Vec<Instant> = endpoints.iter().flat_map(|e| e.crashes()).collect();
@@ -102,17 +106,17 @@
         arrivals.filter(|a| a.is_deadly && a.at > third_crash + PROPAGATION_TIME).count();
     let served = normal_statuses.iter().filter(|s| **s == 200).count();
     println!(
-        "{} crashes, {late_attempts} late, {served} of {} served",
+        "{} crashes, {late_attempts} late attempts, {served} of {} normal requests served",
         crashes.len(),
         normal_statuses.len()
     );
     assert!(
         late_attempts <= MAX_ATTEMPTS_AFTER_PROPAGATION,
-        "{late_attempts} sends after routers had to know of the third crash"
+        "{late_attempts} attempts after all routers must know of the third crash"
     );
     assert!(
         served * 100 >= normal_statuses.len() * 95,
-        "{served} of {} served",
+        "only {served} of {} normal requests were served",
         normal_statuses.len()
     );
     assert_eq!((last.status, last.code().as_str()), (400, "TT-1016"));
--- a/crates/tidetrack-router/tests/path.rs
+++ b/crates/tidetrack-router/tests/path.rs
@@ -16,7 +16,8 @@
 
 fn fleet(hosts: usize) -> Fleet {
     let options = FleetOptions { hosts, ..FleetOptions::default() };
-    Fleet::start(Path::new(env!("CARGO_BIN_EXE_tidetrack-router")), options).expect("a fleet")
+    Fleet::start(Path::new(env!("CARGO_BIN_EXE_tidetrack-router")), options)
+        .expect("the fleet starts")
 }
 
 #[test]
@@ -24,19 +25,19 @@
     let fleet = fleet(1);
     let caller = fleet.hosts[0].caller();
 
-    let whole = send(caller.chat("chat", "one", false, 5));
-    let mut stream = caller.chat("chat", "two", true, 40).send_lazy().expect("a stream");
+    let complete = send(caller.chat("chat", "one", false, 5));
+    let mut stream = caller.chat("chat", "two", true, 40).send_lazy().expect("the stream opens");
     let mut first = [0; 1024];
-    let n = stream.read(&mut first).expect("an event");
-    let after_first = fleet.old.counts().finished;
+    let n = stream.read(&mut first).expect("an event arrives");
+    let finished_after_first = fleet.old.counts().finished;
     let mut rest = String::new();
-    stream.read_to_string(&mut rest).expect("the rest");
+    stream.read_to_string(&mut rest).expect("the rest of the stream arrives");
 
-    assert_eq!(whole.text(), "[model@1 q=0.850] one w1 w2 w3 w4");
+    assert_eq!(complete.text(), "[model@1 q=0.850] one w1 w2 w3 w4");
     assert!(n > 0 && first.starts_with(b"data: "));
-    assert_eq!(after_first, 1, "the first event came before the engine had finished");
+    assert_eq!(finished_after_first, 1, "the first event came before the engine had finished");
     assert!(rest.trim_end().ends_with("data: [DONE]"));
-    assert!(!rest.contains("\"usage\""), "usage was not asked for");
+    assert!(!rest.contains("\"usage\""), "usage was sent although it was not requested");
 }
 
 #[test]
@@ -49,7 +50,7 @@
     let reply = send(caller.chat("chat", "long", true, 200));
 
     assert!(!reply.is_whole_stream());
-    assert!(reply.body.contains("data: "), "some of it came: {reply:?}");
+    assert!(reply.body.contains("data: "), "no event arrived before the cut: {reply:?}");
     assert_eq!(reply.code(), "TT-3002", "{}", reply.body);
 }
 
@@ -108,8 +109,8 @@
         .collect();
 
     for thread in threads {
-        let (status, own, body) = thread.join().expect("a caller");
-        assert!(status == 200 && own || body.contains("TT-2002"), "{status} {body}");
+        let (status, has_own_text, body) = thread.join().expect("the caller thread does not panic");
+        assert!(status == 200 && has_own_text || body.contains("TT-2002"), "{status} {body}");
     }
 }
 
@@ -118,9 +119,10 @@
     let fleet = fleet(1);
     let caller = fleet.hosts[0].caller();
 
-    let mut stream = caller.chat("chat", "leaving", true, 5_000).send_lazy().expect("a stream");
+    let mut stream =
+        caller.chat("chat", "leaving", true, 5_000).send_lazy().expect("the stream opens");
     let mut first = [0; 64];
-    stream.read_exact(&mut first).expect("a first part");
+    stream.read_exact(&mut first).expect("the first part arrives");
     drop(stream);
 
     wait_for("a cancelled attempt", || (fleet.old.counts().cancelled == 1).then_some(()));
@@ -128,13 +130,13 @@
 }
 
 #[test]
-fn bad_input_gets_a_coded_refusal_that_was_not_run() {
+fn bad_input_is_refused_with_a_code_and_not_executed() {
     let fleet = fleet(1);
     let caller = fleet.hosts[0].caller();
-    let stranger = tidetrack_testkit::caller::Caller { key: "wrong".into(), ..caller.clone() };
+    let unauthorized = tidetrack_testkit::caller::Caller { key: "wrong".into(), ..caller.clone() };
     let big = vec![b'x'; 5 << 20];
     let cases = [
-        (stranger.chat("chat", "x", false, 3), "TT-1001"),
+        (unauthorized.chat("chat", "x", false, 3), "TT-1001"),
         (caller.chat("nowhere", "x", false, 3), "TT-1002"),
         (caller.post("/v1/nothing", "{}"), "TT-1002"),
         (caller.post("/v1/chat/completions", "{"), "TT-1004"),
@@ -159,22 +161,22 @@
 fn a_slow_body_is_refused_and_delays_no_other_caller() {
     let fleet = fleet(1);
     let caller = fleet.hosts[0].caller();
-    let mut slow_caller = TcpStream::connect(&caller.host).expect("a connection");
+    let mut slow_caller = TcpStream::connect(&caller.host).expect("the connection is established");
     let head = format!(
         "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer {KEY}\r\n\
          Content-Length: 100000\r\n\r\n"
     );
-    slow_caller.write_all(head.as_bytes()).expect("a head");
+    slow_caller.write_all(head.as_bytes()).expect("the request head is sent");
 
     let others = send(caller.chat("chat", "meanwhile", false, 3));
-    slow_caller.set_read_timeout(Some(Duration::from_secs(20))).expect("an option");
+    slow_caller.set_read_timeout(Some(Duration::from_secs(20))).expect("the socket option is set");
     let mut answer = [0; 12];
     // Sends single bytes until the router refuses the request.
     let refused = wait_for("a refusal", || {
         let _ = slow_caller.write_all(b" ");
-        slow_caller.set_nonblocking(true).expect("an option");
+        slow_caller.set_nonblocking(true).expect("the socket option is set");
         let has_status_line = slow_caller.peek(&mut answer).unwrap_or(0) == answer.len();
-        slow_caller.set_nonblocking(false).expect("an option");
+        slow_caller.set_nonblocking(false).expect("the socket option is set");
         has_status_line.then(|| String::from_utf8_lossy(&answer).to_string())
     });
 
@@ -183,7 +185,7 @@
 }
 
 #[test]
-fn an_engine_that_refuses_was_not_run_and_says_so() {
+fn an_engine_refusal_is_reported_as_not_executed() {
     let fleet = fleet(1);
     let caller = fleet.hosts[0].caller();
     fleet.old.set_faults(EngineFaults { refuse_next: 1, ..EngineFaults::default() });
@@ -195,7 +197,7 @@
 }
 
 #[test]
-fn a_host_that_ran_out_of_files_accepts_again() {
+fn a_host_out_of_file_descriptors_accepts_again() {
     let fleet = fleet(1);
     let caller = fleet.hosts[0].caller();
     let process = fleet.hosts[0].process();
@@ -203,7 +205,7 @@
 
     // The limit applies to the highest file descriptor number, and closed files leave lower numbers free. The
     // test therefore opens more connections than there are such numbers, but fewer than the listen backlog holds.
-    process.limit_files(process.open_files().expect("a count"));
+    process.limit_files(process.open_files().expect("the count of open files is readable"));
     let idle_connections: Vec<TcpStream> =
         (0..100).filter_map(|_| TcpStream::connect(&caller.host).ok()).collect();
     wait_for("a failed accept", || {
@@ -213,7 +215,7 @@
     drop(idle_connections);
     process.limit_files(1_024);
 
-    wait_for("an answer", || {
+    wait_for("a successful response", || {
         (send(caller.chat("chat", "x", false, 3)).status == 200).then_some(())
     });
 }
--- a/crates/tidetrack-router/tests/promises.rs
+++ b/crates/tidetrack-router/tests/promises.rs
@@ -22,7 +22,8 @@
 const HOSTS: usize = 7;
 
 fn fleet_with(options: FleetOptions) -> Fleet {
-    Fleet::start(Path::new(env!("CARGO_BIN_EXE_tidetrack-router")), options).expect("a fleet")
+    Fleet::start(Path::new(env!("CARGO_BIN_EXE_tidetrack-router")), options)
+        .expect("the fleet starts")
 }
 
 fn fleet() -> Fleet {
@@ -39,18 +40,18 @@
 }
 
 fn withdraw(fleet: &Fleet, version: &str) -> u64 {
-    let version = version.parse().expect("a version");
-    rollout::withdraw(&fleet.platform, &version, "a test").expect("a withdrawal")
+    let version = version.parse().expect("valid version");
+    rollout::withdraw(&fleet.platform, &version, "a test").expect("the version is withdrawn")
 }
 
-fn cut_off_platform(fleet: &Fleet, down: bool) {
+fn set_platform_outage(fleet: &Fleet, down: bool) {
     fleet.objects.set_faults(PlatformFaults { down, ..PlatformFaults::default() });
 }
 
 /// Waits until the ledger holds at least `answered` requests, then returns the number of billed requests.
 fn billed_requests(fleet: &Fleet, answered: u64) -> u64 {
     let mut last = 0;
-    wait_for("a full ledger", || {
+    wait_for("a ledger with all answered requests", || {
         last = bill::totals(&fleet.platform).ok()?.requests;
         (last >= answered).then_some(())
     });
@@ -69,7 +70,9 @@
     fleet.hosts.iter().skip(HOSTS / 2).for_each(|h| h.to_platform.set(Fault::Cut));
     let start = Instant::now();
     let revision = withdraw(&fleet, "model@1");
-    fleet.wait_all("the change past a cut", |s| s.applied_revision >= revision);
+    fleet.wait_all("the change on hosts cut off from the platform", |s| {
+        s.applied_revision >= revision
+    });
     let cut_off_time = start.elapsed();
 
     println!(
@@ -83,15 +86,17 @@
 #[test]
 fn a_withdrawal_sent_to_one_host_reaches_all_in_a_platform_outage() {
     let fleet = fleet();
-    cut_off_platform(&fleet, true);
+    set_platform_outage(&fleet, true);
     let fact = tidetrack_core::facts::Fact {
-        subject: tidetrack_core::facts::Subject::Withdrawn("model@1".parse().expect("a version")),
+        subject: tidetrack_core::facts::Subject::Withdrawn(
+            "model@1".parse().expect("valid version"),
+        ),
         generation: 1,
     };
 
     let host = &fleet.hosts[3].process().caller;
     let key = tidetrack_testkit::fleet::OPERATOR_KEY;
-    tidetrack_ctl::status::send_fact(host, key, &fact).expect("told");
+    tidetrack_ctl::status::send_fact(host, key, &fact).expect("the host accepts the fact");
     fleet.wait_all("the fact", |s| !s.facts.is_empty());
     let before = fleet.old.counts().started;
     let codes: Vec<String> = (0..HOSTS).map(|h| send_request(&fleet, h, "x").code()).collect();
@@ -118,7 +123,7 @@
     let before = fleet.old.counts().started;
 
     fleet.hosts[2].process().resume();
-    let reply = waiting.join().expect("a caller");
+    let reply = waiting.join().expect("the caller thread does not panic");
 
     assert_eq!(reply.code(), "TT-2005", "{reply:?}");
     assert_eq!(reply.ran(), Some(Executed::No));
@@ -131,13 +136,13 @@
     let revision = withdraw(&fleet, "model@2");
     fleet.wait_all("the change", |s| s.applied_revision >= revision);
     fleet.hosts[0].kill();
-    cut_off_platform(&fleet, true);
+    set_platform_outage(&fleet, true);
 
     // The other hosts know each other; the new incarnation knows only hosts that the host list named before
     // the outage.
-    fleet.start_host(0).expect("a process");
+    fleet.start_host(0).expect("the host starts");
     let early_code = send_request(&fleet, 0, "too early").code();
-    cut_off_platform(&fleet, false);
+    set_platform_outage(&fleet, false);
     fleet.hosts[0].to_platform.set(Fault::Cut);
     fleet.wait_all("the configuration", |s| s.applied_revision >= revision);
 
@@ -154,15 +159,16 @@
         let request = fleet.hosts[host].caller().chat("chat", "go on", false, 3);
         send(request.with_header(headers::SESSION, token))
     };
-    let id = "to-2".parse().expect("a roll-out");
-    rollout::apply_verb(&fleet.platform, &id, rollout::Verb::Start).expect("a start");
-    rollout::apply_verb(&fleet.platform, &id, rollout::Verb::Advance).expect("an end");
+    let id = "to-2".parse().expect("valid roll-out ID");
+    rollout::apply_verb(&fleet.platform, &id, rollout::Verb::Start).expect("the roll-out starts");
+    rollout::apply_verb(&fleet.platform, &id, rollout::Verb::Advance)
+        .expect("the roll-out advances");
     fleet.wait_all("the end of the roll-out", |s| {
         let state = s.rollouts.first().and_then(|r| r.state.as_ref());
         state.is_some_and(|s| s.phase == RolloutPhase::Done)
     });
     fleet.hosts[4].kill();
-    fleet.start_host(4).expect("a process");
+    fleet.start_host(4).expect("the host starts");
     fleet.wait_whole();
 
     let new_session = send_request(&fleet, 4, "new");
@@ -195,7 +201,7 @@
         }
         // Immediately after the last byte the bill is stored on another host but not yet in the object API.
         fleet.hosts[round].kill();
-        fleet.start_host(round).expect("a process");
+        fleet.start_host(round).expect("the host starts");
         fleet.wait_whole();
         // Waits until the holder has written its bills before it is killed in turn. One copy does not protect
         // against losing origin and holder within one flush interval, see `docs/design/billing.md`.
@@ -208,7 +214,7 @@
 #[test]
 fn bills_survive_an_outage_and_lost_replies() {
     let mut fleet = fleet();
-    cut_off_platform(&fleet, true);
+    set_platform_outage(&fleet, true);
     let mut answered = 0;
     for host in 0..HOSTS {
         answered += u64::from(send_request(&fleet, host, "in the outage").status == 200);
@@ -219,14 +225,14 @@
 
     let billed_requests = billed_requests(&fleet, answered);
 
-    assert_eq!(answered, HOSTS as u64, "an outage of the platform stops no request");
+    assert_eq!(answered, HOSTS as u64, "a platform outage stopped a request");
     assert_eq!(billed_requests, answered);
 }
 
 #[test]
 fn a_call_that_must_not_be_repeated_runs_at_most_once() {
     let mut fleet = fleet();
-    let ticket = fleet.hosts[1].caller().ticket().expect("a ticket");
+    let ticket = fleet.hosts[1].caller().ticket().expect("the host issues a ticket");
     let key_header = (headers::TICKET, ticket.as_str());
 
     // A lost response, then repeats of the call at the same host and at others.
@@ -234,9 +240,9 @@
     let lost = grant(&fleet, 1, "sword", key_header);
     let repeats: Vec<Reply> = (0..HOSTS).map(|h| grant(&fleet, h, "sword", key_header)).collect();
     // The host that issued the ticket is killed and restarts as a new incarnation.
-    let orphan = fleet.hosts[2].caller().ticket().expect("a ticket");
+    let orphan = fleet.hosts[2].caller().ticket().expect("the host issues a ticket");
     fleet.hosts[2].kill();
-    fleet.start_host(2).expect("a process");
+    fleet.start_host(2).expect("the host starts");
     fleet.wait_whole();
     let reply_at_issuer = grant(&fleet, 2, "shield", (headers::TICKET, &orphan));
     let reply_elsewhere = grant(&fleet, 3, "shield", (headers::TICKET, &orphan));
@@ -253,7 +259,7 @@
 }
 
 #[test]
-fn a_claimed_key_runs_at_most_once_and_an_outage_refuses_truthfully() {
+fn a_claimed_key_runs_at_most_once_and_is_refused_in_an_outage() {
     let fleet = fleet();
     let key_header = (headers::IDEMPOTENCY_KEY, "key-1");
 
@@ -265,11 +271,12 @@
             std::thread::spawn(move || send(request.with_header(key_header.0, key_header.1)))
         })
         .collect();
-    let replies: Vec<Reply> = calls.into_iter().map(|c| c.join().expect("a caller")).collect();
+    let replies: Vec<Reply> =
+        calls.into_iter().map(|c| c.join().expect("the caller thread does not panic")).collect();
     fleet.service.set_faults(ServiceFaults { refuse_next: 1, ..ServiceFaults::default() });
     let refused = grant(&fleet, 0, "boots", (headers::IDEMPOTENCY_KEY, "key-2"));
     let retried = grant(&fleet, 5, "boots", (headers::IDEMPOTENCY_KEY, "key-2"));
-    cut_off_platform(&fleet, true);
+    set_platform_outage(&fleet, true);
     let outage = grant(&fleet, 0, "ring", (headers::IDEMPOTENCY_KEY, "key-3"));
 
     let ran = fleet.service.ran();
@@ -285,7 +292,7 @@
 }
 
 #[test]
-fn a_planned_stop_of_two_hosts_in_an_outage_cuts_off_nothing() {
+fn a_planned_stop_of_two_hosts_in_an_outage_interrupts_no_stream() {
     let mut fleet = fleet_with(FleetOptions {
         hosts: HOSTS,
         domains: 4,
@@ -298,18 +305,19 @@
             std::thread::spawn(move || send(caller.chat("chat", "long", true, 60)))
         })
         .collect();
-    wait_for("streams under way", || {
+    wait_for("all streams in progress", || {
         (fleet.old.counts().started == (HOSTS * 4) as u64).then_some(())
     });
 
-    cut_off_platform(&fleet, true);
+    set_platform_outage(&fleet, true);
     fleet.hosts[0].process().terminate();
     fleet.hosts[1].process().terminate();
-    let replies: Vec<Reply> = streams.into_iter().map(|s| s.join().expect("a caller")).collect();
+    let replies: Vec<Reply> =
+        streams.into_iter().map(|s| s.join().expect("the caller thread does not panic")).collect();
     let clean_exits: Vec<bool> = (0..2)
-        .map(|h| fleet.hosts[h].process.as_mut().expect("a process").wait().success())
+        .map(|h| fleet.hosts[h].process.as_mut().expect("the host process runs").wait().success())
         .collect();
-    cut_off_platform(&fleet, false);
+    set_platform_outage(&fleet, false);
 
     assert!(replies.iter().all(Reply::is_whole_stream), "a stream was cut off");
     assert_eq!(clean_exits, [true, true]);
@@ -324,13 +332,13 @@
         new_quality: 0.2,
         ..FleetOptions::default()
     });
-    let id = "to-2".parse().expect("a roll-out");
+    let id = "to-2".parse().expect("valid roll-out ID");
     // Three hosts lose the platform and all other hosts, so no message reaches them.
     for host in &fleet.hosts[..3] {
         host.to_platform.set(Fault::Cut);
         host.to_peer.set(Fault::Cut);
     }
-    rollout::apply_verb(&fleet.platform, &id, rollout::Verb::Start).expect("a start");
+    rollout::apply_verb(&fleet.platform, &id, rollout::Verb::Start).expect("the roll-out starts");
 
     let stop = Arc::new(AtomicBool::new(false));
     let load: Vec<_> = (0..HOSTS)
@@ -343,7 +351,7 @@
             })
         })
         .collect();
-    wait_for("the end of the bad version", || {
+    wait_for("the abort of the bad version", || {
         let s = fleet.hosts[5].status()?;
         let state = s.rollouts.first()?.state.clone()?;
         (state.phase == RolloutPhase::Aborted).then_some(())
@@ -353,24 +361,27 @@
         s.rollouts.first().is_some_and(|r| r.stable.answered > 50) || s.members.len() < HOSTS
     });
     stop.store(true, Ordering::Release);
-    load.into_iter().for_each(|l| l.join().expect("a caller"));
+    load.into_iter().for_each(|l| l.join().expect("the caller thread does not panic"));
 
     // At most 12 unjudged requests are allowed at a time. A quality drop of 0.65 is detected after 20 ratings.
     let exposed = fleet.new.counts().started;
     println!("a bad version answered {exposed} requests, {exposed_before_stop} before the stop was written");
-    assert!(exposed <= 12 * 5, "{exposed}");
-    assert!(exposed - exposed_before_stop <= 12, "{exposed} after {exposed_before_stop}");
+    assert!(exposed <= 12 * 5, "{exposed} requests reached the bad version");
+    assert!(
+        exposed - exposed_before_stop <= 12,
+        "{exposed} requests in total, {exposed_before_stop} before the stop"
+    );
 }
 
 #[test]
 fn a_killed_host_is_seen_as_dead_and_its_new_incarnation_joins() {
     let mut fleet = fleet();
     fleet.hosts[3].kill();
-    fleet.wait_all("the death", |s| {
+    fleet.wait_all("detection of the killed host", |s| {
         let dead = |m: &&tidetrack_core::membership::Member| m.state == MemberState::Dead;
         s.members.iter().filter(dead).count() == 1
     });
-    fleet.start_host(3).expect("a process");
+    fleet.start_host(3).expect("the host starts");
     fleet.wait_whole();
     assert_eq!(send_request(&fleet, 3, "back").status, 200);
 }
@@ -390,32 +401,32 @@
     const SECONDS: usize = 8;
     let caller = fleet.hosts[0].caller();
     let start = Instant::now();
-    let mut passed_by_second = [0_u32; SECONDS];
+    let mut admitted_by_second = [0_u32; SECONDS];
     let mut refused_by_second = [0_u32; SECONDS];
     let mut longest = Duration::ZERO;
     std::thread::scope(|scope| {
         let callers: Vec<_> =
             (0..CALLERS).map(|_| scope.spawn(|| calls_until(&caller, start, SECONDS))).collect();
-        for (second, duration, passed) in
-            callers.into_iter().flat_map(|c| c.join().expect("a caller"))
+        for (second, duration, admitted) in
+            callers.into_iter().flat_map(|c| c.join().expect("the caller thread does not panic"))
         {
-            passed_by_second[second] += u32::from(passed);
-            refused_by_second[second] += u32::from(!passed);
+            admitted_by_second[second] += u32::from(admitted);
+            refused_by_second[second] += u32::from(!admitted);
             longest = longest.max(duration);
         }
     });
-    let passed: u32 = passed_by_second[4..].iter().sum();
+    let admitted: u32 = admitted_by_second[4..].iter().sum();
     let refused: u32 = refused_by_second[4..].iter().sum();
 
     println!(
-        "all on one host, limit 70: passed by second {passed_by_second:?}, \
+        "all calls to one host, limit 70/s: admitted by second {admitted_by_second:?}, \
          refused {refused_by_second:?}, longest call {longest:?}"
     );
     // Each of the 7 hosts has a base share of 10 requests per second. Loans move the shares of the other hosts
     // to the busy one, so a call is refused only when the share including its loans is used up.
-    assert!(passed > 4 * 15 || refused == 0, "{passed_by_second:?} {refused_by_second:?}");
-    assert!(passed + refused > 0, "nothing was asked");
-    assert!(passed <= 4 * 70, "{passed_by_second:?}");
+    assert!(admitted > 4 * 15 || refused == 0, "{admitted_by_second:?} {refused_by_second:?}");
+    assert!(admitted + refused > 0, "no call was made");
+    assert!(admitted <= 4 * 70, "{admitted_by_second:?}");
 }
 
 /// Sends sequential calls until `seconds` seconds after `start`. Returns for each call the second in which
--- a/crates/tidetrack-router/tests/reads.rs
+++ b/crates/tidetrack-router/tests/reads.rs
@@ -26,15 +26,16 @@
 
 fn fleet() -> Fleet {
     let options = FleetOptions { hosts: 1, ..FleetOptions::default() };
-    Fleet::start(Path::new(env!("CARGO_BIN_EXE_tidetrack-router")), options).expect("a fleet")
+    Fleet::start(Path::new(env!("CARGO_BIN_EXE_tidetrack-router")), options)
+        .expect("the fleet starts")
 }
 
 /// Writes an object with a description of `bytes` bytes and returns its version.
 fn write(fleet: &Fleet, n: usize, bytes: usize) -> u64 {
-    let serving = "model@1".parse().expect("a version");
+    let serving = "model@1".parse().expect("valid version");
     let object = Object::Model(Model { serving, description: "x".repeat(bytes) });
     let name = config_object_name(&ObjectKey::new(ObjectKind::Model, format!("model-{bytes}-{n}")));
-    fleet.platform.write(&name, 0, &object.to_json()).expect("a write").version
+    fleet.platform.write(&name, 0, &object.to_json()).expect("the store accepts the write").version
 }
 
 fn wait_until_in_force(fleet: &Fleet, version: u64) {
@@ -54,26 +55,28 @@
     let read_ratio = (fleet.hosts[0].to_platform.bytes() - before) as f64
         / (LARGE_OBJECTS * LARGE_OBJECT_BYTES) as f64;
     let watches = fleet.objects.counts().watches - watches;
-    println!("{read_ratio:.2} times the changes were read, in {watches} watches");
-    assert!(read_ratio < 1.2, "{read_ratio} times the changes");
+    println!("bytes read: {read_ratio:.2} times the changes, in {watches} watches");
+    assert!(read_ratio < 1.2, "the host read {read_ratio} times the bytes of the changes");
 }
 
 #[test]
 fn a_host_that_starts_reads_the_list_once() {
     let mut fleet = fleet();
-    let last =
-        (0..SMALL_OBJECTS).map(|n| write(&fleet, n, SMALL_OBJECT_BYTES)).max().expect("a version");
+    let last = (0..SMALL_OBJECTS)
+        .map(|n| write(&fleet, n, SMALL_OBJECT_BYTES))
+        .max()
+        .expect("a version exists");
     wait_until_in_force(&fleet, last);
     fleet.hosts[0].kill();
     let (before, reads) = (fleet.hosts[0].to_platform.bytes(), fleet.objects.counts().reads);
 
-    fleet.start_host(0).expect("a host");
+    fleet.start_host(0).expect("the host starts");
     wait_until_in_force(&fleet, last);
 
     let read_ratio = (fleet.hosts[0].to_platform.bytes() - before) as f64
         / (SMALL_OBJECTS * SMALL_OBJECT_BYTES) as f64;
     let reads = fleet.objects.counts().reads - reads;
-    println!("{read_ratio:.2} times the bodies were read, in {reads} gets and lists");
+    println!("bytes read: {read_ratio:.2} times the objects, in {reads} gets and lists");
     // Names, versions and quotation marks add about one sixth.
-    assert!(read_ratio < 1.6, "{read_ratio} times the configuration");
+    assert!(read_ratio < 1.6, "the host read {read_ratio} times the bytes of the configuration");
 }
--- a/crates/tidetrack-router/tests/slow_store.rs
+++ b/crates/tidetrack-router/tests/slow_store.rs
@@ -28,15 +28,19 @@
 #[test]
 fn a_large_change_is_read_over_a_slow_link() {
     let options = FleetOptions { hosts: 1, ..FleetOptions::default() };
-    let fleet =
-        Fleet::start(Path::new(env!("CARGO_BIN_EXE_tidetrack-router")), options).expect("a fleet");
-    let serving = "model@1".parse().expect("a version");
+    let fleet = Fleet::start(Path::new(env!("CARGO_BIN_EXE_tidetrack-router")), options)
+        .expect("the fleet starts");
+    let serving = "model@1".parse().expect("valid version");
     let object = Object::Model(Model { serving, description: "x".repeat(LARGE_CHANGE_BYTES) });
     let name = config_object_name(&ObjectKey::new(ObjectKind::Model, "large"));
     fleet.hosts[0].to_platform.set(Fault::Rate(SLOW_BYTES_PER_SECOND));
     let (start, before) = (Instant::now(), fleet.hosts[0].to_platform.bytes());
 
-    let version = fleet.platform.write(&name, 0, &object.to_json()).expect("a write").version;
+    let version = fleet
+        .platform
+        .write(&name, 0, &object.to_json())
+        .expect("the store accepts the write")
+        .version;
     let in_force = || fleet.hosts[0].status().is_some_and(|s| s.applied_revision >= version);
     while !in_force() && start.elapsed() < Duration::from_secs(20) {
         std::thread::sleep(Duration::from_millis(100));
@@ -44,15 +48,23 @@
 
     let read_ratio =
         (fleet.hosts[0].to_platform.bytes() - before) as f64 / LARGE_CHANGE_BYTES as f64;
-    println!("{:?} in force: {}, {read_ratio:.2} times the change", start.elapsed(), in_force());
-    assert!(in_force(), "{read_ratio:.2} times the change were read in {:?}", start.elapsed());
+    println!(
+        "after {:?}: in force: {}, bytes read: {read_ratio:.2} times the change",
+        start.elapsed(),
+        in_force()
+    );
+    assert!(
+        in_force(),
+        "change not in force: {read_ratio:.2} times its bytes were read in {:?}",
+        start.elapsed()
+    );
 }
 
 #[test]
 fn a_large_segment_is_written_over_a_slow_link() {
     let store = Platform::default();
-    let running = store.serve("127.0.0.1:0").expect("a store");
-    let proxy = Proxy::before(&running.address()).expect("a proxy");
+    let running = store.serve("127.0.0.1:0").expect("the store starts");
+    let proxy = Proxy::before(&running.address()).expect("the proxy starts");
     proxy.set(Fault::Rate(SLOW_BYTES_PER_SECOND));
     let client = PlatformClient::new(&proxy.address());
     let start = Instant::now();
@@ -67,8 +79,8 @@
 #[test]
 fn a_write_whose_reply_is_lost_is_resolved_over_a_slow_link() {
     let store = Platform::default();
-    let running = store.serve("127.0.0.1:0").expect("a store");
-    let proxy = Proxy::before(&running.address()).expect("a proxy");
+    let running = store.serve("127.0.0.1:0").expect("the store starts");
+    let proxy = Proxy::before(&running.address()).expect("the proxy starts");
     proxy.set(Fault::Rate(SLOW_BYTES_PER_SECOND));
     store.set_faults(PlatformFaults { lose_replies: 1, ..PlatformFaults::default() });
     let client = PlatformClient::new(&proxy.address());
@@ -83,8 +95,8 @@
 fn a_change_does_not_wait_for_the_list_of_a_large_fleet() {
     let times = Times { hosts_read_interval_ms: 1_000, ..FleetOptions::default().times };
     let options = FleetOptions { hosts: 1, times, ..FleetOptions::default() };
-    let fleet =
-        Fleet::start(Path::new(env!("CARGO_BIN_EXE_tidetrack-router")), options).expect("a fleet");
+    let fleet = Fleet::start(Path::new(env!("CARGO_BIN_EXE_tidetrack-router")), options)
+        .expect("the fleet starts");
     // Target fleet size: 540 hosts in front of 4,200 endpoints.
     let endpoint = |n: usize| ListedHost {
         name: format!("endpoint-of-a-large-fleet-{n:04}"),
@@ -94,14 +106,18 @@
     };
     fleet.objects.set_hosts((0..4_740).map(endpoint).collect());
     fleet.hosts[0].to_platform.set(Fault::Rate(SLOW_BYTES_PER_SECOND));
-    let serving = "model@1".parse().expect("a version");
+    let serving = "model@1".parse().expect("valid version");
     let small = Object::Model(Model { serving, description: String::new() }).to_json();
 
     let delays: Vec<Duration> = (0..12)
         .map(|n| {
             let name = config_object_name(&ObjectKey::new(ObjectKind::Model, format!("small-{n}")));
             let start = Instant::now();
-            let version = fleet.platform.write(&name, 0, &small).expect("a write").version;
+            let version = fleet
+                .platform
+                .write(&name, 0, &small)
+                .expect("the store accepts the write")
+                .version;
             wait_for("the change in force", || {
                 fleet.hosts[0].status().filter(|s| s.applied_revision >= version).map(|_| ())
             });
