--- a/crates/tidetrack-plane/tests/stall_aware_sleep.rs
+++ b/crates/tidetrack-plane/tests/stall_aware_sleep.rs
@@ -22,10 +22,10 @@
 /// Blocks the thread `stalls` times, as a stopped process would be. Returns the count of stalls so far.
 fn stall_thread(stalls: u32) -> Rc<Cell<u32>> {
     let stall_count = Rc::new(Cell::new(0));
-    let task_count = stall_count.clone();
+    let shared_count = stall_count.clone();
     tokio::task::spawn_local(async move {
-        while task_count.get() < stalls {
-            task_count.set(task_count.get() + 1);
+        while shared_count.get() < stalls {
+            shared_count.set(shared_count.get() + 1);
             std::thread::sleep(STALL_DURATION);
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
--- a/crates/tidetrack-router/tests/path.rs
+++ b/crates/tidetrack-router/tests/path.rs
@@ -35,7 +35,7 @@
 
     assert_eq!(complete.text(), "[model@1 q=0.850] one w1 w2 w3 w4");
     assert!(n > 0 && first.starts_with(b"data: "));
-    assert_eq!(finished_after_first, 1, "the first event came before the engine had finished");
+    assert_eq!(finished_after_first, 1, "the engine finished before the first event was read");
     assert!(rest.trim_end().ends_with("data: [DONE]"));
     assert!(!rest.contains("\"usage\""), "usage was sent although it was not requested");
 }
--- a/crates/tidetrack-router/tests/promises.rs
+++ b/crates/tidetrack-router/tests/promises.rs
@@ -233,12 +233,13 @@
 fn a_call_that_must_not_be_repeated_runs_at_most_once() {
     let mut fleet = fleet();
     let ticket = fleet.hosts[1].caller().ticket().expect("the host issues a ticket");
-    let key_header = (headers::TICKET, ticket.as_str());
+    let ticket_header = (headers::TICKET, ticket.as_str());
 
     // A lost response, then repeats of the call at the same host and at others.
     fleet.service.set_faults(ServiceFaults { lose_next: 1, ..ServiceFaults::default() });
-    let lost = grant(&fleet, 1, "sword", key_header);
-    let repeats: Vec<Reply> = (0..HOSTS).map(|h| grant(&fleet, h, "sword", key_header)).collect();
+    let lost = grant(&fleet, 1, "sword", ticket_header);
+    let repeats: Vec<Reply> =
+        (0..HOSTS).map(|h| grant(&fleet, h, "sword", ticket_header)).collect();
     // The host that issued the ticket is killed and restarts as a new incarnation.
     let orphan = fleet.hosts[2].caller().ticket().expect("the host issues a ticket");
     fleet.hosts[2].kill();
@@ -394,9 +395,9 @@
         rate: 70.0,
         ..FleetOptions::default()
     });
-    // A single sequential caller may offer less than its host's share on a busy machine (12 calls per second,
-    // none refused). A second without any call has no count of its own either, so a per-second check would
-    // fail on one call that takes longer than a second. Several callers and totals avoid both.
+    // A single sequential caller may offer less than its host's share on a busy machine (12 calls per
+    // second, none refused), so there are several. Every second has its own count even if no call begins
+    // in it; otherwise one call longer than a second would end the test before its checks.
     const CALLERS: usize = 6;
     const SECONDS: usize = 8;
     let caller = fleet.hosts[0].caller();
