--- a/crates/tidetrack-plane/tests/told_sizes.rs
+++ b/crates/tidetrack-plane/tests/report_sizes.rs
@@ -1,4 +1,5 @@
-//! Sizes of what hosts tell each other of requests that crash endpoints and of endpoints' limits.
+//! Encoded sizes of the reports that hosts exchange on requests that crash endpoints and on endpoint
+//! limits.
 
 use tidetrack_core::ids::{EndpointId, EndpointKey, WorkspaceId};
 use tidetrack_core::traffic::endpoint_limits::EndpointLimits;
@@ -6,13 +7,13 @@
 use tidetrack_core::traffic::suspects::Suspects;
 use tidetrack_core::units::{Millis, Rate};
 
-/// Bytes that a message may take for either: with all else it has to stay below 8 KiB.
-const MOST_BYTES: usize = 2_048;
+/// Maximum bytes in a message for either kind of report. The complete message must stay below 8 KiB.
+const MAX_REPORT_BYTES: usize = 2_048;
 
 const NOW: Millis = Millis(604_800_000);
 
 fn fingerprint(n: usize) -> Fingerprint {
-    let workspace: WorkspaceId = format!("w-{}", n % 12).parse().expect("a name");
+    let workspace: WorkspaceId = format!("w-{}", n % 12).parse().expect("valid name");
     Fingerprint::of(&RequestIdentity {
         workspace: Some(&workspace),
         hostname: "shop.example",
@@ -22,41 +23,41 @@
     })
 }
 
-fn bytes<T: serde::Serialize>(told: &T) -> usize {
-    postcard::to_allocvec(told).expect("plain values").len()
+fn bytes<T: serde::Serialize>(report: &T) -> usize {
+    postcard::to_allocvec(report).expect("the report is serialized").len()
 }
 
 #[test]
-fn what_is_told_of_barred_requests_fits_into_a_message_however_many_there_are() {
+fn reports_of_barred_requests_have_a_bounded_size() {
     let suspects = Suspects::default();
     for n in 0..1_024 {
         for crash in 0..8 {
-            let endpoint: EndpointId = format!("e-{n}-{crash}").parse().expect("a name");
+            let endpoint: EndpointId = format!("e-{n}-{crash}").parse().expect("valid name");
             let at = NOW + Millis(crash * 1_000);
-            let domain = "hall".parse().expect("a name");
+            let domain = "hall".parse().expect("valid name");
             suspects.record_crash(at, fingerprint(n), &endpoint, &domain, at);
         }
     }
 
-    let told = suspects.reports_for_round(NOW + Millis(8_000));
+    let report = suspects.reports_for_round(NOW + Millis(8_000));
 
-    let size = bytes(&told);
-    println!("{} barred requests told of {}: {size} bytes", told.len(), suspects.len());
+    let size = bytes(&report);
+    println!("{} of {} barred requests reported: {size} bytes", report.len(), suspects.len());
     assert_eq!(suspects.len(), 1_024);
-    assert!(size <= MOST_BYTES, "{size} bytes");
+    assert!(size <= MAX_REPORT_BYTES, "{size} bytes");
 }
 
 #[test]
-fn what_is_told_of_limits_fits_into_a_message_however_many_there_are() {
+fn reports_of_limits_have_a_bounded_size() {
     let mut limits = EndpointLimits::default();
     for n in 0..4_200 {
-        let id: EndpointId = format!("e-{n}").parse().expect("a name");
+        let id: EndpointId = format!("e-{n}").parse().expect("valid name");
         limits.record_response(NOW, EndpointKey::from(&id), Some(Rate(1.6)));
     }
 
-    let told = limits.reports_for_round(NOW + Millis(100));
+    let report = limits.reports_for_round(NOW + Millis(100));
 
-    let size = bytes(&told);
-    println!("{} limits told of 4200: {size} bytes", told.len());
-    assert!(size <= MOST_BYTES, "{size} bytes");
+    let size = bytes(&report);
+    println!("{} of 4200 limits reported: {size} bytes", report.len());
+    assert!(size <= MAX_REPORT_BYTES, "{size} bytes");
 }
--- a/crates/tidetrack-router/tests/path.rs
+++ b/crates/tidetrack-router/tests/path.rs
@@ -1,4 +1,5 @@
-//! The whole path with real processes behind proxies: answers, streams, cuts and swapped answers.
+//! The complete request path with real processes behind proxies: responses, streams, lost connections and
+//! responses that belong to another attempt.
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -15,45 +16,47 @@
 
 fn fleet(hosts: usize) -> Fleet {
     let options = FleetOptions { hosts, ..FleetOptions::default() };
-    Fleet::start(Path::new(env!("CARGO_BIN_EXE_tidetrack-router")), options).expect("a fleet")
+    Fleet::start(Path::new(env!("CARGO_BIN_EXE_tidetrack-router")), options)
+        .expect("the fleet starts")
 }
 
 #[test]
-fn answers_come_whole_and_streams_event_by_event() {
+fn responses_arrive_complete_and_streams_event_by_event() {
     let fleet = fleet(1);
     let caller = fleet.hosts[0].caller();
 
-    let whole = send(caller.chat_request("chat", "one", false, 5));
-    let mut stream = caller.chat_request("chat", "two", true, 40).send_lazy().expect("a stream");
+    let complete = send(caller.chat_request("chat", "one", false, 5));
+    let mut stream =
+        caller.chat_request("chat", "two", true, 40).send_lazy().expect("the stream opens");
     let mut first = [0; 1024];
-    let n = stream.read(&mut first).expect("an event");
-    let after_first = fleet.stable_engine.counts().finished;
+    let n = stream.read(&mut first).expect("an event arrives");
+    let finished_after_first = fleet.stable_engine.counts().finished;
     let mut rest = String::new();
-    stream.read_to_string(&mut rest).expect("the rest");
+    stream.read_to_string(&mut rest).expect("the rest of the stream arrives");
 
-    assert_eq!(whole.text(), "[model@1 q=0.850] one w1 w2 w3 w4");
+    assert_eq!(complete.text(), "[model@1 q=0.850] one w1 w2 w3 w4");
     assert!(n > 0 && first.starts_with(b"data: "));
-    assert_eq!(after_first, 1, "the first event came before the engine had finished");
+    assert_eq!(finished_after_first, 1, "the engine finished before the first event was read");
     assert!(rest.trim_end().ends_with("data: [DONE]"));
-    assert!(!rest.contains("\"usage\""), "usage was not asked for");
+    assert!(!rest.contains("\"usage\""), "usage was sent although it was not requested");
 }
 
 #[test]
-fn a_cut_stream_is_never_presented_as_whole() {
+fn a_cut_stream_is_never_presented_as_complete() {
     let fleet = fleet(1);
     let caller = fleet.hosts[0].caller();
-    // The engine's port is cut, so that the rest cannot be had either.
+    // The link to the engine is cut, so the rest of the stream cannot be fetched by another attempt.
     fleet.stable_proxy.set_fault(Fault::CutAfterResponseBytes(1500));
 
     let reply = send(caller.chat_request("chat", "long", true, 200));
 
     assert!(!reply.is_complete_stream());
-    assert!(reply.body.contains("data: "), "some of it came: {reply:?}");
+    assert!(reply.body.contains("data: "), "no event arrived before the cut: {reply:?}");
     assert_eq!(reply.code(), "TT-3002", "{}", reply.body);
 }
 
 #[test]
-fn a_stream_cut_by_the_engine_is_resumed_without_repeat_or_loss() {
+fn a_stream_cut_by_the_engine_resumes_without_repeat_or_loss() {
     let fleet = fleet(1);
     fleet.stable_engine.set_faults(EngineFaults { cut_after: Some(7), ..EngineFaults::default() });
 
@@ -65,7 +68,7 @@
 }
 
 #[test]
-fn a_silent_endpoint_is_given_up_at_the_deadline() {
+fn a_silent_endpoint_is_abandoned_at_the_deadline() {
     let fleet = fleet(1);
     let chat = fleet.hosts[0].caller().chat_request("chat", "deadline", false, 5);
     fleet.stable_proxy.set_fault(Fault::FreezeResponses);
@@ -78,21 +81,21 @@
 }
 
 #[test]
-fn another_attempts_answer_is_dropped() {
+fn a_response_to_another_attempt_is_dropped() {
     let fleet = fleet(1);
     let caller = fleet.hosts[0].caller();
     fleet.stable_engine.set_faults(EngineFaults { swap_next: 1, ..EngineFaults::default() });
 
     let reply = send(caller.chat_request("chat", "mine", false, 3));
 
-    // One endpoint only: the attempt cannot be made elsewhere.
+    // There is only one endpoint, so no attempt can be made at another one.
     assert_eq!(reply.code(), "TT-3005");
     assert_eq!(reply.executed(), Some(Executed::Unknown));
     assert!(send(caller.chat_request("chat", "mine", false, 3)).text().contains("mine"));
 }
 
 #[test]
-fn fifty_callers_at_once_get_their_own_answers() {
+fn fifty_concurrent_callers_get_their_own_responses() {
     let fleet = fleet(1);
     let caller = fleet.hosts[0].caller();
     let threads: Vec<_> = (0..50)
@@ -107,20 +110,20 @@
         .collect();
 
     for thread in threads {
-        let (status, own, body) = thread.join().expect("a caller");
-        assert!(status == 200 && own || body.contains("TT-2002"), "{status} {body}");
+        let (status, has_own_text, body) = thread.join().expect("the caller thread does not panic");
+        assert!(status == 200 && has_own_text || body.contains("TT-2002"), "{status} {body}");
     }
 }
 
 #[test]
-fn a_caller_that_leaves_cancels_the_engines_work() {
+fn a_caller_disconnect_cancels_the_engines_work() {
     let fleet = fleet(1);
     let caller = fleet.hosts[0].caller();
 
     let mut stream =
-        caller.chat_request("chat", "leaving", true, 5_000).send_lazy().expect("a stream");
+        caller.chat_request("chat", "leaving", true, 5_000).send_lazy().expect("the stream opens");
     let mut first = [0; 64];
-    stream.read_exact(&mut first).expect("a first part");
+    stream.read_exact(&mut first).expect("the first part arrives");
     drop(stream);
 
     wait_for("a cancelled attempt", || (fleet.stable_engine.counts().cancelled == 1).then_some(()));
@@ -128,13 +131,13 @@
 }
 
 #[test]
-fn bad_input_gets_a_coded_refusal_that_was_not_run() {
+fn bad_input_is_refused_with_a_code_and_not_executed() {
     let fleet = fleet(1);
     let caller = fleet.hosts[0].caller();
-    let stranger = tidetrack_testkit::caller::Caller { key: "wrong".into(), ..caller.clone() };
+    let unauthorized = tidetrack_testkit::caller::Caller { key: "wrong".into(), ..caller.clone() };
     let big = vec![b'x'; 5 << 20];
     let cases = [
-        (stranger.chat_request("chat", "x", false, 3), "TT-1001"),
+        (unauthorized.chat_request("chat", "x", false, 3), "TT-1001"),
         (caller.chat_request("nowhere", "x", false, 3), "TT-1002"),
         (caller.post("/v1/nothing", "{}"), "TT-1002"),
         (caller.post("/v1/chat/completions", "{"), "TT-1004"),
@@ -159,26 +162,26 @@
 }
 
 #[test]
-fn a_body_that_drips_is_refused_and_holds_no_one_up() {
+fn a_slow_body_is_refused_and_delays_no_other_caller() {
     let fleet = fleet(1);
     let caller = fleet.hosts[0].caller();
-    let mut slow = TcpStream::connect(&caller.host).expect("a connection");
+    let mut slow_caller = TcpStream::connect(&caller.host).expect("the connection is established");
     let head = format!(
         "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer {KEY}\r\n\
          Content-Length: 100000\r\n\r\n"
     );
-    slow.write_all(head.as_bytes()).expect("a head");
+    slow_caller.write_all(head.as_bytes()).expect("the request head is sent");
 
     let others = send(caller.chat_request("chat", "meanwhile", false, 3));
-    slow.set_read_timeout(Some(Duration::from_secs(20))).expect("an option");
+    slow_caller.set_read_timeout(Some(Duration::from_secs(20))).expect("the socket option is set");
     let mut answer = [0; 12];
-    // A byte now and then, until the router has had enough.
+    // Sends single bytes until the router refuses the request.
     let refused = wait_for("a refusal", || {
-        let _ = slow.write_all(b" ");
-        slow.set_nonblocking(true).expect("an option");
-        let got = slow.peek(&mut answer).unwrap_or(0) == answer.len();
-        slow.set_nonblocking(false).expect("an option");
-        got.then(|| String::from_utf8_lossy(&answer).to_string())
+        let _ = slow_caller.write_all(b" ");
+        slow_caller.set_nonblocking(true).expect("the socket option is set");
+        let has_status_line = slow_caller.peek(&mut answer).unwrap_or(0) == answer.len();
+        slow_caller.set_nonblocking(false).expect("the socket option is set");
+        has_status_line.then(|| String::from_utf8_lossy(&answer).to_string())
     });
 
     assert_eq!(others.status, 200);
@@ -186,7 +189,7 @@
 }
 
 #[test]
-fn an_engine_that_refuses_was_not_run_and_says_so() {
+fn an_engine_refusal_is_reported_as_not_executed() {
     let fleet = fleet(1);
     let caller = fleet.hosts[0].caller();
     fleet.stable_engine.set_faults(EngineFaults { refuse_next: 1, ..EngineFaults::default() });
@@ -202,25 +205,26 @@
 }
 
 #[test]
-fn a_host_that_ran_out_of_files_accepts_again() {
+fn a_host_out_of_file_descriptors_accepts_again() {
     let fleet = fleet(1);
     let caller = fleet.hosts[0].caller();
     let process = fleet.hosts[0].process();
     assert_eq!(send(caller.chat_request("chat", "before", false, 3)).status, 200);
 
-    // The limit is on a file's number, and closed files leave lower numbers free: more connections
-    // than there can be such numbers, and fewer than the listener's queue takes.
-    process.set_file_limit(process.count_open_files().expect("a count"));
-    let held: Vec<TcpStream> =
+    // The limit applies to the highest file descriptor number, and closed files leave lower numbers free. The
+    // test therefore opens more connections than there are such numbers, but fewer than the listen backlog holds.
+    process
+        .set_file_limit(process.count_open_files().expect("the count of open files is readable"));
+    let idle_connections: Vec<TcpStream> =
         (0..100).filter_map(|_| TcpStream::connect(&caller.host).ok()).collect();
     wait_for("a failed accept", || {
         let log = std::fs::read_to_string(&process.log_path).ok()?;
         log.contains("E105").then_some(())
     });
-    drop(held);
+    drop(idle_connections);
     process.set_file_limit(1_024);
 
-    wait_for("an answer", || {
+    wait_for("a successful response", || {
         (send(caller.chat_request("chat", "x", false, 3)).status == 200).then_some(())
     });
 }
--- a/crates/tidetrack-router/tests/pause.rs
+++ b/crates/tidetrack-router/tests/pause.rs
@@ -1,79 +1,96 @@
-//! What counts as a confirmation of the configuration after a pause of the process.
+//! Which responses confirm the configuration after a pause of the process.
 //!
-//! What was seen: a host that had been paused while a version was withdrawn ran a request on it, first
-//! thing after.
+//! The tests guard against a host that executes a request on a withdrawn version right after a pause. The
+//! host queries another host and is paused; meanwhile the version is withdrawn on all other hosts. When the
+//! host resumes, it reads a response from its socket that was sent before the withdrawal, and treats its
+//! configuration as confirmed.
 //!
-//! Order of events: the host asked another one, and was paused. The version was withdrawn and gone from all
-//! other hosts. The host went on, found an answer to its question in its socket, given before the withdrawal,
-//! and took its configuration for confirmed.
-//!
-//! Cause: an answer that came after the pause was taken for one to a question asked after it; so was one
-//! that had come just before, between two looks of the control thread.
-//!
-//! Evidence: the first two tests here, in which the gate says confirmed although nothing was asked after
-//! the pause. In the run that was seen other tests had used up the descriptors of the test's process, so that
-//! the host may also have met nobody and gone on as in an outage: the two are not told apart.
+//! Two responses must not count: one that arrives after the pause to a query sent before it, and one that
+//! arrived just before the pause, between two ticks of the control thread. The first two tests fail if the
+//! admission state is confirmed although no query was sent after the pause. The same symptom can also arise
+//! when a host finds no peers, for example because file descriptors are exhausted, and continues as in an
+//! outage; the symptom alone does not distinguish the two causes.
 
 use tidetrack_core::units::Millis;
 use tidetrack_core::view::ConfigConfirmation;
 use tidetrack_router::shared::AdmissionState;
 
-/// The last look of the control thread before the pause.
-const PAUSED: u64 = 10_000;
+/// Time of the control thread's last tick before the pause, in milliseconds.
+const PAUSED_AT_MS: u64 = 10_000;
 
-/// The first one after it.
-const RESUMED: u64 = 12_500;
+/// Time of the control thread's first tick after the pause, in milliseconds.
+const RESUMED_AT_MS: u64 = 12_500;
 
-fn confirmed(fresh_at: u64, asked_at: u64) -> Option<ConfigConfirmation> {
-    Some(ConfigConfirmation { confirmed_at: Millis(fresh_at), requested_at: Millis(asked_at) })
+fn confirmed(proof_at: u64, queried_at: u64) -> Option<ConfigConfirmation> {
+    Some(ConfigConfirmation { confirmed_at: Millis(proof_at), requested_at: Millis(queried_at) })
 }
 
-/// The gate of a host that was confirmed 1.5 s before its pause.
-fn paused() -> AdmissionState {
-    let gate = AdmissionState::default();
-    gate.tick(Millis(PAUSED), confirmed(PAUSED - 1_500, PAUSED - 1_000), true);
-    gate
+/// Returns the admission state of a host whose configuration was confirmed 1.5 s before its pause.
+fn paused_state() -> AdmissionState {
+    let admission = AdmissionState::default();
+    admission.tick(
+        Millis(PAUSED_AT_MS),
+        confirmed(PAUSED_AT_MS - 1_500, PAUSED_AT_MS - 1_000),
+        true,
+    );
+    admission
 }
 
 #[test]
-fn an_answer_to_a_question_from_before_a_pause_confirms_nothing_after_it() {
-    let gate = paused();
+fn a_response_to_a_query_from_before_a_pause_confirms_nothing() {
+    let admission = paused_state();
 
-    gate.tick(Millis(RESUMED), confirmed(PAUSED - 600, PAUSED - 100), true);
+    admission.tick(Millis(RESUMED_AT_MS), confirmed(PAUSED_AT_MS - 600, PAUSED_AT_MS - 100), true);
 
-    assert!(gate.is_unconfirmed(Millis(RESUMED + 5)));
+    assert!(admission.is_unconfirmed(Millis(RESUMED_AT_MS + 5)));
 }
 
 #[test]
-fn an_answer_that_is_noticed_later_confirms_nothing_either() {
-    let gate = paused();
-
-    gate.tick(Millis(RESUMED), confirmed(PAUSED - 1_500, PAUSED - 1_000), true);
-    gate.tick(Millis(RESUMED + 20), confirmed(PAUSED - 600, PAUSED - 100), true);
-
-    assert!(gate.is_unconfirmed(Millis(RESUMED + 25)));
+fn a_response_processed_after_a_pause_confirms_nothing() {
+    let admission = paused_state();
+
+    admission.tick(
+        Millis(RESUMED_AT_MS),
+        confirmed(PAUSED_AT_MS - 1_500, PAUSED_AT_MS - 1_000),
+        true,
+    );
+    admission.tick(
+        Millis(RESUMED_AT_MS + 20),
+        confirmed(PAUSED_AT_MS - 600, PAUSED_AT_MS - 100),
+        true,
+    );
+
+    assert!(admission.is_unconfirmed(Millis(RESUMED_AT_MS + 25)));
 }
 
 #[test]
-fn an_answer_to_a_question_after_a_pause_confirms() {
-    let gate = paused();
-
-    gate.tick(Millis(RESUMED), confirmed(PAUSED - 1_500, PAUSED - 1_000), true);
-    let before = gate.is_unconfirmed(Millis(RESUMED + 5));
-    // The other host's own proof was older than the question.
-    gate.tick(Millis(RESUMED + 50), confirmed(RESUMED - 1_000, RESUMED + 20), true);
+fn a_response_to_a_query_after_a_pause_confirms() {
+    let admission = paused_state();
+
+    admission.tick(
+        Millis(RESUMED_AT_MS),
+        confirmed(PAUSED_AT_MS - 1_500, PAUSED_AT_MS - 1_000),
+        true,
+    );
+    let before = admission.is_unconfirmed(Millis(RESUMED_AT_MS + 5));
+    // The proof of the other host is older than the query.
+    admission.tick(
+        Millis(RESUMED_AT_MS + 50),
+        confirmed(RESUMED_AT_MS - 1_000, RESUMED_AT_MS + 20),
+        true,
+    );
 
     assert!(before);
-    assert!(!gate.is_unconfirmed(Millis(RESUMED + 55)));
+    assert!(!admission.is_unconfirmed(Millis(RESUMED_AT_MS + 55)));
 }
 
 #[test]
-fn without_an_answer_a_host_goes_on_as_in_an_outage_after_a_while() {
-    let gate = paused();
+fn without_a_response_a_host_eventually_continues_as_in_an_outage() {
+    let admission = paused_state();
 
-    for now in (RESUMED..RESUMED + 2_100).step_by(100) {
-        gate.tick(Millis(now), confirmed(PAUSED - 1_500, PAUSED - 1_000), true);
+    for now in (RESUMED_AT_MS..RESUMED_AT_MS + 2_100).step_by(100) {
+        admission.tick(Millis(now), confirmed(PAUSED_AT_MS - 1_500, PAUSED_AT_MS - 1_000), true);
     }
 
-    assert!(!gate.is_unconfirmed(Millis(RESUMED + 2_100)));
+    assert!(!admission.is_unconfirmed(Millis(RESUMED_AT_MS + 2_100)));
 }
--- a/crates/tidetrack-router/tests/promises.rs
+++ b/crates/tidetrack-router/tests/promises.rs
@@ -1,4 +1,5 @@
-//! What must always hold, with seven real processes behind proxies: kills, cuts, pauses, outages.
+//! Guarantees that always hold, checked on seven real processes behind proxies under kills, lost
+//! connections, pauses and outages.
 
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -21,14 +22,15 @@
 const HOSTS: usize = 7;
 
 fn fleet_with(options: FleetOptions) -> Fleet {
-    Fleet::start(Path::new(env!("CARGO_BIN_EXE_tidetrack-router")), options).expect("a fleet")
+    Fleet::start(Path::new(env!("CARGO_BIN_EXE_tidetrack-router")), options)
+        .expect("the fleet starts")
 }
 
 fn fleet() -> Fleet {
     fleet_with(FleetOptions { hosts: HOSTS, domains: 4, ..FleetOptions::default() })
 }
 
-fn ask(fleet: &Fleet, host: usize, text: &str) -> Reply {
+fn send_request(fleet: &Fleet, host: usize, text: &str) -> Reply {
     send(fleet.hosts[host].caller().chat_request("chat", text, false, 3))
 }
 
@@ -38,18 +40,18 @@
 }
 
 fn withdraw(fleet: &Fleet, version: &str) -> u64 {
-    let version = version.parse().expect("a version");
-    rollout::withdraw(&fleet.platform_client, &version, "a test").expect("a withdrawal")
+    let version = version.parse().expect("valid version");
+    rollout::withdraw(&fleet.platform_client, &version, "a test").expect("the version is withdrawn")
 }
 
-fn cut_off_platform(fleet: &Fleet, down: bool) {
+fn set_platform_outage(fleet: &Fleet, down: bool) {
     fleet.platform_standin.set_faults(PlatformFaults { down, ..PlatformFaults::default() });
 }
 
-/// Adds the ledger up once it holds as many requests as were answered.
-fn billed(fleet: &Fleet, answered: u64) -> u64 {
+/// Waits until the ledger holds at least `answered` requests, then returns the number of billed requests.
+fn billed_requests(fleet: &Fleet, answered: u64) -> u64 {
     let mut last = 0;
-    wait_for("a full ledger", || {
+    wait_for("a ledger with all answered requests", || {
         last = bill::totals(&fleet.platform_client).ok()?.requests;
         (last >= answered).then_some(())
     });
@@ -60,38 +62,44 @@
 fn a_change_is_in_force_everywhere_within_four_seconds_and_never_reverts() {
     let fleet = fleet();
 
-    let from = Instant::now();
+    let start = Instant::now();
     let revision = withdraw(&fleet, "model@2");
     fleet.wait_for_hosts("the change", |s| s.applied_revision >= revision);
-    let healthy = from.elapsed();
-    // Half of the hosts lose the platform; the others pass the change on.
+    let healthy_time = start.elapsed();
+    // Four of the seven hosts lose the platform. The other three relay the change to them.
     fleet.hosts.iter().skip(HOSTS / 2).for_each(|h| h.platform_proxy.set_fault(Fault::Cut));
-    let from = Instant::now();
+    let start = Instant::now();
     let revision = withdraw(&fleet, "model@1");
-    fleet.wait_for_hosts("the change past a cut", |s| s.applied_revision >= revision);
-    let cut = from.elapsed();
+    fleet.wait_for_hosts("the change on hosts cut off from the platform", |s| {
+        s.applied_revision >= revision
+    });
+    let cut_off_time = start.elapsed();
 
-    println!("in force on {HOSTS} hosts: {healthy:?}; with half of them cut off: {cut:?}");
-    assert!(healthy < Duration::from_secs(4) && cut < Duration::from_secs(4));
-    let refused: Vec<String> = (0..HOSTS).map(|h| ask(&fleet, h, "x").code()).collect();
+    println!(
+        "in force on {HOSTS} hosts: {healthy_time:?}; with half of them cut off: {cut_off_time:?}"
+    );
+    assert!(healthy_time < Duration::from_secs(4) && cut_off_time < Duration::from_secs(4));
+    let refused: Vec<String> = (0..HOSTS).map(|h| send_request(&fleet, h, "x").code()).collect();
     assert_eq!(refused, vec!["TT-2005"; HOSTS]);
 }
 
 #[test]
-fn a_withdrawal_told_to_one_host_reaches_all_with_the_platform_down() {
+fn a_withdrawal_sent_to_one_host_reaches_all_in_a_platform_outage() {
     let fleet = fleet();
-    cut_off_platform(&fleet, true);
+    set_platform_outage(&fleet, true);
     let fact = tidetrack_core::facts::Fact {
-        subject: tidetrack_core::facts::Subject::Withdrawn("model@1".parse().expect("a version")),
+        subject: tidetrack_core::facts::Subject::Withdrawn(
+            "model@1".parse().expect("valid version"),
+        ),
         generation: 1,
     };
 
     let host = &fleet.hosts[3].process().caller_address;
     let key = tidetrack_testkit::fleet::OPERATOR_KEY;
-    tidetrack_ctl::status::send_fact(host, key, &fact).expect("told");
+    tidetrack_ctl::status::send_fact(host, key, &fact).expect("the host accepts the fact");
     fleet.wait_for_hosts("the fact", |s| !s.facts.is_empty());
     let before = fleet.stable_engine.counts().started;
-    let codes: Vec<String> = (0..HOSTS).map(|h| ask(&fleet, h, "x").code()).collect();
+    let codes: Vec<String> = (0..HOSTS).map(|h| send_request(&fleet, h, "x").code()).collect();
 
     assert_eq!(codes, vec!["TT-2005"; HOSTS]);
     assert_eq!(fleet.stable_engine.counts().started, before);
@@ -106,16 +114,16 @@
         wait_for("the withdrawal", || {
             host.status().filter(|s| s.applied_revision >= revision).map(|_| ())
         });
-        assert_eq!(ask(&fleet, i, "x").code(), "TT-2005");
+        assert_eq!(send_request(&fleet, i, "x").code(), "TT-2005");
     }
-    // The caller's request waits in the paused host's socket and is read first thing after.
+    // The request waits in the paused host's socket and is the first thing the host reads after the pause.
     let caller = fleet.hosts[2].caller();
     let waiting = std::thread::spawn(move || send(caller.chat_request("chat", "late", false, 3)));
     std::thread::sleep(Duration::from_millis(1500));
     let before = fleet.stable_engine.counts().started;
 
     fleet.hosts[2].process().resume();
-    let reply = waiting.join().expect("a caller");
+    let reply = waiting.join().expect("the caller thread does not panic");
 
     assert_eq!(reply.code(), "TT-2005", "{reply:?}");
     assert_eq!(reply.executed(), Some(Executed::No));
@@ -123,56 +131,62 @@
 }
 
 #[test]
-fn a_host_that_starts_in_an_outage_takes_the_configuration_from_others() {
+fn a_host_that_starts_in_an_outage_gets_the_configuration_from_others() {
     let mut fleet = fleet();
     let revision = withdraw(&fleet, "model@2");
     fleet.wait_for_hosts("the change", |s| s.applied_revision >= revision);
     fleet.hosts[0].kill();
-    cut_off_platform(&fleet, true);
+    set_platform_outage(&fleet, true);
 
-    // The others know of each other; the new life knows only whom the list named before the outage.
-    fleet.start_host(0).expect("a process");
-    let unready = ask(&fleet, 0, "too early").code();
-    cut_off_platform(&fleet, false);
+    // The other hosts know each other; the new incarnation knows only hosts that the host list named before
+    // the outage.
+    fleet.start_host(0).expect("the host starts");
+    let early_code = send_request(&fleet, 0, "too early").code();
+    set_platform_outage(&fleet, false);
     fleet.hosts[0].platform_proxy.set_fault(Fault::Cut);
     fleet.wait_for_hosts("the configuration", |s| s.applied_revision >= revision);
 
-    assert_eq!(unready, "TT-2004");
-    assert_eq!(ask(&fleet, 0, "now").status, 200);
+    assert_eq!(early_code, "TT-2004");
+    assert_eq!(send_request(&fleet, 0, "now").status, 200);
 }
 
 #[test]
 fn a_session_keeps_its_version_on_any_host_and_ends_when_it_is_withdrawn() {
     let mut fleet = fleet();
-    let first = ask(&fleet, 0, "begin");
+    let first = send_request(&fleet, 0, "begin");
     let token = first.header(headers::SESSION).to_string();
-    let on = |fleet: &Fleet, host: usize, token: &str| {
+    let send_in_session = |fleet: &Fleet, host: usize, token: &str| {
         let request = fleet.hosts[host].caller().chat_request("chat", "go on", false, 3);
         send(request.with_header(headers::SESSION, token))
     };
-    let id = "to-2".parse().expect("a roll-out");
-    rollout::apply_verb(&fleet.platform_client, &id, rollout::Verb::Start).expect("a start");
-    rollout::apply_verb(&fleet.platform_client, &id, rollout::Verb::Advance).expect("an end");
+    let id = "to-2".parse().expect("valid roll-out ID");
+    rollout::apply_verb(&fleet.platform_client, &id, rollout::Verb::Start)
+        .expect("the roll-out starts");
+    rollout::apply_verb(&fleet.platform_client, &id, rollout::Verb::Advance)
+        .expect("the roll-out advances");
     fleet.wait_for_hosts("the end of the roll-out", |s| {
         let state = s.rollouts.first().and_then(|r| r.state.as_ref());
         state.is_some_and(|s| s.phase == RolloutPhase::Done)
     });
     fleet.hosts[4].kill();
-    fleet.start_host(4).expect("a process");
+    fleet.start_host(4).expect("the host starts");
     fleet.wait_until_converged();
 
-    let fresh = ask(&fleet, 4, "new");
-    let kept: Vec<String> =
-        (0..HOSTS).map(|h| on(&fleet, h, &token).version().to_string()).collect();
-    let forged = on(&fleet, 1, &token.replace("model@1", "model@2"));
+    let new_session = send_request(&fleet, 4, "new");
+    let session_versions: Vec<String> =
+        (0..HOSTS).map(|h| send_in_session(&fleet, h, &token).version().to_string()).collect();
+    let forged = send_in_session(&fleet, 1, &token.replace("model@1", "model@2"));
     let revision = withdraw(&fleet, "model@1");
     fleet.wait_for_hosts("the withdrawal", |s| s.applied_revision >= revision);
-    let ended = on(&fleet, 5, &token);
+    let withdrawn_reply = send_in_session(&fleet, 5, &token);
 
-    assert_eq!((first.version(), fresh.version()), ("model@1", "model@2"));
-    assert_eq!(kept, vec!["model@1"; HOSTS]);
+    assert_eq!((first.version(), new_session.version()), ("model@1", "model@2"));
+    assert_eq!(session_versions, vec!["model@1"; HOSTS]);
     assert_eq!(forged.code(), "TT-1008");
-    assert_eq!((ended.code().as_str(), ended.executed()), ("TT-1009", Some(Executed::No)));
+    assert_eq!(
+        (withdrawn_reply.code().as_str(), withdrawn_reply.executed()),
+        ("TT-1009", Some(Executed::No))
+    );
 }
 
 #[test]
@@ -182,83 +196,89 @@
     for round in 0..3 {
         for host in 0..HOSTS {
             for i in 0..5 {
-                answered += u64::from(ask(&fleet, host, &format!("{round} {i}")).status == 200);
+                answered +=
+                    u64::from(send_request(&fleet, host, &format!("{round} {i}")).status == 200);
             }
         }
-        // Right after the last byte: the bill is on another host, not in the object API.
+        // Immediately after the last byte the bill is stored on another host but not yet in the object API.
         fleet.hosts[round].kill();
-        fleet.start_host(round).expect("a process");
+        fleet.start_host(round).expect("the host starts");
         fleet.wait_until_converged();
-        // The holder writes what it held before it is killed itself: origin and holder lost within a
-        // flush is past what one copy can bear, as `docs/design/billing.md` says.
-        assert_eq!(billed(&fleet, answered), answered);
+        // Waits until the holder has written its bills before it is killed in turn. One copy does not protect
+        // against losing origin and holder within one flush interval, see `docs/design/billing.md`.
+        assert_eq!(billed_requests(&fleet, answered), answered);
     }
 
     assert_eq!(answered, 3 * 5 * HOSTS as u64);
 }
 
 #[test]
-fn bills_outlive_an_outage_and_lost_replies() {
+fn bills_survive_an_outage_and_lost_replies() {
     let mut fleet = fleet();
-    cut_off_platform(&fleet, true);
+    set_platform_outage(&fleet, true);
     let mut answered = 0;
     for host in 0..HOSTS {
-        answered += u64::from(ask(&fleet, host, "in the outage").status == 200);
+        answered += u64::from(send_request(&fleet, host, "in the outage").status == 200);
     }
     fleet.hosts[6].kill();
     let lose = PlatformFaults { lose_replies: 5, ..PlatformFaults::default() };
     fleet.platform_standin.set_faults(lose);
 
-    let billed = billed(&fleet, answered);
+    let billed_requests = billed_requests(&fleet, answered);
 
-    assert_eq!(answered, HOSTS as u64, "an outage of the platform stops no request");
-    assert_eq!(billed, answered);
+    assert_eq!(answered, HOSTS as u64, "a platform outage stopped a request");
+    assert_eq!(billed_requests, answered);
 }
 
 #[test]
 fn a_call_that_must_not_be_repeated_runs_at_most_once() {
     let mut fleet = fleet();
-    let ticket = fleet.hosts[1].caller().request_ticket().expect("a ticket");
-    let with = (headers::TICKET, ticket.as_str());
+    let ticket = fleet.hosts[1].caller().request_ticket().expect("the host issues a ticket");
+    let ticket_header = (headers::TICKET, ticket.as_str());
 
-    // The same and other hosts, and an answer that is lost.
+    // A lost response, then repeats of the call at the same host and at others.
     fleet.service.set_faults(ServiceFaults { lose_next: 1, ..ServiceFaults::default() });
-    let lost = grant(&fleet, 1, "sword", with);
-    let again: Vec<Reply> = (0..HOSTS).map(|h| grant(&fleet, h, "sword", with)).collect();
-    // A maker that dies, and comes back with another life.
-    let orphan = fleet.hosts[2].caller().request_ticket().expect("a ticket");
+    let lost = grant(&fleet, 1, "sword", ticket_header);
+    let repeats: Vec<Reply> =
+        (0..HOSTS).map(|h| grant(&fleet, h, "sword", ticket_header)).collect();
+    // The host that issued the ticket is killed and restarts as a new incarnation.
+    let orphan = fleet.hosts[2].caller().request_ticket().expect("the host issues a ticket");
     fleet.hosts[2].kill();
-    fleet.start_host(2).expect("a process");
+    fleet.start_host(2).expect("the host starts");
     fleet.wait_until_converged();
-    let gone = grant(&fleet, 2, "shield", (headers::TICKET, &orphan));
-    let gone_elsewhere = grant(&fleet, 3, "shield", (headers::TICKET, &orphan));
+    let reply_at_issuer = grant(&fleet, 2, "shield", (headers::TICKET, &orphan));
+    let reply_elsewhere = grant(&fleet, 3, "shield", (headers::TICKET, &orphan));
 
     let ran = fleet.service.run_counts();
     assert_eq!(lost.executed(), Some(Executed::Unknown), "{lost:?}");
-    assert!(again.iter().all(|r| r.code() == "TT-1012"), "{again:?}");
+    assert!(repeats.iter().all(|r| r.code() == "TT-1012"), "{repeats:?}");
     assert_eq!(ran.get("sword"), Some(&1));
-    assert_eq!((gone.code().as_str(), gone_elsewhere.code().as_str()), ("TT-1013", "TT-1013"));
+    assert_eq!(
+        (reply_at_issuer.code().as_str(), reply_elsewhere.code().as_str()),
+        ("TT-1013", "TT-1013")
+    );
     assert_eq!(ran.get("shield"), None);
 }
 
 #[test]
-fn a_claimed_key_runs_at_most_once_and_an_outage_refuses_truthfully() {
+fn a_claimed_key_runs_at_most_once_and_is_refused_in_an_outage() {
     let fleet = fleet();
-    let with = (headers::IDEMPOTENCY_KEY, "key-1");
+    let key_header = (headers::IDEMPOTENCY_KEY, "key-1");
 
     let hosts: Vec<_> = (0..HOSTS).map(|h| fleet.hosts[h].caller()).collect();
     let calls: Vec<_> = hosts
         .into_iter()
         .map(|caller| {
             let request = caller.post("/v1/services/vault/grant", "helmet");
-            std::thread::spawn(move || send(request.with_header(with.0, with.1)))
+            std::thread::spawn(move || send(request.with_header(key_header.0, key_header.1)))
         })
         .collect();
-    let replies: Vec<Reply> = calls.into_iter().map(|c| c.join().expect("a caller")).collect();
+    let replies: Vec<Reply> =
+        calls.into_iter().map(|c| c.join().expect("the caller thread does not panic")).collect();
     fleet.service.set_faults(ServiceFaults { refuse_next: 1, ..ServiceFaults::default() });
     let refused = grant(&fleet, 0, "boots", (headers::IDEMPOTENCY_KEY, "key-2"));
     let retried = grant(&fleet, 5, "boots", (headers::IDEMPOTENCY_KEY, "key-2"));
-    cut_off_platform(&fleet, true);
+    set_platform_outage(&fleet, true);
     let outage = grant(&fleet, 0, "ring", (headers::IDEMPOTENCY_KEY, "key-3"));
 
     let ran = fleet.service.run_counts();
@@ -274,7 +294,7 @@
 }
 
 #[test]
-fn a_planned_stop_of_two_hosts_in_an_outage_cuts_off_nothing() {
+fn a_planned_stop_of_two_hosts_in_an_outage_interrupts_no_stream() {
     let mut fleet = fleet_with(FleetOptions {
         hosts: HOSTS,
         domains: 4,
@@ -287,22 +307,23 @@
             std::thread::spawn(move || send(caller.chat_request("chat", "long", true, 60)))
         })
         .collect();
-    wait_for("streams under way", || {
+    wait_for("all streams in progress", || {
         (fleet.stable_engine.counts().started == (HOSTS * 4) as u64).then_some(())
     });
 
-    cut_off_platform(&fleet, true);
+    set_platform_outage(&fleet, true);
     fleet.hosts[0].process().terminate();
     fleet.hosts[1].process().terminate();
-    let replies: Vec<Reply> = streams.into_iter().map(|s| s.join().expect("a caller")).collect();
-    let ends: Vec<bool> = (0..2)
-        .map(|h| fleet.hosts[h].process.as_mut().expect("a process").wait().success())
+    let replies: Vec<Reply> =
+        streams.into_iter().map(|s| s.join().expect("the caller thread does not panic")).collect();
+    let clean_exits: Vec<bool> = (0..2)
+        .map(|h| fleet.hosts[h].process.as_mut().expect("the host process runs").wait().success())
         .collect();
-    cut_off_platform(&fleet, false);
+    set_platform_outage(&fleet, false);
 
     assert!(replies.iter().all(Reply::is_complete_stream), "a stream was cut off");
-    assert_eq!(ends, [true, true]);
-    assert_eq!(billed(&fleet, (HOSTS * 4) as u64), (HOSTS * 4) as u64);
+    assert_eq!(clean_exits, [true, true]);
+    assert_eq!(billed_requests(&fleet, (HOSTS * 4) as u64), (HOSTS * 4) as u64);
 }
 
 #[test]
@@ -313,13 +334,14 @@
         canary_quality: 0.2,
         ..FleetOptions::default()
     });
-    let id = "to-2".parse().expect("a roll-out");
-    // Three hosts lose the platform and all others: no message reaches them.
+    let id = "to-2".parse().expect("valid roll-out ID");
+    // Three hosts lose the platform and all other hosts, so no message reaches them.
     for host in &fleet.hosts[..3] {
         host.platform_proxy.set_fault(Fault::Cut);
         host.peer_proxy.set_fault(Fault::Cut);
     }
-    rollout::apply_verb(&fleet.platform_client, &id, rollout::Verb::Start).expect("a start");
+    rollout::apply_verb(&fleet.platform_client, &id, rollout::Verb::Start)
+        .expect("the roll-out starts");
 
     let stop = Arc::new(AtomicBool::new(false));
     let load: Vec<_> = (0..HOSTS)
@@ -332,87 +354,91 @@
             })
         })
         .collect();
-    wait_for("the end of the bad version", || {
+    wait_for("the abort of the bad version", || {
         let s = fleet.hosts[5].status()?;
         let state = s.rollouts.first()?.state.clone()?;
         (state.phase == RolloutPhase::Aborted).then_some(())
     });
-    let at_stop = fleet.canary_engine.counts().started;
+    let exposed_before_stop = fleet.canary_engine.counts().started;
     fleet.wait_for_hosts("traffic after the stop", |s| {
         s.rollouts.first().is_some_and(|r| r.stable.answered > 50) || s.members.len() < HOSTS
     });
     stop.store(true, Ordering::Release);
-    load.into_iter().for_each(|l| l.join().expect("a caller"));
+    load.into_iter().for_each(|l| l.join().expect("the caller thread does not panic"));
 
-    // The cap is 12 unjudged at a time; a drop of 0.65 is found after 20 ratings.
+    // At most 12 unjudged requests are allowed at a time. A quality drop of 0.65 is detected after 20 ratings.
     let exposed = fleet.canary_engine.counts().started;
-    println!("a bad version answered {exposed} requests, {at_stop} before the stop was written");
-    assert!(exposed <= 12 * 5, "{exposed}");
-    assert!(exposed - at_stop <= 12, "{exposed} after {at_stop}");
+    println!("a bad version answered {exposed} requests, {exposed_before_stop} before the stop was written");
+    assert!(exposed <= 12 * 5, "{exposed} requests reached the bad version");
+    assert!(
+        exposed - exposed_before_stop <= 12,
+        "{exposed} requests in total, {exposed_before_stop} before the stop"
+    );
 }
 
 #[test]
-fn a_killed_host_is_held_dead_and_a_new_life_is_welcome() {
+fn a_killed_host_is_seen_as_dead_and_its_new_incarnation_joins() {
     let mut fleet = fleet();
     fleet.hosts[3].kill();
-    fleet.wait_for_hosts("the death", |s| {
+    fleet.wait_for_hosts("detection of the killed host", |s| {
         let dead = |m: &&tidetrack_core::membership::Member| m.state == MemberState::Dead;
         s.members.iter().filter(dead).count() == 1
     });
-    fleet.start_host(3).expect("a process");
+    fleet.start_host(3).expect("the host starts");
     fleet.wait_until_converged();
-    assert_eq!(ask(&fleet, 3, "back").status, 200);
+    assert_eq!(send_request(&fleet, 3, "back").status, 200);
 }
 
 #[test]
-fn limits_hold_over_the_fleet_under_a_skewed_balancer() {
+fn limits_hold_across_the_fleet_under_a_skewed_load_balancer() {
     let fleet = fleet_with(FleetOptions {
         hosts: HOSTS,
         domains: 4,
         requests_per_second: 70.0,
         ..FleetOptions::default()
     });
-    // A lone caller that waits for each answer offers less than the share of its host on a busy
-    // machine (12 calls a second were seen, none refused), and a second in which it sends nothing
-    // had no count of its own: one call of over a second ended the test before its checks.
+    // A single sequential caller may offer less than its host's share on a busy machine (12 calls per
+    // second, none refused), so there are several. Every second has its own count even if no call begins
+    // in it; otherwise one call longer than a second would end the test before its checks.
     const CALLERS: usize = 6;
     const SECONDS: usize = 8;
     let caller = fleet.hosts[0].caller();
-    let from = Instant::now();
-    let mut passed_by_second = [0_u32; SECONDS];
+    let start = Instant::now();
+    let mut admitted_by_second = [0_u32; SECONDS];
     let mut refused_by_second = [0_u32; SECONDS];
     let mut longest = Duration::ZERO;
     std::thread::scope(|scope| {
         let callers: Vec<_> =
-            (0..CALLERS).map(|_| scope.spawn(|| calls_until(&caller, from, SECONDS))).collect();
-        for (second, took, passed) in callers.into_iter().flat_map(|c| c.join().expect("a caller"))
+            (0..CALLERS).map(|_| scope.spawn(|| calls_until(&caller, start, SECONDS))).collect();
+        for (second, duration, admitted) in
+            callers.into_iter().flat_map(|c| c.join().expect("the caller thread does not panic"))
         {
-            passed_by_second[second] += u32::from(passed);
-            refused_by_second[second] += u32::from(!passed);
-            longest = longest.max(took);
+            admitted_by_second[second] += u32::from(admitted);
+            refused_by_second[second] += u32::from(!admitted);
+            longest = longest.max(duration);
         }
     });
-    let passed: u32 = passed_by_second[4..].iter().sum();
+    let admitted: u32 = admitted_by_second[4..].iter().sum();
     let refused: u32 = refused_by_second[4..].iter().sum();
 
     println!(
-        "all on one host, limit 70: passed by second {passed_by_second:?}, \
+        "all calls to one host, limit 70/s: admitted by second {admitted_by_second:?}, \
          refused {refused_by_second:?}, longest call {longest:?}"
     );
-    // A base share of 10/s for each of 7 hosts; loans move the others' to the busy one, so a call
-    // is refused only where the share with its loans is used.
-    assert!(passed > 4 * 15 || refused == 0, "{passed_by_second:?} {refused_by_second:?}");
-    assert!(passed + refused > 0, "nothing was asked");
-    assert!(passed <= 4 * 70, "{passed_by_second:?}");
+    // Each of the 7 hosts has a base share of 10 requests per second. Loans move the shares of the other hosts
+    // to the busy one, so a call is refused only when the share including its loans is used up.
+    assert!(admitted > 4 * 15 || refused == 0, "{admitted_by_second:?} {refused_by_second:?}");
+    assert!(admitted + refused > 0, "no call was made");
+    assert!(admitted <= 4 * 70, "{admitted_by_second:?}");
 }
 
-/// Calls one after another until `seconds` after `from`: the second each began in, how long it
-/// took, and whether it was passed; what isn't must be refused truthfully.
-fn calls_until(caller: &Caller, from: Instant, seconds: usize) -> Vec<(usize, Duration, bool)> {
+/// Sends sequential calls until `seconds` seconds after `start`. Returns for each call the second in which
+/// it began, its duration and whether it was admitted. A refused call must report that it was not executed.
+fn calls_until(caller: &Caller, start: Instant, seconds: usize) -> Vec<(usize, Duration, bool)> {
     let mut calls = Vec::new();
     loop {
-        let began = from.elapsed();
-        let second = began.as_secs() as usize;
+        let call_start = start.elapsed();
+        let second = call_start.as_secs() as usize;
         if second >= seconds {
             return calls;
         }
@@ -420,6 +446,6 @@
         if reply.status != 200 {
             assert_eq!((reply.code().as_str(), reply.executed()), ("TT-2001", Some(Executed::No)));
         }
-        calls.push((second, from.elapsed() - began, reply.status == 200));
+        calls.push((second, start.elapsed() - call_start, reply.status == 200));
     }
 }
--- a/crates/tidetrack-router/tests/reads.rs
+++ b/crates/tidetrack-router/tests/reads.rs
@@ -1,10 +1,10 @@
-//! How often a host reads what it has read already.
+//! Repeated reads of configuration that a host has already read.
 //!
-//! What users would see: a change of the configuration costs the object API and a small host's link
-//! nearly twice its size, and what follows it waits as long. Order of events: the reader hands a change
-//! to the control thread and asks at once for what follows the revision that traffic decides on, which
-//! is still the one before; the object API answers at once with the same change. Evidence: the bytes
-//! that pass between the host and the object API below. A list was not seen to be read twice.
+//! The first test guards against reading each change nearly twice, which doubles the load on the object API
+//! and on a small host's link and delays later changes. The reader passes a change to the control thread
+//! and immediately requests what follows the revision in force, which is still the previous one, so the
+//! object API returns the same change again. The tests count the bytes between the host and the object API.
+//! The second test checks that a list is not read twice either; that fault has not been observed.
 
 use std::path::Path;
 
@@ -12,32 +12,37 @@
 use tidetrack_testkit::fleet::{Fleet, FleetOptions};
 use tidetrack_wire::platform::config_object_name;
 
-/// Bytes of a large object; the object API takes up to 1 MiB.
-const LARGE: usize = 600_000;
+/// Size of a large object in bytes. The object API accepts up to 1 MiB.
+const LARGE_OBJECT_BYTES: usize = 600_000;
 
-/// Large objects that are written one after the other.
-const OBJECTS: usize = 5;
+/// Number of large objects, written one after another.
+const LARGE_OBJECTS: usize = 5;
 
-/// Bytes of a small object.
-const SMALL: usize = 600;
+/// Size of a small object in bytes.
+const SMALL_OBJECT_BYTES: usize = 600;
 
-/// Small objects that a host begins with.
+/// Number of small objects that exist when a host starts.
 const SMALL_OBJECTS: usize = 1_000;
 
 fn fleet() -> Fleet {
     let options = FleetOptions { hosts: 1, ..FleetOptions::default() };
-    Fleet::start(Path::new(env!("CARGO_BIN_EXE_tidetrack-router")), options).expect("a fleet")
+    Fleet::start(Path::new(env!("CARGO_BIN_EXE_tidetrack-router")), options)
+        .expect("the fleet starts")
 }
 
-/// Writes an object of about so many bytes; gives its version.
+/// Writes an object with a description of `bytes` bytes and returns its version.
 fn write(fleet: &Fleet, n: usize, bytes: usize) -> u64 {
-    let serving = "model@1".parse().expect("a version");
+    let serving = "model@1".parse().expect("valid version");
     let object = Object::Model(Model { serving, description: "x".repeat(bytes) });
     let name = config_object_name(&ObjectKey::new(ObjectKind::Model, format!("model-{bytes}-{n}")));
-    fleet.platform_client.write(&name, 0, &object.to_json()).expect("a write").version
+    fleet
+        .platform_client
+        .write(&name, 0, &object.to_json())
+        .expect("the store accepts the write")
+        .version
 }
 
-fn wait_in_force(fleet: &Fleet, version: u64) {
+fn wait_until_in_force(fleet: &Fleet, version: u64) {
     fleet.wait_for_hosts("the change in force", |status| status.applied_revision >= version);
 }
 
@@ -49,34 +54,37 @@
         fleet.platform_standin.counts().watches,
     );
 
-    for n in 0..OBJECTS {
-        let version = write(&fleet, n, LARGE);
-        wait_in_force(&fleet, version);
+    for n in 0..LARGE_OBJECTS {
+        let version = write(&fleet, n, LARGE_OBJECT_BYTES);
+        wait_until_in_force(&fleet, version);
     }
 
-    let read = (fleet.hosts[0].platform_proxy.transferred_bytes() - before) as f64
-        / (OBJECTS * LARGE) as f64;
+    let read_ratio = (fleet.hosts[0].platform_proxy.transferred_bytes() - before) as f64
+        / (LARGE_OBJECTS * LARGE_OBJECT_BYTES) as f64;
     let watches = fleet.platform_standin.counts().watches - watches;
-    println!("{read:.2} times the changes were read, in {watches} watches");
-    assert!(read < 1.2, "{read} times the changes");
+    println!("bytes read: {read_ratio:.2} times the changes, in {watches} watches");
+    assert!(read_ratio < 1.2, "the host read {read_ratio} times the bytes of the changes");
 }
 
 #[test]
 fn a_host_that_starts_reads_the_list_once() {
     let mut fleet = fleet();
-    let last = (0..SMALL_OBJECTS).map(|n| write(&fleet, n, SMALL)).max().expect("a version");
-    wait_in_force(&fleet, last);
+    let last = (0..SMALL_OBJECTS)
+        .map(|n| write(&fleet, n, SMALL_OBJECT_BYTES))
+        .max()
+        .expect("a version exists");
+    wait_until_in_force(&fleet, last);
     fleet.hosts[0].kill();
     let (before, reads) =
         (fleet.hosts[0].platform_proxy.transferred_bytes(), fleet.platform_standin.counts().reads);
 
-    fleet.start_host(0).expect("a host");
-    wait_in_force(&fleet, last);
+    fleet.start_host(0).expect("the host starts");
+    wait_until_in_force(&fleet, last);
 
-    let read = (fleet.hosts[0].platform_proxy.transferred_bytes() - before) as f64
-        / (SMALL_OBJECTS * SMALL) as f64;
+    let read_ratio = (fleet.hosts[0].platform_proxy.transferred_bytes() - before) as f64
+        / (SMALL_OBJECTS * SMALL_OBJECT_BYTES) as f64;
     let reads = fleet.platform_standin.counts().reads - reads;
-    println!("{read:.2} times the bodies were read, in {reads} gets and lists");
-    // Names, versions and quotes are about a sixth more.
-    assert!(read < 1.6, "{read} times the configuration");
+    println!("bytes read: {read_ratio:.2} times the objects, in {reads} gets and lists");
+    // Names, versions and quotation marks add about one sixth.
+    assert!(read_ratio < 1.6, "the host read {read_ratio} times the bytes of the configuration");
 }
