--- a/crates/tidetrack-bench/src/decisions.rs
+++ b/crates/tidetrack-bench/src/decisions.rs
@@ -123,7 +123,7 @@
     let policy = Policy {
         program: r#"if "tag" in req.tags { "small" } else if req.prompt_chars > 4000 { "strong" } else { #{rungs: ["small", "strong"], accept: 0.83} }"#.into(),
         mode: Mode::Full,
-        fallback: vec!["strong".parse().expect("a valid model name")],
+        fallback: vec!["strong".parse().expect("the model name parses")],
         max_steps: 1_000,
         deadline_ms: 1_000,
         cases: Vec::new(),
@@ -247,14 +247,14 @@
     let mut rng = StdRng::seed_from_u64(seed);
     let stage = |share, cap, judged| Stage { share, cap, judged };
     let spec = Rollout {
-        from: "m@1".parse().expect("a valid version name"),
-        to: "m@2".parse().expect("a valid version name"),
+        from: "m@1".parse().expect("the version name parses"),
+        to: "m@2".parse().expect("the version name parses"),
         stages: vec![stage(0.05, 40, 150), stage(0.25, 100, 600), stage(0.5, 200, 1_500)],
         when_stale: WhenStale::StableOnly,
         stale_ms: 10_000,
     };
     let alive: BTreeSet<Incarnation> =
-        (0..7).map(|i| format!("h{i}~1").parse().expect("a valid incarnation")).collect();
+        (0..7).map(|i| format!("h{i}~1").parse().expect("the incarnation parses")).collect();
     let mut evidence = Evidence::default();
     let mut state = initial_state(1);
     let mut counts_by_host = vec![(VersionCounts::default(), VersionCounts::default()); 7];
@@ -273,7 +273,7 @@
                 }
             }
             let key = |version: &str| EvidenceKey {
-                version: version.parse().expect("a valid version name"),
+                version: version.parse().expect("the version name parses"),
                 generation: 1,
                 observer: host.clone(),
             };
@@ -306,7 +306,7 @@
 
 fn count_unjudged(evidence: &Evidence, counts_by_host: &[(VersionCounts, VersionCounts)]) -> u64 {
     let started: u64 = counts_by_host.iter().map(|(canary, _)| canary.started).sum();
-    let version = "m@2".parse().expect("a valid version name");
+    let version = "m@2".parse().expect("the version name parses");
     started.saturating_sub(evidence.total(&version, 1).judged_count())
 }
 
--- a/crates/tidetrack-bench/src/endpoint_model.rs
+++ b/crates/tidetrack-bench/src/endpoint_model.rs
@@ -117,9 +117,9 @@
 
 fn build_hosts(config: &SimulationConfig) -> Vec<Host> {
     let endpoint = |i| PoolEndpoint {
-        id: format!("e{i}").parse().expect("a valid endpoint name"),
+        id: format!("e{i}").parse().expect("the endpoint name parses"),
         address: String::new(),
-        failure_domain: "d".parse().expect("a valid failure domain name"),
+        failure_domain: "d".parse().expect("the failure domain name parses"),
         state: Arc::new(EndpointState::default()),
     };
     let slots = if config.strategy == PlacementStrategy::Unbounded { 0 } else { SLOTS as u32 };
--- a/crates/tidetrack-bench/src/state.rs
+++ b/crates/tidetrack-bench/src/state.rs
@@ -58,9 +58,9 @@
         let endpoints = (v..replicas).step_by(versions).map(|i| {
             let address = format!("10.{}.{}.{}:8000", i / 65_536, i / 256 % 256, i % 256);
             let failure_domain =
-                format!("d{}", i % 4).parse().expect("a valid failure domain name");
+                format!("d{}", i % 4).parse().expect("the failure domain name parses");
             (
-                format!("replica-{i}").parse().expect("a valid endpoint name"),
+                format!("replica-{i}").parse().expect("the endpoint name parses"),
                 Endpoint { address, failure_domain },
             )
         });
@@ -68,7 +68,7 @@
         put(ObjectKey::new(ObjectKind::Pool, format!("pool-{v}")), Object::Pool(pool));
         let name = format!("model-{v}@1");
         let version = Version {
-            pool: format!("pool-{v}").parse().expect("a valid pool name"),
+            pool: format!("pool-{v}").parse().expect("the pool name parses"),
             generation: 1,
             price_in: Micros(1),
             price_out: Micros(1),
@@ -76,7 +76,7 @@
         };
         put(ObjectKey::new(ObjectKind::Version, &name), Object::Version(version));
         let model = Model {
-            serving: name.parse().expect("a valid version name"),
+            serving: name.parse().expect("the version name parses"),
             description: String::new(),
         };
         put(ObjectKey::new(ObjectKind::Model, format!("model-{v}")), Object::Model(model));
@@ -89,7 +89,7 @@
 
 fn incarnation(n: usize) -> Incarnation {
     Incarnation {
-        host: format!("host-{n}").parse().expect("a valid host name"),
+        host: format!("host-{n}").parse().expect("the host name parses"),
         nonce: rendezvous("life", &n.to_string()),
     }
 }
@@ -99,11 +99,11 @@
 }
 
 fn bill(n: u64) -> Bill {
-    let version = "model-12@3".parse().expect("a valid version name");
+    let version = "model-12@3".parse().expect("the version name parses");
     let line_item = LineItem(version, Tokens(1_200), Tokens(420), Micros(5_300));
     Bill(
         n,
-        "school-north".parse().expect("a valid workspace name"),
+        "school-north".parse().expect("the workspace name parses"),
         vec![line_item],
         BillOutcome::Complete,
     )
@@ -174,7 +174,7 @@
         state: MemberState::Alive,
         peer_address: format!("10.0.{}.{}:9000", n / 256, n % 256),
         caller_address: format!("10.0.{}.{}:8000", n / 256, n % 256),
-        failure_domain: format!("d{}", n % 4).parse().expect("a valid failure domain name"),
+        failure_domain: format!("d{}", n % 4).parse().expect("the failure domain name parses"),
     }
 }
 
@@ -224,7 +224,7 @@
     for entry_count in [1usize, 16, 64] {
         let items: Vec<Item> = (0..entry_count)
             .map(|i| {
-                let version = "model-12@3".parse().expect("a valid version name");
+                let version = "model-12@3".parse().expect("the version name parses");
                 let key = EvidenceKey { version, generation: 1, observer: incarnation(i) };
                 let counts = VersionCounts {
                     started: 1234,
@@ -254,11 +254,11 @@
 
 fn measure_tokens(collector: &mut SeriesCollector) {
     let key_ring = key_ring();
-    let workspace = "school-north".parse().expect("a valid workspace name");
+    let workspace = "school-north".parse().expect("the workspace name parses");
     let session = Session {
         workspace,
-        route: "assistant".parse().expect("a valid route name"),
-        version: "model-12@3".parse().expect("a valid version name"),
+        route: "assistant".parse().expect("the route name parses"),
+        version: "model-12@3".parse().expect("the version name parses"),
         generation: 1,
         nonce: 77,
     };
--- a/crates/tidetrack-bench/src/virtual_fleet/host.rs
+++ b/crates/tidetrack-bench/src/virtual_fleet/host.rs
@@ -45,7 +45,7 @@
         state: MemberState::Alive,
         peer_address: name.to_string(),
         caller_address: name.to_string(),
-        failure_domain: format!("d{domain}").parse().expect("a valid failure domain name"),
+        failure_domain: format!("d{domain}").parse().expect("the failure domain name parses"),
     }
 }
 
@@ -58,12 +58,12 @@
         now: u64,
         host_count: usize,
     ) -> Host {
-        let name: HostId = format!("h{index}").parse().expect("a valid host name");
+        let name: HostId = format!("h{index}").parse().expect("the host name parses");
         let own = member(&name, domain, incarnation_id);
         let incarnation = own.incarnation.clone();
         let mut node = Node::new(own, NodeOptions::default(), incarnation_id);
         let seeds = (0..host_count).map(|i| format!("h{i}"));
-        node.set_seeds(seeds.map(|h| (h.parse().expect("a valid host name"), h)).collect());
+        node.set_seeds(seeds.map(|h| (h.parse().expect("the host name parses"), h)).collect());
         Host {
             name,
             domain,
--- a/crates/tidetrack-bench/src/virtual_fleet/platform.rs
+++ b/crates/tidetrack-bench/src/virtual_fleet/platform.rs
@@ -24,22 +24,22 @@
 }
 
 pub(super) fn stable_version() -> VersionRef {
-    "m@1".parse().expect("a valid version name")
+    "m@1".parse().expect("the version name parses")
 }
 
 pub(super) fn canary_version() -> VersionRef {
-    "m@2".parse().expect("a valid version name")
+    "m@2".parse().expect("the version name parses")
 }
 
 pub(super) fn workspace() -> WorkspaceId {
-    "w".parse().expect("a valid workspace name")
+    "w".parse().expect("the workspace name parses")
 }
 
 pub(super) fn initial_objects() -> Vec<(ObjectKey, Object)> {
     let pool = Pool { endpoints: BTreeMap::new(), slots: 1, fenced: false };
     let version = |_: &str| {
         Object::Version(Version {
-            pool: "p".parse().expect("a valid pool name"),
+            pool: "p".parse().expect("the pool name parses"),
             generation: 1,
             price_in: Micros(1),
             price_out: Micros(1),
--- a/crates/tidetrack-bench/src/virtual_fleet/requests.rs
+++ b/crates/tidetrack-bench/src/virtual_fleet/requests.rs
@@ -26,14 +26,14 @@
         let host = &self.hosts[h];
         let Some(age) = host.node.confirmation_age(now) else { return Ok(()) };
         let Some(caller) = host.view.workspaces.get(&workspace()) else { return Ok(()) };
-        let model = "m".parse().expect("a valid model name");
+        let model = "m".parse().expect("the model name parses");
         let mut chosen =
             host.view.choose_version(caller, &model, random_fraction, Freshness { age });
         if self.schedule.injected_bug == InjectedBug::IgnoredCap && random_fraction < 0.5 {
             chosen = Ok(ChosenVersion {
                 version: canary_version(),
                 generation: 1,
-                pool: "p".parse().expect("a valid pool name"),
+                pool: "p".parse().expect("the pool name parses"),
                 credit: None,
             });
         }
@@ -97,7 +97,7 @@
         for action in self.hosts[h].replicator.poll_actions(now) {
             match action {
                 ReplicatorAction::Hold { holder, batch, call } => {
-                    let to = self.host_index(&holder.parse().expect("a valid host name"));
+                    let to = self.host_index(&holder.parse().expect("the host name parses"));
                     let delay_ms = self.latency().filter(|_| self.is_reachable(h, to));
                     let failed = Event::BillsHeld { host: h, incarnation_id, batch, held: false };
                     self.schedule_event(self.now + CALL_TIMEOUT_MS, failed);
--- a/crates/tidetrack-burn/src/scrape.rs
+++ b/crates/tidetrack-burn/src/scrape.rs
@@ -126,8 +126,8 @@
 
     #[test]
     fn counter_that_restarts_counts_from_zero() {
-        let rows = parse_rows("h", TEXT).expect("rows");
-        let again = parse_rows("h", &TEXT.replace("} 9", "} 4")).expect("rows");
+        let rows = parse_rows("h", TEXT).expect("the metrics rows parse");
+        let again = parse_rows("h", &TEXT.replace("} 9", "} 4")).expect("the metrics rows parse");
         let deltas = deltas(&[Snapshot { at: 0, rows }, Snapshot { at: 10, rows: again }]);
         let good_counts: Vec<f64> =
             deltas.iter().flat_map(|s| &s.rows).filter(|r| r.is_good).map(|r| r.count).collect();
--- a/crates/tidetrack-core/src/bill_replicator/tests.rs
+++ b/crates/tidetrack-core/src/bill_replicator/tests.rs
@@ -5,19 +5,20 @@
 use crate::units::{Micros, Tokens};
 
 fn bill(number: u64) -> Bill {
-    let item = LineItem("m@1".parse().expect("a version"), Tokens(1), Tokens(1), Micros(1));
-    Bill(number, "w".parse().expect("a workspace"), vec![item], BillOutcome::Complete)
+    let item =
+        LineItem("m@1".parse().expect("the version name parses"), Tokens(1), Tokens(1), Micros(1));
+    Bill(number, "w".parse().expect("the workspace name parses"), vec![item], BillOutcome::Complete)
 }
 
 fn holder(incarnation: &str) -> Holder {
     Holder {
-        incarnation: incarnation.parse().expect("an incarnation"),
+        incarnation: incarnation.parse().expect("the incarnation parses"),
         address: incarnation[..1].into(),
     }
 }
 
 fn replicator() -> BillReplicator {
-    BillReplicator::new(Millis(0), "a~1".parse().expect("an incarnation"), Millis(5_000))
+    BillReplicator::new(Millis(0), "a~1".parse().expect("the incarnation parses"), Millis(5_000))
 }
 
 #[test]
@@ -62,7 +63,7 @@
 #[test]
 fn flush_writes_bills_held_for_other_hosts() {
     let mut replicator = replicator();
-    let dead: Incarnation = "d~1".parse().expect("an incarnation");
+    let dead: Incarnation = "d~1".parse().expect("the incarnation parses");
     let call =
         HoldCall { origin: dead.clone(), bills: vec![bill(7)], written: vec![], next_segment: 3 };
     assert!(replicator.hold_for(call));
@@ -101,7 +102,7 @@
     replicator.poll_actions(Millis(1));
     replicator.hold_done(Millis(2), 1, false);
     assert!(matches!(replicator.poll_actions(Millis(102))[..], [ReplicatorAction::Write(_)]));
-    let origin = "a~1".parse().expect("an incarnation");
+    let origin = "a~1".parse().expect("the incarnation parses");
     replicator.write_done(Millis(103), &origin, None);
     assert!(replicator.is_storage_unavailable(Millis(104)));
     assert_eq!(replicator.pending(), 1);
--- a/crates/tidetrack-core/src/change_log.rs
+++ b/crates/tidetrack-core/src/change_log.rs
@@ -112,7 +112,8 @@
 
     #[test]
     fn changes_are_not_sent_back_to_their_source_incarnation() {
-        let incarnation = |n: u64| Incarnation { host: "h".parse().expect("a host"), nonce: n };
+        let incarnation =
+            |n: u64| Incarnation { host: "h".parse().expect("the host name parses"), nonce: n };
         let mut log = ChangeLog::default();
         log.put_from("a", 1, Some(incarnation(1)));
         assert_eq!(log.changes_for(Some(&incarnation(1)), 0).count(), 0);
--- a/crates/tidetrack-core/src/config.rs
+++ b/crates/tidetrack-core/src/config.rs
@@ -462,7 +462,7 @@
     #[test]
     fn keys_round_trip() {
         let key = ObjectKey::new(ObjectKind::RolloutState, "tagger-2");
-        assert_eq!(key.to_string().parse::<ObjectKey>().expect("a key"), key);
+        assert_eq!(key.to_string().parse::<ObjectKey>().expect("the object key parses"), key);
         assert!("gadget/x".parse::<ObjectKey>().is_err());
     }
 }
--- a/crates/tidetrack-core/src/declare.rs
+++ b/crates/tidetrack-core/src/declare.rs
@@ -273,7 +273,8 @@
     use super::*;
 
     fn faults_of(text: &str) -> Vec<Fault> {
-        read_folder(&[("a.toml".to_string(), text.to_string())]).expect_err("faults")
+        read_folder(&[("a.toml".to_string(), text.to_string())])
+            .expect_err("the declarations have faults")
     }
 
     #[test]
--- a/crates/tidetrack-core/src/facts.rs
+++ b/crates/tidetrack-core/src/facts.rs
@@ -79,7 +79,7 @@
 
     #[test]
     fn a_higher_generation_is_not_barred() {
-        let version: VersionRef = "m@1".parse().expect("a version");
+        let version: VersionRef = "m@1".parse().expect("the version name parses");
         let mut facts = Facts::default();
         let fact = Fact { subject: Subject::Withdrawn(version.clone()), generation: 2 };
         assert!(facts.merge(fact.clone()));
--- a/crates/tidetrack-core/src/ids.rs
+++ b/crates/tidetrack-core/src/ids.rs
@@ -290,9 +290,12 @@
 
     #[test]
     fn compound_ids_round_trip() {
-        let id = "room-1.a~ff.12".parse::<RequestId>().expect("a request id");
+        let id = "room-1.a~ff.12".parse::<RequestId>().expect("the request id parses");
         assert_eq!(id.incarnation.host.as_str(), "room-1.a");
         assert_eq!(id.to_string(), "room-1.a~ff.12");
-        assert_eq!("m@1".parse::<VersionRef>().expect("a version").to_string(), "m@1");
+        assert_eq!(
+            "m@1".parse::<VersionRef>().expect("the version name parses").to_string(),
+            "m@1"
+        );
     }
 }
--- a/crates/tidetrack-core/src/ledger.rs
+++ b/crates/tidetrack-core/src/ledger.rs
@@ -283,12 +283,22 @@
     use super::*;
 
     fn bill(number: u64) -> Bill {
-        let item = LineItem("m@1".parse().expect("a version"), Tokens(10), Tokens(5), Micros(7));
-        Bill(number, "w".parse().expect("a workspace"), vec![item], BillOutcome::Complete)
+        let item = LineItem(
+            "m@1".parse().expect("the version name parses"),
+            Tokens(10),
+            Tokens(5),
+            Micros(7),
+        );
+        Bill(
+            number,
+            "w".parse().expect("the workspace name parses"),
+            vec![item],
+            BillOutcome::Complete,
+        )
     }
 
     fn origin() -> Incarnation {
-        "a~1".parse().expect("an incarnation")
+        "a~1".parse().expect("the incarnation parses")
     }
 
     /// Creates a segment if absent and returns the segment that is stored.
@@ -312,12 +322,15 @@
         }
         let totals = sum_segments(api.values());
         assert_eq!(totals.requests, 4);
-        assert_eq!(totals.by_version.values().next().expect("a total").cost, Micros(28));
+        assert_eq!(
+            totals.by_version.values().next().expect("the version has a total").cost,
+            Micros(28)
+        );
     }
 
     #[test]
     fn bill_serializes_as_compact_array() {
-        let text = serde_json::to_string(&bill(12345)).expect("JSON");
+        let text = serde_json::to_string(&bill(12345)).expect("the bill serializes to JSON");
         assert_eq!(text, r#"[12345,"w",[["m@1",10,5,7]],"whole"]"#);
     }
 }
--- a/crates/tidetrack-core/src/limits.rs
+++ b/crates/tidetrack-core/src/limits.rs
@@ -255,7 +255,7 @@
     use super::*;
 
     fn workspace() -> WorkspaceId {
-        "w".parse().expect("a workspace")
+        "w".parse().expect("the workspace name parses")
     }
 
     fn host(hosts: usize) -> Limits {
--- a/crates/tidetrack-core/src/membership.rs
+++ b/crates/tidetrack-core/src/membership.rs
@@ -309,12 +309,12 @@
 
     fn member(host: &str, nonce: u64) -> Member {
         Member {
-            incarnation: Incarnation { host: host.parse().expect("a host"), nonce },
+            incarnation: Incarnation { host: host.parse().expect("the host name parses"), nonce },
             state_version: 1,
             state: MemberState::Alive,
             peer_address: String::new(),
             caller_address: String::new(),
-            failure_domain: "a".parse().expect("a failure domain"),
+            failure_domain: "a".parse().expect("the failure domain parses"),
         }
     }
 
@@ -334,9 +334,14 @@
         let mut old = Members::new(member("y", 1));
         old.merge(Millis(0), Member { state_version: 5, ..member("x", 900) });
         let mut restarted = Members::new(member("x", 3));
-        restarted.merge(Millis(0), old.lookup(&"x".parse().expect("a host")).expect("x").clone());
+        restarted.merge(
+            Millis(0),
+            old.lookup(&"x".parse().expect("the host name parses"))
+                .expect("member x is known")
+                .clone(),
+        );
         assert_eq!(old.merge(Millis(1), restarted.own_member().clone()), MemberUpdate::New);
-        assert!(old.is_gone(&"x~384".parse().expect("an incarnation")));
+        assert!(old.is_gone(&"x~384".parse().expect("the incarnation parses")));
     }
 
     #[test]
@@ -351,7 +356,7 @@
                 }
                 for link in members.links() {
                     let j = names.iter().position(|n| *n == link.incarnation.host.as_str());
-                    edges.push((i, j.expect("a known host")));
+                    edges.push((i, j.expect("the edge leads to a known host")));
                 }
             }
             let mut reached: BTreeSet<usize> = [0].into();
--- a/crates/tidetrack-core/src/node/mod.rs
+++ b/crates/tidetrack-core/src/node/mod.rs
@@ -307,12 +307,12 @@
 
     fn node(host: &str) -> Node {
         let own = Member {
-            incarnation: format!("{host}~1").parse().expect("an incarnation"),
+            incarnation: format!("{host}~1").parse().expect("the incarnation parses"),
             state_version: 1,
             state: MemberState::Alive,
             peer_address: host.to_string(),
             caller_address: String::new(),
-            failure_domain: "a".parse().expect("a failure domain"),
+            failure_domain: "a".parse().expect("the failure domain parses"),
         };
         Node::new(own, NodeOptions::default(), 1)
     }
@@ -330,7 +330,7 @@
 
     fn connected_pair() -> (Node, Node) {
         let (mut a, mut b) = (node("a"), node("b"));
-        a.set_seeds([("b".parse().expect("a host"), "b".to_string())].into());
+        a.set_seeds([("b".parse().expect("the host name parses"), "b".to_string())].into());
         exchange_between(Millis(10_000), &mut a, &mut b);
         (a, b)
     }
@@ -351,21 +351,31 @@
     #[test]
     fn facts_spread_between_hosts_without_the_platform() {
         let (mut a, mut b) = connected_pair();
-        let subject = Subject::Withdrawn("m@1".parse().expect("a version"));
+        let subject = Subject::Withdrawn("m@1".parse().expect("the version name parses"));
         b.add_fact(Fact { subject: subject.clone(), generation: 1 });
         exchange_between(Millis(12_100), &mut a, &mut b);
-        assert!(a.facts.is_version_barred(&"m@1".parse().expect("a version"), 1));
+        assert!(a.facts.is_version_barred(&"m@1".parse().expect("the version name parses"), 1));
     }
 
     #[test]
     fn confirmation_age_counts_from_the_request() {
         let (mut a, mut b) = connected_pair();
         b.on_list(Millis(10_500), 7, vec![]);
-        let message =
-            a.message_for(Millis(11_000), &"b".parse().expect("a host"), vec![], SMALL_DELTA_ONLY);
+        let message = a.message_for(
+            Millis(11_000),
+            &"b".parse().expect("the host name parses"),
+            vec![],
+            SMALL_DELTA_ONLY,
+        );
         let nonce = message.nonce;
         let reply = b.on_exchange(Millis(11_500), message);
-        a.on_reply(Millis(60_000), &"b".parse().expect("a host"), Millis(11_000), nonce, reply);
+        a.on_reply(
+            Millis(60_000),
+            &"b".parse().expect("the host name parses"),
+            Millis(11_000),
+            nonce,
+            reply,
+        );
         assert_eq!(a.confirmed_at(), Some(Millis(10_000)));
     }
 
@@ -406,10 +416,10 @@
     #[test]
     fn a_silent_host_becomes_suspect_and_then_dead() {
         let (mut a, _) = connected_pair();
-        let b: HostId = "b".parse().expect("a host");
+        let b: HostId = "b".parse().expect("the host name parses");
         a.tick(Millis(15_000));
-        assert_eq!(a.members.lookup(&b).expect("b").state, MemberState::Suspect);
+        assert_eq!(a.members.lookup(&b).expect("member b is known").state, MemberState::Suspect);
         a.tick(Millis(19_100));
-        assert_eq!(a.members.lookup(&b).expect("b").state, MemberState::Dead);
+        assert_eq!(a.members.lookup(&b).expect("member b is known").state, MemberState::Dead);
     }
 }
--- a/crates/tidetrack-core/src/policy.rs
+++ b/crates/tidetrack-core/src/policy.rs
@@ -178,7 +178,7 @@
         Policy {
             program: program.into(),
             mode: Mode::Full,
-            fallback: vec!["small".parse().expect("a model")],
+            fallback: vec!["small".parse().expect("the model name parses")],
             max_steps: 2_000,
             deadline_ms: 1_000,
             cases: vec![],
@@ -193,8 +193,8 @@
     fn a_program_reads_the_request() {
         let source = r#"if "tag" in req.tags { "small" } else { #{rungs: ["small", "strong"], accept: 0.7} }"#;
         let tagged = Features { tags: vec!["tag".into()], ..Features::default() };
-        assert_eq!(decide(source, &tagged).expect("a plan").rungs.len(), 1);
-        let plan = decide(source, &Features::default()).expect("a plan");
+        assert_eq!(decide(source, &tagged).expect("the policy returns a plan").rungs.len(), 1);
+        let plan = decide(source, &Features::default()).expect("the policy returns a plan");
         assert_eq!((plan.rungs.len(), plan.accept), (2, Some(0.7)));
     }
 
--- a/crates/tidetrack-core/src/rollout.rs
+++ b/crates/tidetrack-core/src/rollout.rs
@@ -155,7 +155,7 @@
         })
         .collect();
     for _ in 0..grantable {
-        let fewest = unspent.iter_mut().min().expect("there is a participant");
+        let fewest = unspent.iter_mut().min().expect("the roll-out has a participant");
         fewest.0 += 1;
         *next.granted.entry(fewest.1.clone()).or_default() += 1;
     }
@@ -187,8 +187,8 @@
     fn spec() -> Rollout {
         let stage = |share, cap, judged| Stage { share, cap, judged };
         Rollout {
-            from: "m@1".parse().expect("a version"),
-            to: "m@2".parse().expect("a version"),
+            from: "m@1".parse().expect("the version name parses"),
+            to: "m@2".parse().expect("the version name parses"),
             stages: vec![stage(0.1, 20, 50), stage(0.5, 80, 200)],
             when_stale: WhenStale::StableOnly,
             stale_ms: 10_000,
@@ -196,7 +196,7 @@
     }
 
     fn alive(n: usize) -> BTreeSet<Incarnation> {
-        (0..n).map(|i| format!("h{i}~1").parse().expect("an incarnation")).collect()
+        (0..n).map(|i| format!("h{i}~1").parse().expect("the incarnation parses")).collect()
     }
 
     fn context<'a>(
@@ -224,9 +224,9 @@
 
     fn key_of(version: &str, host: &str) -> EvidenceKey {
         EvidenceKey {
-            version: version.parse().expect("a version"),
+            version: version.parse().expect("the version name parses"),
             generation: 1,
-            observer: host.parse().expect("an incarnation"),
+            observer: host.parse().expect("the incarnation parses"),
         }
     }
 
@@ -234,12 +234,13 @@
     fn grants_stay_within_the_cap_and_grow_with_judged_responses() {
         let (spec, alive) = (spec(), alive(7));
         let mut evidence = Evidence::default();
-        let first =
-            next_state(&context(&spec, &evidence, &alive), &initial_state(1)).expect("grants");
+        let first = next_state(&context(&spec, &evidence, &alive), &initial_state(1))
+            .expect("the first grants are due");
         assert_eq!(max_unjudged(&first), 20);
         assert_eq!(next_state(&context(&spec, &evidence, &alive), &first), None);
         evidence.merge(key_of("m@2", "h1~1"), &rated(10, 0.8));
-        let second = next_state(&context(&spec, &evidence, &alive), &first).expect("more grants");
+        let second =
+            next_state(&context(&spec, &evidence, &alive), &first).expect("further grants are due");
         assert_eq!(max_unjudged(&second), 20);
     }
 
@@ -249,15 +250,16 @@
         let mut evidence = Evidence::default();
         evidence.merge(key_of("m@1", "h0~1"), &rated(300, 0.8));
         evidence.merge(key_of("m@2", "h1~1"), &rated(60, 0.8));
-        let next =
-            next_state(&context(&spec, &evidence, &alive), &initial_state(1)).expect("a stage");
+        let next = next_state(&context(&spec, &evidence, &alive), &initial_state(1))
+            .expect("the next stage is due");
         assert_eq!(next.stage, 1);
         let mut bad = evidence.clone();
         bad.merge(key_of("m@2", "h2~1"), &rated(200, 0.2));
-        let stopped = next_state(&context(&spec, &bad, &alive), &next).expect("an end");
+        let stopped = next_state(&context(&spec, &bad, &alive), &next).expect("the roll-out ends");
         assert_eq!(stopped.phase, RolloutPhase::Aborted);
         evidence.merge(key_of("m@2", "h2~1"), &rated(200, 0.8));
-        let done = next_state(&context(&spec, &evidence, &alive), &next).expect("an end");
+        let done =
+            next_state(&context(&spec, &evidence, &alive), &next).expect("the roll-out ends");
         assert_eq!(done.phase, RolloutPhase::Done);
     }
 
--- a/crates/tidetrack-core/src/session.rs
+++ b/crates/tidetrack-core/src/session.rs
@@ -76,9 +76,9 @@
 
     fn session() -> Session {
         Session {
-            workspace: "w".parse().expect("a workspace"),
-            route: "chat.v2".parse().expect("a route"),
-            version: "m@1.5".parse().expect("a version"),
+            workspace: "w".parse().expect("the workspace name parses"),
+            route: "chat.v2".parse().expect("the route name parses"),
+            version: "m@1.5".parse().expect("the version name parses"),
             generation: 3,
             nonce: 0xabc,
         }
@@ -87,10 +87,11 @@
     #[test]
     fn tokens_are_accepted_only_for_their_workspace() {
         let token = session().to_token(&key_ring("k"));
-        let workspace = "w".parse().expect("a workspace");
-        let other = "v".parse().expect("a workspace");
+        let workspace = "w".parse().expect("the workspace name parses");
+        let other = "v".parse().expect("the workspace name parses");
         assert_eq!(
-            Session::from_token(&token, &workspace, &key_ring("k")).expect("a session"),
+            Session::from_token(&token, &workspace, &key_ring("k"))
+                .expect("the session token is accepted"),
             session()
         );
         assert!(Session::from_token(&token, &other, &key_ring("k")).is_err());
@@ -100,11 +101,11 @@
     #[test]
     fn modified_tokens_are_rejected() {
         let token = session().to_token(&key_ring("k"));
-        let workspace = "w".parse().expect("a workspace");
+        let workspace = "w".parse().expect("the workspace name parses");
         for i in 0..token.len() {
             let mut bytes = token.clone().into_bytes();
             bytes[i] = if bytes[i] == b'1' { b'2' } else { b'1' };
-            let forged = String::from_utf8(bytes).expect("ASCII");
+            let forged = String::from_utf8(bytes).expect("the forged token is UTF-8");
             assert!(Session::from_token(&forged, &workspace, &key_ring("k")).is_err(), "{forged}");
         }
     }
--- a/crates/tidetrack-core/src/store.rs
+++ b/crates/tidetrack-core/src/store.rs
@@ -181,7 +181,7 @@
         store.merge(delta(0, 5, vec![entry("m", 5, None)]));
         assert!(!store.merge(delta(0, 4, vec![entry("m", 4, Some("{}"))])));
         let key = ObjectKey::new(ObjectKind::Model, "m");
-        assert_eq!(store.lookup(&key).expect("an entry").version, 5);
+        assert_eq!(store.lookup(&key).expect("the entry is in the store").version, 5);
     }
 
     #[test]
@@ -200,7 +200,7 @@
         store.merge_list(5, vec![entry("a", 3, Some("{}")), entry("b", 5, Some("{}"))]);
         store.merge_list(8, vec![entry("b", 5, Some("{}"))]);
         let key = ObjectKey::new(ObjectKind::Model, "a");
-        assert_eq!(store.lookup(&key).expect("an entry").body, None);
+        assert_eq!(store.lookup(&key).expect("the entry is in the store").body, None);
     }
 
     #[test]
--- a/crates/tidetrack-core/src/tickets.rs
+++ b/crates/tidetrack-core/src/tickets.rs
@@ -224,20 +224,23 @@
     use super::*;
 
     fn registry() -> TicketRegistry {
-        let incarnation = "a~1".parse().expect("an incarnation");
+        let incarnation = "a~1".parse().expect("the incarnation parses");
         TicketRegistry::new(incarnation, TicketOptions::default())
     }
 
     fn workspace() -> WorkspaceId {
-        "w".parse().expect("a workspace")
+        "w".parse().expect("the workspace name parses")
     }
 
     #[test]
     fn ticket_executes_once_then_replays_response() {
         let mut registry = registry();
-        let ticket = registry.issue(Millis(0), &workspace()).expect("a ticket");
+        let ticket = registry.issue(Millis(0), &workspace()).expect("a ticket is issued");
         assert_eq!(registry.admit(Millis(1), &ticket), Ok(TicketAdmission::Execute));
-        assert_eq!(registry.admit(Millis(1), &ticket).expect_err("spent").code, Code::TicketSpent);
+        assert_eq!(
+            registry.admit(Millis(1), &ticket).expect_err("a spent ticket is refused").code,
+            Code::TicketSpent
+        );
         let response = StoredResponse { status: 200, body: Some(b"ok".to_vec()) };
         registry.record_outcome(Millis(2), &ticket, Some(response.clone()));
         assert_eq!(registry.admit(Millis(3), &ticket), Ok(TicketAdmission::Replay(response)));
@@ -246,21 +249,27 @@
     #[test]
     fn removed_ticket_is_not_executed() {
         let mut registry = registry();
-        let ticket = registry.issue(Millis(0), &workspace()).expect("a ticket");
+        let ticket = registry.issue(Millis(0), &workspace()).expect("a ticket is issued");
         registry.remove_expired(Millis(1_000_000));
         assert!(registry.is_empty());
         assert_eq!(
-            registry.admit(Millis(1_000_001), &ticket).expect_err("gone").executed,
+            registry
+                .admit(Millis(1_000_001), &ticket)
+                .expect_err("a ticket that is gone is refused")
+                .executed,
             Executed::Unknown
         );
     }
 
     #[test]
     fn ticket_of_another_incarnation_is_rejected() {
-        let ticket = registry().issue(Millis(0), &workspace()).expect("a ticket");
-        let next_incarnation = "a~2".parse().expect("an incarnation");
+        let ticket = registry().issue(Millis(0), &workspace()).expect("a ticket is issued");
+        let next_incarnation = "a~2".parse().expect("the incarnation parses");
         let mut next = TicketRegistry::new(next_incarnation, TicketOptions::default());
-        next.issue(Millis(0), &workspace()).expect("a ticket of the same number");
-        assert_eq!(next.admit(Millis(1), &ticket).expect_err("gone").code, Code::TicketGone);
+        next.issue(Millis(0), &workspace()).expect("a ticket of the same number is issued");
+        assert_eq!(
+            next.admit(Millis(1), &ticket).expect_err("a ticket that is gone is refused").code,
+            Code::TicketGone
+        );
     }
 }
--- a/crates/tidetrack-core/src/traffic/fingerprint.rs
+++ b/crates/tidetrack-core/src/traffic/fingerprint.rs
@@ -98,7 +98,7 @@
     use super::*;
 
     fn fingerprint_of(workspace: &str, path: &str, body: &str) -> Fingerprint {
-        let workspace = workspace.parse().expect("a name");
+        let workspace = workspace.parse().expect("the workspace name parses");
         Fingerprint::of(&RequestIdentity {
             workspace: Some(&workspace),
             hostname: "shop.example",
@@ -126,7 +126,7 @@
         let fingerprint = fingerprint_of("north", "/a", "b");
 
         assert_eq!(
-            fingerprint.to_string().parse::<Fingerprint>().expect("a fingerprint"),
+            fingerprint.to_string().parse::<Fingerprint>().expect("the fingerprint parses"),
             fingerprint
         );
         assert!("1-22".parse::<Fingerprint>().is_err());
--- a/crates/tidetrack-core/src/traffic/reachability.rs
+++ b/crates/tidetrack-core/src/traffic/reachability.rs
@@ -156,8 +156,10 @@
     }
 
     fn fixture() -> Fixture {
-        let endpoint = |n| (format!("e-{n}").parse().expect("a name"), Arc::default());
-        let tracker = ReachabilityTracker::new(LOCAL_DOMAIN.parse().expect("a name"));
+        let endpoint =
+            |n| (format!("e-{n}").parse().expect("the endpoint id parses"), Arc::default());
+        let tracker =
+            ReachabilityTracker::new(LOCAL_DOMAIN.parse().expect("the failure domain parses"));
         Fixture { tracker, domain: LOCAL_DOMAIN, endpoints: (0..4).map(endpoint).collect() }
     }
 
@@ -170,7 +172,7 @@
             last_prompt_at: Option<Millis>,
         ) -> FailureCause {
             let (endpoint, live) = self.endpoints[n].clone();
-            let failure_domain = self.domain.parse().expect("a name");
+            let failure_domain = self.domain.parse().expect("the failure domain parses");
             let began = Millis(now.0 - CONNECT_TIMEOUT.0);
             let connect = FailedConnect { endpoint, failure_domain, live, began, ended: now };
             self.tracker.record_failed_connect(connect, last_prompt_at)
--- a/crates/tidetrack-core/src/units.rs
+++ b/crates/tidetrack-core/src/units.rs
@@ -140,7 +140,7 @@
 
     #[test]
     fn units_round_trip_as_text() {
-        assert_eq!("250 ms".parse::<Millis>().expect("a span"), Millis(250));
+        assert_eq!("250 ms".parse::<Millis>().expect("the duration parses"), Millis(250));
         assert_eq!(Millis(250).to_string(), "250 ms");
         assert!("soon".parse::<Millis>().is_err());
     }
@@ -148,7 +148,10 @@
     #[test]
     fn bandwidth_converts_to_bytes() {
         assert_eq!(Bandwidth(10.0).bytes_in(Millis(200)), 250_000);
-        assert_eq!("200 Mbit/s".parse::<Bandwidth>().expect("a bandwidth"), Bandwidth(200.0));
+        assert_eq!(
+            "200 Mbit/s".parse::<Bandwidth>().expect("the bandwidth parses"),
+            Bandwidth(200.0)
+        );
     }
 
     #[test]
--- a/crates/tidetrack-core/tests/bill_replicator.rs
+++ b/crates/tidetrack-core/tests/bill_replicator.rs
@@ -15,13 +15,19 @@
 const PENDING_BILLS: u64 = 5_000;
 
 fn bill(number: u64) -> Bill {
-    let line_item = LineItem("m@1".parse().expect("a version"), Tokens(1), Tokens(1), Micros(1));
-    Bill(number, "w".parse().expect("a workspace"), vec![line_item], BillOutcome::Complete)
+    let line_item =
+        LineItem("m@1".parse().expect("the version name parses"), Tokens(1), Tokens(1), Micros(1));
+    Bill(
+        number,
+        "w".parse().expect("the workspace name parses"),
+        vec![line_item],
+        BillOutcome::Complete,
+    )
 }
 
 fn holder(incarnation: &str) -> Holder {
     Holder {
-        incarnation: incarnation.parse().expect("an incarnation"),
+        incarnation: incarnation.parse().expect("the incarnation parses"),
         address: incarnation[..1].into(),
     }
 }
@@ -41,7 +47,7 @@
 
 /// Returns a replicator whose bills are all held by `b`, at 1,000 ms.
 fn replicator_with_held_bills() -> BillReplicator {
-    let origin: Incarnation = "a~1".parse().expect("an incarnation");
+    let origin: Incarnation = "a~1".parse().expect("the incarnation parses");
     // No segment is written, as if the object API were unreachable.
     let mut replicator = BillReplicator::new(Millis(0), origin, Millis(1_000_000));
     replicator.set_holders(vec![holder("b~1")]);
@@ -130,7 +136,7 @@
 
 #[test]
 fn bills_of_a_failed_host_are_forwarded_in_limited_calls_and_each_once() {
-    let failed_origin: Incarnation = "g~1".parse().expect("an incarnation");
+    let failed_origin: Incarnation = "g~1".parse().expect("the incarnation parses");
     let mut replicator = replicator_with_bills_of(&failed_origin);
     fail_segment_write(&mut replicator, &failed_origin);
 
@@ -154,7 +160,7 @@
 
 #[test]
 fn a_failed_forward_call_is_retried_with_fewer_bills() {
-    let failed_origin: Incarnation = "g~1".parse().expect("an incarnation");
+    let failed_origin: Incarnation = "g~1".parse().expect("the incarnation parses");
     let mut replicator = replicator_with_bills_of(&failed_origin);
     fail_segment_write(&mut replicator, &failed_origin);
     let actions = replicator.poll_actions(Millis(2_000));
--- a/crates/tidetrack-core/tests/cold_start.rs
+++ b/crates/tidetrack-core/tests/cold_start.rs
@@ -162,8 +162,8 @@
     let after_rollouts =
         fleet_state.handle_input(Millis(13), caught_up_input(FeedKind::Rollouts, 10), &freshness);
 
-    let view_before_rollouts = last_published_view(&after_list).expect("a view");
-    let view_after_rollouts = last_published_view(&after_rollouts).expect("a view");
+    let view_before_rollouts = last_published_view(&after_list).expect("a view is published");
+    let view_after_rollouts = last_published_view(&after_rollouts).expect("a view is published");
     assert!(!view_before_rollouts.has_endpoints && view_before_rollouts.services.is_empty());
     assert!(
         view_after_rollouts.has_endpoints && view_after_rollouts.services.contains_key(&id("llm"))
@@ -184,6 +184,6 @@
         &freshness,
     );
 
-    let view = last_published_view(&actions).expect("a view");
+    let view = last_published_view(&actions).expect("a view is published");
     assert!(view.has_endpoints && view.services.contains_key(&id("llm")));
 }
--- a/crates/tidetrack-core/tests/feeds.rs
+++ b/crates/tidetrack-core/tests/feeds.rs
@@ -21,7 +21,7 @@
 const REPORT_INTERVAL_MS: u64 = 50;
 
 fn reporting_host() -> SocketAddr {
-    "10.1.0.7:7340".parse().expect("an address")
+    "10.1.0.7:7340".parse().expect("the address parses")
 }
 
 /// Returns the feeds of a host that knows all changes of the configuration up to revision 10.
@@ -78,7 +78,7 @@
         }
     });
 
-    let second_fetch = fetches.get(1).expect("a second fetch");
+    let second_fetch = fetches.get(1).expect("a second fetch is made");
     assert!((800..=900).contains(&second_fetch.0), "{fetches:?}");
 }
 
@@ -254,8 +254,10 @@
     ));
 
     let publishes_catalog = |a: &Action| matches!(a, Action::PublishView(view) if view.catalog.as_ref().is_some_and(|c| c.version == 4));
-    let published_at =
-        actions.iter().position(publishes_catalog).expect("a view with the configuration");
+    let published_at = actions
+        .iter()
+        .position(publishes_catalog)
+        .expect("a view with the configuration is published");
     let confirmed_at = actions.iter().position(|a| matches!(a, Action::ConfigConfirmed(Millis(5))));
     assert!(confirmed_at.is_some_and(|confirmed_at| confirmed_at > published_at), "{actions:?}");
 }
@@ -284,7 +286,7 @@
         last_view = last_published_view(&actions).or(last_view);
     }
 
-    let last_view = last_view.expect("a view without the entry");
+    let last_view = last_view.expect("a view without the entry is published");
     let endpoints = last_view.services[&id::<ServiceId>("llm")].stable_pool.endpoints();
     assert!(
         endpoints.iter().all(|e| e.id != id::<EndpointId>("o1")),
--- a/crates/tidetrack-core/tests/placement.rs
+++ b/crates/tidetrack-core/tests/placement.rs
@@ -11,9 +11,9 @@
 
 fn pool(n: usize) -> PoolView {
     let endpoint = |i| PoolEndpoint {
-        id: format!("e{i}").parse().expect("a valid endpoint id"),
+        id: format!("e{i}").parse().expect("the endpoint id parses"),
         address: String::new(),
-        failure_domain: "a".parse().expect("a valid failure domain"),
+        failure_domain: "a".parse().expect("the failure domain parses"),
         state: Arc::default(),
     };
     PoolView::new((0..n).map(endpoint).collect(), 16)
@@ -167,7 +167,7 @@
 fn pool_of_domains(n: usize) -> PoolView {
     let mut endpoints = pool(n).endpoints().to_vec();
     for (i, e) in endpoints.iter_mut().enumerate() {
-        e.failure_domain = ["a", "b", "c"][i % 3].parse().expect("a valid failure domain");
+        e.failure_domain = ["a", "b", "c"][i % 3].parse().expect("the failure domain parses");
     }
     PoolView::new(endpoints, 16)
 }
@@ -175,7 +175,7 @@
 #[test]
 fn the_own_failure_domain_is_preferred_until_crossing_to_another_is_cheaper() {
     let pool = pool_of_domains(12);
-    let own_domain = "b".parse().expect("a valid failure domain");
+    let own_domain = "b".parse().expect("the failure domain parses");
     let locality = locality_in(&own_domain);
     let request =
         |ring_position| PlacementRequest { locality, ..request_with_prefix(ring_position, 100) };
@@ -199,7 +199,7 @@
 #[test]
 fn a_loaded_home_endpoint_in_a_large_pool_is_replaced_by_one_of_the_own_failure_domain() {
     let pool = pool_of_domains(150);
-    let own_domain = "b".parse().expect("a valid failure domain");
+    let own_domain = "b".parse().expect("the failure domain parses");
     let locality = locality_in(&own_domain);
     let request = |salt| PlacementRequest { locality, salt, ..request_with_prefix(77, 100) };
     for _ in 0..2 {
@@ -228,7 +228,7 @@
 #[test]
 fn an_endpoint_known_to_hold_a_prefix_is_preferred_over_the_ring() {
     let pool = pool_of_domains(12);
-    let own_domain = "b".parse().expect("a valid failure domain");
+    let own_domain = "b".parse().expect("the failure domain parses");
     let locality = locality_in(&own_domain);
     let request = |prefix_holders| PlacementRequest {
         locality,
--- a/crates/tidetrack-core/tests/prefixes.rs
+++ b/crates/tidetrack-core/tests/prefixes.rs
@@ -8,11 +8,11 @@
 const ROUND_INTERVAL: Millis = Millis(500);
 
 fn endpoint(name: &str) -> EndpointKey {
-    EndpointKey::from(&name.parse::<EndpointId>().expect("a valid name"))
+    EndpointKey::from(&name.parse::<EndpointId>().expect("the name parses"))
 }
 
 fn prefix_key(prefix: &str, model: &str) -> PrefixKey {
-    let model: ModelId = model.parse().expect("a valid name");
+    let model: ModelId = model.parse().expect("the name parses");
     PrefixKey::new(prefix, Some(&model))
 }
 
--- a/crates/tidetrack-core/tests/properties.rs
+++ b/crates/tidetrack-core/tests/properties.rs
@@ -42,7 +42,7 @@
         lines.insert(line + 1, &extra_field);
         let is_known_field = ["slots", "fenced", "endpoints"].iter().any(|k| extra_field.starts_with(k));
         if !is_known_field {
-            let faults = read_folder(&[("x.toml".to_string(), lines.join("\n"))]).expect_err("faults");
+            let faults = read_folder(&[("x.toml".to_string(), lines.join("\n"))]).expect_err("the declarations have faults");
             prop_assert_eq!(faults[0].line, line + 2);
         }
     }
@@ -53,27 +53,27 @@
         generation: u64, nonce: u64,
     ) {
         let session = Session {
-            workspace: workspace.parse().expect("a workspace"),
-            route: route.parse().expect("a route"),
-            version: format!("{model}@{version}").parse().expect("a version"),
+            workspace: workspace.parse().expect("the workspace name parses"),
+            route: route.parse().expect("the route name parses"),
+            version: format!("{model}@{version}").parse().expect("the version name parses"),
             generation,
             nonce,
         };
         let token = session.to_token(&key_ring());
         let decoded = Session::from_token(&token, &session.workspace, &key_ring());
-        prop_assert_eq!(decoded.expect("a session"), session);
+        prop_assert_eq!(decoded.expect("the session token is accepted"), session);
         if other != workspace {
-            let other = other.parse().expect("a workspace");
+            let other = other.parse().expect("the workspace name parses");
             prop_assert!(Session::from_token(&token, &other, &key_ring()).is_err());
         }
     }
 
     #[test]
     fn arbitrary_text_is_no_token_and_request_ids_round_trip(text in "\\PC{0,120}") {
-        let workspace = "w".parse().expect("a workspace");
+        let workspace = "w".parse().expect("the workspace name parses");
         prop_assert!(Session::from_token(&text, &workspace, &key_ring()).is_err());
         if let Ok(id) = text.parse::<RequestId>() {
-            prop_assert_eq!(id.to_string().parse::<RequestId>().expect("an id"), id);
+            prop_assert_eq!(id.to_string().parse::<RequestId>().expect("the request id parses"), id);
         }
     }
 
@@ -109,13 +109,13 @@
     fn totals_count_each_bill_once_however_segments_overlap(
         segments in proptest::collection::vec(proptest::collection::vec(0u64..40, 0..20), 0..8),
     ) {
-        let bill = |n: u64| Bill(n, "w".parse().expect("a workspace"), Vec::new(), BillOutcome::Complete);
+        let bill = |n: u64| Bill(n, "w".parse().expect("the workspace name parses"), Vec::new(), BillOutcome::Complete);
         let distinct_numbers: std::collections::BTreeSet<u64> = segments.iter().flatten().copied().collect();
         let segments: Vec<Segment> = segments
             .into_iter()
             .enumerate()
             .map(|(number, numbers)| Segment {
-                origin: "h~1".parse().expect("an incarnation"),
+                origin: "h~1".parse().expect("the incarnation parses"),
                 number: number as u64,
                 bills: numbers.into_iter().map(bill).collect(),
             })
@@ -128,7 +128,7 @@
         let policy = tidetrack_core::config::Policy {
             program: text,
             mode: tidetrack_core::config::Mode::Full,
-            fallback: vec!["m".parse().expect("a model")],
+            fallback: vec!["m".parse().expect("the model name parses")],
             max_steps: 500,
             deadline_ms: 1,
             cases: Vec::new(),
--- a/crates/tidetrack-core/tests/slow_link.rs
+++ b/crates/tidetrack-core/tests/slow_link.rs
@@ -42,7 +42,7 @@
 const CLOCK_START_MS: u64 = 1_000_000;
 
 fn host_id(i: usize) -> HostId {
-    format!("h{i}").parse().expect("a host")
+    format!("h{i}").parse().expect("the host name parses")
 }
 
 fn host_index(host: &HostId) -> usize {
@@ -51,12 +51,12 @@
 
 fn node(i: usize) -> Node {
     let member = Member {
-        incarnation: format!("h{i}~1").parse().expect("an incarnation"),
+        incarnation: format!("h{i}~1").parse().expect("the incarnation parses"),
         state_version: 1,
         state: MemberState::Alive,
         peer_address: format!("h{i}"),
         caller_address: String::new(),
-        failure_domain: format!("d{}", i % 3).parse().expect("a failure domain"),
+        failure_domain: format!("d{}", i % 3).parse().expect("the failure domain parses"),
     };
     let mut node = Node::new(member, NodeOptions::default(), i as u64);
     node.set_seeds((0..HOSTS).map(|h| (host_id(h), format!("h{h}"))).collect());
@@ -81,12 +81,12 @@
 /// started request. Its sender exchanges messages with nobody else.
 fn evidence(count: u64) -> Exchange {
     let evidence_item = |n: u64| {
-        let observer = format!("host-{n:04}~1").parse().expect("an incarnation");
+        let observer = format!("host-{n:04}~1").parse().expect("the incarnation parses");
         let counts = VersionCounts { started: 1, ..VersionCounts::default() };
         Item::Evidence(EvidenceKey { version: version(), generation: 1, observer }, counts)
     };
     Exchange {
-        from: "x~1".parse().expect("an incarnation"),
+        from: "x~1".parse().expect("the incarnation parses"),
         nonce: 1,
         after_seq: 0,
         last_seq: count,
@@ -103,7 +103,7 @@
 }
 
 fn version() -> VersionRef {
-    "m@1".parse().expect("a version")
+    "m@1".parse().expect("the version name parses")
 }
 
 /// A message that is being transferred.
--- a/crates/tidetrack-core/tests/support/fleet.rs
+++ b/crates/tidetrack-core/tests/support/fleet.rs
@@ -443,7 +443,7 @@
             FetchSource::Host(address) => {
                 let sender =
                     host_index_of(address).filter(|host_index| *host_index < self.hosts.len());
-                let sender = sender.expect("a host of the fleet");
+                let sender = sender.expect("the sender is a host of the fleet");
                 let is_responsive = !self.unresponsive.contains(&sender);
                 (
                     LinkEnd::Host(sender),
@@ -556,7 +556,7 @@
         hold_time: Millis,
     ) -> ReleaseTrack {
         let host = &self.hosts[host_index];
-        let view = host.view.as_ref().expect("a view");
+        let view = host.view.as_ref().expect("the host has a view");
         let service = &view.services[&id::<ServiceId>("llm")];
         let track = service.side(Millis(self.now), session, hold_time);
         if track == ReleaseTrack::Canary {
--- a/crates/tidetrack-core/tests/support/mod.rs
+++ b/crates/tidetrack-core/tests/support/mod.rs
@@ -25,7 +25,7 @@
 
 /// Parses a name or identifier.
 pub fn id<T: std::str::FromStr<Err: std::fmt::Debug>>(text: &str) -> T {
-    text.parse().expect("a valid name")
+    text.parse().expect("the name parses")
 }
 
 pub fn route(name: &str, prefix: &str) -> Route {
@@ -74,7 +74,7 @@
     EndpointRecord {
         id: id(name),
         service: id("llm"),
-        address: "10.0.0.1:80".parse().expect("an address"),
+        address: "10.0.0.1:80".parse().expect("the address parses"),
         failure_domain: id("a"),
         version: id(version),
         slots: 8,
@@ -101,7 +101,9 @@
 pub fn host(host_number: u32) -> (HostId, SocketAddr) {
     (
         id(&format!("h{host_number}")),
-        format!("10.0.{}.{}:7", host_number / 250, host_number % 250).parse().expect("an address"),
+        format!("10.0.{}.{}:7", host_number / 250, host_number % 250)
+            .parse()
+            .expect("the address parses"),
     )
 }
 
--- a/crates/tidetrack-core/tests/support/rollout_simulation.rs
+++ b/crates/tidetrack-core/tests/support/rollout_simulation.rs
@@ -219,7 +219,7 @@
 
     /// Reports whether the cutover has happened, so that all requests go to the canary version.
     fn has_cut_over(&self) -> bool {
-        let view = self.fleet.hosts[0].view.as_ref().expect("a view");
+        let view = self.fleet.hosts[0].view.as_ref().expect("the host has a view");
         let canary = view.services.get(&id("llm")).and_then(|s| s.canary.as_ref());
         canary.is_some_and(|t| t.phase_at(Millis(self.fleet.now)) == Phase::Moved)
     }
@@ -337,6 +337,6 @@
 
 /// Reports whether a host has barred the canary version.
 fn has_barred_version(host: &FleetHost) -> bool {
-    let view = host.view.as_ref().expect("a view");
+    let view = host.view.as_ref().expect("the host has a view");
     view.services[&id("llm")].is_barred()
 }
--- a/crates/tidetrack-core/tests/traffic.rs
+++ b/crates/tidetrack-core/tests/traffic.rs
@@ -54,7 +54,7 @@
         admission_request("/a/", None),
     );
 
-    let refused = refused.expect_err("a refusal without configuration");
+    let refused = refused.expect_err("a call without configuration is refused");
     assert_eq!(refused.code, Code::NotReady);
     assert!(refused.retry_after_ms.is_some());
 }
@@ -88,11 +88,11 @@
         (Code::Stale, Code::Stale, Code::Stale)
     );
     assert_eq!(
-        admit_at(1_500, "/a/", Some("x")).expect_err("a refusal of an unknown key").code,
+        admit_at(1_500, "/a/", Some("x")).expect_err("a call with an unknown key is refused").code,
         Code::NoKey
     );
     assert_eq!(
-        admit_at(1_500, "/new/", None).expect_err("a refusal of an unknown route").code,
+        admit_at(1_500, "/new/", None).expect_err("a call to an unknown route is refused").code,
         Code::UnknownRoute
     );
 }
@@ -350,7 +350,7 @@
     }
 
     assert!(written_states(&actions).contains(&RolloutState::RolledBack));
-    let view = last_published_view(&actions).expect("a new view");
+    let view = last_published_view(&actions).expect("a new view is published");
     let service = &view.services[&id::<ServiceId>("llm")];
     assert!(service.is_barred() && service.canary_pool.endpoints().is_empty());
 }
@@ -471,7 +471,9 @@
     let without_echo = peer_table.receive(Millis(9_000), message_with_echo(None));
     // The message echoes a message sent at 8,000 ms. The time that it was on its way is unknown, so the
     // age of the proof is subtracted from 8,000 ms.
-    let proof = peer_table.receive(Millis(9_500), message_with_echo(Some(8_000))).expect("a proof");
+    let proof = peer_table
+        .receive(Millis(9_500), message_with_echo(Some(8_000)))
+        .expect("the message gives a proof");
 
     assert_eq!(without_echo, None);
     assert_eq!((proof.version, proof.began), (3, Millis(7_600)));
@@ -549,7 +551,7 @@
         &freshness,
     );
 
-    let view = last_published_view(&actions).expect("a new view");
+    let view = last_published_view(&actions).expect("a new view is published");
     let service = &view.services[&id::<ServiceId>("llm")];
     let canary_ids: Vec<&EndpointId> =
         service.canary_pool.endpoints().iter().map(|e| &e.id).collect();
@@ -576,7 +578,7 @@
     );
     let actions = fleet_state.handle_input(Millis(4_200), Input::Rollout(next_order), &freshness);
 
-    let view = last_published_view(&actions).expect("a new view");
+    let view = last_published_view(&actions).expect("a new view is published");
     let service = &view.services[&id::<ServiceId>("llm")];
     let pool_endpoint_ids = |pool: &PoolView| -> Vec<String> {
         pool.endpoints().iter().map(|e| e.id.to_string()).collect()
@@ -601,7 +603,7 @@
     let actions =
         fleet_state.handle_input(Millis(4_200), Input::Rollout(rollout_order(7, None)), &freshness);
 
-    let view = last_published_view(&actions).expect("a new view");
+    let view = last_published_view(&actions).expect("a new view is published");
     assert_eq!(view.services[&id::<ServiceId>("llm")].canary_pool.endpoints().len(), 2);
 }
 
@@ -617,7 +619,7 @@
             Action::SendMessages(messages) => messages.first(),
             _ => None,
         });
-        first_message.expect("a message to another host").1.update.barred_versions.len()
+        first_message.expect("a message goes to another host").1.update.barred_versions.len()
     };
 
     let while_endpoints_run = reported_barred_count(&mut fleet_state, 70_000);
--- a/crates/tidetrack-core/tests/verdicts.rs
+++ b/crates/tidetrack-core/tests/verdicts.rs
@@ -130,11 +130,11 @@
 /// Returns an observed response to a plain call.
 fn response_from(endpoint: &str, outcome: AttemptOutcome) -> ObservedResponse {
     ObservedResponse {
-        service: "desk".parse().expect("a valid name"),
+        service: "desk".parse().expect("the name parses"),
         canary_version: None,
-        endpoint: endpoint.parse().expect("a valid name"),
+        endpoint: endpoint.parse().expect("the name parses"),
         is_load_concentrated: false,
-        route: "return".parse().expect("a valid name"),
+        route: "return".parse().expect("the name parses"),
         model: None,
         outcome,
         has_failed_before: false,
--- a/crates/tidetrack-ctl/tests/calls.rs
+++ b/crates/tidetrack-ctl/tests/calls.rs
@@ -17,10 +17,10 @@
 
 /// Answers one request with `reply`, and returns the address to send it to.
 fn serve_once(reply: String) -> String {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("an address").to_string();
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a local port can be bound");
+    let address = listener.local_addr().expect("the listener has an address").to_string();
     std::thread::spawn(move || {
-        let (mut stream, _) = listener.accept().expect("a connection");
+        let (mut stream, _) = listener.accept().expect("a connection is accepted");
         let mut buf = [0; 1024];
         // The content of the request does not matter.
         let _ = stream.read(&mut buf);
@@ -48,8 +48,8 @@
         serve_once(format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{PAGE}", PAGE.len()));
     let refusing = serve_once("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n".into());
 
-    assert_eq!(fetch_metrics(&serving).expect("a page"), PAGE);
-    let e = fetch_metrics(&refusing).expect_err("no page");
+    assert_eq!(fetch_metrics(&serving).expect("the metrics page is fetched"), PAGE);
+    let e = fetch_metrics(&refusing).expect_err("the metrics request is refused");
     assert_eq!(e.code, Code::EndpointFailed);
     assert!(e.to_string().contains(&refusing) && e.to_string().contains("404"), "{e}");
 }
--- a/crates/tidetrack-ctl/tests/declarations.rs
+++ b/crates/tidetrack-ctl/tests/declarations.rs
@@ -11,7 +11,8 @@
 fn reports_fault(path: &Path) -> TestResult {
     let text = std::fs::read_to_string(path)?;
     let expected = text.lines().next().and_then(|l| l.strip_prefix("# ")).ok_or("no first line")?;
-    let faults = read_folder(&[("bad.toml".to_string(), text.clone())]).expect_err("faults");
+    let faults = read_folder(&[("bad.toml".to_string(), text.clone())])
+        .expect_err("the declarations have faults");
     let messages: Vec<String> = faults.iter().map(ToString::to_string).collect();
     assert!(messages.iter().any(|s| s.contains(expected)), "wanted {expected:?}, got {messages:?}");
     Ok(())
--- a/crates/tidetrack-ctl/tests/explain.rs
+++ b/crates/tidetrack-ctl/tests/explain.rs
@@ -23,7 +23,7 @@
     ]
     .concat();
 
-    let report = explain("r1", &[second, first]).expect("a report");
+    let report = explain("r1", &[second, first]).expect("the calls give a report");
 
     let events: Vec<&str> = report
         .lines()
@@ -61,7 +61,8 @@
         line(13.0, "h2", "E307", ",\"request\":\"r3\""),
     ];
 
-    let report = explain(fingerprint, &[first.concat(), second.concat()]).expect("a report");
+    let report =
+        explain(fingerprint, &[first.concat(), second.concat()]).expect("the calls give a report");
 
     let has = |event: &str| report.contains(event);
     assert!(["E307", "E308", "E316", "E236", "E301"].into_iter().all(has), "{report}");
--- a/crates/tidetrack-ctl/tests/rollouts.rs
+++ b/crates/tidetrack-ctl/tests/rollouts.rs
@@ -23,25 +23,26 @@
 /// Starts a platform with the example's declarations and starts its roll-out.
 fn with_started_rollout() -> TestPlatform {
     let objects = Platform::default();
-    let running = objects.serve("127.0.0.1:0").expect("a platform");
+    let running = objects.serve("127.0.0.1:0").expect("the platform starts to serve");
     let client = PlatformClient::new(&running.address());
     let files =
         [("endpoints.toml", ENDPOINTS), ("models.toml", MODELS), ("workspaces.toml", WORKSPACES)];
     let files: Vec<(String, String)> =
         files.iter().map(|(n, t)| (n.to_string(), t.to_string())).collect();
-    let declared = read_folder(&files).expect("valid declarations");
-    let lines = apply::diff(&client, &declared, false).expect("a diff");
+    let declared = read_folder(&files).expect("the declarations are valid");
+    let lines = apply::diff(&client, &declared, false).expect("the declarations can be compared");
     assert!(apply::apply(&client, &lines, &mut |_, _| {}).first_failure().is_none());
-    let id: RolloutId = "scholar-2".parse().expect("a roll-out");
-    rollout::apply_verb(&client, &id, rollout::Verb::Start).expect("a start");
+    let id: RolloutId = "scholar-2".parse().expect("the roll-out id parses");
+    rollout::apply_verb(&client, &id, rollout::Verb::Start).expect("the start verb is carried out");
     TestPlatform { objects, client, id, _running: running }
 }
 
 fn stored_state(platform: &TestPlatform) -> RolloutState {
     let key = ObjectKey::new(ObjectKind::RolloutState, &platform.id);
-    let stored = platform.client.fetch(&config_object_name(&key)).expect("a state");
-    let body = stored.body.expect("a body");
-    match Object::from_json(ObjectKind::RolloutState, &body).expect("a valid state") {
+    let stored =
+        platform.client.fetch(&config_object_name(&key)).expect("the state object can be fetched");
+    let body = stored.body.expect("the state object has a body");
+    match Object::from_json(ObjectKind::RolloutState, &body).expect("the roll-out state parses") {
         Object::RolloutState(state) => state,
         other => panic!("{other:?}"),
     }
@@ -57,7 +58,7 @@
 fn advance_is_retried_after_concurrent_grant_write() {
     let platform = with_started_rollout();
     let mut with_grant = stored_state(&platform);
-    with_grant.granted.insert("router-1~1".parse().expect("an incarnation"), 5);
+    with_grant.granted.insert("router-1~1".parse().expect("the incarnation parses"), 5);
     inject_conflicting_write(&platform, with_grant.clone());
 
     let next = rollout::apply_verb(&platform.client, &platform.id, rollout::Verb::Advance);
@@ -76,7 +77,7 @@
 
     let refused = rollout::apply_verb(&platform.client, &platform.id, rollout::Verb::Advance);
 
-    assert_eq!(refused.expect_err("a conflict").code, Code::Conflict);
+    assert_eq!(refused.expect_err("the verb is refused with a conflict").code, Code::Conflict);
     assert_eq!(stored_state(&platform), advanced);
 }
 
--- a/crates/tidetrack-wire/src/caller.rs
+++ b/crates/tidetrack-wire/src/caller.rs
@@ -220,10 +220,10 @@
     fn unknown_members_survive_a_round_trip() {
         let text =
             r#"{"model":"m","messages":[{"role":"user","content":"hi","name":"x"}],"seed":7}"#;
-        let req: ChatRequest = serde_json::from_str(text).expect("a request");
+        let req: ChatRequest = serde_json::from_str(text).expect("the request parses");
         assert_eq!(
-            serde_json::to_value(&req).expect("JSON"),
-            serde_json::from_str::<Value>(text).expect("JSON")
+            serde_json::to_value(&req).expect("the request serializes to JSON"),
+            serde_json::from_str::<Value>(text).expect("the text parses as JSON")
         );
         assert_eq!(req.prompt_chars(), 2);
     }
--- a/crates/tidetrack-wire/src/peer.rs
+++ b/crates/tidetrack-wire/src/peer.rs
@@ -112,10 +112,11 @@
         let key = Key { id: "k".into(), secret: "0123456789abcdef".into() };
         let ring = KeyRing { current: key, previous: None };
         let mut signed = SignedMessage::sign(&ring, METHOD_PROBE, &ProbeReply { reached: true })
-            .expect("sealed");
+            .expect("the message can be signed");
         assert!(signed.verify::<ProbeReply>(&ring, METHOD_PROBE).is_ok());
         assert!(signed.verify::<ProbeReply>(&ring, METHOD_HOLD).is_err());
-        signed.body = RawValue::from_string("{\"reached\":false}".into()).expect("JSON");
+        signed.body =
+            RawValue::from_string("{\"reached\":false}".into()).expect("the body is valid JSON");
         assert!(signed.verify::<ProbeReply>(&ring, METHOD_PROBE).is_err());
     }
 }
