--- a/crates/tidetrack-bench/tests/capacity.rs
+++ b/crates/tidetrack-bench/tests/capacity.rs
@@ -31,12 +31,20 @@
     }
     for size in &SIZES {
         let total = total_control_use(&recorded, size);
-        assert!(total.core_percent <= CONTROL_BUDGET.core_percent, "{}: {total:?}", size.name);
+        assert!(
+            total.core_percent <= CONTROL_BUDGET.core_percent,
+            "core budget of {} exceeded: {total:?}",
+            size.name
+        );
         assert!(
             total.bytes_per_second <= CONTROL_BUDGET.bytes_per_second,
-            "{}: {total:?}",
+            "byte budget of {} exceeded: {total:?}",
+            size.name
+        );
+        assert!(
+            total.memory_mib <= CONTROL_BUDGET.memory_mib,
+            "memory budget of {} exceeded: {total:?}",
             size.name
         );
-        assert!(total.memory_mib <= CONTROL_BUDGET.memory_mib, "{}: {total:?}", size.name);
     }
 }
--- a/crates/tidetrack-core/src/bill_replicator/tests.rs
+++ b/crates/tidetrack-core/src/bill_replicator/tests.rs
@@ -27,7 +27,10 @@
     replicator.set_holders(vec![holder("b~1")]);
     replicator.add_bill(bill(1));
     let actions = replicator.poll_actions(Millis(1));
-    assert!(matches!(actions[..], [ReplicatorAction::Hold { batch: 1, .. }]), "{actions:?}");
+    assert!(
+        matches!(actions[..], [ReplicatorAction::Hold { batch: 1, .. }]),
+        "expected one hold of batch 1: {actions:?}"
+    );
     replicator.hold_done(Millis(2), 1, true);
     assert_eq!(replicator.poll_actions(Millis(2)), [ReplicatorAction::ReleaseResponse(1)]);
 }
--- a/crates/tidetrack-core/src/declare.rs
+++ b/crates/tidetrack-core/src/declare.rs
@@ -291,7 +291,7 @@
         let text = "[version.\"m@1\"]\npool = \"gone\"\nprice_in = 1\nprice_out = 1\n\
                     [model.m]\nserving = \"m@2\"\n";
         let messages: Vec<String> = faults_of(text).into_iter().map(|f| f.message).collect();
-        assert_eq!(messages.len(), 2, "{messages:?}");
+        assert_eq!(messages.len(), 2, "faults reported: {messages:?}");
     }
 
     #[test]
--- a/crates/tidetrack-core/src/limits.rs
+++ b/crates/tidetrack-core/src/limits.rs
@@ -293,7 +293,7 @@
                 hosts[0].accept_loans(now, &loans);
             }
             let sum: f64 = hosts.iter_mut().map(|h| h.rates(now)[&workspace()]).sum();
-            assert!(sum <= 70.0 + 1e-6, "{sum} at {ms}");
+            assert!(sum <= 70.0 + 1e-6, "rates add up to {sum} at {ms} ms");
         }
         assert!(granted_last_second > 20, "{granted_last_second} against a base of 10");
     }
--- a/crates/tidetrack-core/src/retry.rs
+++ b/crates/tidetrack-core/src/retry.rs
@@ -91,6 +91,6 @@
             budget.earn();
             retries += u32::from(budget.try_acquire());
         }
-        assert!((1_000..=1_020).contains(&retries), "{retries}");
+        assert!((1_000..=1_020).contains(&retries), "{retries} retries");
     }
 }
--- a/crates/tidetrack-core/src/session.rs
+++ b/crates/tidetrack-core/src/session.rs
@@ -106,7 +106,10 @@
             let mut bytes = token.clone().into_bytes();
             bytes[i] = if bytes[i] == b'1' { b'2' } else { b'1' };
             let forged = String::from_utf8(bytes).expect("the forged token is UTF-8");
-            assert!(Session::from_token(&forged, &workspace, &key_ring("k")).is_err(), "{forged}");
+            assert!(
+                Session::from_token(&forged, &workspace, &key_ring("k")).is_err(),
+                "forged token accepted: {forged}"
+            );
         }
     }
 }
--- a/crates/tidetrack-core/src/traffic/endpoint_limits.rs
+++ b/crates/tidetrack-core/src/traffic/endpoint_limits.rs
@@ -179,7 +179,7 @@
 
             assert!((share.0 * holders as f64 - limit).abs() < 1e-9);
             assert!(holders <= hosts);
-            assert!(share.0 >= 0.5, "{share} each of {holders}");
+            assert!(share.0 >= 0.5, "share of {share} for each of {holders} holders");
         }
     }
 
--- a/crates/tidetrack-core/tests/bill_replicator.rs
+++ b/crates/tidetrack-core/tests/bill_replicator.rs
@@ -41,7 +41,7 @@
             _ => None,
         })
         .collect();
-    assert_eq!(hold_calls.len(), 1, "{hold_calls:?}");
+    assert_eq!(hold_calls.len(), 1, "not one hold call: {hold_calls:?}");
     hold_calls[0]
 }
 
@@ -74,7 +74,7 @@
     let (_, call) = hold_call(&actions);
     assert!(
         call.bills.iter().any(|b| b.number() == PENDING_BILLS + 1),
-        "{} bills",
+        "newest bill not among the {} bills of the call",
         call.bills.len()
     );
 }
@@ -93,7 +93,7 @@
     let (_, call) = hold_call(&actions);
     assert!(
         call.bills.len() * 2 <= first_call_size,
-        "{first_call_size} bills, then {}",
+        "first call of {first_call_size} bills, the next of {}",
         call.bills.len()
     );
 }
@@ -130,7 +130,10 @@
 fn fail_segment_write(replicator: &mut BillReplicator, failed_origin: &Incarnation) {
     replicator.take_over(std::slice::from_ref(failed_origin));
     let actions = replicator.poll_actions(Millis(2_000));
-    assert!(actions.iter().any(|a| matches!(a, ReplicatorAction::Write(_))), "{actions:?}");
+    assert!(
+        actions.iter().any(|a| matches!(a, ReplicatorAction::Write(_))),
+        "no segment write requested: {actions:?}"
+    );
     replicator.write_done(Millis(2_000), failed_origin, None);
 }
 
@@ -175,7 +178,7 @@
     assert_eq!(call.bills[0].number(), 1);
     assert!(
         call.bills.len() * 2 <= first_call_size,
-        "{first_call_size} bills, then {}",
+        "first call of {first_call_size} bills, the next of {}",
         call.bills.len()
     );
 }
--- a/crates/tidetrack-core/tests/cold_start.rs
+++ b/crates/tidetrack-core/tests/cold_start.rs
@@ -121,12 +121,12 @@
 
     assert!(
         fleet.known_endpoints.iter().all(|revision| *revision > 0),
-        "{:?}",
+        "a host knows no endpoints, revisions: {:?}",
         fleet.known_endpoints
     );
     assert!(fleet.known_catalog.iter().all(|revision| *revision > 0));
     let kind_count = [FeedKind::Catalog, FeedKind::Endpoints].len();
-    assert!(fleet.store_calls >= 12 * kind_count, "{}", fleet.store_calls);
+    assert!(fleet.store_calls >= 12 * kind_count, "{} calls to the store", fleet.store_calls);
 }
 
 /// A request with a short deadline is held so briefly that its caller can try another host, and a
@@ -141,8 +141,14 @@
     let (near_bootstrap_end, after_bootstrap) =
         (hold_time_ms(900, Some(20_000)), hold_time_ms(5_000, Some(20_000)));
 
-    assert!(short_deadline < 100 && no_deadline == 0, "{short_deadline} {no_deadline}");
-    assert!((400..=500).contains(&long_deadline), "{long_deadline}");
+    assert!(
+        short_deadline < 100 && no_deadline == 0,
+        "hold times in ms: short deadline {short_deadline}, none {no_deadline}"
+    );
+    assert!(
+        (400..=500).contains(&long_deadline),
+        "hold time with a long deadline: {long_deadline} ms"
+    );
     assert_eq!((near_bootstrap_end, after_bootstrap), (100, 0));
 }
 
--- a/crates/tidetrack-core/tests/feeds.rs
+++ b/crates/tidetrack-core/tests/feeds.rs
@@ -79,7 +79,7 @@
     });
 
     let second_fetch = fetches.get(1).expect("a second fetch is made");
-    assert!((800..=900).contains(&second_fetch.0), "{fetches:?}");
+    assert!((800..=900).contains(&second_fetch.0), "second fetch at the wrong time: {fetches:?}");
 }
 
 #[test]
@@ -90,7 +90,11 @@
 
     let are_store_reads: Vec<bool> =
         fetches.iter().map(|(_, c)| c.source == FetchSource::Store).collect();
-    assert_eq!(are_store_reads, [false, false, true, false, true], "{fetches:?}");
+    assert_eq!(
+        are_store_reads,
+        [false, false, true, false, true],
+        "store read in the wrong places: {fetches:?}"
+    );
 }
 
 /// Guards against needless reads of the store while endpoints start or leave one after another: 295
@@ -120,8 +124,8 @@
         }
     }
 
-    assert!(sources.len() > 5, "{sources:?}");
-    assert!(!sources.contains(&FetchSource::Store), "{sources:?}");
+    assert!(sources.len() > 5, "too few fetches: {sources:?}");
+    assert!(!sources.contains(&FetchSource::Store), "fetched from the store: {sources:?}");
 }
 
 #[test]
@@ -134,7 +138,7 @@
     reported.raise(FeedKind::Endpoints, 11);
     let fetches = feeds.receive_revisions(Millis(50), &reported, reporting_host(), true);
 
-    assert_eq!(fetches.len(), 1, "{fetches:?}");
+    assert_eq!(fetches.len(), 1, "not one fetch: {fetches:?}");
 }
 
 #[test]
@@ -179,10 +183,17 @@
         );
     }
 
-    assert_eq!(fetches[0].1, FetchSource::Host(reporting_host()), "{fetches:?}");
-    assert!((1_200..1_700).contains(&fetches[0].0), "{fetches:?}");
+    assert_eq!(
+        fetches[0].1,
+        FetchSource::Host(reporting_host()),
+        "not fetched from the reporting host: {fetches:?}"
+    );
+    assert!((1_200..1_700).contains(&fetches[0].0), "first fetch at the wrong time: {fetches:?}");
     let first_store_read = fetches.iter().find(|(_, source)| *source == FetchSource::Store);
-    assert!(first_store_read.is_some_and(|(at, _)| *at >= 1_500), "{fetches:?}");
+    assert!(
+        first_store_read.is_some_and(|(at, _)| *at >= 1_500),
+        "store not read, or too early: {fetches:?}"
+    );
 }
 
 /// In a large fleet, one host in ten has sent its request by the time the first response has
@@ -196,7 +207,10 @@
 
         let early = delays.iter().filter(|delay| **delay <= Millis(450)).count();
         assert!((1..=max_early).contains(&early), "{hosts} hosts, {early} within 450 ms");
-        assert!(delays.iter().all(|delay| *delay <= Millis(900)), "{delays:?}");
+        assert!(
+            delays.iter().all(|delay| *delay <= Millis(900)),
+            "a delay above 900 ms: {delays:?}"
+        );
     }
 }
 
@@ -259,7 +273,10 @@
         .position(publishes_catalog)
         .expect("a view with the configuration is published");
     let confirmed_at = actions.iter().position(|a| matches!(a, Action::ConfigConfirmed(Millis(5))));
-    assert!(confirmed_at.is_some_and(|confirmed_at| confirmed_at > published_at), "{actions:?}");
+    assert!(
+        confirmed_at.is_some_and(|confirmed_at| confirmed_at > published_at),
+        "not confirmed after the view: {actions:?}"
+    );
 }
 
 /// Guards against sending requests to an endpoint after its entry has expired; one was sent 3.4 s
--- a/crates/tidetrack-core/tests/prefixes.rs
+++ b/crates/tidetrack-core/tests/prefixes.rs
@@ -8,11 +8,11 @@
 const ROUND_INTERVAL: Millis = Millis(500);
 
 fn endpoint(name: &str) -> EndpointKey {
-    EndpointKey::from(&name.parse::<EndpointId>().expect("the name parses"))
+    EndpointKey::from(&name.parse::<EndpointId>().expect("the endpoint id parses"))
 }
 
 fn prefix_key(prefix: &str, model: &str) -> PrefixKey {
-    let model: ModelId = model.parse().expect("the name parses");
+    let model: ModelId = model.parse().expect("the model name parses");
     PrefixKey::new(prefix, Some(&model))
 }
 
--- a/crates/tidetrack-core/tests/slow_link.rs
+++ b/crates/tidetrack-core/tests/slow_link.rs
@@ -431,7 +431,7 @@
     assert!(network.now > started_at);
     assert!(
         elapsed.is_some_and(|ms| ms < 10_000),
-        "{elapsed:?}, {} calls failed",
+        "evidence known after {elapsed:?} ms, {} calls failed",
         network.failed_calls
     );
 }
--- a/crates/tidetrack-core/tests/support/fleet.rs
+++ b/crates/tidetrack-core/tests/support/fleet.rs
@@ -587,7 +587,11 @@
         let started_at = self.now;
         while self.known_endpoints.iter().any(|k| *k < self.endpoints_revision) {
             self.run(self.now + CLOCK_STEP_MS as u64, |_, _| {});
-            assert!(self.now < started_at + 10_000, "{:?}", self.known_endpoints);
+            assert!(
+                self.now < started_at + 10_000,
+                "endpoint change not known after 10 s: {:?}",
+                self.known_endpoints
+            );
         }
         self.now - started_at
     }
--- a/crates/tidetrack-core/tests/support/mod.rs
+++ b/crates/tidetrack-core/tests/support/mod.rs
@@ -25,7 +25,7 @@
 
 /// Parses a name or identifier.
 pub fn id<T: std::str::FromStr<Err: std::fmt::Debug>>(text: &str) -> T {
-    text.parse().expect("the name parses")
+    text.parse().expect("the name or identifier parses")
 }
 
 pub fn route(name: &str, prefix: &str) -> Route {
--- a/crates/tidetrack-core/tests/traffic.rs
+++ b/crates/tidetrack-core/tests/traffic.rs
@@ -206,7 +206,7 @@
     let cutover_at = view.cutover_at.0;
     let exposed =
         (view.initial_sample * cutover_at as f64 + (20_000 - cutover_at) as f64) / 20_000.0;
-    assert!((0.11..0.13).contains(&exposed), "{exposed}");
+    assert!((0.11..0.13).contains(&exposed), "exposed share: {exposed}");
     assert!(
         (cutover_at + 500..19_600).contains(&completed_at),
         "cutover at {cutover_at}, {state_writes:?}"
@@ -307,7 +307,7 @@
         .inspect(|_| exposure.record_canary_attempt(false))
         .count();
 
-    assert!(canary_requests <= 150, "{canary_requests}");
+    assert!(canary_requests <= 150, "{canary_requests} canary requests");
 }
 
 fn observed_response(endpoint: &str, is_canary: bool, has_failed: bool) -> Input {
--- a/crates/tidetrack-core/tests/verdicts.rs
+++ b/crates/tidetrack-core/tests/verdicts.rs
@@ -130,11 +130,11 @@
 /// Returns an observed response to a plain call.
 fn response_from(endpoint: &str, outcome: AttemptOutcome) -> ObservedResponse {
     ObservedResponse {
-        service: "desk".parse().expect("the name parses"),
+        service: "desk".parse().expect("the service name parses"),
         canary_version: None,
-        endpoint: endpoint.parse().expect("the name parses"),
+        endpoint: endpoint.parse().expect("the endpoint id parses"),
         is_load_concentrated: false,
-        route: "return".parse().expect("the name parses"),
+        route: "return".parse().expect("the route name parses"),
         model: None,
         outcome,
         has_failed_before: false,
--- a/crates/tidetrack-ctl/tests/calls.rs
+++ b/crates/tidetrack-ctl/tests/calls.rs
@@ -39,7 +39,10 @@
         .collect();
     assert_eq!(summed, [("proof", "answered", 14), ("told", "failed", 4)]);
     let text = render(&counts);
-    assert!(text.lines().nth(1).is_some_and(|l| l.contains("14  Catalog")), "{text}");
+    assert!(
+        text.lines().nth(1).is_some_and(|l| l.contains("14  Catalog")),
+        "line of the catalog not second: {text}"
+    );
 }
 
 #[test]
--- a/crates/tidetrack-ctl/tests/explain.rs
+++ b/crates/tidetrack-ctl/tests/explain.rs
@@ -65,6 +65,9 @@
         explain(fingerprint, &[first.concat(), second.concat()]).expect("the calls give a report");
 
     let has = |event: &str| report.contains(event);
-    assert!(["E307", "E308", "E316", "E236", "E301"].into_iter().all(has), "{report}");
-    assert_eq!(report.lines().count(), 6, "{report}");
+    assert!(
+        ["E307", "E308", "E316", "E236", "E301"].into_iter().all(has),
+        "an event is missing: {report}"
+    );
+    assert_eq!(report.lines().count(), 6, "not six lines: {report}");
 }
--- a/crates/tidetrack-ctl/tests/rollouts.rs
+++ b/crates/tidetrack-ctl/tests/rollouts.rs
@@ -44,7 +44,7 @@
     let body = stored.body.expect("the state object has a body");
     match Object::from_json(ObjectKind::RolloutState, &body).expect("the roll-out state parses") {
         Object::RolloutState(state) => state,
-        other => panic!("{other:?}"),
+        other => panic!("not a roll-out state: {other:?}"),
     }
 }
 
