--- a/crates/tidetrack-core/src/declare.rs
+++ b/crates/tidetrack-core/src/declare.rs
@@ -273,7 +273,8 @@
     use super::*;
 
     fn faults_of(text: &str) -> Vec<Fault> {
-        read_folder(&[("a.toml".to_string(), text.to_string())]).expect_err("faults")
+        read_folder(&[("a.toml".to_string(), text.to_string())])
+            .expect_err("the declarations have faults")
     }
 
     #[test]
@@ -290,7 +291,7 @@
         let text = "[version.\"m@1\"]\npool = \"gone\"\nprice_in = 1\nprice_out = 1\n\
                     [model.m]\nserving = \"m@2\"\n";
         let messages: Vec<String> = faults_of(text).into_iter().map(|f| f.message).collect();
-        assert_eq!(messages.len(), 2, "{messages:?}");
+        assert_eq!(messages.len(), 2, "faults reported: {messages:?}");
     }
 
     #[test]
--- a/crates/tidetrack-core/src/ids.rs
+++ b/crates/tidetrack-core/src/ids.rs
@@ -284,15 +284,18 @@
     fn names_are_checked() {
         assert!("kitab-bet".parse::<WorkspaceId>().is_ok());
         for bad in ["", "a b", "a/b", &"x".repeat(65)] {
-            assert!(bad.parse::<WorkspaceId>().is_err(), "{bad:?}");
+            assert!(bad.parse::<WorkspaceId>().is_err(), "accepted as a workspace name: {bad:?}");
         }
     }
 
     #[test]
     fn compound_ids_round_trip() {
-        let id = "room-1.a~ff.12".parse::<RequestId>().expect("a request id");
+        let id = "room-1.a~ff.12".parse::<RequestId>().expect("the request id parses");
         assert_eq!(id.incarnation.host.as_str(), "room-1.a");
         assert_eq!(id.to_string(), "room-1.a~ff.12");
-        assert_eq!("m@1".parse::<VersionRef>().expect("a version").to_string(), "m@1");
+        assert_eq!(
+            "m@1".parse::<VersionRef>().expect("the version name parses").to_string(),
+            "m@1"
+        );
     }
 }
--- a/crates/tidetrack-core/tests/bill_replicator.rs
+++ b/crates/tidetrack-core/tests/bill_replicator.rs
@@ -15,13 +15,19 @@
 const PENDING_BILLS: u64 = 5_000;
 
 fn bill(number: u64) -> Bill {
-    let line_item = LineItem("m@1".parse().expect("a version"), Tokens(1), Tokens(1), Micros(1));
-    Bill(number, "w".parse().expect("a workspace"), vec![line_item], BillOutcome::Complete)
+    let line_item =
+        LineItem("m@1".parse().expect("the version name parses"), Tokens(1), Tokens(1), Micros(1));
+    Bill(
+        number,
+        "w".parse().expect("the workspace name parses"),
+        vec![line_item],
+        BillOutcome::Complete,
+    )
 }
 
 fn holder(incarnation: &str) -> Holder {
     Holder {
-        incarnation: incarnation.parse().expect("an incarnation"),
+        incarnation: incarnation.parse().expect("the incarnation parses"),
         address: incarnation[..1].into(),
     }
 }
@@ -35,13 +41,13 @@
             _ => None,
         })
         .collect();
-    assert_eq!(hold_calls.len(), 1, "{hold_calls:?}");
+    assert_eq!(hold_calls.len(), 1, "not one hold call: {hold_calls:?}");
     hold_calls[0]
 }
 
 /// Returns a replicator whose bills are all held by `b`, at 1,000 ms.
 fn replicator_with_held_bills() -> BillReplicator {
-    let origin: Incarnation = "a~1".parse().expect("an incarnation");
+    let origin: Incarnation = "a~1".parse().expect("the incarnation parses");
     // No segment is written, as if the object API were unreachable.
     let mut replicator = BillReplicator::new(Millis(0), origin, Millis(1_000_000));
     replicator.set_holders(vec![holder("b~1")]);
@@ -68,7 +74,7 @@
     let (_, call) = hold_call(&actions);
     assert!(
         call.bills.iter().any(|b| b.number() == PENDING_BILLS + 1),
-        "{} bills",
+        "newest bill not among the {} bills of the call",
         call.bills.len()
     );
 }
@@ -87,7 +93,7 @@
     let (_, call) = hold_call(&actions);
     assert!(
         call.bills.len() * 2 <= first_call_size,
-        "{first_call_size} bills, then {}",
+        "first call of {first_call_size} bills, the next of {}",
         call.bills.len()
     );
 }
@@ -124,13 +130,16 @@
 fn fail_segment_write(replicator: &mut BillReplicator, failed_origin: &Incarnation) {
     replicator.take_over(std::slice::from_ref(failed_origin));
     let actions = replicator.poll_actions(Millis(2_000));
-    assert!(actions.iter().any(|a| matches!(a, ReplicatorAction::Write(_))), "{actions:?}");
+    assert!(
+        actions.iter().any(|a| matches!(a, ReplicatorAction::Write(_))),
+        "no segment write requested: {actions:?}"
+    );
     replicator.write_done(Millis(2_000), failed_origin, None);
 }
 
 #[test]
 fn bills_of_a_failed_host_are_forwarded_in_limited_calls_and_each_once() {
-    let failed_origin: Incarnation = "g~1".parse().expect("an incarnation");
+    let failed_origin: Incarnation = "g~1".parse().expect("the incarnation parses");
     let mut replicator = replicator_with_bills_of(&failed_origin);
     fail_segment_write(&mut replicator, &failed_origin);
 
@@ -154,7 +163,7 @@
 
 #[test]
 fn a_failed_forward_call_is_retried_with_fewer_bills() {
-    let failed_origin: Incarnation = "g~1".parse().expect("an incarnation");
+    let failed_origin: Incarnation = "g~1".parse().expect("the incarnation parses");
     let mut replicator = replicator_with_bills_of(&failed_origin);
     fail_segment_write(&mut replicator, &failed_origin);
     let actions = replicator.poll_actions(Millis(2_000));
@@ -169,7 +178,7 @@
     assert_eq!(call.bills[0].number(), 1);
     assert!(
         call.bills.len() * 2 <= first_call_size,
-        "{first_call_size} bills, then {}",
+        "first call of {first_call_size} bills, the next of {}",
         call.bills.len()
     );
 }
--- a/crates/tidetrack-core/tests/cold_start.rs
+++ b/crates/tidetrack-core/tests/cold_start.rs
@@ -121,12 +121,12 @@
 
     assert!(
         fleet.known_endpoints.iter().all(|revision| *revision > 0),
-        "{:?}",
+        "a host knows no endpoints, revisions: {:?}",
         fleet.known_endpoints
     );
     assert!(fleet.known_catalog.iter().all(|revision| *revision > 0));
     let kind_count = [FeedKind::Catalog, FeedKind::Endpoints].len();
-    assert!(fleet.store_calls >= 12 * kind_count, "{}", fleet.store_calls);
+    assert!(fleet.store_calls >= 12 * kind_count, "{} calls to the store", fleet.store_calls);
 }
 
 /// A request with a short deadline is held so briefly that its caller can try another host, and a
@@ -141,8 +141,14 @@
     let (near_bootstrap_end, after_bootstrap) =
         (hold_time_ms(900, Some(20_000)), hold_time_ms(5_000, Some(20_000)));
 
-    assert!(short_deadline < 100 && no_deadline == 0, "{short_deadline} {no_deadline}");
-    assert!((400..=500).contains(&long_deadline), "{long_deadline}");
+    assert!(
+        short_deadline < 100 && no_deadline == 0,
+        "hold times in ms: short deadline {short_deadline}, none {no_deadline}"
+    );
+    assert!(
+        (400..=500).contains(&long_deadline),
+        "hold time with a long deadline: {long_deadline} ms"
+    );
     assert_eq!((near_bootstrap_end, after_bootstrap), (100, 0));
 }
 
@@ -162,8 +168,8 @@
     let after_rollouts =
         fleet_state.handle_input(Millis(13), caught_up_input(FeedKind::Rollouts, 10), &freshness);
 
-    let view_before_rollouts = last_published_view(&after_list).expect("a view");
-    let view_after_rollouts = last_published_view(&after_rollouts).expect("a view");
+    let view_before_rollouts = last_published_view(&after_list).expect("a view is published");
+    let view_after_rollouts = last_published_view(&after_rollouts).expect("a view is published");
     assert!(!view_before_rollouts.has_endpoints && view_before_rollouts.services.is_empty());
     assert!(
         view_after_rollouts.has_endpoints && view_after_rollouts.services.contains_key(&id("llm"))
@@ -184,6 +190,6 @@
         &freshness,
     );
 
-    let view = last_published_view(&actions).expect("a view");
+    let view = last_published_view(&actions).expect("a view is published");
     assert!(view.has_endpoints && view.services.contains_key(&id("llm")));
 }
--- a/crates/tidetrack-core/tests/support/fleet.rs
+++ b/crates/tidetrack-core/tests/support/fleet.rs
@@ -443,7 +443,7 @@
             FetchSource::Host(address) => {
                 let sender =
                     host_index_of(address).filter(|host_index| *host_index < self.hosts.len());
-                let sender = sender.expect("a host of the fleet");
+                let sender = sender.expect("the sender is a host of the fleet");
                 let is_responsive = !self.unresponsive.contains(&sender);
                 (
                     LinkEnd::Host(sender),
@@ -556,7 +556,7 @@
         hold_time: Millis,
     ) -> ReleaseTrack {
         let host = &self.hosts[host_index];
-        let view = host.view.as_ref().expect("a view");
+        let view = host.view.as_ref().expect("the host has a view");
         let service = &view.services[&id::<ServiceId>("llm")];
         let track = service.side(Millis(self.now), session, hold_time);
         if track == ReleaseTrack::Canary {
@@ -587,7 +587,11 @@
         let started_at = self.now;
         while self.known_endpoints.iter().any(|k| *k < self.endpoints_revision) {
             self.run(self.now + CLOCK_STEP_MS as u64, |_, _| {});
-            assert!(self.now < started_at + 10_000, "{:?}", self.known_endpoints);
+            assert!(
+                self.now < started_at + 10_000,
+                "endpoint change not known after 10 s: {:?}",
+                self.known_endpoints
+            );
         }
         self.now - started_at
     }
