--- a/crates/tidetrack-load/src/load.rs
+++ b/crates/tidetrack-load/src/load.rs
@@ -110,7 +110,7 @@
     });
     let seconds = started_at.elapsed().as_secs_f64();
     let LoadResults { first_event_times, completion_times, mut report } =
-        results.into_inner().expect("no caller panics");
+        results.into_inner().expect("no holder of the lock panics");
     report.per_second = report.answered as f64 / seconds;
     report.first = quantiles(&first_event_times);
     report.whole = quantiles(&completion_times);
@@ -177,7 +177,7 @@
         request = request.with_header(headers::SESSION, token);
     }
     let (reply, first_event_time, completion_time) = send_timed(request);
-    let mut results = results.lock().expect("no caller panics");
+    let mut results = results.lock().expect("no holder of the lock panics");
     results.report.requests += 1;
     let is_complete = reply.status == 200 && (!shape.is_streaming || reply.is_complete_stream());
     if !is_complete {
@@ -232,7 +232,7 @@
     for _ in 1..REQUESTS_PER_CONVERSATION {
         let next = chat(load, marker, &shape, Some(&token), rng, results, answered);
         if next.is_some_and(|(v, _)| v != version) {
-            let mut results = results.lock().expect("no caller panics");
+            let mut results = results.lock().expect("no holder of the lock panics");
             increment(&mut results.report.broken, "a session moved to another version");
         }
     }
@@ -253,7 +253,7 @@
         let request = random_host(load, rng).post(&format!("/v1/services/{path}"), marker);
         replies.push(send(request.with_header(headers::TICKET, &ticket)));
     }
-    let mut results = results.lock().expect("no caller panics");
+    let mut results = results.lock().expect("no holder of the lock panics");
     results.report.requests += replies.len() as u64;
     for reply in &replies {
         match reply.status {
--- a/crates/tidetrack-plane/tests/call.rs
+++ b/crates/tidetrack-plane/tests/call.rs
@@ -29,8 +29,8 @@
 
 /// Starts a host that answers one request, sending the body in chunks with pauses.
 fn start_slow_host() -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let address = listener.local_addr().expect("valid address");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free loopback port is available");
+    let address = listener.local_addr().expect("the listener has an address");
     std::thread::spawn(move || {
         let (mut stream, _) = listener.accept().expect("the connection is established");
         assert!(stream.read(&mut [0; 1_024]).expect("a request arrives") > 0);
--- a/crates/tidetrack-plane/tests/idle_timeouts.rs
+++ b/crates/tidetrack-plane/tests/idle_timeouts.rs
@@ -68,10 +68,10 @@
             .enable_all()
             .build()
             .expect("the runtime starts");
-        let any_port = "127.0.0.1:0".parse().expect("valid address");
+        let any_port = "127.0.0.1:0".parse().expect("the loopback address parses");
         LocalSet::new().block_on(&rt, async move {
             let listener = listen(any_port).expect("the server listens");
-            tx.send(listener.local_addr().expect("valid address"))
+            tx.send(listener.local_addr().expect("the listener has an address"))
                 .expect("the test waits for the address");
             let (_stage, stage) = watch::channel(StopStage::Serving);
             let opts = options(server_limit, response_bytes);
--- a/crates/tidetrack-plane/tests/messages.rs
+++ b/crates/tidetrack-plane/tests/messages.rs
@@ -20,25 +20,28 @@
 const MAX_TALLY_BYTES: usize = 1_050;
 
 fn message(endpoints: usize) -> PeerMessage {
-    let key =
-        |i| EndpointKey::from(&format!("i-{i:010}").parse::<EndpointId>().expect("valid name"));
+    let key = |i| {
+        EndpointKey::from(
+            &format!("i-{i:010}").parse::<EndpointId>().expect("the endpoint ID parses"),
+        )
+    };
     let tally = TallyReport {
-        service: "model-service".parse().expect("valid name"),
-        version: "v2".parse().expect("valid name"),
+        service: "model-service".parse().expect("the service name parses"),
+        version: "v2".parse().expect("the version name parses"),
         age_ms: 4_000,
         tally: Tally::default(),
         baseline: Vec::new(),
     };
     PeerMessage {
-        from: "edge-some-hall-1".parse().expect("valid name"),
+        from: "edge-some-hall-1".parse().expect("the host name parses"),
         incarnation: 0,
-        address: "10.1.0.40:8229".parse().expect("valid address"),
-        failure_domain: "some-hall".parse().expect("valid name"),
+        address: "10.1.0.40:8229".parse().expect("the host address parses"),
+        failure_domain: "some-hall".parse().expect("the failure domain parses"),
         is_well_connected: false,
         wants_reply: true,
         stamp_ms: 604_800_000,
         echo_ms: Some(604_800_000),
-        known_addresses: vec!["10.1.0.41:8229".parse().expect("valid address"); 6],
+        known_addresses: vec!["10.1.0.41:8229".parse().expect("the host address parses"); 6],
         update: PeerUpdate {
             proof: Some(ProofReport { version: 1_000, age_ms: 900 }),
             loads: (0..endpoints).map(|i| (key(i), 2_000)).collect(),
@@ -65,7 +68,7 @@
 fn prefix_reports_have_a_bounded_size() {
     let prefixes = PrefixIndex::default();
     for i in 0..5_000u64 {
-        let endpoint = format!("i-{i:010}").parse::<EndpointId>().expect("valid name");
+        let endpoint = format!("i-{i:010}").parse::<EndpointId>().expect("the endpoint ID parses");
         prefixes.record_use(
             Millis(i),
             PrefixKey::new(&i.to_string(), None),
@@ -86,11 +89,11 @@
     let baseline = Baseline::default();
     for i in 0..5_000 {
         let response = ObservedResponse {
-            service: "model-service".parse().expect("valid name"),
+            service: "model-service".parse().expect("the service name parses"),
             canary_version: None,
-            endpoint: format!("i-{i:010}").parse().expect("valid name"),
+            endpoint: format!("i-{i:010}").parse().expect("the endpoint ID parses"),
             is_load_concentrated: false,
-            route: format!("route-{i}").parse().expect("valid name"),
+            route: format!("route-{i}").parse().expect("the route name parses"),
             model: None,
             outcome: AttemptOutcome::Complete,
             has_failed_before: false,
--- a/crates/tidetrack-plane/tests/report_sizes.rs
+++ b/crates/tidetrack-plane/tests/report_sizes.rs
@@ -13,7 +13,7 @@
 const NOW: Millis = Millis(604_800_000);
 
 fn fingerprint(n: usize) -> Fingerprint {
-    let workspace: WorkspaceId = format!("w-{}", n % 12).parse().expect("valid name");
+    let workspace: WorkspaceId = format!("w-{}", n % 12).parse().expect("the workspace ID parses");
     Fingerprint::of(&RequestIdentity {
         workspace: Some(&workspace),
         hostname: "shop.example",
@@ -32,9 +32,10 @@
     let suspects = Suspects::default();
     for n in 0..1_024 {
         for crash in 0..8 {
-            let endpoint: EndpointId = format!("e-{n}-{crash}").parse().expect("valid name");
+            let endpoint: EndpointId =
+                format!("e-{n}-{crash}").parse().expect("the endpoint ID parses");
             let at = NOW + Millis(crash * 1_000);
-            let domain = "hall".parse().expect("valid name");
+            let domain = "hall".parse().expect("the failure domain parses");
             suspects.record_crash(at, fingerprint(n), &endpoint, &domain, at);
         }
     }
@@ -51,7 +52,7 @@
 fn reports_of_limits_have_a_bounded_size() {
     let mut limits = EndpointLimits::default();
     for n in 0..4_200 {
-        let id: EndpointId = format!("e-{n}").parse().expect("valid name");
+        let id: EndpointId = format!("e-{n}").parse().expect("the endpoint ID parses");
         limits.record_response(NOW, EndpointKey::from(&id), Some(Rate(1.6)));
     }
 
--- a/crates/tidetrack-plane/tests/server.rs
+++ b/crates/tidetrack-plane/tests/server.rs
@@ -93,7 +93,7 @@
         .build()
         .expect("the runtime starts");
     let local = LocalSet::new();
-    let any_port = "127.0.0.1:0".parse().expect("valid address");
+    let any_port = "127.0.0.1:0".parse().expect("the loopback address parses");
     let listener = rt.block_on(async { listen(any_port) }).expect("the server listens");
     let address = listener.local_addr().expect("the listener has an address");
     let dropped = Rc::new(Cell::new(0));
--- a/crates/tidetrack-router/src/chat/attempts.rs
+++ b/crates/tidetrack-router/src/chat/attempts.rs
@@ -121,7 +121,7 @@
                 None => view.choose_version(workspace, model, self.version_fraction, freshness)?,
             });
         }
-        let chosen = chosen.as_ref().expect("a version was chosen").clone();
+        let chosen = chosen.as_ref().expect("a version is chosen before the attempt").clone();
         let endpoint = self.pick_endpoint(&view, &chosen, tried)?;
         tried.push(endpoint.id.clone());
         self.labels.version = chosen.version.to_string();
--- a/crates/tidetrack-router/src/settings.rs
+++ b/crates/tidetrack-router/src/settings.rs
@@ -206,7 +206,8 @@
     #[test]
     fn all_parse_faults_name_file_and_line() {
         let text = "host = \"a\"\nfailure_domian = \"x\"\n[limits]\nthreads = \"many\"\n";
-        let err = Settings::from_toml("r.toml", text).expect_err("invalid settings");
+        let err =
+            Settings::from_toml("r.toml", text).expect_err("the invalid settings are rejected");
         assert_eq!(err.code, Code::BadSettings);
         assert!(err.message.contains("r.toml:2:"), "{err}");
         assert!(err.message.contains("`failure_domain`"), "{err}");
@@ -219,9 +220,9 @@
         let parse_with = |more: &str| Settings::from_toml("r.toml", &format!("{example}\n{more}"));
 
         let valid = parse_with("[suspects]\nbarred_from = 5\nbarred_for = 60000\n")
-            .expect("valid settings");
-        let error =
-            parse_with("[suspects]\nbarred_from = 0\nmost = 0\n").expect_err("invalid settings");
+            .expect("the valid settings are accepted");
+        let error = parse_with("[suspects]\nbarred_from = 0\nmost = 0\n")
+            .expect_err("the invalid settings are rejected");
 
         assert_eq!(valid.suspects.bar_threshold, 5);
         assert!(error.message.contains("barred_from") && error.message.contains("most"), "{error}");
--- a/crates/tidetrack-router/tests/crashes.rs
+++ b/crates/tidetrack-router/tests/crashes.rs
@@ -23,8 +23,8 @@
 
 /// Starts an endpoint that crashes on the deadly request, or answers it with status 500 if it survives.
 fn start_endpoint(survives_crashing_requests: bool) -> CrashingEndpoint {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let address = listener.local_addr().expect("valid address").to_string();
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free loopback port is available");
+    let address = listener.local_addr().expect("the listener has an address").to_string();
     drop(listener);
     let answer =
         |status| format!("HTTP/1.1 {status}\r\nContent-Length: 4\r\nConnection: close\r\n\r\ndone");
@@ -95,7 +95,7 @@
         is_finished.store(true, Ordering::Release);
         (
             normal_statuses.join().expect("the caller thread does not panic"),
-            last.expect("at least one reply"),
+            last.expect("at least one reply was received"),
         )
     });
 
--- a/crates/tidetrack-router/tests/path.rs
+++ b/crates/tidetrack-router/tests/path.rs
@@ -29,7 +29,7 @@
     let mut stream =
         caller.chat_request("chat", "two", true, 40).send_lazy().expect("the stream opens");
     let mut first = [0; 1024];
-    let n = stream.read(&mut first).expect("an event arrives");
+    let n = stream.read(&mut first).expect("the first event of the stream arrives");
     let finished_after_first = fleet.stable_engine.counts().finished;
     let mut rest = String::new();
     stream.read_to_string(&mut rest).expect("the rest of the stream arrives");
@@ -126,7 +126,9 @@
     stream.read_exact(&mut first).expect("the first part arrives");
     drop(stream);
 
-    wait_for("a cancelled attempt", || (fleet.stable_engine.counts().cancelled == 1).then_some(()));
+    wait_for("the cancellation of the attempt at the engine", || {
+        (fleet.stable_engine.counts().cancelled == 1).then_some(())
+    });
     assert_eq!(fleet.stable_engine.counts().finished, 0);
 }
 
@@ -176,7 +178,7 @@
     slow_caller.set_read_timeout(Some(Duration::from_secs(20))).expect("the socket option is set");
     let mut answer = [0; 12];
     // Sends single bytes until the router refuses the request.
-    let refused = wait_for("a refusal", || {
+    let refused = wait_for("the refusal of the slow caller", || {
         let _ = slow_caller.write_all(b" ");
         slow_caller.set_nonblocking(true).expect("the socket option is set");
         let has_status_line = slow_caller.peek(&mut answer).unwrap_or(0) == answer.len();
@@ -217,14 +219,14 @@
         .set_file_limit(process.count_open_files().expect("the count of open files is readable"));
     let idle_connections: Vec<TcpStream> =
         (0..100).filter_map(|_| TcpStream::connect(&caller.host).ok()).collect();
-    wait_for("a failed accept", || {
+    wait_for("the log line of the failed accept", || {
         let log = std::fs::read_to_string(&process.log_path).ok()?;
         log.contains("E105").then_some(())
     });
     drop(idle_connections);
     process.set_file_limit(1_024);
 
-    wait_for("a successful response", || {
+    wait_for("a successful response after the failed accept", || {
         (send(caller.chat_request("chat", "x", false, 3)).status == 200).then_some(())
     });
 }
--- a/crates/tidetrack-router/tests/promises.rs
+++ b/crates/tidetrack-router/tests/promises.rs
@@ -40,7 +40,7 @@
 }
 
 fn withdraw(fleet: &Fleet, version: &str) -> u64 {
-    let version = version.parse().expect("valid version");
+    let version = version.parse().expect("the version name parses");
     rollout::withdraw(&fleet.platform_client, &version, "a test").expect("the version is withdrawn")
 }
 
@@ -89,7 +89,7 @@
     set_platform_outage(&fleet, true);
     let fact = tidetrack_core::facts::Fact {
         subject: tidetrack_core::facts::Subject::Withdrawn(
-            "model@1".parse().expect("valid version"),
+            "model@1".parse().expect("the version name parses"),
         ),
         generation: 1,
     };
@@ -111,7 +111,7 @@
     fleet.hosts[2].process().pause();
     let revision = withdraw(&fleet, "model@1");
     for (i, host) in fleet.hosts.iter().enumerate().filter(|(i, _)| *i != 2) {
-        wait_for("the withdrawal", || {
+        wait_for("the host's application of the withdrawal", || {
             host.status().filter(|s| s.applied_revision >= revision).map(|_| ())
         });
         assert_eq!(send_request(&fleet, i, "x").code(), "TT-2005");
@@ -159,7 +159,7 @@
         let request = fleet.hosts[host].caller().chat_request("chat", "go on", false, 3);
         send(request.with_header(headers::SESSION, token))
     };
-    let id = "to-2".parse().expect("valid roll-out ID");
+    let id = "to-2".parse().expect("the roll-out ID parses");
     rollout::apply_verb(&fleet.platform_client, &id, rollout::Verb::Start)
         .expect("the roll-out starts");
     rollout::apply_verb(&fleet.platform_client, &id, rollout::Verb::Advance)
@@ -334,7 +334,7 @@
         canary_quality: 0.2,
         ..FleetOptions::default()
     });
-    let id = "to-2".parse().expect("valid roll-out ID");
+    let id = "to-2".parse().expect("the roll-out ID parses");
     // Three hosts lose the platform and all other hosts, so no message reaches them.
     for host in &fleet.hosts[..3] {
         host.platform_proxy.set_fault(Fault::Cut);
--- a/crates/tidetrack-router/tests/reads.rs
+++ b/crates/tidetrack-router/tests/reads.rs
@@ -32,7 +32,7 @@
 
 /// Writes an object with a description of `bytes` bytes and returns its version.
 fn write(fleet: &Fleet, n: usize, bytes: usize) -> u64 {
-    let serving = "model@1".parse().expect("valid version");
+    let serving = "model@1".parse().expect("the version name parses");
     let object = Object::Model(Model { serving, description: "x".repeat(bytes) });
     let name = config_object_name(&ObjectKey::new(ObjectKind::Model, format!("model-{bytes}-{n}")));
     fleet
@@ -72,7 +72,7 @@
     let last = (0..SMALL_OBJECTS)
         .map(|n| write(&fleet, n, SMALL_OBJECT_BYTES))
         .max()
-        .expect("a version exists");
+        .expect("at least one object is written");
     wait_until_in_force(&fleet, last);
     fleet.hosts[0].kill();
     let (before, reads) =
--- a/crates/tidetrack-router/tests/slow_store.rs
+++ b/crates/tidetrack-router/tests/slow_store.rs
@@ -30,7 +30,7 @@
     let options = FleetOptions { hosts: 1, ..FleetOptions::default() };
     let fleet = Fleet::start(Path::new(env!("CARGO_BIN_EXE_tidetrack-router")), options)
         .expect("the fleet starts");
-    let serving = "model@1".parse().expect("valid version");
+    let serving = "model@1".parse().expect("the version name parses");
     let object = Object::Model(Model { serving, description: "x".repeat(LARGE_CHANGE_BYTES) });
     let name = config_object_name(&ObjectKey::new(ObjectKind::Model, "large"));
     fleet.hosts[0].platform_proxy.set_fault(Fault::ConnectionRate(SLOW_BYTES_PER_SECOND));
@@ -110,7 +110,7 @@
     };
     fleet.platform_standin.set_hosts((0..4_740).map(endpoint).collect());
     fleet.hosts[0].platform_proxy.set_fault(Fault::ConnectionRate(SLOW_BYTES_PER_SECOND));
-    let serving = "model@1".parse().expect("valid version");
+    let serving = "model@1".parse().expect("the version name parses");
     let small = Object::Model(Model { serving, description: String::new() }).to_json();
 
     let delays: Vec<Duration> = (0..12)
@@ -122,7 +122,7 @@
                 .write(&name, 0, &small)
                 .expect("the store accepts the write")
                 .version;
-            wait_for("the change in force", || {
+            wait_for("the host's application of the change", || {
                 fleet.hosts[0].status().filter(|s| s.applied_revision >= version).map(|_| ())
             });
             std::thread::sleep(Duration::from_millis(400));
--- a/crates/tidetrack-testkit/src/fleet.rs
+++ b/crates/tidetrack-testkit/src/fleet.rs
@@ -91,7 +91,7 @@
 impl Host {
     /// Returns the router process. Panics if it is down.
     pub fn process(&self) -> &RouterProcess {
-        self.process.as_ref().expect("the host is up")
+        self.process.as_ref().expect("the host process is running")
     }
 
     /// Returns a caller that sends its requests to this host.
--- a/crates/tidetrack-testkit/tests/descriptors.rs
+++ b/crates/tidetrack-testkit/tests/descriptors.rs
@@ -71,5 +71,5 @@
 
     proxy.set_fault(Fault::Cut);
 
-    assert_eq!(open_stream.read(&mut [0; 1]).expect("end of stream, no timeout"), 0);
+    assert_eq!(open_stream.read(&mut [0; 1]).expect("the stream ends without a timeout"), 0);
 }
